--- a/balance/api.go
+++ b/balance/api.go
@@ -10,8 +10,8 @@
 import (
 	"time"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/guard"
+	"ivylock/fleet/subset"
+	"ivylock/guard"
 )
 
 // Time is a reading of the caller's monotonic clock. Its zero has no meaning.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/readings"
+	"ivylock/fleet/subset"
+	"ivylock/readings"
 )
 
 const (
--- a/balance/behaviour_test.go
+++ b/balance/behaviour_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/decider"
+	"ivylock/balance"
+	"ivylock/internal/decider"
 )
 
 // rig feeds one module with a fleet of servers whose delays the test sets.
--- a/balance/chance_test.go
+++ b/balance/chance_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // Guards against leaving out servers that all fail alike now and then, and
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // crowdSettings are those of one of a thousand nodes.
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // A node asks the module where a request goes, with no wire in between.
--- a/balance/own_wait_test.go
+++ b/balance/own_wait_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // Servers that answer at once have room for whatever the node's own core gets done. Guards against a node that takes
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/readings"
+	"ivylock/balance"
+	"ivylock/readings"
 )
 
 // tellers are the nodes of a whole crowd in front of the same servers, which hear one another.
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // A server that has just been restarted, as the list tells, must not be sent work at the rate of the warm process
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 const testRate = 60 // arrivals a second
--- a/balance/state.go
+++ b/balance/state.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/readings"
+	"ivylock/fleet/subset"
+	"ivylock/readings"
 )
 
 // What is measured, and how it is smoothed.
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // oneRequest has a module with servers send one request, and gives the send.
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/readings"
+	"ivylock/fleet/subset"
+	"ivylock/readings"
 )
 
 // setOf gives the servers that a node uses.
--- a/balance/waits.go
+++ b/balance/waits.go
@@ -9,7 +9,7 @@
 	"math"
 	"time"
 
-	"barrowscale/readings"
+	"ivylock/readings"
 )
 
 const (
--- a/balance/waits_test.go
+++ b/balance/waits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/readings"
+	"ivylock/balance"
+	"ivylock/readings"
 )
 
 // asked is a node of a crowd whose probes come back with the waits of a test, and what it tells.
--- a/balance/world_test.go
+++ b/balance/world_test.go
@@ -9,8 +9,8 @@
 	"sort"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/decider"
+	"ivylock/balance"
+	"ivylock/internal/decider"
 )
 
 type sentAttempt struct {
--- a/balance/worth_test.go
+++ b/balance/worth_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // In a crowd no attempt goes on once its answer is worth nothing, and none is begun then; where late answers are worth
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
-	"barrowscale/internal/decider"
-	"barrowscale/internal/wire"
+	"ivylock/internal/decider"
+	"ivylock/internal/wire"
 )
 
 func main() {
--- a/cmd/ivylab/main.go
+++ b/cmd/ivylab/main.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/term"
 
-	"barrowscale/internal/lab/command"
-	"barrowscale/internal/lab/sysfault"
+	"ivylock/internal/lab/command"
+	"ivylock/internal/lab/sysfault"
 )
 
 func main() {
--- a/cmd/ivylock-control/main.go
+++ b/cmd/ivylock-control/main.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"syscall"
 
-	"barrowscale/internal/control"
-	"barrowscale/internal/logsink"
-	"barrowscale/internal/operator"
+	"ivylock/internal/control"
+	"ivylock/internal/logsink"
+	"ivylock/internal/operator"
 )
 
 // errConfig is a fault in the operator's file: exit 2.
--- a/cmd/ivylock-control/process_test.go
+++ b/cmd/ivylock-control/process_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // service is a control service that runs as a process.
--- a/cmd/ivylock-control/steered_test.go
+++ b/cmd/ivylock-control/steered_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
 )
 
 // steeredProxy asks for clusters and endpoints; answer says how it answers what comes
--- a/cmd/ivylock-control/versions_test.go
+++ b/cmd/ivylock-control/versions_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/audit"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/link"
-	"barrowscale/internal/lab/xdsproxy"
+	"ivylock/fleet/audit"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/link"
+	"ivylock/internal/lab/xdsproxy"
 )
 
 // A control service is killed and begins anew at a lower version beside one that goes
--- a/cmd/ivylock/bodies_test.go
+++ b/cmd/ivylock/bodies_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/nodetest"
 )
 
 // residentMB is the memory that a process has in use (VmHWM: the most so far).
--- a/cmd/ivylock/descriptors_test.go
+++ b/cmd/ivylock/descriptors_test.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/nodetest"
 )
 
 // While the system gives a process no descriptor clients wait; they are accepted within
--- a/cmd/ivylock/disk_test.go
+++ b/cmd/ivylock/disk_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/sysfault"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/lab/sysfault"
+	"ivylock/internal/nodetest"
 )
 
 // diskCalls are the system calls by which a process keeps what the next one takes over.
--- a/cmd/ivylock/fleet_test.go
+++ b/cmd/ivylock/fleet_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/nodetest"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/nodetest"
 )
 
 // record asks a process's console what it has acted on.
--- a/cmd/ivylock/log_test.go
+++ b/cmd/ivylock/log_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/nodetest"
 )
 
 // pipe gives both ends of a pipe that holds one page.
--- a/cmd/ivylock/main.go
+++ b/cmd/ivylock/main.go
@@ -17,14 +17,14 @@
 	"syscall"
 	"time"
 
-	"barrowscale/internal/console"
-	"barrowscale/internal/front"
-	"barrowscale/internal/handover"
-	"barrowscale/internal/logsink"
-	"barrowscale/internal/node"
-	"barrowscale/internal/operator"
-	"barrowscale/internal/strict"
-	"barrowscale/internal/wallclock"
+	"ivylock/internal/console"
+	"ivylock/internal/front"
+	"ivylock/internal/handover"
+	"ivylock/internal/logsink"
+	"ivylock/internal/node"
+	"ivylock/internal/operator"
+	"ivylock/internal/strict"
+	"ivylock/internal/wallclock"
 )
 
 const heapPart = 0.7 // of the memory limit: the rest is for stacks, the kernel's buffers and slack
--- a/cmd/ivylock/main_test.go
+++ b/cmd/ivylock/main_test.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"testing"
 
-	"barrowscale/internal/lab/sysfault"
-	"barrowscale/internal/wallclock"
+	"ivylock/internal/lab/sysfault"
+	"ivylock/internal/wallclock"
 )
 
 // TestMain lets the tests start this program as a process of its own.
--- a/cmd/ivylock/share.go
+++ b/cmd/ivylock/share.go
@@ -6,10 +6,10 @@
 	"os"
 	"time"
 
-	"barrowscale/handoff"
-	"barrowscale/internal/front"
-	"barrowscale/internal/handover"
-	"barrowscale/internal/node"
+	"ivylock/handoff"
+	"ivylock/internal/front"
+	"ivylock/internal/handover"
+	"ivylock/internal/node"
 )
 
 const (
--- a/cmd/ivylock/shutdown_test.go
+++ b/cmd/ivylock/shutdown_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/bounded"
+	"ivylock/internal/nodetest"
 )
 
 const (
--- a/cmd/ivylock/upgrade_test.go
+++ b/cmd/ivylock/upgrade_test.go
@@ -20,9 +20,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/nodetest"
 )
 
 // platform is what the platform gives to a node: a listening socket, a folder,
--- a/cmd/ivylockctl/main.go
+++ b/cmd/ivylockctl/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"barrowscale/internal/ctl"
+	"ivylock/internal/ctl"
 )
 
 func main() { os.Exit(ctl.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Options of an audit.
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 const began = 1_800_000_000 * time.Second
--- a/fleet/audit/behind.go
+++ b/fleet/audit/behind.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // fresh is how old a record or a word may be to tell how a process stands now.
--- a/fleet/audit/breaks.go
+++ b/fleet/audit/breaks.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // episode is one withdrawal of a server, from the first process that knew until it
--- a/fleet/audit/changes.go
+++ b/fleet/audit/changes.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Change is one version of the list on its way through the fleet.
--- a/fleet/audit/events.go
+++ b/fleet/audit/events.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Event is something that a process has on record.
--- a/fleet/audit/members.go
+++ b/fleet/audit/members.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // View is how one process sees the fleet.
--- a/fleet/audit/proxies.go
+++ b/fleet/audit/proxies.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Proxy says how one steered proxy stands, by the records of the control services
--- a/fleet/follow/agent.go
+++ b/fleet/follow/agent.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 const (
--- a/fleet/follow/api.go
+++ b/fleet/follow/api.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Time is a reading of the caller's monotonic clock with Unix time as its origin.
--- a/fleet/follow/follow_test.go
+++ b/fleet/follow/follow_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 
 	"pgregory.net/rapid"
 )
--- a/fleet/follow/message.go
+++ b/fleet/follow/message.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // MaxDatagram is the most that processes may send one another, bytes.
--- a/fleet/follow/sim_test.go
+++ b/fleet/follow/sim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // sim is a fleet of agents under virtual time, with a source that may be cut off
--- a/fleet/follow/standing.go
+++ b/fleet/follow/standing.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // shown is as of when it can be shown that what the process acts on was current:
--- a/fleet/follow/words.go
+++ b/fleet/follow/words.go
@@ -4,7 +4,7 @@
 	"math/bits"
 	"slices"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // push tells of withdrawals at once, and once more a little later.
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -10,11 +10,11 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/follow"
-	"barrowscale/fleet/roster"
-	"barrowscale/fleet/shares"
-	"barrowscale/fleet/subset"
-	"barrowscale/fleet/version"
+	"ivylock/fleet/follow"
+	"ivylock/fleet/roster"
+	"ivylock/fleet/shares"
+	"ivylock/fleet/subset"
+	"ivylock/fleet/version"
 )
 
 // Time is a reading of the caller's monotonic clock with Unix time as its origin.
--- a/fleet/steered/steered.go
+++ b/fleet/steered/steered.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Time is a reading of the caller's monotonic clock.
--- a/handoff/handoff.go
+++ b/handoff/handoff.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/version"
-	"barrowscale/maintenance"
+	"ivylock/balance"
+	"ivylock/fleet/version"
+	"ivylock/maintenance"
 )
 
 // Version is the form of State that this build writes and reads.
--- a/handoff/handoff_test.go
+++ b/handoff/handoff_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/maintenance"
+	"ivylock/maintenance"
 )
 
 func TestJudge(t *testing.T) {
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/nodetest"
 )
 
 // Whatever the system fails an accept with, the next connection is accepted within
--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -115,12 +115,12 @@
 
 // The node's days have 32 MB: nothing heavy may be linked into it.
 func TestTheNodeStaysLean(t *testing.T) {
-	out, err := exec.Command("go", "list", "-deps", "barrowscale/cmd/ivylock").CombinedOutput()
+	out, err := exec.Command("go", "list", "-deps", "ivylock/cmd/ivylock").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	for _, dep := range strings.Fields(string(out)) {
-		for _, heavy := range []string{"barrowscale/internal/lab", "google.golang.org/", "envoyproxy", "barrowscale/steer", "spf13/cobra", "gonum", "html/template", "text/template"} {
+		for _, heavy := range []string{"ivylock/internal/lab", "google.golang.org/", "envoyproxy", "ivylock/steer", "spf13/cobra", "gonum", "html/template", "text/template"} {
 			if strings.Contains(dep, heavy) {
 				t.Errorf("the node links %s", dep)
 			}
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/nodetest"
+	"ivylock/balance"
+	"ivylock/internal/bounded"
+	"ivylock/internal/nodetest"
 )
 
 // newPool makes a pool whose connections need no rest.
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"barrowscale/internal/neterr"
+	"ivylock/internal/neterr"
 )
 
 const (
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/nodetest"
+	"ivylock/balance"
+	"ivylock/internal/nodetest"
 )
 
 // failing makes a pool's dials fail with an errno, so many times.
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -9,10 +9,10 @@
 	"net/url"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/loadreport"
-	"barrowscale/internal/neterr"
+	"ivylock/balance"
+	"ivylock/internal/bounded"
+	"ivylock/internal/loadreport"
+	"ivylock/internal/neterr"
 )
 
 const (
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/guard"
-	"barrowscale/internal/bounded"
+	"ivylock/balance"
+	"ivylock/guard"
+	"ivylock/internal/bounded"
 )
 
 const (
--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 	"strings"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // Digest is the digest of the program's version, as the runtime tells it; 0 if it is
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/accept"
-	"barrowscale/maintenance"
+	"ivylock/internal/accept"
+	"ivylock/maintenance"
 )
 
 const (
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/nodetest"
-	"barrowscale/maintenance"
+	"ivylock/internal/nodetest"
+	"ivylock/maintenance"
 )
 
 type fakeNode struct {
--- a/internal/control/accept_test.go
+++ b/internal/control/accept_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
 
-	"barrowscale/internal/nodetest"
-	"barrowscale/internal/operator"
+	"ivylock/internal/nodetest"
+	"ivylock/internal/operator"
 )
 
 const minimal = `[control]
--- a/internal/control/console.go
+++ b/internal/control/console.go
@@ -8,9 +8,9 @@
 	"net"
 	"time"
 
-	"barrowscale/internal/console"
-	"barrowscale/internal/recordfile"
-	"barrowscale/maintenance"
+	"ivylock/internal/console"
+	"ivylock/internal/recordfile"
+	"ivylock/maintenance"
 )
 
 // Ready tells whether a list has come and the service keeps up.
--- a/internal/control/engine.go
+++ b/internal/control/engine.go
@@ -9,12 +9,12 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/balance"
-	fleetversion "barrowscale/fleet/version"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/wallclock"
-	"barrowscale/membership"
-	"barrowscale/steer"
+	"ivylock/balance"
+	fleetversion "ivylock/fleet/version"
+	"ivylock/internal/discovery"
+	"ivylock/internal/wallclock"
+	"ivylock/membership"
+	"ivylock/steer"
 )
 
 const (
--- a/internal/control/engine_test.go
+++ b/internal/control/engine_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/internal/discovery"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/steer"
 )
 
 const patience = 20 * time.Second
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"barrowscale/fleet/follow"
-	"barrowscale/fleet/member"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/build"
-	"barrowscale/internal/operator"
-	"barrowscale/internal/wallclock"
+	"ivylock/fleet/follow"
+	"ivylock/fleet/member"
+	"ivylock/fleet/version"
+	"ivylock/internal/build"
+	"ivylock/internal/operator"
+	"ivylock/internal/wallclock"
 )
 
 const (
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	fleetversion "barrowscale/fleet/version"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/durable"
-	"barrowscale/internal/wallclock"
-	"barrowscale/membership"
-	"barrowscale/steer"
+	"ivylock/balance"
+	fleetversion "ivylock/fleet/version"
+	"ivylock/internal/discovery"
+	"ivylock/internal/durable"
+	"ivylock/internal/wallclock"
+	"ivylock/membership"
+	"ivylock/steer"
 )
 
 const maxKept = 16 << 20 // bytes of a kept list
--- a/internal/control/save_test.go
+++ b/internal/control/save_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/nodetest"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/internal/discovery"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/nodetest"
+	"ivylock/steer"
 )
 
 // A disk that stands still holds up no drain, and a write that failed is made again.
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -8,11 +8,11 @@
 	"net/http"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/accept"
-	"barrowscale/internal/operator"
-	"barrowscale/internal/xds"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/internal/accept"
+	"ivylock/internal/operator"
+	"ivylock/internal/xds"
+	"ivylock/steer"
 )
 
 // Service is the whole control service: an engine and the server before it.
--- a/internal/control/steered.go
+++ b/internal/control/steered.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/follow"
-	"barrowscale/fleet/steered"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/operator"
-	"barrowscale/internal/wallclock"
-	"barrowscale/internal/xds"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/fleet/follow"
+	"ivylock/fleet/steered"
+	"ivylock/fleet/version"
+	"ivylock/internal/discovery"
+	"ivylock/internal/operator"
+	"ivylock/internal/wallclock"
+	"ivylock/internal/xds"
+	"ivylock/steer"
 )
 
 const (
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"barrowscale/fleet/audit"
+	"ivylock/fleet/audit"
 
 	"github.com/spf13/cobra"
 )
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 // fleet gives the records of three processes; the third was cut off from its source
--- a/internal/ctl/plot.go
+++ b/internal/ctl/plot.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"barrowscale/fleet/audit"
-	"barrowscale/fleet/version"
+	"ivylock/fleet/audit"
+	"ivylock/fleet/version"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/palette/moreland"
--- a/internal/ctl/source.go
+++ b/internal/ctl/source.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 const (
--- a/internal/decider/decider.go
+++ b/internal/decider/decider.go
@@ -4,8 +4,8 @@
 package decider
 
 import (
-	"barrowscale/balance"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/membership"
 )
 
 // Decider is one node's. It is not safe for concurrent use.
--- a/internal/decider/decider_test.go
+++ b/internal/decider/decider_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/decider"
+	"ivylock/balance"
+	"ivylock/internal/decider"
 )
 
 func settings() balance.Settings {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/membership"
 )
 
 // News is what a call to discovery brought; a Kind of ListFailed says that it
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/membership"
 )
 
 const (
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/nodetest"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/internal/nodetest"
+	"ivylock/membership"
 )
 
 // known begins with a list of a generation.
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"sync/atomic"
 
-	"barrowscale/guard"
-	"barrowscale/internal/invariant"
-	"barrowscale/internal/neterr"
+	"ivylock/guard"
+	"ivylock/internal/invariant"
+	"ivylock/internal/neterr"
 )
 
 // Outcome is how a request ended.
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"barrowscale/guard"
+	"ivylock/guard"
 )
 
 func TestEveryFigureIsThereFromTheStart(t *testing.T) {
--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/eventlog"
+	"ivylock/internal/eventlog"
 )
 
 // emptyTime is for how long nothing comes at a listener that is empty.
--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/guard"
-	"barrowscale/internal/node"
-	"barrowscale/internal/nodetest"
+	"ivylock/guard"
+	"ivylock/internal/node"
+	"ivylock/internal/nodetest"
 )
 
 // Whatever an accept fails with, the node goes on, and serves within milliseconds; each failure
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/bounded"
+	"ivylock/internal/bounded"
 )
 
 const (
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/nodetest"
 )
 
 // noise gives n bytes that differ from place to place, without holding them.
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
-	"barrowscale/guard"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/invariant"
-	"barrowscale/internal/node"
+	"ivylock/guard"
+	"ivylock/internal/bounded"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
+	"ivylock/internal/invariant"
+	"ivylock/internal/node"
 )
 
 const (
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/accept"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/invariant"
-	"barrowscale/internal/neterr"
-	"barrowscale/internal/node"
+	"ivylock/internal/accept"
+	"ivylock/internal/bounded"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
+	"ivylock/internal/invariant"
+	"ivylock/internal/neterr"
+	"ivylock/internal/node"
 )
 
 // clientConns keeps the number of client connections within its budget, so
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
-	"barrowscale/guard"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/node"
-	"barrowscale/internal/nodetest"
+	"ivylock/guard"
+	"ivylock/internal/bounded"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
+	"ivylock/internal/node"
+	"ivylock/internal/nodetest"
 )
 
 // get is a whole request in the protocol's form.
--- a/internal/front/events_test.go
+++ b/internal/front/events_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/nodetest"
 )
 
 // What happened to a request can be read afterwards: its connection, each attempt, why it
--- a/internal/front/figures_test.go
+++ b/internal/front/figures_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/figures"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/figures"
+	"ivylock/internal/nodetest"
 )
 
 // counted is a node whose clients and servers count for themselves. What a
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -16,13 +16,13 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/guard"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/node"
+	"ivylock/balance"
+	"ivylock/guard"
+	"ivylock/internal/backend"
+	"ivylock/internal/bounded"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
+	"ivylock/internal/node"
 )
 
 const (
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -17,12 +17,12 @@
 	"testing"
 	"time"
 
-	"barrowscale/guard"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/node"
-	"barrowscale/internal/nodetest"
+	"ivylock/guard"
+	"ivylock/internal/bounded"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
+	"ivylock/internal/node"
+	"ivylock/internal/nodetest"
 )
 
 func nodeConfig(t *testing.T, discovery string, servers ...string) *node.Config {
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/node"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/node"
+	"ivylock/internal/nodetest"
 )
 
 // believed gives what of a connection's bytes may run at most, each as its id
--- a/internal/front/invariant_test.go
+++ b/internal/front/invariant_test.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"testing"
 
-	"barrowscale/internal/invariant"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/invariant"
+	"ivylock/internal/nodetest"
 )
 
 // A connection that is closed under a request which has no answer is a violation, and is seen
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/node"
-	"barrowscale/internal/nodetest"
+	"ivylock/internal/node"
+	"ivylock/internal/nodetest"
 )
 
 // lists is a discovery that follows a script: it has a drain from some call on, and says
--- a/internal/front/turnaway.go
+++ b/internal/front/turnaway.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"barrowscale/internal/figures"
-	"barrowscale/internal/node"
+	"ivylock/internal/figures"
+	"ivylock/internal/node"
 )
 
 const (
--- a/internal/front/unfinished_test.go
+++ b/internal/front/unfinished_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"barrowscale/guard"
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/invariant"
-	"barrowscale/internal/nodetest"
+	"ivylock/guard"
+	"ivylock/internal/bounded"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
+	"ivylock/internal/invariant"
+	"ivylock/internal/nodetest"
 )
 
 // accepted gives both ends of a connection that a budget of two has accepted.
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"barrowscale/handoff"
-	"barrowscale/internal/durable"
+	"ivylock/handoff"
+	"ivylock/internal/durable"
 )
 
 const (
--- a/internal/handover/files_test.go
+++ b/internal/handover/files_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/handoff"
-	"barrowscale/maintenance"
+	"ivylock/balance"
+	"ivylock/handoff"
+	"ivylock/maintenance"
 )
 
 func example() *handoff.State {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -8,7 +8,7 @@
 	"hash/crc32"
 	"math"
 
-	"barrowscale/handoff"
+	"ivylock/handoff"
 )
 
 // MaxState bounds a state's text: a list of some 20,000 servers.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/eventlog"
+	"ivylock/internal/eventlog"
 )
 
 // Kind is an invariant.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/eventlog"
+	"ivylock/internal/eventlog"
 )
 
 func TestEachViolationIsCountedByItsKind(t *testing.T) {
--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -17,10 +17,10 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/socket"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/socket"
 )
 
 const (
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
 )
 
 type rig struct {
--- a/internal/lab/caller/late.go
+++ b/internal/lab/caller/late.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/socket"
+	"ivylock/internal/bounded"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/socket"
 )
 
 // lateKind is what a connection to a process that is told to end has carried.
--- a/internal/lab/clip/server.go
+++ b/internal/lab/clip/server.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 // State is what goes on with a server's process.
--- a/internal/lab/clip/server_test.go
+++ b/internal/lab/clip/server_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 const ms = time.Millisecond
--- a/internal/lab/clipserver/server.go
+++ b/internal/lab/clipserver/server.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/alarm"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/socket"
+	"ivylock/internal/lab/alarm"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/socket"
 )
 
 const (
--- a/internal/lab/clipserver/server_test.go
+++ b/internal/lab/clipserver/server_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
 )
 
 const patience = 10 * time.Second
--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -15,13 +15,13 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/bounded"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/nodeconf"
-	"barrowscale/internal/lab/perf"
-	"barrowscale/internal/lab/process"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/bounded"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/nodeconf"
+	"ivylock/internal/lab/perf"
+	"ivylock/internal/lab/process"
+	"ivylock/internal/lab/scenario"
 )
 
 // proxyWord is the hidden command by which bench starts the other proxy.
@@ -68,7 +68,7 @@
 	defer os.RemoveAll(dir)
 	if *program == "" {
 		*program = filepath.Join(dir, "ivylock")
-		if out, err := exec.CommandContext(ctx, "go", "build", "-o", *program, "barrowscale/cmd/ivylock").CombinedOutput(); err != nil {
+		if out, err := exec.CommandContext(ctx, "go", "build", "-o", *program, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
 			return a.fail(Misuse, fmt.Errorf("the node could not be built here (-node names one that is): %v %s", err, strings.TrimSpace(string(out))))
 		}
 	}
--- a/internal/lab/command/ceiling.go
+++ b/internal/lab/command/ceiling.go
@@ -8,14 +8,14 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/alarm"
-	"barrowscale/internal/lab/caller"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/clipserver"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/alarm"
+	"ivylock/internal/lab/caller"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/clipserver"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
 )
 
 // addedMost is what the lab may add to a request, at p99.
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -15,16 +15,16 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/real"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/show"
-	"barrowscale/internal/lab/sweep"
-	"barrowscale/scenarios"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/real"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/show"
+	"ivylock/internal/lab/sweep"
+	"ivylock/scenarios"
 )
 
 // The exit codes.
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -127,7 +127,7 @@
 
 func TestRunOnSocketsAndAStopLeaveNoProcess(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "ivylock")
-	if out, err := exec.Command("go", "build", "-o", program, "barrowscale/cmd/ivylock").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	code, out, errs := run(context.Background(), "run", write(t, small), "-node", program)
@@ -148,7 +148,7 @@
 	}
 	// A lab that is killed outright takes its nodes along.
 	lab := filepath.Join(t.TempDir(), "ivylab")
-	if out, err := exec.Command("go", "build", "-o", lab, "barrowscale/cmd/ivylab").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", lab, "ivylock/cmd/ivylab").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	cmd := exec.Command(lab, "run", write(t, strings.Replace(small, `"3s"`, `"60s"`, 1)), "-node", program)
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -8,8 +8,8 @@
 	"runtime"
 	"time"
 
-	"barrowscale/internal/lab/real"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/real"
+	"ivylock/internal/lab/scenario"
 )
 
 // rates that a machine of so many cores carries without being the trouble
--- a/internal/lab/command/experiment.go
+++ b/internal/lab/command/experiment.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/experiment"
+	"ivylock/internal/lab/experiment"
 )
 
 // commit names the source that this program was built from; where the build
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"strings"
 
-	"barrowscale/internal/lab/soak"
+	"ivylock/internal/lab/soak"
 )
 
 // soak plays random faults on many real nodes, seed after seed.
@@ -72,7 +72,7 @@
 	}
 	program = filepath.Join(dir, "ivylock")
 	args := append([]string{"build", "-o", program}, flags...)
-	if out, err := exec.CommandContext(ctx, "go", append(args, "barrowscale/cmd/ivylock")...).CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(ctx, "go", append(args, "ivylock/cmd/ivylock")...).CombinedOutput(); err != nil {
 		os.RemoveAll(dir)
 		return "", nil, fmt.Errorf("the node could not be built here (-node names one that is): %w %s", err, strings.TrimSpace(string(out)))
 	}
--- a/internal/lab/command/xdsday.go
+++ b/internal/lab/command/xdsday.go
@@ -9,11 +9,11 @@
 	"strings"
 	"sync"
 
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/policy"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/policy"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 // xdsDay plays each scenario in memory in every way to choose a server.
--- a/internal/lab/command/xdsdrain.go
+++ b/internal/lab/command/xdsdrain.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/xdsdrain"
+	"ivylock/internal/lab/xdsdrain"
 )
 
 // drainLimit is the third rule's: nothing new later than this after the word.
--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -14,9 +14,9 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/fleet"
-	"barrowscale/internal/lab/policy"
-	"barrowscale/internal/strict"
+	"ivylock/internal/lab/fleet"
+	"ivylock/internal/lab/policy"
+	"ivylock/internal/strict"
 )
 
 // Bounds of a design.
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"barrowscale/internal/lab/fleet"
-	"barrowscale/internal/lab/policy"
+	"ivylock/internal/lab/fleet"
+	"ivylock/internal/lab/policy"
 )
 
 const small = `name = "small"
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
-	"barrowscale/internal/lab/fleet"
-	"barrowscale/internal/lab/judge"
+	"ivylock/internal/lab/fleet"
+	"ivylock/internal/lab/judge"
 )
 
 // Row is a finished cell.
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"barrowscale/internal/lab/fleet"
+	"ivylock/internal/lab/fleet"
 )
 
 // Progress is how far a run is.
--- a/internal/lab/fleet/crowd_test.go
+++ b/internal/lab/fleet/crowd_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/policy"
+	"ivylock/internal/lab/policy"
 )
 
 // crowd plays a day of nodes, 7 servers to 12 nodes.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
 )
 
 // Fault names what goes wrong in a day.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/policy"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/policy"
 )
 
 // The same day is the same on every number of cores, and another seed is
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/policy"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/balance"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/policy"
+	"ivylock/internal/lab/scenario"
 )
 
 // seconds counts a day by the second: what clients asked for and got, and what servers were sent.
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -6,11 +6,11 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/policy"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/policy"
+	"ivylock/internal/lab/scenario"
 )
 
 // linger is how long the judge waits for what is late: a request that a server
--- a/internal/lab/fleet/subset_test.go
+++ b/internal/lab/fleet/subset_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
 )
 
 var sizes = flag.Bool("fleet-sizes", false, "shocks at all sizes of docs/subsets.md")
--- a/internal/lab/holds/holds.go
+++ b/internal/lab/holds/holds.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
 )
 
 // margin is what a fault may take to show on sockets.
--- a/internal/lab/holds/holds_test.go
+++ b/internal/lab/holds/holds_test.go
@@ -4,11 +4,11 @@
 	"strings"
 	"testing"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 // A run without its faults must not pass for one with them: for every
--- a/internal/lab/hosts/service.go
+++ b/internal/lab/hosts/service.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 const (
--- a/internal/lab/hosts/service_test.go
+++ b/internal/lab/hosts/service_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 const patience = 10 * time.Second
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 // Rule numbers the four rules.
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/load"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/load"
 )
 
 const ms = time.Millisecond
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 // answers checks rule one: exactly one final answer, in the client's time, to
--- a/internal/lab/judge/service.go
+++ b/internal/lab/judge/service.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 // The weights of the service measure and the points in 100 of the penalties,
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/lab/socket"
+	"ivylock/internal/lab/socket"
 )
 
 // State is what a link does beside delay.
--- a/internal/lab/load/classes.go
+++ b/internal/lab/load/classes.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 // Classes are the brief's table.
--- a/internal/lab/load/deployment.go
+++ b/internal/lab/load/deployment.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/scenario"
 )
 
 // Deployment says what settings and clients are like.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/scenario"
 )
 
 func day(t *testing.T, seed int64) *scenario.Scenario {
--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/scenario"
 )
 
 // Order is a client's request over all its tries.
--- a/internal/lab/memory/audit_test.go
+++ b/internal/lab/memory/audit_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/audit"
-	"barrowscale/fleet/follow"
-	"barrowscale/fleet/member"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/fleet/audit"
+	"ivylock/fleet/follow"
+	"ivylock/fleet/member"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
 )
 
 // cutDay is a day of nine nodes on which one to three are cut off from discovery,
--- a/internal/lab/memory/client.go
+++ b/internal/lab/memory/client.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/load"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/load"
 )
 
 // client is one try of an order.
--- a/internal/lab/memory/faults.go
+++ b/internal/lab/memory/faults.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/balance"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/scenario"
 )
 
 // silentNotice is how long discovery takes to miss a machine that is cut off.
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -4,14 +4,14 @@
 	"net/netip"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/follow"
-	"barrowscale/fleet/member"
-	"barrowscale/fleet/roster"
-	"barrowscale/fleet/shares"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
+	"ivylock/balance"
+	"ivylock/fleet/follow"
+	"ivylock/fleet/member"
+	"ivylock/fleet/roster"
+	"ivylock/fleet/shares"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
 )
 
 // fleetTick is how often an agent looks, as the node's shell has it.
--- a/internal/lab/memory/fleet_test.go
+++ b/internal/lab/memory/fleet_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 // The fleet's scenarios, many seeds: the rules hold and nobody is shut out.
--- a/internal/lab/memory/hour_test.go
+++ b/internal/lab/memory/hour_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
 )
 
 // An hour of drains, deaths, silences, flapping, hangs, links that break, spoilt answers and outages of discovery, one
--- a/internal/lab/memory/list.go
+++ b/internal/lab/memory/list.go
@@ -1,9 +1,9 @@
 package memory
 
 import (
-	"barrowscale/balance"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
+	"ivylock/balance"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
 	"time"
 )
 
--- a/internal/lab/memory/machine.go
+++ b/internal/lab/memory/machine.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/balance"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/scenario"
 )
 
 // machine is a clip server process under its id on the list, at an address. A
--- a/internal/lab/memory/members_test.go
+++ b/internal/lab/memory/members_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 var manySeeds = flag.Int64("seeds", 3, "of each scenario of members")
--- a/internal/lab/memory/memory_test.go
+++ b/internal/lab/memory/memory_test.go
@@ -4,10 +4,10 @@
 	"bytes"
 	"testing"
 
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 func each(t *testing.T, do func(*testing.T, *scenario.Scenario)) {
--- a/internal/lab/memory/mutant_test.go
+++ b/internal/lab/memory/mutant_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/balance"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 // Each row is a node that is broken on purpose: the judge must catch it by
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/member"
-	"barrowscale/internal/decider"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/nodeconf"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/balance"
+	"ivylock/fleet/member"
+	"ivylock/internal/decider"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/nodeconf"
+	"ivylock/internal/lab/scenario"
 )
 
 const (
--- a/internal/lab/memory/world.go
+++ b/internal/lab/memory/world.go
@@ -12,16 +12,16 @@
 	"math/rand/v2"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/member"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/vtime"
-	"barrowscale/internal/operator"
+	"ivylock/balance"
+	"ivylock/fleet/member"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/vtime"
+	"ivylock/internal/operator"
 )
 
 // Unix is the Unix time at which the lab's clock reads 0 in memory.
--- a/internal/lab/nodeconf/nodeconf.go
+++ b/internal/lab/nodeconf/nodeconf.go
@@ -7,13 +7,13 @@
 	"encoding/json"
 	"fmt"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/settings"
+	"ivylock/balance"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/settings"
 )
 
 // Limits are those of the node's own machine.
--- a/internal/lab/perf/perf.go
+++ b/internal/lab/perf/perf.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/lab/judge"
+	"ivylock/internal/lab/judge"
 )
 
 // Servers listens on so many loopback addresses; each answers every request
--- a/internal/lab/perf/perf_test.go
+++ b/internal/lab/perf/perf_test.go
@@ -13,10 +13,10 @@
 	"strings"
 	"testing"
 
-	"barrowscale/guard"
-	"barrowscale/internal/front"
-	"barrowscale/internal/node"
-	"barrowscale/internal/nodetest"
+	"ivylock/guard"
+	"ivylock/internal/front"
+	"ivylock/internal/node"
+	"ivylock/internal/nodetest"
 )
 
 // inNode starts a node in this process.
--- a/internal/lab/perf/scale_test.go
+++ b/internal/lab/perf/scale_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/nodeconf"
-	"barrowscale/internal/lab/process"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/nodeconf"
+	"ivylock/internal/lab/process"
+	"ivylock/internal/lab/scenario"
 )
 
 // cost is what one node needed over a run.
@@ -51,7 +51,7 @@
 // traffic, needs only so much more: the standing page's table of what may grow.
 func TestWhatANodeOfALargeFleetNeeds(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "ivylock")
-	if out, err := exec.Command("go", "build", "-o", program, "barrowscale/cmd/ivylock").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	costs := make([]cost, 2)
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
+	"ivylock/steer"
 )
 
 // Way is how a server is chosen.
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 func play(t *testing.T, name string, way Way) judge.Verdict {
--- a/internal/lab/policy/prequal.go
+++ b/internal/lab/policy/prequal.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // prequal keeps a pool of what probed servers said: requests in flight and the
--- a/internal/lab/policy/simple.go
+++ b/internal/lab/policy/simple.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // chance takes any.
--- a/internal/lab/policy/steered.go
+++ b/internal/lab/policy/steered.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/internal/lab/memory"
+	"ivylock/steer"
 )
 
 const (
--- a/internal/lab/policy/weighted.go
+++ b/internal/lab/policy/weighted.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // weighted gives each server a part by its answers a second over its
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -21,8 +21,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"barrowscale/internal/lab/nodeconf"
-	"barrowscale/internal/lab/sysfault"
+	"ivylock/internal/lab/nodeconf"
+	"ivylock/internal/lab/sysfault"
 )
 
 const (
--- a/internal/lab/real/calls.go
+++ b/internal/lab/real/calls.go
@@ -5,9 +5,9 @@
 	"slices"
 	"sync"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/sysfault"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/sysfault"
 )
 
 // callFaults are the rules by which system calls of a node's processes fail.
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/wallclock"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/wallclock"
 )
 
 // clockSteps gives the steps of the wall clock of a node's machine by the timeline, for a
--- a/internal/lab/real/deploy_test.go
+++ b/internal/lab/real/deploy_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/sweep"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/sweep"
 )
 
 // Deployments that are drawn, with real nodes on sockets: asked and pushed lists, any classes, scopes, windows, tenants and
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -7,12 +7,12 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/caller"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/link"
-	"barrowscale/internal/lab/process"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/caller"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/link"
+	"ivylock/internal/lab/process"
+	"ivylock/internal/lab/scenario"
 )
 
 var blackHole = link.Shape{State: link.BlackHole}
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/link"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/link"
+	"ivylock/internal/lab/scenario"
 )
 
 // toDiscovery gives the address at which a node finds discovery: a link's, where
--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/audit"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/fleet/audit"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 var longRuns = flag.Bool("fleet-long", false, "the fleet's long measurements: 100 drains at each loss, 30 timelines, starvation")
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -17,17 +17,17 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/internal/lab/caller"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/clipserver"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/link"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/nodeconf"
-	"barrowscale/internal/lab/process"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/wallclock"
+	"ivylock/internal/lab/caller"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/clipserver"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/link"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/nodeconf"
+	"ivylock/internal/lab/process"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/wallclock"
 )
 
 const (
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/audit"
-	"barrowscale/fleet/shares"
-	"barrowscale/fleet/version"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/fleet/audit"
+	"ivylock/fleet/shares"
+	"ivylock/fleet/version"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 // slowLook is how long a look at all consoles may take to tell that too much is held.
--- a/internal/lab/real/real_test.go
+++ b/internal/lab/real/real_test.go
@@ -13,11 +13,11 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/holds"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/sysfault"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/holds"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/sysfault"
 )
 
 var program, control string
@@ -33,7 +33,7 @@
 		os.Exit(1)
 	}
 	program, control = filepath.Join(dir, "ivylock"), filepath.Join(dir, "ivylock-control")
-	out, err := exec.Command("go", "build", "-o", dir+"/", "barrowscale/cmd/ivylock", "barrowscale/cmd/ivylock-control").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", dir+"/", "ivylock/cmd/ivylock", "ivylock/cmd/ivylock-control").CombinedOutput()
 	code := 1
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
--- a/internal/lab/real/run.go
+++ b/internal/lab/real/run.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/alarm"
-	"barrowscale/internal/lab/clip"
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/load"
+	"ivylock/internal/lab/alarm"
+	"ivylock/internal/lab/clip"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/load"
 )
 
 // Run plays the load and the timeline and gives the history. It returns early
--- a/internal/lab/real/services.go
+++ b/internal/lab/real/services.go
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"barrowscale/fleet/member"
-	"barrowscale/internal/lab/process"
+	"ivylock/fleet/member"
+	"ivylock/internal/lab/process"
 )
 
 // Services are the control services of the run, that are of the fleet.
--- a/internal/lab/real/words_test.go
+++ b/internal/lab/real/words_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
 )
 
 // Twenty-eight processes lose discovery for a while; some of them stay cut off from it, and then a third of the servers
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/sysfault"
-	"barrowscale/internal/operator"
+	"ivylock/internal/lab/sysfault"
+	"ivylock/internal/operator"
 )
 
 // Bounds of a scenario.
--- a/internal/lab/scenario/decode.go
+++ b/internal/lab/scenario/decode.go
@@ -3,7 +3,7 @@
 import (
 	"io/fs"
 
-	"barrowscale/internal/strict"
+	"ivylock/internal/strict"
 )
 
 // Error is what is wrong with a file, on one line.
--- a/internal/lab/show/live.go
+++ b/internal/lab/show/live.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/real"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/real"
 )
 
 const (
--- a/internal/lab/show/report.go
+++ b/internal/lab/show/report.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
 )
 
 //go:embed report.html
--- a/internal/lab/show/series.go
+++ b/internal/lab/show/series.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"barrowscale/internal/lab/history"
+	"ivylock/internal/lab/history"
 )
 
 // Series are figures by second of a history.
--- a/internal/lab/show/show_test.go
+++ b/internal/lab/show/show_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/real"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/scenarios"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/real"
+	"ivylock/internal/lab/scenario"
+	"ivylock/scenarios"
 )
 
 func played(t *testing.T) *history.History {
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/sysfault"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/sysfault"
 )
 
 // Bounds say what a soak draws from.
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/real"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/real"
+	"ivylock/internal/lab/scenario"
 )
 
 // Result is what became of one seed.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/scenario"
-	"barrowscale/internal/lab/sysfault"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/scenario"
+	"ivylock/internal/lab/sysfault"
 )
 
 var mutants = flag.Bool("soak-mutants", false, "build nodes that are broken on purpose, and see that soaks find each")
@@ -35,7 +35,7 @@
 	}
 	program = filepath.Join(dir, "ivylock")
 	code := 1
-	if out, err := exec.Command("go", "build", "-tags", "faults", "-o", program, "barrowscale/cmd/ivylock").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", "faults", "-o", program, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 	} else {
 		code = m.Run()
@@ -189,7 +189,7 @@
 	if err := os.WriteFile(overlay, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if said, err := exec.Command("go", "build", "-overlay", overlay, "-o", out, "barrowscale/cmd/ivylock").CombinedOutput(); err != nil {
+	if said, err := exec.Command("go", "build", "-overlay", overlay, "-o", out, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, said)
 	}
 	return out
--- a/internal/lab/sweep/deploy.go
+++ b/internal/lab/sweep/deploy.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/load"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/load"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
 )
 
 // DrawDeployment draws a timeline of a deployment that is not the brief's: one to eight
--- a/internal/lab/sweep/deploy_test.go
+++ b/internal/lab/sweep/deploy_test.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"testing"
 
-	"barrowscale/internal/lab/nodeconf"
+	"ivylock/internal/lab/nodeconf"
 )
 
 // Deployments that nobody has seen break no rule. IVYLAB_DEPLOYMENTS plays more of them.
--- a/internal/lab/sweep/draw.go
+++ b/internal/lab/sweep/draw.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/scenario"
 )
 
 // Draw gives the scenario of a seed: two or three halls, a load from a third
--- a/internal/lab/sweep/shrink.go
+++ b/internal/lab/sweep/shrink.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
 )
 
 // mostReplays bounds the work for one finding.
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -7,9 +7,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
 )
 
 // Finding is a seed whose timeline breaks a rule, and the least timeline that
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/lab/judge"
-	"barrowscale/internal/lab/memory"
-	"barrowscale/internal/lab/scenario"
+	"ivylock/balance"
+	"ivylock/internal/lab/judge"
+	"ivylock/internal/lab/memory"
+	"ivylock/internal/lab/scenario"
 )
 
 // TestRandomTimelinesBreakNoRule plays a few timelines in CI; IVYLAB_SEEDS
--- a/internal/lab/xdsdrain/drain.go
+++ b/internal/lab/xdsdrain/drain.go
@@ -21,10 +21,10 @@
 	"syscall"
 	"time"
 
-	"barrowscale/internal/lab/history"
-	"barrowscale/internal/lab/hosts"
-	"barrowscale/internal/lab/link"
-	"barrowscale/internal/lab/xdsproxy"
+	"ivylock/internal/lab/history"
+	"ivylock/internal/lab/hosts"
+	"ivylock/internal/lab/link"
+	"ivylock/internal/lab/xdsproxy"
 )
 
 // Fault is what is wrong at the moment of a drain.
--- a/internal/lab/xdsdrain/drain_test.go
+++ b/internal/lab/xdsdrain/drain_test.go
@@ -16,7 +16,7 @@
 		panic(err)
 	}
 	program = filepath.Join(dir, "ivylock-control")
-	if out, err := exec.Command("go", "build", "-o", program, "barrowscale/cmd/ivylock-control").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "ivylock/cmd/ivylock-control").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
--- a/internal/lab/xdsproxy/table_test.go
+++ b/internal/lab/xdsproxy/table_test.go
@@ -9,9 +9,9 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 
-	"barrowscale/balance"
-	"barrowscale/internal/xds"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/internal/xds"
+	"ivylock/steer"
 )
 
 const ms = time.Millisecond
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // setters is what each name sets.
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/version"
-	"barrowscale/guard"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/eventlog"
+	"ivylock/balance"
+	"ivylock/fleet/version"
+	"ivylock/guard"
+	"ivylock/internal/backend"
+	"ivylock/internal/eventlog"
 )
 
 // The node's attempts and probes at servers.
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/handoff"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/handover"
-	"barrowscale/maintenance"
+	"ivylock/balance"
+	"ivylock/handoff"
+	"ivylock/internal/discovery"
+	"ivylock/internal/handover"
+	"ivylock/maintenance"
 )
 
 // keepInterval is how old what a next process learns may be; what the list or
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/handoff"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/handover"
-	"barrowscale/maintenance"
+	"ivylock/balance"
+	"ivylock/handoff"
+	"ivylock/internal/discovery"
+	"ivylock/internal/handover"
+	"ivylock/maintenance"
 )
 
 // fakeKeeper holds the state in memory.
--- a/internal/node/checks.go
+++ b/internal/node/checks.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
-	"barrowscale/guard"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/invariant"
+	"ivylock/guard"
+	"ivylock/internal/figures"
+	"ivylock/internal/invariant"
 )
 
 // The node's side of packages guard and invariant: what is known of an attempt before
--- a/internal/node/checks_test.go
+++ b/internal/node/checks_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/guard"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/invariant"
-	"barrowscale/internal/nodetest"
+	"ivylock/balance"
+	"ivylock/guard"
+	"ivylock/internal/backend"
+	"ivylock/internal/figures"
+	"ivylock/internal/invariant"
+	"ivylock/internal/nodetest"
 )
 
 func testNode(t *testing.T) *Node {
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/discovery"
+	"ivylock/balance"
+	"ivylock/internal/discovery"
 )
 
 // Whichever way the wall clock stepped since the node's start, a server that is told to have
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"strings"
 
-	"barrowscale/balance"
-	"barrowscale/internal/console"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/settings"
+	"ivylock/balance"
+	"ivylock/internal/console"
+	"ivylock/internal/discovery"
+	"ivylock/internal/settings"
 )
 
 const (
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"barrowscale/fleet/version"
-	"barrowscale/internal/operator"
+	"ivylock/fleet/version"
+	"ivylock/internal/operator"
 )
 
 // A disk that stands still keeps a node from ending for no longer than the time for its last
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/guard"
+	"ivylock/guard"
 )
 
 // lifecycle knows how far the process has come. It reads the clock each time it is
--- a/internal/node/neighbours.go
+++ b/internal/node/neighbours.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/membership"
 )
 
 // What nodes tell one another of the list: a node that discovery did not answer for a while tells of the
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/nodetest"
+	"ivylock/balance"
+	"ivylock/internal/backend"
+	"ivylock/internal/discovery"
+	"ivylock/internal/figures"
+	"ivylock/internal/nodetest"
 )
 
 // testConfig is a valid configuration with these servers.
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -5,12 +5,12 @@
 	"errors"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/handoff"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/eventlog"
-	"barrowscale/internal/figures"
+	"ivylock/balance"
+	"ivylock/handoff"
+	"ivylock/internal/backend"
+	"ivylock/internal/discovery"
+	"ivylock/internal/eventlog"
+	"ivylock/internal/figures"
 )
 
 // errBusy says that the loop took no word in time.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -10,10 +10,10 @@
 	"syscall"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/roster"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/neterr"
+	"ivylock/balance"
+	"ivylock/fleet/roster"
+	"ivylock/internal/figures"
+	"ivylock/internal/neterr"
 )
 
 const (
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/figures"
-	"barrowscale/internal/nodetest"
+	"ivylock/balance"
+	"ivylock/internal/figures"
+	"ivylock/internal/nodetest"
 )
 
 // failingSocket fails reads and writes with the errors that a test puts into it.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/figures"
+	"ivylock/balance"
+	"ivylock/internal/backend"
+	"ivylock/internal/figures"
 )
 
 // Request is one try of a client, from its arrival to its final answer. A
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -4,11 +4,11 @@
 	"hash/fnv"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/backend"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/wallclock"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/internal/backend"
+	"ivylock/internal/discovery"
+	"ivylock/internal/wallclock"
+	"ivylock/membership"
 )
 
 // The node's list of servers: what discovery, neighbours and operators say of it, and how
--- a/internal/node/words_test.go
+++ b/internal/node/words_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/discovery"
-	"barrowscale/internal/nodetest"
-	"barrowscale/internal/wallclock"
-	"barrowscale/membership"
+	"ivylock/balance"
+	"ivylock/internal/discovery"
+	"ivylock/internal/nodetest"
+	"ivylock/internal/wallclock"
+	"ivylock/membership"
 )
 
 // Two of thirty nodes, over datagrams: the first one is heard by discovery again after a failure and tells the other,
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -5,10 +5,10 @@
 	"net/netip"
 	"time"
 
-	"barrowscale/fleet/follow"
-	"barrowscale/fleet/member"
-	"barrowscale/fleet/shares"
-	"barrowscale/internal/strict"
+	"ivylock/fleet/follow"
+	"ivylock/fleet/member"
+	"ivylock/fleet/shares"
+	"ivylock/internal/strict"
 )
 
 // Fleet switches on that nodes tell one another what they act on; docs/audit.md
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"barrowscale/fleet/member"
-	"barrowscale/internal/strict"
+	"ivylock/fleet/member"
+	"ivylock/internal/strict"
 )
 
 // File is the operator's file.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"barrowscale/internal/strict"
+	"ivylock/internal/strict"
 )
 
 const good = `[control]
--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"barrowscale/fleet/version"
+	"ivylock/fleet/version"
 )
 
 const mostBytes = 16 << 20 // of a file; then it is set aside and begun anew
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/guard"
+	"ivylock/balance"
+	"ivylock/guard"
 )
 
 // Error is what is wrong with settings, on one line.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 const good = `{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],"balancers":3,"caps":{"cancel":true,
@@ -81,7 +81,7 @@
 }
 
 // decoders are what fills the settings in; that a field is read there shows nothing.
-var decoders = []string{"barrowscale/internal/settings"}
+var decoders = []string{"ivylock/internal/settings"}
 
 // A field that is decoded and that nothing reads is an error, unless the table says "not
 // read" and why.
@@ -170,7 +170,7 @@
 	for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
 		f := strings.Split(line, "\t")
 		exports[f[0]] = f[1]
-		if strings.HasPrefix(f[0], "barrowscale/") && !slices.Contains(decoders, f[0]) {
+		if strings.HasPrefix(f[0], "ivylock/") && !slices.Contains(decoders, f[0]) {
 			for _, name := range strings.Fields(f[3]) {
 				sources[f[0]] = append(sources[f[0]], filepath.Join(f[2], name))
 			}
@@ -204,7 +204,7 @@
 			})
 		}
 		for x, s := range info.Selections {
-			if v, is := s.Obj().(*types.Var); is && v.IsField() && v.Pkg() != nil && v.Pkg().Path() == "barrowscale/balance" && !written[x] {
+			if v, is := s.Obj().(*types.Var); is && v.IsField() && v.Pkg() != nil && v.Pkg().Path() == "ivylock/balance" && !written[x] {
 				read[owner(s)+"."+v.Name()] = true
 			}
 		}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"strconv"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // Reply holds the actions of one instance.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -10,9 +10,9 @@
 	"strconv"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/internal/loadreport"
-	"barrowscale/internal/settings"
+	"ivylock/balance"
+	"ivylock/internal/loadreport"
+	"ivylock/internal/settings"
 )
 
 // The codes by which the wire names outcomes.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/grpc/xds"
 
-	"barrowscale/steer"
+	"ivylock/steer"
 )
 
 // These tests use a client that nobody here wrote: the xDS client of grpc-go.
--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -25,8 +25,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"barrowscale/balance"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/steer"
 )
 
 // ClassHeader names the request's class, in HTTP and in gRPC metadata.
--- a/internal/xds/fuzz_test.go
+++ b/internal/xds/fuzz_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/genproto/googleapis/rpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"barrowscale/balance"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/steer"
 )
 
 // messages splits bytes into messages, each led by its length in two bytes.
--- a/internal/xds/identity_test.go
+++ b/internal/xds/identity_test.go
@@ -25,7 +25,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"barrowscale/steer"
+	"ivylock/steer"
 )
 
 // authority makes certificates for tests.
--- a/internal/xds/load.go
+++ b/internal/xds/load.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"barrowscale/steer"
+	"ivylock/steer"
 )
 
 // maxLoads is how many entries of one load report are read.
--- a/internal/xds/scale_test.go
+++ b/internal/xds/scale_test.go
@@ -24,7 +24,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"barrowscale/steer"
+	"ivylock/steer"
 )
 
 // The scale of the measurement: not part of the checks. Run it with
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -24,8 +24,8 @@
 	"google.golang.org/grpc/reflection"
 	"google.golang.org/grpc/status"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/steer"
+	"ivylock/fleet/subset"
+	"ivylock/steer"
 )
 
 // Access is what is served and who may see it. It can be changed while the
--- a/internal/xds/server_test.go
+++ b/internal/xds/server_test.go
@@ -30,8 +30,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"barrowscale/balance"
-	"barrowscale/steer"
+	"ivylock/balance"
+	"ivylock/steer"
 )
 
 const patience = 20 * time.Second
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/steer"
+	"ivylock/fleet/subset"
+	"ivylock/steer"
 )
 
 // ttlFeature is the word by which a proxy tells that it knows TTLs (xDS
--- a/internal/xds/subset_test.go
+++ b/internal/xds/subset_test.go
@@ -8,8 +8,8 @@
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"barrowscale/fleet/subset"
-	"barrowscale/steer"
+	"ivylock/fleet/subset"
+	"ivylock/steer"
 )
 
 // Each proxy is told of its group's servers, drains of them among it, and of
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -9,7 +9,7 @@
 	"errors"
 	"slices"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // MaxKnown bounds the ids that the table remembers: those on the list, those
--- a/steer/api.go
+++ b/steer/api.go
@@ -15,8 +15,8 @@
 	"slices"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/subset"
+	"ivylock/balance"
+	"ivylock/fleet/subset"
 )
 
 // Time is a reading of the caller's monotonic clock. Its zero has no meaning.
--- a/steer/budget_test.go
+++ b/steer/budget_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // Whatever proxies report, of whatever halls, in whatever order and however
--- a/steer/retry.go
+++ b/steer/retry.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // MaxAttempts is how many attempts of a request proxies may make in all.
--- a/steer/retry_test.go
+++ b/steer/retry_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 func TestRetriesFollowTheEffect(t *testing.T) {
--- a/steer/steer.go
+++ b/steer/steer.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/subset"
+	"ivylock/balance"
+	"ivylock/fleet/subset"
 )
 
 const (
--- a/steer/steer_test.go
+++ b/steer/steer_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 // world is a fleet and its proxies in one process: each proxy sends by the
--- a/steer/view.go
+++ b/steer/view.go
@@ -6,8 +6,8 @@
 	"reflect"
 	"slices"
 
-	"barrowscale/balance"
-	"barrowscale/fleet/subset"
+	"ivylock/balance"
+	"ivylock/fleet/subset"
 )
 
 const (
--- a/steer/weights.go
+++ b/steer/weights.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"barrowscale/balance"
+	"ivylock/balance"
 )
 
 const (
