--- a/balance/api.go
+++ b/balance/api.go
@@ -89,8 +89,8 @@
 	MinTick              time.Duration // events come no closer together than this
 	MaxProcessPause      time.Duration // how long after its choice an attempt may be written by a process that is held up
 	ListOnDemand         bool          // list changes come only after Subscribe or FetchList
-	SizeKnown            bool          // Server.Size tells something of the machine's size
-	SizeLive             bool          // Server.Size falls as the server fills
+	SizeKnown            bool          // Server.RelativeSize tells something of the machine's size
+	SizeLive             bool          // Server.RelativeSize falls as the server fills
 	OverQuotaValueFactor float64       // worth of a request over its tenant's share, as a part
 	ValuePerWork         bool          // worth counts by unit of work, not by request
 	ReportSource         ReportSource  // where load reports come from
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -658,13 +658,13 @@
 // many tells whether nodes are a crowd: so many share the servers that the own count there says too little.
 // Between the bounds a node goes by readings if it hears any: so all that hear one another agree.
 func (m *Module) many() bool {
-	n := m.planner.Processes()
+	n := m.planner.ProcessCount()
 	return n >= crowdFrom || n > crowdTo && (m.crowd || m.heardAt > 0 && m.now-m.heardAt < validity)
 }
 
 // fleet takes who else is there. What is remembered of those that are not any more is dropped.
 func (m *Module) fleet(e FleetChanged) {
-	if !m.planner.Fleet(e.Nodes) {
+	if !m.planner.SetFleet(e.Nodes) {
 		return
 	}
 	for id := range m.tellers {
@@ -688,17 +688,17 @@
 	if m.crowd {
 		users = setConns
 	}
-	m.planner.Use(subset.Settings{Users: users, Least: setLeast})
+	m.planner.SetSettings(subset.Settings{UsersPerServer: users, MinServers: setLeast})
 	slices.SortFunc(m.list, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
 	all, size := make([]subset.Server, len(m.list)), m.meanSize(m.list)
 	for i, s := range m.list {
 		all[i].Key, s.at, s.users = uint64(s.ID), i, nil
 		if size > 0 { // one of several times the mean size has as many times the users
-			all[i].Size = s.Size / size
+			all[i].RelativeSize = s.Size / size
 		}
 	}
 	m.planned = m.planner.Plan(all)
-	set, next := m.planned.Set(uint32(m.set.Self))
+	set, next := m.planned.ServersFor(uint32(m.set.Self))
 	listed := slices.Clone(m.list)
 	m.list, m.mine = m.list[:0], len(set)
 	for _, i := range slices.Concat(set, next) {
@@ -725,7 +725,7 @@
 	}
 	m.size = m.meanSize(m.near)
 	if m.crowd {
-		n := float64(m.planner.Processes() * setLeast)
+		n := float64(m.planner.ProcessCount() * setLeast)
 		m.sharing = math.Max(setConns, n/math.Max(1, float64(len(m.list)))) / crowdAt
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -165,7 +165,7 @@
 	for i := range all {
 		all[i].ID = uint32(i)
 	}
-	m.planner.Fleet(all)
+	m.planner.SetFleet(all)
 	m.nodes = float64(m.set.Nodes)
 	m.least = m.nodes
 	m.share, m.ownThere, m.allThere = 1/m.nodes, 1, setConns
@@ -208,7 +208,7 @@
 // usersOf gives the other nodes that use a server, and those that would be the next to.
 func (m *Module) usersOf(s *server) []int {
 	if s.users == nil {
-		for _, id := range slices.Concat(m.planned.Users(s.at), m.planned.Next(s.at, tellMore)) {
+		for _, id := range slices.Concat(m.planned.Users(s.at), m.planned.NextUsers(s.at, tellMore)) {
 			if int(id) != m.set.Self {
 				s.users = append(s.users, int(id))
 			}
--- a/cmd/ivylock/main.go
+++ b/cmd/ivylock/main.go
@@ -129,7 +129,7 @@
 	}
 	cfg.Fleet = &node.Fleet{Member: f.Member(), RecordFile: f.RecordFile, RecordEvery: f.RecordEvery.Duration}
 	m := &cfg.Fleet.Member
-	if len(m.Ranges) == 0 {
+	if len(m.AllowedPrefixes) == 0 {
 		return nil
 	}
 	for _, p := range cfg.Peers {
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -20,8 +20,8 @@
 // Time is a reading of the caller's monotonic clock with Unix time as its origin.
 type Time = time.Duration
 
-// FirstService is the lowest number that control services have; nodes have lower ones.
-const FirstService = 1000
+// FirstControlID is the lowest number that control services have; nodes have lower ones.
+const FirstControlID = 1000
 
 // lifeTick is how finely the lives of one process's parts are told apart.
 const lifeTick = time.Second / 16
@@ -30,30 +30,30 @@
 
 // Config says what a process takes part in.
 type Config struct {
-	Follow  follow.Settings
-	Members bool // it finds out who is alive
-	Quotas  bool // parts of quotas follow the traffic
-	Work    bool // and so does its part of all work
-	Subsets bool // who uses which server follows from who is alive
-	Guards  []int
-	Seats   int
-	Most    int
+	Follow       follow.Settings
+	Membership   bool // it finds out who is alive
+	ShareQuotas  bool // parts of quotas follow the traffic
+	ShareWork    bool // and so does its part of all work
+	Subsets      bool // who uses which server follows from who is alive
+	Guards       []int
+	Slots        int
+	MaxProcesses int
 
 	Name  string
 	Self  int // number
 	Nodes int // that the configuration numbers, from 0 on
 
-	// Ranges are the addresses whose datagrams are heard beside the configured ones;
+	// AllowedPrefixes are the addresses whose datagrams are heard beside the configured ones;
 	// none: processes are known by their configured numbers alone, each at addresses of
-	// its own, and the addresses here are those of roster.Numbered.
-	Ranges []netip.Prefix
-	Peers  []netip.AddrPort // by number, of the configured nodes; with ranges alone
-	Addr   netip.AddrPort   // where others reach this process; with ranges alone
-	Seeds  []netip.AddrPort // others, beside Peers, that it asks who is there
-
-	Tenants         []shares.Whole
-	Seed            int64
-	Settings, Build uint16 // digests
+	// its own, and the addresses here are those of roster.NumberedAddr.
+	AllowedPrefixes []netip.Prefix
+	Peers           []netip.AddrPort // by number, of the configured nodes; with ranges alone
+	Addr            netip.AddrPort   // where others reach this process; with ranges alone
+	Seeds           []netip.AddrPort // others, beside Peers, that it asks who is there
+
+	TenantQuotas                []shares.Quota
+	Seed                        int64
+	SettingsDigest, BuildDigest uint16 // digests
 }
 
 // Event is something that happened.
@@ -61,76 +61,76 @@
 
 // Events.
 type (
-	// Heard is any datagram of another process.
-	Heard struct {
+	// DatagramReceived is any datagram of another process.
+	DatagramReceived struct {
 		From netip.AddrPort
 		Data []byte
 	}
-	// Source is a word of the process's own source, or of operators.
-	Source struct{ Word follow.Event }
-	// Ticked comes every tenth of a second or so.
-	Ticked struct{}
-	// Woke says that the process stood still for a time.
-	Woke struct{ Gap time.Duration }
-	// Ends says that it is about to end in order.
-	Ends struct{}
+	// SourceEvent is a word of the process's own source, or of operators.
+	SourceEvent struct{ Event follow.Event }
+	// Tick comes every tenth of a second or so.
+	Tick struct{}
+	// Resumed says that the process stood still for a time.
+	Resumed struct{ Gap time.Duration }
+	// Leaving says that it is about to end in order.
+	Leaving struct{}
 )
 
-func (Heard) event()  {}
-func (Source) event() {}
-func (Ticked) event() {}
-func (Woke) event()   {}
-func (Ends) event()   {}
+func (DatagramReceived) event() {}
+func (SourceEvent) event()      {}
+func (Tick) event()             {}
+func (Resumed) event()          {}
+func (Leaving) event()          {}
 
 // Action is something the caller is to do.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// Tell sends a datagram.
-	Tell struct {
+	// Send sends a datagram.
+	Send struct {
 		To   netip.AddrPort
 		Data []byte
 	}
-	// Rest is what a datagram held that is not this package's, of a process that is to
+	// Deliver is what a datagram held that is not this package's, of a process that is to
 	// be listened to.
-	Rest struct {
+	Deliver struct {
 		From int
 		Data []byte
 	}
-	// Changed says that other servers may be used than before.
-	Changed struct{}
-	// AskSource asks the own source again, at once.
-	AskSource struct{}
-	// Given says what of the wholes is this process's by now.
-	Given struct{ shares.Given }
-	// Fleet says which processes count for who uses which server.
-	Fleet struct{ Processes []subset.Process }
+	// ServersChanged says that other servers may be used than before.
+	ServersChanged struct{}
+	// QuerySource asks the own source again, at once.
+	QuerySource struct{}
+	// AllocationChanged says what of the wholes is this process's by now.
+	AllocationChanged struct{ shares.Allocation }
+	// FleetChanged says which processes count for who uses which server.
+	FleetChanged struct{ Processes []subset.Process }
 	// Log is a line for the operators.
 	Log struct{ Line string }
 )
 
-func (Tell) action()      {}
-func (Rest) action()      {}
-func (Changed) action()   {}
-func (AskSource) action() {}
-func (Given) action()     {}
-func (Fleet) action()     {}
-func (Log) action()       {}
+func (Send) action()              {}
+func (Deliver) action()           {}
+func (ServersChanged) action()    {}
+func (QuerySource) action()       {}
+func (AllocationChanged) action() {}
+func (FleetChanged) action()      {}
+func (Log) action()               {}
 
 // Counts are a member's own figures.
 type Counts struct {
-	Strangers uint64 // datagrams of processes that are not known
-	Unused    uint64 // messages about shares of processes that are too far behind
+	UnknownSenders  uint64 // datagrams of processes that are not known
+	IgnoredRequests uint64 // messages about shares of processes that are too far behind
 }
 
 // Member is one process. It is not safe for concurrent use.
 type Member struct {
 	cfg    Config
 	agent  *follow.Agent
-	roster *roster.Roster  // nil: who lives is not found out
-	parts  *shares.Parts   // nil: nothing is shared
-	settle *subset.Settler // nil: sets are those of the configured nodes
+	roster *roster.Roster    // nil: who lives is not found out
+	parts  *shares.Allocator // nil: nothing is shared
+	settle *subset.Damper    // nil: sets are those of the configured nodes
 	bornAt Time
 	now    Time
 	out    []Action
@@ -141,41 +141,41 @@
 // New makes the member of a process that starts now.
 func New(cfg Config, now Time) *Member {
 	m := &Member{cfg: cfg, now: now, size: max(cfg.Nodes, cfg.Self+1), bornAt: now}
-	if cfg.Members {
-		self := roster.Member{ID: roster.ID(cfg.Self), Addr: m.own(), Life: roster.Life(now / time.Second)}
+	if cfg.Membership {
+		self := roster.Member{ID: roster.ID(cfg.Self), Addr: m.own(), Incarnation: roster.Incarnation(now / time.Second)}
 		set := roster.Defaults()
-		if set.Strangers = cfg.Ranges; len(cfg.Ranges) == 0 {
-			set.Strangers = []netip.Prefix{netip.MustParsePrefix("0.0.0.0/16")} // the numbers that the configuration has
+		if set.AllowedPrefixes = cfg.AllowedPrefixes; len(cfg.AllowedPrefixes) == 0 {
+			set.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("0.0.0.0/16")} // the numbers that the configuration has
 		}
 		m.roster = roster.New(set, self, m.seeds(), now, cfg.Seed)
 	}
-	m.agent = follow.New(cfg.Follow, fleetOf{m}, now, cfg.Seed, cfg.Name, cfg.Settings, cfg.Build)
-	if cfg.Quotas || cfg.Work || slices.Contains(cfg.Guards, cfg.Self) {
-		c := shares.Config{Self: shares.ID(cfg.Self), Life: uint32(now / lifeTick), Nodes: cfg.Nodes, Work: cfg.Work,
-			Seats: cfg.Seats, Most: cfg.Most, Seed: cfg.Seed}
-		if cfg.Quotas {
-			c.Quotas = cfg.Tenants
+	m.agent = follow.New(cfg.Follow, fleetOf{m}, now, cfg.Seed, cfg.Name, cfg.SettingsDigest, cfg.BuildDigest)
+	if cfg.ShareQuotas || cfg.ShareWork || slices.Contains(cfg.Guards, cfg.Self) {
+		c := shares.Config{Self: shares.ID(cfg.Self), Incarnation: uint32(now / lifeTick), Nodes: cfg.Nodes, ShareWork: cfg.ShareWork,
+			Slots: cfg.Slots, MaxProcesses: cfg.MaxProcesses, Seed: cfg.Seed}
+		if cfg.ShareQuotas {
+			c.Quotas = cfg.TenantQuotas
 		}
 		for _, g := range cfg.Guards {
 			c.Guards = append(c.Guards, shares.ID(g))
 		}
-		m.parts = shares.NewParts(c, now)
+		m.parts = shares.NewAllocator(c, now)
 	}
-	if cfg.Subsets && cfg.Members && cfg.Self < FirstService {
+	if cfg.Subsets && cfg.Membership && cfg.Self < FirstControlID {
 		var all []uint32
 		for i := range cfg.Nodes {
 			all = append(all, uint32(i))
 		}
-		m.settle = subset.NewSettler(uint32(cfg.Self), all)
+		m.settle = subset.NewDamper(uint32(cfg.Self), all)
 	}
 	return m
 }
 
 func (m *Member) own() netip.AddrPort {
-	if len(m.cfg.Ranges) > 0 {
+	if len(m.cfg.AllowedPrefixes) > 0 {
 		return m.cfg.Addr
 	}
-	return roster.Numbered(m.cfg.Self)
+	return roster.NumberedAddr(m.cfg.Self)
 }
 
 // seeds are whom a process asks who is there: the next ones of the configuration, so
@@ -197,8 +197,8 @@
 
 // Addr is where a process is reached; false: that is not known.
 func (m *Member) Addr(number int) (netip.AddrPort, bool) {
-	if len(m.cfg.Ranges) == 0 {
-		return roster.Numbered(number), number < m.cfg.Nodes
+	if len(m.cfg.AllowedPrefixes) == 0 {
+		return roster.NumberedAddr(number), number < m.cfg.Nodes
 	}
 	if m.roster != nil {
 		if a, ok := m.roster.Addr(roster.ID(number)); ok {
@@ -213,12 +213,12 @@
 
 // number is whose address it is; false: nobody's that is known.
 func (m *Member) number(a netip.AddrPort) (int, bool) {
-	if len(m.cfg.Ranges) == 0 {
-		n, ok := roster.Number(a)
+	if len(m.cfg.AllowedPrefixes) == 0 {
+		n, ok := roster.NumberOf(a)
 		return n, ok && n < m.cfg.Nodes
 	}
 	if m.roster != nil {
-		if id, ok := m.roster.At(a); ok {
+		if id, ok := m.roster.IDAt(a); ok {
 			return int(id), true
 		}
 	}
@@ -239,7 +239,7 @@
 	if _, known := m.roster.Addr(roster.ID(number)); !known {
 		return number < m.cfg.Nodes
 	}
-	return !m.roster.Gone(roster.ID(number))
+	return !m.roster.IsGone(roster.ID(number))
 }
 
 // Handle takes an event and returns what is to be done, in order. The slice is reused by
@@ -247,21 +247,21 @@
 func (m *Member) Handle(now Time, e Event) []Action {
 	m.now, m.out = max(now, m.now), m.out[:0]
 	switch e := e.(type) {
-	case Heard:
+	case DatagramReceived:
 		m.hear(e)
-	case Source:
-		m.follow(e.Word)
-	case Ticked:
-		m.roll(roster.Ticked{})
+	case SourceEvent:
+		m.follow(e.Event)
+	case Tick:
+		m.roll(roster.Tick{})
 		m.share()
 		m.view()
 		m.follow(follow.Ticked{})
-	case Woke:
+	case Resumed:
 		m.share() // what has run out must not be used by what comes next
-		m.roll(roster.Woke{Gap: e.Gap})
+		m.roll(roster.Resumed{Gap: e.Gap})
 		m.follow(follow.Woke{Gap: e.Gap})
-	case Ends:
-		m.roll(roster.Ends{})
+	case Leaving:
+		m.roll(roster.Leaving{})
 	}
 	return m.out
 }
@@ -270,7 +270,7 @@
 
 func (m *Member) tell(number int, data []byte) {
 	if to, ok := m.Addr(number); ok && number != m.cfg.Self {
-		m.do(Tell{to, data})
+		m.do(Send{to, data})
 	}
 }
 
@@ -281,11 +281,11 @@
 	}
 	for _, a := range m.roster.Handle(m.now, e) {
 		switch a := a.(type) {
-		case roster.Tell:
-			m.do(Tell{a.To, a.Data})
-		case roster.Changed:
+		case roster.Send:
+			m.do(Send{a.To, a.Data})
+		case roster.StatusChanged:
 			m.size = max(m.size, int(a.ID)+1)
-			m.do(Log{fmt.Sprintf("process %d is %v, life %d", a.ID, a.Status, a.Life)})
+			m.do(Log{fmt.Sprintf("process %d is %v, life %d", a.ID, a.Status, a.Incarnation)})
 		}
 	}
 }
@@ -296,9 +296,9 @@
 		case follow.Tell:
 			m.tell(a.To, a.Data)
 		case follow.Changed:
-			m.do(Changed{})
+			m.do(ServersChanged{})
 		case follow.AskSource:
-			m.do(AskSource{})
+			m.do(QuerySource{})
 		case follow.Log:
 			m.do(Log{a.Line})
 		}
@@ -320,34 +320,34 @@
 	if m.settle == nil {
 		return
 	}
-	seen := []subset.Seen{{ID: uint32(m.cfg.Self), State: subset.There}}
-	unmet := m.now-m.bornAt < subset.Unmet
+	seen := []subset.Observation{{ID: uint32(m.cfg.Self), State: subset.Present}}
+	unmet := m.now-m.bornAt < subset.StartupGrace
 	met := map[roster.ID]bool{roster.ID(m.cfg.Self): true}
 	for _, x := range m.roster.Members() {
-		if met[x.ID] = true; int(x.ID) == m.cfg.Self || x.ID >= FirstService {
+		if met[x.ID] = true; int(x.ID) == m.cfg.Self || x.ID >= FirstControlID {
 			continue
 		}
 		switch x.Status {
 		case roster.Alive:
-			seen = append(seen, subset.Seen{ID: uint32(x.ID), State: subset.There})
+			seen = append(seen, subset.Observation{ID: uint32(x.ID), State: subset.Present})
 		case roster.Suspect:
-			seen = append(seen, subset.Seen{ID: uint32(x.ID), State: subset.Doubtful})
+			seen = append(seen, subset.Observation{ID: uint32(x.ID), State: subset.Suspected})
 		}
 	}
 	for i := range m.cfg.Nodes {
 		if unmet && !met[roster.ID(i)] {
-			seen = append(seen, subset.Seen{ID: uint32(i), State: subset.There})
+			seen = append(seen, subset.Observation{ID: uint32(i), State: subset.Present})
 		}
 	}
-	m.settle.See(m.now, seen)
+	m.settle.Observe(m.now, seen)
 	if all, changed := m.settle.View(); changed {
-		m.do(Fleet{all})
+		m.do(FleetChanged{all})
 	}
 }
 
 func (m *Member) given() {
-	if g, changed := m.parts.Given(m.now); changed {
-		m.do(Given{g})
+	if g, changed := m.parts.Allocation(m.now); changed {
+		m.do(AllocationChanged{g})
 	}
 }
 
@@ -359,7 +359,7 @@
 
 // living lists the nodes that this process takes for alive, itself among them.
 func (m *Member) living() (out []shares.ID) {
-	for i := range min(m.size, FirstService) {
+	for i := range min(m.size, FirstControlID) {
 		if i == m.cfg.Self || (fleetOf{m}).Lives(i) {
 			out = append(out, shares.ID(i))
 		}
@@ -368,19 +368,19 @@
 }
 
 // hear takes a datagram: all of package follow's, roster's or shares', or the rest.
-func (m *Member) hear(e Heard) {
+func (m *Member) hear(e DatagramReceived) {
 	from, known := m.number(e.From)
 	if !known {
-		if m.roster != nil && roster.Ours(e.Data) { // it may be one that joins
-			m.roll(roster.Heard{From: e.From, Data: e.Data})
+		if m.roster != nil && roster.IsMessage(e.Data) { // it may be one that joins
+			m.roll(roster.DatagramReceived{From: e.From, Data: e.Data})
 		} else {
-			m.counts.Strangers++
+			m.counts.UnknownSenders++
 		}
 		return
 	}
 	data := e.Data
-	if !roster.Ours(data) { // whatever it says, it lives
-		m.roll(roster.Told{ID: roster.ID(from)})
+	if !roster.IsMessage(data) { // whatever it says, it lives
+		m.roll(roster.PeerActive{ID: roster.ID(from)})
 	}
 	if follow.Ours(data) {
 		m.follow(follow.Heard{From: from, Data: data})
@@ -389,19 +389,19 @@
 		}
 	}
 	switch {
-	case shares.Ours(data):
+	case shares.IsMessage(data):
 		if m.parts == nil {
 			return
 		}
-		if shares.Asks(data) && !m.agent.Uses(from) { // a straggler claims nothing; what it gives back or grants counts
-			m.counts.Unused++
+		if shares.IsRequest(data) && !m.agent.Uses(from) { // a straggler claims nothing; what it gives back or grants counts
+			m.counts.IgnoredRequests++
 			return
 		}
-		m.post(m.parts.Hear(m.now, shares.ID(from), data))
-	case roster.Ours(data):
-		m.roll(roster.Heard{From: e.From, Data: data})
+		m.post(m.parts.Handle(m.now, shares.ID(from), data))
+	case roster.IsMessage(data):
+		m.roll(roster.DatagramReceived{From: e.From, Data: data})
 	case m.agent.Uses(from):
-		m.do(Rest{from, data})
+		m.do(Deliver{from, data})
 	}
 }
 
@@ -414,10 +414,10 @@
 	return m.agent.Wrap(now, to, data)
 }
 
-// Arrived counts a request: its tenant's need, and of the work.
-func (m *Member) Arrived(tenant string) {
+// CountRequest counts a request: its tenant's need, and of the work.
+func (m *Member) CountRequest(tenant string) {
 	if m.parts != nil {
-		m.parts.Arrived(tenant)
+		m.parts.CountRequest(tenant)
 	}
 }
 
@@ -432,21 +432,21 @@
 func (m *Member) Record(now Time) version.Record {
 	r := m.agent.Recorder().Take(now)
 	if m.parts != nil {
-		for _, p := range m.parts.Held(now) {
-			r.Parts = append(r.Parts, version.Part{Whole: p.Whole, Base: p.Base, Held: p.Held, Need: p.Need, All: p.All})
+		for _, p := range m.parts.Holdings(now) {
+			r.Parts = append(r.Parts, version.Part{Whole: p.Name, Base: p.Base, Held: p.Held, Need: p.Demand, All: p.Total})
 		}
-		r.Seats, r.Quorate = m.parts.Seats(now), m.parts.Quorate(now)
+		r.Seats, r.Quorate = m.parts.HeldSlots(now), m.parts.HasQuorum(now)
 	}
 	if m.roster == nil {
 		return r
 	}
-	r.Majority, r.View = m.roster.Majority(), m.roster.Digest()
+	r.Majority, r.View = m.roster.HasMajority(), m.roster.Digest()
 	for _, x := range m.roster.Members() {
 		heard := time.Duration(-1)
-		if x.Heard > 0 {
-			heard = now - x.Heard
+		if x.LastHeard > 0 {
+			heard = now - x.LastHeard
 		}
-		r.Members = append(r.Members, version.Member{Process: int(x.ID), Status: x.Status.String(), Life: uint32(x.Life), Heard: heard})
+		r.Members = append(r.Members, version.Member{Process: int(x.ID), Status: x.Status.String(), Life: uint32(x.Incarnation), Heard: heard})
 	}
 	return r
 }
@@ -467,20 +467,20 @@
 		{"acts_on", "g", int64(m.agent.Acts().Generation)}, {"hellos", "c", int64(c.Hellos)}, {"asks", "c", int64(c.Asks)},
 		{"answers", "c", int64(c.Answers)}, {"bytes", "c", int64(c.Bytes)}, {"acted", "c", int64(c.Acted)},
 		{"over_bound", "c", int64(c.OverBound)}, {"doubted", "c", int64(c.Doubted)}, {"malformed", "c", int64(c.Malformed)},
-		{"old", "c", int64(c.Old)}, {"unused", "c", int64(c.Unused + m.counts.Unused)}, {"dropped", "c", int64(c.Dropped)},
-		{"strangers", "c", int64(m.counts.Strangers)}}
+		{"old", "c", int64(c.Old)}, {"unused", "c", int64(c.Unused + m.counts.IgnoredRequests)}, {"dropped", "c", int64(c.Dropped)},
+		{"strangers", "c", int64(m.counts.UnknownSenders)}}
 	if m.roster != nil {
 		out = append(out, m.rosterFigures()...)
 	}
 	if m.parts != nil {
-		for _, p := range m.parts.Held(now) {
-			out = append(out, Figure{"held." + figureName(p.Whole), "g", int64(1000 * p.Held / max(p.All, 1e-9))}) // in thousandths of the whole
+		for _, p := range m.parts.Holdings(now) {
+			out = append(out, Figure{"held." + figureName(p.Name), "g", int64(1000 * p.Held / max(p.Total, 1e-9))}) // in thousandths of the whole
 		}
 		quorate := int64(0)
-		if m.parts.Quorate(now) {
+		if m.parts.HasQuorum(now) {
 			quorate = 1
 		}
-		out = append(out, Figure{"seats", "g", int64(m.parts.Seats(now))}, Figure{"quorate", "g", quorate})
+		out = append(out, Figure{"seats", "g", int64(m.parts.HeldSlots(now))}, Figure{"quorate", "g", quorate})
 	}
 	return out
 }
@@ -491,7 +491,7 @@
 		switch x.Status {
 		case roster.Alive:
 			alive++
-			oldest = max(oldest, m.now-x.Heard)
+			oldest = max(oldest, m.now-x.LastHeard)
 		case roster.Suspect:
 			suspect++
 		case roster.Gone:
@@ -499,12 +499,12 @@
 		}
 	}
 	majority := int64(0)
-	if m.roster.Majority() {
+	if m.roster.HasMajority() {
 		majority = 1
 	}
 	c := m.roster.Counts()
 	return []Figure{{"members", "g", alive}, {"suspected", "g", suspect}, {"gone", "g", gone}, {"majority", "g", majority},
-		{"view_age_ms", "g", oldest.Milliseconds()}, {"probes", "c", int64(c.Probes)}, {"covered", "c", int64(c.Covered)},
+		{"view_age_ms", "g", oldest.Milliseconds()}, {"probes", "c", int64(c.Probes)}, {"covered", "c", int64(c.ProbesSkipped)},
 		{"refuted", "c", int64(c.Refuted)}, {"roster_bytes", "c", int64(c.Bytes)}}
 }
 
--- a/fleet/roster/message.go
+++ b/fleet/roster/message.go
@@ -18,8 +18,8 @@
 	form   = 0xF2
 	head   = 1 + 1 + 4 + 4 + 4 + 2 + 4 + 4 + 6
 	update = 1 + 4 + 4 + 2 + 6
-	// Updates is how many a datagram holds.
-	Updates = (MaxDatagram - head) / update
+	// MaxUpdates is how many a datagram holds.
+	MaxUpdates = (MaxDatagram - head) / update
 )
 
 type kind uint8
@@ -37,7 +37,7 @@
 	kind        kind
 	seq         uint32
 	id          ID
-	life        Life
+	life        Incarnation
 	incarnation uint16
 	digest      uint32
 	target      ID
@@ -49,7 +49,7 @@
 type said struct {
 	status      Status
 	id          ID
-	life        Life
+	life        Incarnation
 	incarnation uint16
 	addr        netip.AddrPort
 }
@@ -88,10 +88,10 @@
 	if len(b) < head || len(b) > MaxDatagram || b[0] != form || b[1] >= byte(kinds) || (len(b)-head)%update != 0 {
 		return m, errForm
 	}
-	m = message{kind: kind(b[1]), seq: binary.BigEndian.Uint32(b[2:]), id: ID(binary.BigEndian.Uint32(b[6:])), life: Life(binary.BigEndian.Uint32(b[10:])),
+	m = message{kind: kind(b[1]), seq: binary.BigEndian.Uint32(b[2:]), id: ID(binary.BigEndian.Uint32(b[6:])), life: Incarnation(binary.BigEndian.Uint32(b[10:])),
 		incarnation: binary.BigEndian.Uint16(b[14:]), digest: binary.BigEndian.Uint32(b[16:]), target: ID(binary.BigEndian.Uint32(b[20:])), at: readAddr(b[24:])}
 	for b = b[head:]; len(b) > 0; b = b[update:] {
-		u := said{status: Status(b[0]), id: ID(binary.BigEndian.Uint32(b[1:])), life: Life(binary.BigEndian.Uint32(b[5:])),
+		u := said{status: Status(b[0]), id: ID(binary.BigEndian.Uint32(b[1:])), life: Incarnation(binary.BigEndian.Uint32(b[5:])),
 			incarnation: binary.BigEndian.Uint16(b[9:]), addr: readAddr(b[11:])}
 		if u.status >= statuses {
 			return m, errForm
--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -89,9 +89,9 @@
 // member.
 func New(set Settings, self Member, seeds []netip.AddrPort, now Time, seed int64) *Roster {
 	r := &Roster{set: set, self: self, rng: rand.New(rand.NewPCG(uint64(seed), 0x726f73)), now: now, members: map[ID]*member{},
-		byAddr: map[netip.AddrPort]ID{}, relays: map[uint32]*relay{}, probes: map[uint32]*probe{}, seeds: slices.Clone(seeds), purse: purseLasts * set.Bytes}
+		byAddr: map[netip.AddrPort]ID{}, relays: map[uint32]*relay{}, probes: map[uint32]*probe{}, seeds: slices.Clone(seeds), purse: purseLasts * set.BytesPerSecond}
 	r.self.Status = Alive
-	r.next = now + Time(r.rng.Float64()*float64(set.Period))
+	r.next = now + Time(r.rng.Float64()*float64(set.ProbePeriod))
 	return r
 }
 
@@ -101,38 +101,38 @@
 // Handle takes an event and returns what is to be done, in order. The slice is
 // reused by the next call.
 func (r *Roster) Handle(now Time, e Event) []Action {
-	r.purse = min(purseLasts*r.set.Bytes, r.purse+r.set.Bytes*max(0, now-r.now).Seconds())
+	r.purse = min(purseLasts*r.set.BytesPerSecond, r.purse+r.set.BytesPerSecond*max(0, now-r.now).Seconds())
 	r.now, r.out = max(now, r.now), r.out[:0]
 	switch e := e.(type) {
-	case Heard:
+	case DatagramReceived:
 		r.hear(e)
-	case Told:
+	case PeerActive:
 		switch m := r.members[e.ID]; {
 		case m == nil || m.Status == Left:
 		case m.Status != Gone:
 			r.lives(m)
-		case r.now-m.toldOf >= r.set.Period: // a split has healed: it is told what it is taken for, and refutes it
+		case r.now-m.toldOf >= r.set.ProbePeriod: // a split has healed: it is told what it is taken for, and refutes it
 			m.toldOf = r.now
 			r.look(m, false)
 		}
-	case Ticked:
+	case Tick:
 		r.tick()
-	case Woke:
+	case Resumed:
 		r.woke(e)
-	case Ends:
+	case Leaving:
 		r.ended = true
-		r.self.Status, r.self.Incarnation = Left, r.self.Incarnation+1
-		for _, m := range r.some(2*r.set.Helpers, func(m *member) bool { return m.Status == Alive }) {
+		r.self.Status, r.self.Refutations = Left, r.self.Refutations+1
+		for _, m := range r.some(2*r.set.IndirectProbes, func(m *member) bool { return m.Status == Alive }) {
 			r.send(m.Addr, message{kind: ping, target: m.ID})
 		}
 	}
 	return r.out
 }
 
-// Members lists all that are known, this one among them, by name.
+// MaxMembers lists all that are known, this one among them, by name.
 func (r *Roster) Members() []Member {
 	out := []Member{r.self}
-	out[0].Heard = r.now
+	out[0].LastHeard = r.now
 	for _, m := range r.members {
 		out = append(out, m.Member)
 	}
@@ -140,9 +140,9 @@
 	return out
 }
 
-// Alive is how many are taken for alive or suspected, this one among them: a
+// AliveCount is how many are taken for alive or suspected, this one among them: a
 // suspicion may be wrong.
-func (r *Roster) Alive() int {
+func (r *Roster) AliveCount() int {
 	n := 1
 	for _, m := range r.members {
 		if m.Status == Alive || m.Status == Suspect {
@@ -152,9 +152,9 @@
 	return n
 }
 
-// Majority tells whether most of the last agreed fleet are heard by this process or
+// HasMajority tells whether most of the last agreed fleet are heard by this process or
 // by those it hears: suspects do not count.
-func (r *Roster) Majority() bool {
+func (r *Roster) HasMajority() bool {
 	all, here := 1, 1
 	for _, m := range r.members {
 		if m.counted {
@@ -169,10 +169,10 @@
 
 // Digest is the same at processes with the same view of who lives.
 func (r *Roster) Digest() uint32 {
-	d := uint32(r.self.ID)*2654435761 + uint32(r.self.Life)*40503
+	d := uint32(r.self.ID)*2654435761 + uint32(r.self.Incarnation)*40503
 	for _, m := range r.members {
 		if m.Status == Alive || m.Status == Suspect {
-			d += uint32(m.ID)*2654435761 + uint32(m.Life)*40503
+			d += uint32(m.ID)*2654435761 + uint32(m.Incarnation)*40503
 		}
 	}
 	return d
@@ -181,11 +181,11 @@
 // send tells a process something, with as many updates as there is room for: those
 // that have been told least often first.
 func (r *Roster) send(to netip.AddrPort, m message) {
-	m.id, m.life, m.incarnation, m.digest = r.self.ID, r.self.Life, r.self.Incarnation, r.Digest()
+	m.id, m.life, m.incarnation, m.digest = r.self.ID, r.self.Incarnation, r.self.Refutations, r.Digest()
 	if r.ended {
-		m.updates = append(m.updates, said{Left, r.self.ID, r.self.Life, r.self.Incarnation, r.self.Addr})
+		m.updates = append(m.updates, said{Left, r.self.ID, r.self.Incarnation, r.self.Refutations, r.self.Addr})
 	}
-	limit := int(math.Ceil(r.set.Spread * math.Log10(float64(len(r.members)+2))))
+	limit := int(math.Ceil(r.set.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
 	var news []*member
 	for _, x := range r.members {
 		if x.told < limit && x.Addr != to {
@@ -196,7 +196,7 @@
 	if x := r.members[r.byAddr[to]]; x != nil && x.Status != Alive { // it must hear of a suspicion at once, to refute it
 		m.updates = append(m.updates, x.said())
 	}
-	room := Updates
+	room := MaxUpdates
 	if r.purse < 0 {
 		room = fewUpdates
 	}
@@ -207,45 +207,45 @@
 	data := m.append(make([]byte, 0, MaxDatagram))
 	r.counts.Datagrams++
 	r.counts.Bytes += uint64(len(data))
-	r.purse = max(-debtLasts*r.set.Bytes, r.purse-float64(len(data)))
-	r.out = append(r.out, Tell{to, data})
+	r.purse = max(-debtLasts*r.set.BytesPerSecond, r.purse-float64(len(data)))
+	r.out = append(r.out, Send{to, data})
 }
 
-func (m *member) said() said { return said{m.Status, m.ID, m.Life, m.Incarnation, m.Addr} }
+func (m *member) said() said { return said{m.Status, m.ID, m.Incarnation, m.Refutations, m.Addr} }
 
 // hears tells whether datagrams of an address are taken.
 func (r *Roster) hears(from netip.AddrPort) bool {
 	if _, known := r.byAddr[from]; known || slices.Contains(r.seeds, from) {
 		return true
 	}
-	return slices.ContainsFunc(r.set.Strangers, func(p netip.Prefix) bool { return p.Contains(from.Addr()) })
+	return slices.ContainsFunc(r.set.AllowedPrefixes, func(p netip.Prefix) bool { return p.Contains(from.Addr()) })
 }
 
-func (r *Roster) hear(e Heard) {
+func (r *Roster) hear(e DatagramReceived) {
 	m, err := parse(e.Data)
 	if err != nil {
 		r.counts.Malformed++
 		return
 	}
 	if !r.hears(e.From) {
-		r.counts.Strangers++
+		r.counts.UnknownSenders++
 		return
 	}
 	if m.id == r.self.ID || r.ended {
 		return
 	}
-	if m.id >= r.set.Names {
-		r.counts.Strangers++
+	if m.id >= r.set.IDLimit {
+		r.counts.UnknownSenders++
 		return
 	}
 	from := r.members[m.id]
 	switch {
-	case from != nil && (m.life < from.Life || m.life == from.Life && from.Status == Left):
-		r.counts.Old++
+	case from != nil && (m.life < from.Incarnation || m.life == from.Incarnation && from.Status == Left):
+		r.counts.Stale++
 		r.tellLife(from, e.From)
 		return
-	case from != nil && from.Addr != e.From && m.life == from.Life:
-		r.counts.Strangers++ // somebody else's name
+	case from != nil && from.Addr != e.From && m.life == from.Incarnation:
+		r.counts.UnknownSenders++ // somebody else's name
 		return
 	}
 	if from = r.take(said{Alive, m.id, m.life, m.incarnation, e.From}, m.id, true); from == nil {
@@ -287,7 +287,7 @@
 // second, takes a later life then. Not while that other life is heard: then it is a
 // former one's datagram that was late.
 func (r *Roster) tellLife(m *member, to netip.AddrPort) {
-	if r.now-m.spoke < r.set.Period || r.now-m.toldOf < r.set.Period {
+	if r.now-m.spoke < r.set.ProbePeriod || r.now-m.toldOf < r.set.ProbePeriod {
 		return
 	}
 	m.toldOf = r.now
@@ -301,7 +301,7 @@
 	if digest == r.Digest() || r.now < r.nextPages || len(r.pages) > 0 {
 		return
 	}
-	r.nextPages, r.pagesTo = r.now+Time(max(2, float64(len(r.members))/pagesEvery)*float64(r.set.Period)), m.Addr
+	r.nextPages, r.pagesTo = r.now+Time(max(2, float64(len(r.members))/pagesEvery)*float64(r.set.ProbePeriod)), m.Addr
 	for _, id := range r.ids() {
 		if id != m.ID {
 			r.pages = append(r.pages, id)
@@ -316,7 +316,7 @@
 		if len(r.pages) == 0 || r.purse < 0 {
 			return
 		}
-		n := min(len(r.pages), Updates-1) // one is left for what the receiver must know of itself
+		n := min(len(r.pages), MaxUpdates-1) // one is left for what the receiver must know of itself
 		m := message{kind: page}
 		for _, id := range r.pages[:n] {
 			if x := r.members[id]; x != nil {
@@ -331,7 +331,7 @@
 // lives takes that a member was heard by this process itself: a suspicion is over here.
 func (r *Roster) lives(m *member) {
 	r.heard = r.now
-	m.Heard, m.direct, m.fails = r.now, r.now, 0
+	m.LastHeard, m.direct, m.fails = r.now, r.now, 0
 	if m.Status == Suspect {
 		r.become(m, Alive)
 	}
@@ -361,17 +361,17 @@
 func (r *Roster) take(u said, by ID, direct bool) *member {
 	m := r.members[u.id]
 	if m == nil {
-		if u.id >= r.set.Names {
+		if u.id >= r.set.IDLimit {
 			return nil
 		}
 		if !direct && (u.status == Gone || u.status == Left) {
 			return nil
 		}
-		if len(r.members) >= r.set.Members {
-			r.counts.Full++
+		if len(r.members) >= r.set.MaxMembers {
+			r.counts.MembersRejected++
 			return nil
 		}
-		m = &member{Member: Member{ID: u.id, Addr: u.addr, Life: u.life, Incarnation: u.incarnation, Since: r.now}, counted: true}
+		m = &member{Member: Member{ID: u.id, Addr: u.addr, Incarnation: u.life, Refutations: u.incarnation, StatusSince: r.now}, counted: true}
 		r.members[u.id], r.byAddr[u.addr] = m, u.id
 		r.turn = append(r.turn, u.id)
 		r.become(m, Alive)
@@ -380,19 +380,19 @@
 		}
 	}
 	switch {
-	case u.life < m.Life, u.life == m.Life && int16(u.incarnation-m.Incarnation) < 0:
+	case u.life < m.Incarnation, u.life == m.Incarnation && int16(u.incarnation-m.Refutations) < 0:
 		return m
-	case u.life > m.Life:
-		if u.status != Alive && !direct || !direct && m.spoke > 0 && r.now-m.spoke < r.set.Period {
+	case u.life > m.Incarnation:
+		if u.status != Alive && !direct || !direct && m.spoke > 0 && r.now-m.spoke < r.set.ProbePeriod {
 			return m // a new life tells of itself; nobody takes the name of one that is heard now
 		}
 		delete(r.byAddr, m.Addr)
-		m.Life, m.Incarnation, m.Addr, m.fails, m.counted = u.life, u.incarnation, u.addr, 0, true
+		m.Incarnation, m.Refutations, m.Addr, m.fails, m.counted = u.life, u.incarnation, u.addr, 0, true
 		r.byAddr[u.addr] = u.id
 		r.become(m, Alive)
 	case u.status == Alive:
-		if newer := int16(u.incarnation-m.Incarnation) > 0; newer && m.Status != Left {
-			m.Incarnation, m.fails = u.incarnation, 0
+		if newer := int16(u.incarnation-m.Refutations) > 0; newer && m.Status != Left {
+			m.Refutations, m.fails = u.incarnation, 0
 			if m.Status != Alive {
 				r.become(m, Alive)
 			} else {
@@ -400,16 +400,16 @@
 			}
 		}
 	case u.status == Left && m.Status != Left:
-		m.Incarnation = u.incarnation
-		if direct || by == u.id || m.direct == 0 || r.now-m.direct > r.set.Period {
+		m.Refutations = u.incarnation
+		if direct || by == u.id || m.direct == 0 || r.now-m.direct > r.set.ProbePeriod {
 			m.counted = false
 			r.become(m, Left)
 		}
 	case m.Status == Alive: // suspected or gone, says another: nobody is buried by that alone
-		if m.direct > 0 && r.now-m.direct < r.set.Period {
+		if m.direct > 0 && r.now-m.direct < r.set.ProbePeriod {
 			return m // it has just been heard here
 		}
-		m.Incarnation = u.incarnation
+		m.Refutations = u.incarnation
 		r.become(m, Suspect)
 	}
 	return m
@@ -417,27 +417,27 @@
 
 // become changes a member's status, which is news.
 func (r *Roster) become(m *member, to Status) {
-	m.told, m.Status, m.Since = 0, to, r.now
+	m.told, m.Status, m.StatusSince = 0, to, r.now
 	if to == Suspect {
 		m.suspectAt = r.now
 	}
-	r.out = append(r.out, Changed{m.ID, to, m.Life})
+	r.out = append(r.out, StatusChanged{m.ID, to, m.Incarnation})
 }
 
 // refute answers a suspicion of this process itself.
 func (r *Roster) refute(u said) {
-	if newer := int32(uint32(u.life) - uint32(r.self.Life)); newer > 0 || newer == 0 && u.status == Left {
-		r.self.Life, r.self.Incarnation = u.life+1, 0 // a former life of this process, by a clock that has been set back since
-		r.counts.Relived++
+	if newer := int32(uint32(u.life) - uint32(r.self.Incarnation)); newer > 0 || newer == 0 && u.status == Left {
+		r.self.Incarnation, r.self.Refutations = u.life+1, 0 // a former life of this process, by a clock that has been set back since
+		r.counts.IncarnationsRaised++
 		return
 	}
-	if u.status == Alive || u.life != r.self.Life || int16(u.incarnation-r.self.Incarnation) < 0 {
+	if u.status == Alive || u.life != r.self.Incarnation || int16(u.incarnation-r.self.Refutations) < 0 {
 		return
 	}
-	r.self.Incarnation = u.incarnation + 1
+	r.self.Refutations = u.incarnation + 1
 	r.counts.Refuted++
-	r.aware = min(r.set.Awareness, r.aware+1) // it was too slow to answer
-	for _, m := range r.some(r.set.Helpers, func(m *member) bool { return m.Status == Alive }) {
+	r.aware = min(r.set.MaxAwareness, r.aware+1) // it was too slow to answer
+	for _, m := range r.some(r.set.IndirectProbes, func(m *member) bool { return m.Status == Alive }) {
 		r.send(m.Addr, message{kind: ping, target: m.ID})
 	}
 }
@@ -455,9 +455,9 @@
 	r.turnPage()
 	for seq, x := range r.relays {
 		switch age := r.now - x.sent; {
-		case age > 4*r.set.Period:
+		case age > 4*r.set.ProbePeriod:
 			delete(r.relays, seq)
-		case age > r.set.Timeout && !x.done:
+		case age > r.set.ProbeTimeout && !x.done:
 			x.done = true
 			r.send(x.to, message{kind: nack, seq: x.seq})
 		}
@@ -472,7 +472,7 @@
 // is no doubt, and, once, others who may reach it.
 func (r *Roster) insist(p *probe) {
 	m := r.members[p.of]
-	if m == nil || p.pings >= mostPings || r.now-p.sent < time.Duration(p.pings)*r.slow(r.set.Timeout) {
+	if m == nil || p.pings >= mostPings || r.now-p.sent < time.Duration(p.pings)*r.slow(r.set.ProbeTimeout) {
 		return
 	}
 	p.pings++
@@ -484,7 +484,7 @@
 	if p.round { // where many are dead at once the next is not waited for
 		r.next = r.now
 	}
-	for _, h := range r.some(r.set.Helpers, func(x *member) bool { return x.Status == Alive && x.ID != p.of }) {
+	for _, h := range r.some(r.set.IndirectProbes, func(x *member) bool { return x.Status == Alive && x.ID != p.of }) {
 		r.send(h.Addr, message{kind: pingFor, seq: p.seq, target: p.of, at: m.Addr})
 	}
 }
@@ -504,14 +504,14 @@
 	news := 0
 	for _, seq := range r.outstanding() {
 		p := r.probes[seq]
-		if r.now-p.sent < r.slow(r.set.Period) { // slow itself: it gives more time
+		if r.now-p.sent < r.slow(r.set.ProbePeriod) { // slow itself: it gives more time
 			continue
 		}
 		delete(r.probes, seq)
-		// Helpers that answered say that it is not this process, as does whoever was heard
+		// IndirectProbes that answered say that it is not this process, as does whoever was heard
 		// meanwhile: where most are dead no helper answers.
 		if p.round && p.nacks == 0 && r.heard <= p.sent {
-			r.aware = min(r.set.Awareness, r.aware+1)
+			r.aware = min(r.set.MaxAwareness, r.aware+1)
 		}
 		if m := r.members[p.of]; m != nil && m.direct <= p.sent && (m.Status == Alive || m.Status == Suspect) {
 			if m.fails++; m.Status == Alive {
@@ -522,14 +522,14 @@
 		}
 	}
 	if news > 0 { // those that were heard just now are told: what goes to the dead is lost
-		for _, m := range r.some(tellOf, func(m *member) bool { return m.Status == Alive && r.now-m.direct < 2*r.set.Period }) {
+		for _, m := range r.some(tellOf, func(m *member) bool { return m.Status == Alive && r.now-m.direct < 2*r.set.ProbePeriod }) {
 			r.send(m.Addr, message{kind: ping, target: m.ID})
 		}
 	}
-	r.next = r.now + r.set.Period
+	r.next = r.now + r.set.ProbePeriod
 	// It is alone, or has not met all whom it was told of: processes that began in islands
 	// would else never hear of one another.
-	few := len(r.members) < len(r.seeds) || r.Alive() == 1
+	few := len(r.members) < len(r.seeds) || r.AliveCount() == 1
 	for _, a := range r.seeds {
 		if _, known := r.byAddr[a]; !known && a != r.self.Addr && (few || r.rng.Float64() < seedsAgain) {
 			r.send(a, message{kind: ping})
@@ -554,8 +554,8 @@
 		if m == nil || m.Status == Left || m.Status == Gone && r.rng.Float64() > 0.1 { // one that is gone is tried now and then: a split may have healed
 			continue
 		}
-		if m.direct > 0 && r.now-m.direct < r.set.Period && m.Status == Alive && len(r.news()) == 0 {
-			r.counts.Covered++
+		if m.direct > 0 && r.now-m.direct < r.set.ProbePeriod && m.Status == Alive && len(r.news()) == 0 {
+			r.counts.ProbesSkipped++
 			return
 		}
 		r.look(m, true)
@@ -610,7 +610,7 @@
 
 // news lists members of whom there is something left to tell.
 func (r *Roster) news() []ID {
-	limit := int(math.Ceil(r.set.Spread * math.Log10(float64(len(r.members)+2))))
+	limit := int(math.Ceil(r.set.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
 	var out []ID
 	for id, m := range r.members {
 		if m.told < limit {
@@ -632,15 +632,15 @@
 // over tells whether a suspicion has lasted long enough: the less time, the more this
 // process has seen of it itself.
 func (r *Roster) over(m *member) bool {
-	least := r.set.Least * math.Max(1, math.Log10(float64(len(r.members)+1))) * float64(r.set.Period)
+	least := r.set.SuspicionMultiplier * math.Max(1, math.Log10(float64(len(r.members)+1))) * float64(r.set.ProbePeriod)
 	age := float64(r.now-max(m.suspectAt, m.direct)) / float64(1+r.aware/2)
 	switch {
 	case m.fails >= enough:
 		return age >= least
 	case m.fails > 0:
-		return age >= least*r.set.Most
+		return age >= least*r.set.SuspicionMaxMultiplier
 	}
-	return age >= 2*least*r.set.Most
+	return age >= 2*least*r.set.SuspicionMaxMultiplier
 }
 
 // decide ends suspicions that were not refuted, and forgets who is gone for long.
@@ -650,9 +650,9 @@
 		switch {
 		case m.Status == Suspect && r.over(m):
 			r.become(m, Gone)
-		case m.Status == Gone && m.counted && r.now-m.Since > settle && r.Majority():
+		case m.Status == Gone && m.counted && r.now-m.StatusSince > settle && r.HasMajority():
 			m.counted = false
-		case (m.Status == Gone || m.Status == Left) && !m.counted && r.now-m.Since > r.set.Forget:
+		case (m.Status == Gone || m.Status == Left) && !m.counted && r.now-m.StatusSince > r.set.ForgetAfter:
 			delete(r.members, id)
 			delete(r.byAddr, m.Addr)
 		}
@@ -681,8 +681,8 @@
 }
 
 // woke takes that this process stood still: the silence that it sees is its own.
-func (r *Roster) woke(e Woke) {
-	r.aware = min(r.set.Awareness, r.aware+2)
+func (r *Roster) woke(e Resumed) {
+	r.aware = min(r.set.MaxAwareness, r.aware+2)
 	clear(r.probes)
 	for _, m := range r.members {
 		if m.Status == Suspect {
--- a/fleet/roster/roster_test.go
+++ b/fleet/roster/roster_test.go
@@ -83,14 +83,14 @@
 	s.life[i]++
 	s.up[i] = true
 	set := Defaults()
-	set.Strangers = []netip.Prefix{netip.MustParsePrefix("127.1.0.0/16")}
+	set.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("127.1.0.0/16")}
 	var seeds []netip.AddrPort
 	for _, k := range []int{0, 1, 2} {
 		if k != i && len(seeds) < 2 {
 			seeds = append(seeds, addr(k))
 		}
 	}
-	s.nodes[i] = New(set, Member{ID: ID(i + 1), Addr: addr(i), Life: Life(1000 + s.life[i])}, seeds, s.now, int64(i)*1000+int64(s.life[i]))
+	s.nodes[i] = New(set, Member{ID: ID(i + 1), Addr: addr(i), Incarnation: Incarnation(1000 + s.life[i])}, seeds, s.now, int64(i)*1000+int64(s.life[i]))
 	s.ticked[i] = s.now
 	s.tick(i, s.life[i])
 }
@@ -128,23 +128,23 @@
 		return
 	}
 	if gap := s.now - s.ticked[i]; gap > 400*time.Millisecond {
-		s.do(i, Woke{gap})
+		s.do(i, Resumed{gap})
 	}
 	s.ticked[i] = s.now
-	s.do(i, Ticked{})
+	s.do(i, Tick{})
 }
 
 func (s *sim) do(i int, e Event) {
 	for _, a := range s.nodes[i].Handle(s.now, e) {
 		switch a := a.(type) {
-		case Tell:
+		case Send:
 			s.send(i, a.To, bytes.Clone(a.Data))
-		case Changed:
+		case StatusChanged:
 			if k := int(a.ID) - 1; a.Status == Suspect && k >= 0 && k < len(s.up) && s.up[k] {
 				s.doubts++
 			}
 			if k := int(a.ID) - 1; a.Status == Gone && k >= 0 && k < len(s.up) {
-				if s.up[k] && s.life[k] == int(a.Life) {
+				if s.up[k] && s.life[k] == int(a.Incarnation) {
 					s.gone[a.ID]++
 				} else {
 					s.learnt[a.ID] = append(s.learnt[a.ID], s.now)
@@ -177,10 +177,10 @@
 		s.plan(s.asleep[to]-s.now+1, func() { s.arrive(from, to, data) })
 	default:
 		if gap := s.now - s.ticked[to]; gap > 400*time.Millisecond {
-			s.do(to, Woke{gap})
+			s.do(to, Resumed{gap})
 			s.ticked[to] = s.now
 		}
-		s.do(to, Heard{addr(from), data})
+		s.do(to, DatagramReceived{addr(from), data})
 	}
 }
 
@@ -193,7 +193,7 @@
 		}
 	}
 	for i, r := range s.nodes {
-		if s.up[i] && (r.Alive() != up || r.Digest() != s.nodes[slices.Index(s.up, true)].Digest()) {
+		if s.up[i] && (r.AliveCount() != up || r.Digest() != s.nodes[slices.Index(s.up, true)].Digest()) {
 			return false
 		}
 	}
@@ -211,7 +211,7 @@
 var large = flag.Bool("roster-large", false, "fleets of 150 to 1,000 processes too")
 var huge = flag.Bool("roster-huge", false, "1,000 processes too")
 
-// At each size and loss: how soon all know all, and know of a death, what it costs, and
+// IDAt each size and loss: how soon all know all, and know of a death, what it costs, and
 // how many that live are taken for gone.
 func TestSizesAndLosses(t *testing.T) {
 	sizes := []int{3, 12, 48}
@@ -257,11 +257,11 @@
 			s.lost = func(a, b int) float64 { return map[bool]float64{true: 1}[(a < 4) != (b < 4)] }
 			s.run(90 * time.Second)
 		}, func(t *testing.T, s *sim) {
-			if s.nodes[0].Majority() || !s.nodes[11].Majority() {
+			if s.nodes[0].HasMajority() || !s.nodes[11].HasMajority() {
 				t.Error("the smaller side is the majority, or the larger is not")
 			}
-			if s.nodes[0].Alive() != 4 || s.nodes[11].Alive() != 8 {
-				t.Errorf("%d and %d alive", s.nodes[0].Alive(), s.nodes[11].Alive())
+			if s.nodes[0].AliveCount() != 4 || s.nodes[11].AliveCount() != 8 {
+				t.Errorf("%d and %d alive", s.nodes[0].AliveCount(), s.nodes[11].AliveCount())
 			}
 			s.gone = map[ID]int{} // of the other side: that was right as far as anybody could know
 			s.lost = func(int, int) float64 { return 0 }
@@ -278,15 +278,15 @@
 		{"back under its name at once", func(s *sim) { s.kill(5); s.run(500 * time.Millisecond); s.start(5); s.run(3 * time.Second) }, func(t *testing.T, s *sim) {
 			for i := range 12 {
 				for _, m := range s.nodes[i].Members() {
-					if m.ID == 6 && (m.Life != 1002 || m.Status != Alive) {
-						t.Errorf("node %d has life %d, %v", i, m.Life, m.Status)
+					if m.ID == 6 && (m.Incarnation != 1002 || m.Status != Alive) {
+						t.Errorf("node %d has life %d, %v", i, m.Incarnation, m.Status)
 					}
 				}
 			}
 		}},
 		{"back, its clock set back by a minute", func(s *sim) { s.kill(5); s.run(2 * time.Second); s.life[5] -= 60; s.start(5) }, func(*testing.T, *sim) {}},
 		{"ended in order and back within a second", func(s *sim) {
-			s.do(5, Ends{})
+			s.do(5, Leaving{})
 			s.kill(5)
 			s.run(400 * time.Millisecond)
 			s.life[5]--
@@ -344,12 +344,12 @@
 		}, func(*testing.T, *sim) {}},
 		{"forged, oversized, unknown", func(s *sim) {
 			for range 50 {
-				s.do(3, Heard{addr(4), make([]byte, 300)})
-				s.do(3, Heard{netip.MustParseAddrPort("127.9.9.9:1"), (&message{kind: ping, id: 99}).append(nil)})
+				s.do(3, DatagramReceived{addr(4), make([]byte, 300)})
+				s.do(3, DatagramReceived{netip.MustParseAddrPort("127.9.9.9:1"), (&message{kind: ping, id: 99}).append(nil)})
 			}
 		}, func(t *testing.T, s *sim) {
-			if c := s.nodes[3].Counts(); c.Malformed != 50 || c.Strangers != 50 || s.nodes[3].Alive() != 12 {
-				t.Errorf("%+v, %d alive", c, s.nodes[3].Alive())
+			if c := s.nodes[3].Counts(); c.Malformed != 50 || c.UnknownSenders != 50 || s.nodes[3].AliveCount() != 12 {
+				t.Errorf("%+v, %d alive", c, s.nodes[3].AliveCount())
 			}
 		}},
 	} {
@@ -424,7 +424,7 @@
 		var flood, talk func()
 		flood = func() {
 			for to := range 5 {
-				s.arrive(5, to, (&message{kind: ping, id: 6, life: Life(1000 + s.life[5]), target: ID(to + 1)}).append(nil))
+				s.arrive(5, to, (&message{kind: ping, id: 6, life: Incarnation(1000 + s.life[5]), target: ID(to + 1)}).append(nil))
 			}
 			if s.now < flooded {
 				s.plan(9*time.Millisecond, flood)
@@ -434,7 +434,7 @@
 			for i := range s.nodes {
 				for k := range s.nodes {
 					if i != k && s.up[i] && s.up[k] {
-						s.do(i, Told{ID(k + 1)})
+						s.do(i, PeerActive{ID(k + 1)})
 					}
 				}
 			}
@@ -459,7 +459,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := newSim(3, 1)
 		s.run(5 * time.Second)
-		s.do(0, Heard{addr(1), data})
+		s.do(0, DatagramReceived{addr(1), data})
 		s.run(time.Second)
 		if m, err := parse(data); err == nil {
 			if again, err := parse(m.append(nil)); err != nil || fmt.Sprint(again) != fmt.Sprint(m) {
--- a/fleet/shares/flows.go
+++ b/fleet/shares/flows.go
@@ -10,11 +10,11 @@
 	maxFlows  = 4096
 )
 
-// Flows puts together what processes say of how much they have to do: the part of the
+// LoadEstimator puts together what processes say of how much they have to do: the part of the
 // whole flow that is this one's. Each hears some of the others, drawn at random, so
 // the mean of those that it has heard of late stands for all. It is not safe for
 // concurrent use.
-type Flows struct {
+type LoadEstimator struct {
 	others map[ID]flow
 }
 
@@ -23,8 +23,8 @@
 	at   Time
 }
 
-// Hear takes a process's word of its flow.
-func (f *Flows) Hear(now Time, from ID, rate float64) {
+// Handle takes a process's word of its flow.
+func (f *LoadEstimator) Report(now Time, from ID, rate float64) {
 	if f.others == nil {
 		f.others = map[ID]flow{}
 	}
@@ -33,10 +33,10 @@
 	}
 }
 
-// Part is the part of the whole that is the process's own with a flow, among so many
+// Fraction is the part of the whole that is the process's own with a flow, among so many
 // living processes, itself counted; an equal part where nothing flows. One teller that
 // is wrong counts for four times the median of the others at most.
-func (f *Flows) Part(now Time, own float64, living int) float64 {
+func (f *LoadEstimator) Fraction(now Time, own float64, living int) float64 {
 	if living <= 1 {
 		return 1
 	}
--- a/fleet/shares/message.go
+++ b/fleet/shares/message.go
@@ -32,12 +32,12 @@
 
 var errForm = errors.New("shares: a datagram that is in no known form")
 
-// Ours tells whether a datagram is one of this package's.
-func Ours(data []byte) bool { return len(data) > 0 && data[0] == form }
+// IsMessage tells whether a datagram is one of this package's.
+func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == form }
 
-// Asks tells whether a datagram asks for something, or offers it: what a process that
+// IsRequest tells whether a datagram asks for something, or offers it: what a process that
 // is not to be counted on must not be listened to for.
-func Asks(data []byte) bool {
+func IsRequest(data []byte) bool {
 	return len(data) > 2 && (data[2] == kindOffer || data[2] == kindRenew || data[2] == kindClaim)
 }
 
@@ -53,24 +53,24 @@
 	}
 	switch m := say.(type) {
 	case Offer:
-		return put(kindOffer, uint32(min(math.MaxUint32, max(0, m.Flow*1000))), 0, 0, m.Spare, 0)
-	case Renew:
-		return put(kindRenew, m.Life, m.Nonce, m.Round, m.Want, 0)
+		return put(kindOffer, uint32(min(math.MaxUint32, max(0, m.Load*1000))), 0, 0, m.Spare, 0)
+	case LeaseRequest:
+		return put(kindRenew, m.Incarnation, m.Nonce, m.Round, m.Amount, 0)
 	case Grant:
-		return put(kindGrant, m.Life, m.Nonce, m.Round, m.Amount, m.For)
-	case Return:
-		return put(kindReturn, m.Life, m.Nonce, 0, 0, 0)
+		return put(kindGrant, m.Incarnation, m.Nonce, m.Round, m.Amount, m.Duration)
+	case LeaseReturn:
+		return put(kindReturn, m.Incarnation, m.Nonce, 0, 0, 0)
 	case Claim:
-		return appendSets(start(kindClaim, m.Life, uint32(m.Quorum), m.Round), m.Want)
-	case Leased:
-		b := appendSets(start(kindLeased, m.Life, 0, m.Round), m.Granted, m.Wanted, m.Free)
+		return appendSets(start(kindClaim, m.Incarnation, uint32(m.QuorumDigest), m.Round), m.Requested)
+	case ClaimReply:
+		b := appendSets(start(kindLeased, m.Incarnation, 0, m.Round), m.Granted, m.Contested, m.Free)
 		return appendWords(b, m.Active[:])
 	}
 	return nil
 }
 
 // appendSets writes sets of seats, as long as the highest seat in any of them asks for.
-func appendSets(b []byte, all ...Set) []byte {
+func appendSets(b []byte, all ...SlotSet) []byte {
 	n := 0
 	for _, s := range all {
 		n = max(n, length(s[:]))
@@ -114,7 +114,7 @@
 	}
 }
 
-func readSet(b []byte) (s Set) {
+func readSet(b []byte) (s SlotSet) {
 	readWords(b, s[:])
 	return s
 }
@@ -127,7 +127,7 @@
 	life, nonce, round := binary.BigEndian.Uint32(b[3:]), binary.BigEndian.Uint32(b[7:]), binary.BigEndian.Uint32(b[11:])
 	if kind := b[2]; kind == kindClaim || kind == kindLeased {
 		n := int(b[head])
-		if n > MostSeats/8 {
+		if n > MaxSlots/8 {
 			return 0, nil, errForm
 		}
 		if kind == kindClaim {
@@ -137,10 +137,10 @@
 			return b[1], Claim{uint16(nonce), life, round, readSet(b[sets:])}, nil
 		}
 		active := sets + 3*n
-		if len(b) <= active || int(b[active]) > MostHolders/8 || len(b) != active+1+int(b[active]) {
+		if len(b) <= active || int(b[active]) > MaxHolders/8 || len(b) != active+1+int(b[active]) {
 			return 0, nil, errForm
 		}
-		m := Leased{Life: life, Round: round, Granted: readSet(b[sets : sets+n]), Wanted: readSet(b[sets+n : sets+2*n]), Free: readSet(b[sets+2*n : active])}
+		m := ClaimReply{Incarnation: life, Round: round, Granted: readSet(b[sets : sets+n]), Contested: readSet(b[sets+n : sets+2*n]), Free: readSet(b[sets+2*n : active])}
 		readWords(b[active+1:], m.Active[:])
 		return b[1], m, nil
 	}
@@ -155,11 +155,11 @@
 	case kindOffer:
 		return b[1], Offer{amount, float64(life) / 1000}, nil
 	case kindRenew:
-		return b[1], Renew{Ask{life, nonce, amount}, round}, nil
+		return b[1], LeaseRequest{LeaseTerms{life, nonce, amount}, round}, nil
 	case kindGrant:
 		return b[1], Grant{life, nonce, round, amount, lasts}, nil
 	case kindReturn:
-		return b[1], Return{life, nonce}, nil
+		return b[1], LeaseReturn{life, nonce}, nil
 	}
 	return 0, nil, errForm
 }
--- a/fleet/shares/parts.go
+++ b/fleet/shares/parts.go
@@ -20,28 +20,28 @@
 	seatFloor = 0.05                    // part that is floors, where bases are seats
 )
 
-// Whole is one that is shared by name, such as a tenant's quota, in requests a second.
-type Whole struct {
+// Quota is one that is shared by name, such as a tenant's quota, in requests a second.
+type Quota struct {
 	Name string
 	Rate float64
 }
 
 // Config says what a process shares with the others.
 type Config struct {
-	Self   ID
-	Life   uint32
-	Nodes  int     // processes that have a base by agreement; without a quorum
-	Quotas []Whole // none: they are not shared
-	Work   bool    // the part of all work is
-	Guards []ID    // none: bases are the processes' own for ever
-	Seats  int
-	Most   int // processes that have a floor, where there are guards
-	Seed   int64
+	Self         ID
+	Incarnation  uint32
+	Nodes        int     // processes that have a base by agreement; without a quorum
+	Quotas       []Quota // none: they are not shared
+	ShareWork    bool    // the part of all work is
+	Guards       []ID    // none: bases are the processes' own for ever
+	Slots        int
+	MaxProcesses int // processes that have a floor, where there are guards
+	Seed         int64
 }
 
-// Quorum is the one that a configuration names.
+// QuorumDigest is the one that a configuration names.
 func (c *Config) Quorum() Quorum {
-	return Quorum{Guards: c.Guards, Seats: c.Seats, Most: c.Most, Lease: leaseSeat, Drift: Defaults().Drift}
+	return Quorum{Guards: c.Guards, Slots: c.Slots, MaxProcesses: c.MaxProcesses, LeaseTime: leaseSeat, MaxClockDrift: Defaults().MaxClockDrift}
 }
 
 // Datagram goes to a process.
@@ -50,19 +50,19 @@
 	Data []byte
 }
 
-// Given is what of the wholes is this process's by now.
-type Given struct {
+// Allocation is what of the wholes is this process's by now.
+type Allocation struct {
 	Quotas map[string]float64 // requests a second, by name; those that have changed
-	// Nodes is how many equal processes there would be, were each part of the fleet's
+	// EquivalentNodes is how many equal processes there would be, were each part of the fleet's
 	// work as large as this one's; 0: it has not changed.
-	Nodes float64
+	EquivalentNodes float64
 }
 
-// Part is what a process holds of a whole, in its unit.
-type Part struct {
-	Whole            string
-	Base, Held, Need float64
-	All              float64 // the whole
+// Fraction is what a process holds of a whole, in its unit.
+type Holding struct {
+	Name               string
+	Base, Held, Demand float64
+	Total              float64 // the whole
 }
 
 // whole is one of them as this process shares in it.
@@ -76,29 +76,29 @@
 	told    int64
 }
 
-// Parts is all that one process shares with the others. It is not safe for concurrent
+// Allocator is all that one process shares with the others. It is not safe for concurrent
 // use.
-type Parts struct {
-	cfg    Config
-	wholes []*whole
-	by     map[string]*whole
-	work   *whole // nil: the part of the work is not shared
-	flows  Flows
-	holder *Holder
-	guard  *Guard
-	nextAt Time
-	living int
-	Strays uint64 // datagrams in no known form, or of no whole that is shared here
+type Allocator struct {
+	cfg          Config
+	wholes       []*whole
+	by           map[string]*whole
+	work         *whole // nil: the part of the work is not shared
+	flows        LoadEstimator
+	holder       *Holder
+	guard        *Guard
+	nextAt       Time
+	living       int
+	Unrecognized uint64 // datagrams in no known form, or of no whole that is shared here
 }
 
-// NewParts makes the parts of a process that starts now. It can't know whether it had a
+// NewAllocator makes the parts of a process that starts now. It can't know whether it had a
 // former life, so it begins as one that had.
-func NewParts(cfg Config, now Time) *Parts {
-	p := &Parts{cfg: cfg, by: map[string]*whole{}, living: max(1, cfg.Nodes)}
+func NewAllocator(cfg Config, now Time) *Allocator {
+	p := &Allocator{cfg: cfg, by: map[string]*whole{}, living: max(1, cfg.Nodes)}
 	if len(cfg.Guards) > 0 {
 		q := cfg.Quorum()
-		if len(cfg.Quotas) > 0 || cfg.Work {
-			p.holder = NewHolder(q, cfg.Self, cfg.Life, now, cfg.Seed)
+		if len(cfg.Quotas) > 0 || cfg.ShareWork {
+			p.holder = NewHolder(q, cfg.Self, cfg.Incarnation, now, cfg.Seed)
 		}
 		if slices.Contains(cfg.Guards, cfg.Self) {
 			p.guard = NewGuard(q, now)
@@ -106,34 +106,34 @@
 	}
 	for i, w := range cfg.Quotas[:min(len(cfg.Quotas), mostWholes)] {
 		set := Defaults()
-		set.Whole, set.Least = int64(w.Rate*quotaUnits), quotaUnits/10
+		set.Total, set.MinLease = int64(w.Rate*quotaUnits), quotaUnits/10
 		x := p.add(w.Name, uint8(i), quotaUnits, set, now)
 		p.by[w.Name] = x
 	}
-	if cfg.Work {
+	if cfg.ShareWork {
 		set := Defaults()
-		set.Whole, set.Least, set.Spare = workUnits, workUnits/2000, 1
+		set.Total, set.MinLease, set.Headroom = workUnits, workUnits/2000, 1
 		p.work = p.add("work", workWhole, workUnits, set, now)
 	}
 	return p
 }
 
-func (p *Parts) add(name string, number uint8, units float64, set Settings, now Time) *whole {
+func (p *Allocator) add(name string, number uint8, units float64, set Settings, now Time) *whole {
 	w := &whole{name: name, number: number, units: units, told: -1}
 	seed := p.cfg.Seed + int64(number)
 	if p.holder != nil {
-		set.Lease, set.Floor = leaseLoan, seatFloor
-		w.share = NewSeated(set, p.holder, now, seed)
+		set.LeaseTime, set.FloorFraction = leaseLoan, seatFloor
+		w.share = NewWithSlots(set, p.holder, now, seed)
 	} else {
 		set.Nodes = max(1, p.cfg.Nodes)
-		w.share = New(set, p.cfg.Self, p.cfg.Life, now, seed, false)
+		w.share = New(set, p.cfg.Self, p.cfg.Incarnation, now, seed, false)
 	}
 	p.wholes = append(p.wholes, w)
 	return w
 }
 
-// Arrived counts a request: a tenant's need, and of the work.
-func (p *Parts) Arrived(tenant string) {
+// CountRequest counts a request: a tenant's need, and of the work.
+func (p *Allocator) CountRequest(tenant string) {
 	if w := p.by[tenant]; w != nil {
 		w.arrived++
 	}
@@ -144,7 +144,7 @@
 
 // Tick comes every tenth of a second or so, and when the process has stood still. living
 // is whom it takes for alive, itself among them.
-func (p *Parts) Tick(now Time, living []ID) (out []Datagram) {
+func (p *Allocator) Tick(now Time, living []ID) (out []Datagram) {
 	p.living = max(1, len(living))
 	if p.holder != nil {
 		out = p.wrap(out, seatsWhole, p.holder.Tick(now, func(int) int { return p.spares(now) }))
@@ -158,10 +158,10 @@
 		if round {
 			w.rate += needGain * (w.arrived/roundTime.Seconds() - w.rate)
 			w.arrived = 0
-			w.share.Need(math.Ceil(w.rate * w.units))
+			w.share.SetDemand(math.Ceil(w.rate * w.units))
 			if w == p.work {
-				w.share.Flow(max(w.rate, 1/w.units)) // also of one that has nothing to do
-				w.share.Need(p.flows.Part(now, w.rate, p.living) * workUnits)
+				w.share.SetLoad(max(w.rate, 1/w.units)) // also of one that has nothing to do
+				w.share.SetDemand(p.flows.Fraction(now, w.rate, p.living) * workUnits)
 			}
 		}
 		out = p.wrap(out, w.number, w.share.Tick(now, others))
@@ -169,24 +169,24 @@
 	return out
 }
 
-func (p *Parts) spares(now Time) int {
-	n := MostSeats
+func (p *Allocator) spares(now Time) int {
+	n := MaxSlots
 	for _, w := range p.wholes {
-		n = min(n, w.share.Spares(now))
+		n = min(n, w.share.SpareSlots(now))
 	}
 	return n
 }
 
 // wrap words messages; what this process says to itself, as a holder to its own guard,
 // it hears at once.
-func (p *Parts) wrap(out []Datagram, number uint8, all []Tell) []Datagram {
+func (p *Allocator) wrap(out []Datagram, number uint8, all []Message) []Datagram {
 	for _, t := range all {
-		data := Encode(number, t.Say)
+		data := Encode(number, t.Payload)
 		if t.To == p.cfg.Self {
-			if c, is := t.Say.(Claim); is && p.guard != nil {
+			if c, is := t.Payload.(Claim); is && p.guard != nil {
 				at := p.holder.asked[c.Round%rounds]
-				if a, ok := p.guard.Hear(at, t.To, c); ok {
-					p.holder.Hear(at, t.To, a)
+				if a, ok := p.guard.HandleClaim(at, t.To, c); ok {
+					p.holder.HandleReply(at, t.To, a)
 				}
 			}
 			continue
@@ -196,50 +196,50 @@
 	return out
 }
 
-// Hear takes a datagram.
-func (p *Parts) Hear(now Time, from ID, data []byte) []Datagram {
+// Handle takes a datagram.
+func (p *Allocator) Handle(now Time, from ID, data []byte) []Datagram {
 	number, say, err := Decode(data)
 	if err != nil || from == p.cfg.Self {
-		p.Strays++
+		p.Unrecognized++
 		return nil
 	}
 	switch m := say.(type) {
 	case Claim:
 		if p.guard != nil {
-			if a, ok := p.guard.Hear(now, from, m); ok {
+			if a, ok := p.guard.HandleClaim(now, from, m); ok {
 				return []Datagram{{from, Encode(number, a)}}
 			}
 		}
 		return nil
-	case Leased:
+	case ClaimReply:
 		if p.holder != nil {
-			p.holder.Hear(now, from, m)
+			p.holder.HandleReply(now, from, m)
 		}
 		return nil
 	case Offer:
 		if number == workWhole {
-			p.flows.Hear(now, from, m.Flow)
+			p.flows.Report(now, from, m.Load)
 		}
 	}
 	i := slices.IndexFunc(p.wholes, func(w *whole) bool { return w.number == number })
 	if i < 0 {
-		p.Strays++
+		p.Unrecognized++
 		return nil
 	}
-	return p.wrap(nil, number, p.wholes[i].share.Hear(now, from, say))
+	return p.wrap(nil, number, p.wholes[i].share.Handle(now, from, say))
 }
 
-// Given tells what has changed since the last call. It is to be called before what was
+// Allocation tells what has changed since the last call. It is to be called before what was
 // given is used after a pause: what has run out counts no more.
-func (p *Parts) Given(now Time) (g Given, changed bool) {
+func (p *Allocator) Allocation(now Time) (g Allocation, changed bool) {
 	for _, w := range p.wholes {
-		may := w.share.May(now)
+		may := w.share.Allowance(now)
 		if may == w.told {
 			continue
 		}
 		w.told, changed = may, true
 		if w == p.work {
-			g.Nodes = workUnits / float64(max(1, may))
+			g.EquivalentNodes = workUnits / float64(max(1, may))
 			continue
 		}
 		if g.Quotas == nil {
@@ -250,26 +250,26 @@
 	return g, changed
 }
 
-// Held tells what the process holds of each whole, for operators.
-func (p *Parts) Held(now Time) (out []Part) {
+// HeldSlots tells what the process holds of each whole, for operators.
+func (p *Allocator) Holdings(now Time) (out []Holding) {
 	for _, w := range p.wholes {
-		name, unit, all := "quota "+w.name, w.units, float64(w.share.set.Whole)
+		name, unit, all := "quota "+w.name, w.units, float64(w.share.set.Total)
 		if w == p.work {
 			name = "work"
 		}
-		out = append(out, Part{Whole: name, Base: float64(w.share.Base(now)) / unit, Held: float64(w.share.May(now)) / unit,
-			Need: w.share.need / unit, All: all / unit})
+		out = append(out, Holding{Name: name, Base: float64(w.share.Base(now)) / unit, Held: float64(w.share.Allowance(now)) / unit,
+			Demand: w.share.need / unit, Total: all / unit})
 	}
 	return out
 }
 
-// Quorate tells whether most guards answer; true where there are none.
-func (p *Parts) Quorate(now Time) bool { return p.holder == nil || p.holder.Sees(now) }
+// HasQuorum tells whether most guards answer; true where there are none.
+func (p *Allocator) HasQuorum(now Time) bool { return p.holder == nil || p.holder.HasQuorum(now) }
 
-// Seats counts the seats that the process holds; 0 where there are no guards.
-func (p *Parts) Seats(now Time) int {
+// Slots counts the seats that the process holds; 0 where there are no guards.
+func (p *Allocator) HeldSlots(now Time) int {
 	if p.holder == nil {
 		return 0
 	}
-	return p.holder.Held(now)
+	return p.holder.HeldSlots(now)
 }
--- a/fleet/shares/seats.go
+++ b/fleet/shares/seats.go
@@ -9,16 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostSeats is how many seats there may be, MostHolders bounds the IDs of those who hold
-// them: a guard's answer must go into a datagram of 256 bytes. MostGuards bounds how many
+// MaxSlots is how many seats there may be, MaxHolders bounds the IDs of those who hold
+// them: a guard's answer must go into a datagram of 256 bytes. MaxGuards bounds how many
 // guards there may be.
 const (
-	MostSeats   = 256
-	MostHolders = 1024
-	MostGuards  = 15
+	MaxSlots   = 256
+	MaxHolders = 1024
+	MaxGuards  = 15
 )
 
-// Quorum is the agreement by which what dead processes had goes to living ones. The
+// QuorumDigest is the agreement by which what dead processes had goes to living ones. The
 // part of each whole above the floors is cut into seats. A seat is held by whoever
 // has a lease of it from most of a few guards (Gray and Cheriton, 1989; Gifford,
 // 1979): two holders would need one guard that granted it to both, and a guard grants
@@ -27,17 +27,17 @@
 // have granted has run out. It must be the same at all processes: a claim under
 // another one is not answered.
 type Quorum struct {
-	Guards []ID          // an odd number, one to MostGuards
-	Seats  int           // 1 to MostSeats
-	Most   int           // processes that have a floor, and hold seats: those with a lower ID; MostHolders at most
-	Lease  time.Duration // of a seat
-	Drift  float64       // by which a clock may be fast or slow, as a part
+	Guards        []ID          // an odd number, one to MaxGuards
+	Slots         int           // 1 to MaxSlots
+	MaxProcesses  int           // processes that have a floor, and hold seats: those with a lower ID; MaxHolders at most
+	LeaseTime     time.Duration // of a seat
+	MaxClockDrift float64       // by which a clock may be fast or slow, as a part
 }
 
 // Digest tells quorums apart.
 func (q *Quorum) Digest() uint16 {
 	h := xxhash.New()
-	for _, x := range append([]ID{ID(q.Seats), ID(q.Most), ID(q.Lease / time.Millisecond), ID(q.Drift * 1e6)}, q.Guards...) {
+	for _, x := range append([]ID{ID(q.Slots), ID(q.MaxProcesses), ID(q.LeaseTime / time.Millisecond), ID(q.MaxClockDrift * 1e6)}, q.Guards...) {
 		h.Write([]byte{byte(x >> 24), byte(x >> 16), byte(x >> 8), byte(x)})
 	}
 	return uint16(h.Sum64())
@@ -49,58 +49,58 @@
 // granted is how long a guard counts a lease; the holder counts Lease by its own clock
 // from when it asked.
 func (q *Quorum) granted() time.Duration {
-	return time.Duration(float64(q.Lease) * (1 + q.Drift) / (1 - q.Drift))
+	return time.Duration(float64(q.LeaseTime) * (1 + q.MaxClockDrift) / (1 - q.MaxClockDrift))
 }
 
-// Set is a set of seats.
-type Set [MostSeats / 64]uint64
+// SlotSet is a set of seats.
+type SlotSet [MaxSlots / 64]uint64
 
 // Has, Add and Remove are a set's.
-func (s *Set) Has(i int) bool { return s[i/64]>>(i%64)&1 != 0 }
-func (s *Set) Add(i int)      { s[i/64] |= 1 << (i % 64) }
-func (s *Set) Remove(i int)   { s[i/64] &^= 1 << (i % 64) }
+func (s *SlotSet) Has(i int) bool { return s[i/64]>>(i%64)&1 != 0 }
+func (s *SlotSet) Add(i int)      { s[i/64] |= 1 << (i % 64) }
+func (s *SlotSet) Remove(i int)   { s[i/64] &^= 1 << (i % 64) }
 
 // What holders and guards say to one another.
 type (
 	// Claim asks a guard for leases, or for their renewal, all at once; a seat that
 	// was granted and is not named any more is given back. Rounds rise within a life.
 	Claim struct {
-		Quorum uint16
-		Life   uint32
-		Round  uint32
-		Want   Set
+		QuorumDigest uint16
+		Incarnation  uint32
+		Round        uint32
+		Requested    SlotSet
 	}
-	// Leased answers a Claim: what is granted for a lease from when it was asked for;
+	// ClaimReply answers a Claim: what is granted for a lease from when it was asked for;
 	// what others want of it; what nobody holds; and who has claimed within a lease.
-	Leased struct {
-		Life    uint32
-		Round   uint32
-		Granted Set
-		Wanted  Set
-		Free    Set
-		Active  Holders
+	ClaimReply struct {
+		Incarnation uint32
+		Round       uint32
+		Granted     SlotSet
+		Contested   SlotSet
+		Free        SlotSet
+		Active      HolderSet
 	}
 )
 
-// Holders is a set of processes.
-type Holders [MostHolders / 64]uint64
+// HolderSet is a set of processes.
+type HolderSet [MaxHolders / 64]uint64
 
 // Has and Add are a set's.
-func (h *Holders) Has(id ID) bool { return id < MostHolders && h[id/64]>>(id%64)&1 != 0 }
-func (h *Holders) Add(id ID) {
-	if id < MostHolders {
+func (h *HolderSet) Has(id ID) bool { return id < MaxHolders && h[id/64]>>(id%64)&1 != 0 }
+func (h *HolderSet) Add(id ID) {
+	if id < MaxHolders {
 		h[id/64] |= 1 << (id % 64)
 	}
 }
 
 // Guard grants seats. It is not safe for concurrent use.
 type Guard struct {
-	q       Quorum
-	bornAt  Time
-	started bool
-	seats   []seat
-	rounds  map[ID]heardClaim
-	Ignored uint64 // claims under another quorum, or older than one that was heard
+	q             Quorum
+	bornAt        Time
+	started       bool
+	seats         []seat
+	rounds        map[ID]heardClaim
+	IgnoredClaims uint64 // claims under another quorum, or older than one that was heard
 }
 
 type seat struct {
@@ -123,13 +123,13 @@
 	n := 0
 	for id, c := range g.rounds {
 		switch age := now - c.at; {
-		case age < g.q.Lease:
+		case age < g.q.LeaseTime:
 			n++
 		case age > forgetAfter*g.q.granted():
 			delete(g.rounds, id)
 		}
 	}
-	return 2 * ((g.q.Seats + n) / max(1, n))
+	return 2 * ((g.q.Slots + n) / max(1, n))
 }
 
 // forgetAfter is how many leases after its last claim a process's rounds are forgotten:
@@ -139,25 +139,25 @@
 // NewGuard makes a guard that starts now. It grants nothing for a lease, as it may have
 // had a former life.
 func NewGuard(q Quorum, now Time) *Guard {
-	return &Guard{q: q, bornAt: now, seats: make([]seat, q.Seats), rounds: map[ID]heardClaim{}}
+	return &Guard{q: q, bornAt: now, seats: make([]seat, q.Slots), rounds: map[ID]heardClaim{}}
 }
 
 // maxHolders bounds the processes whose rounds a guard remembers.
 const maxHolders = 4096
 
-// Hear answers a claim. One of a later life of a process counts as another process's:
+// Handle answers a claim. One of a later life of a process counts as another process's:
 // what the former one has runs out.
-func (g *Guard) Hear(now Time, from ID, c Claim) (Leased, bool) {
+func (g *Guard) HandleClaim(now Time, from ID, c Claim) (ClaimReply, bool) {
 	last, known := g.rounds[from]
 	switch {
-	case c.Quorum != g.q.Digest(), !known && len(g.rounds) >= maxHolders,
-		known && c.Life == last.life && int32(c.Round-last.round) <= 0,
-		known && int32(c.Life-last.life) < 0 && now-last.at < g.q.Lease: // a former life's, or a clock was set back
-		g.Ignored++
-		return Leased{}, false
-	}
-	g.rounds[from] = heardClaim{c.Life, c.Round, now}
-	out := Leased{Life: c.Life, Round: c.Round}
+	case c.QuorumDigest != g.q.Digest(), !known && len(g.rounds) >= maxHolders,
+		known && c.Incarnation == last.life && int32(c.Round-last.round) <= 0,
+		known && int32(c.Incarnation-last.life) < 0 && now-last.at < g.q.LeaseTime: // a former life's, or a clock was set back
+		g.IgnoredClaims++
+		return ClaimReply{}, false
+	}
+	g.rounds[from] = heardClaim{c.Incarnation, c.Round, now}
+	out := ClaimReply{Incarnation: c.Incarnation, Round: c.Round}
 	born := now-g.bornAt >= g.q.granted()
 	most, has := g.most(now), 0
 	for id, c := range g.rounds {
@@ -168,21 +168,21 @@
 	for i := range g.seats {
 		s := &g.seats[i]
 		held := now < s.until
-		mine := held && s.by == from && s.life == c.Life
-		want := c.Want.Has(i)
+		mine := held && s.by == from && s.life == c.Incarnation
+		want := c.Requested.Has(i)
 		switch {
 		case mine && !want: // given back: the holder has stopped using it before it said so
 			s.until = 0
 			held = false
-		case want && (mine || !held) && has >= most && s.wantedBy != from && s.wantedAt > 0 && now-s.wantedAt < 2*g.q.Lease: // it runs out
-			out.Wanted.Add(i)
+		case want && (mine || !held) && has >= most && s.wantedBy != from && s.wantedAt > 0 && now-s.wantedAt < 2*g.q.LeaseTime: // it runs out
+			out.Contested.Add(i)
 		case want && born && (mine || !held):
 			has++
-			s.by, s.life, s.until = from, c.Life, now+g.q.granted()
+			s.by, s.life, s.until = from, c.Incarnation, now+g.q.granted()
 			held = true
 			out.Granted.Add(i)
-			if s.wantedAt > 0 && now-s.wantedAt < g.q.Lease && s.wantedBy != from {
-				out.Wanted.Add(i)
+			if s.wantedAt > 0 && now-s.wantedAt < g.q.LeaseTime && s.wantedBy != from {
+				out.Contested.Add(i)
 			}
 		case want && held:
 			s.wantedBy, s.wantedAt = from, now
@@ -201,37 +201,37 @@
 	life   uint32
 	rng    *rand.Rand
 	round  uint32
-	asked  [rounds]Time   // when, by round modulo their number
-	until  map[ID][]Time  // by guard and seat
-	sure   []Time         // until when a seat may be used, by most guards
-	answer map[ID]*Leased // the newest
+	asked  [rounds]Time       // when, by round modulo their number
+	until  map[ID][]Time      // by guard and seat
+	sure   []Time             // until when a seat may be used, by most guards
+	answer map[ID]*ClaimReply // the newest
 	heard  map[ID]Time
-	target Set
-	want   Set
+	target SlotSet
+	want   SlotSet
 	from   []uint32 // first round of those in a row, up to the last, in which a seat was asked for
 	shyOf  []Time   // until then a seat is not asked for again
 	since  []Time   // when a seat was first asked for without success; 0: it was not
 	free   []Time   // since when a seat has been free at most guards; 0: it is not
 	next   Time
-	owed   int                                    // seats that others are to have, and that are lent
-	met    Time                                   // when most guards had answered first; 0: not yet
-	view   uint64                                 // digest of those among whom seats are placed
-	rule   func(seats int, ids []ID, self ID) Set // by which seats are placed
+	owed   int                                        // seats that others are to have, and that are lent
+	met    Time                                       // when most guards had answered first; 0: not yet
+	view   uint64                                     // digest of those among whom seats are placed
+	rule   func(seats int, ids []ID, self ID) SlotSet // by which seats are placed
 }
 
 // NewHolder makes the holder of a process that starts now, which has nothing.
 func NewHolder(q Quorum, self ID, life uint32, now Time, seed int64) *Holder {
-	h := &Holder{q: q, self: self, life: life, rng: rand.New(rand.NewPCG(uint64(seed), 0x73656174)), until: map[ID][]Time{}, answer: map[ID]*Leased{},
-		heard: map[ID]Time{}, sure: make([]Time, q.Seats), from: make([]uint32, q.Seats), shyOf: make([]Time, q.Seats), since: make([]Time, q.Seats), free: make([]Time, q.Seats), next: now, rule: placed}
+	h := &Holder{q: q, self: self, life: life, rng: rand.New(rand.NewPCG(uint64(seed), 0x73656174)), until: map[ID][]Time{}, answer: map[ID]*ClaimReply{},
+		heard: map[ID]Time{}, sure: make([]Time, q.Slots), from: make([]uint32, q.Slots), shyOf: make([]Time, q.Slots), since: make([]Time, q.Slots), free: make([]Time, q.Slots), next: now, rule: placed}
 	for _, g := range q.Guards {
-		h.until[g] = make([]Time, q.Seats)
+		h.until[g] = make([]Time, q.Slots)
 	}
 	return h
 }
 
 // settle finds out until when a seat may be used.
 func (h *Holder) settle(i int) {
-	var all [MostGuards]Time
+	var all [MaxGuards]Time
 	u := all[:0]
 	for _, g := range h.q.Guards {
 		u = append(u, h.until[g][i])
@@ -240,8 +240,8 @@
 	h.sure[i] = u[h.q.needs()-1]
 }
 
-// Held counts the seats that may be used at a time.
-func (h *Holder) Held(at Time) int {
+// HeldSlots counts the seats that may be used at a time.
+func (h *Holder) HeldSlots(at Time) int {
 	n := 0
 	for _, until := range h.sure {
 		if at < until {
@@ -251,11 +251,11 @@
 	return n
 }
 
-// Sees tells whether most guards have answered within a lease.
-func (h *Holder) Sees(now Time) bool {
+// HasQuorum tells whether most guards have answered within a lease.
+func (h *Holder) HasQuorum(now Time) bool {
 	n := 0
 	for _, g := range h.q.Guards {
-		if at, ok := h.heard[g]; ok && now-at < h.q.Lease {
+		if at, ok := h.heard[g]; ok && now-at < h.q.LeaseTime {
 			n++
 		}
 	}
@@ -266,17 +266,17 @@
 // word of most guards. So all place alike, and what a dead process held is placed anew
 // when its leases have run out, whoever else has noticed its death.
 func (h *Holder) place(now Time) {
-	if int(h.self) >= h.q.Most {
+	if int(h.self) >= h.q.MaxProcesses {
 		return
 	}
 	votes, answers := map[ID]int{h.self: h.q.needs()}, 0
 	for _, g := range h.q.Guards {
 		a := h.answer[g]
-		if a == nil || now-h.heard[g] >= h.q.Lease/2 {
+		if a == nil || now-h.heard[g] >= h.q.LeaseTime/2 {
 			continue
 		}
 		answers++
-		for id := range ID(min(h.q.Most, MostHolders)) {
+		for id := range ID(min(h.q.MaxProcesses, MaxHolders)) {
 			if a.Active.Has(id) {
 				votes[id]++
 			}
@@ -288,7 +288,7 @@
 	if h.met == 0 {
 		h.met = now
 	}
-	if now-h.met < h.q.Lease/5 { // those that start together are to know of one another first
+	if now-h.met < h.q.LeaseTime/5 { // those that start together are to know of one another first
 		return
 	}
 	var living []ID
@@ -303,7 +303,7 @@
 		view = xxhash.Sum64(pair(view, uint64(id)))
 	}
 	if view != h.view {
-		h.view, h.target = view, h.rule(h.q.Seats, living, h.self)
+		h.view, h.target = view, h.rule(h.q.Slots, living, h.self)
 	}
 }
 
@@ -311,7 +311,7 @@
 // first by rendezvous hashing. Parts are not quite even so, which loans see to; in return
 // a process that comes or goes moves its own seats alone, so that processes with views
 // that differ for a moment do not claim one another's.
-func placed(seats int, ids []ID, self ID) (out Set) {
+func placed(seats int, ids []ID, self ID) (out SlotSet) {
 	for i := range seats {
 		first := slices.MaxFunc(ids, func(a, b ID) int {
 			return cmp.Compare(xxhash.Sum64(pair(uint64(a), uint64(i))), xxhash.Sum64(pair(uint64(b), uint64(i))))
@@ -334,25 +334,25 @@
 // Tick is a round: leases are renewed, what is missing is asked for, and what others
 // want and is not this process's by right is given back, as far as may says that it
 // can be spared.
-func (h *Holder) Tick(now Time, spare func(held int) int) []Tell {
+func (h *Holder) Tick(now Time, spare func(held int) int) []Message {
 	if now < h.next {
 		return nil
 	}
-	h.next = now + h.q.Lease/8
+	h.next = now + h.q.LeaseTime/8
 	if h.round > 0 && !h.answered() { // something was lost
-		h.next = now + h.q.Lease/20
+		h.next = now + h.q.LeaseTime/20
 	}
 	h.look(now)
 	h.place(now)
-	held, give := 0, Set{}
-	for i := range h.q.Seats {
+	held, give := 0, SlotSet{}
+	for i := range h.q.Slots {
 		if now < h.sure[i] {
 			held++
 		}
 	}
 	left := spare(held)
 	h.owed = 0
-	for i := range h.q.Seats {
+	for i := range h.q.Slots {
 		switch {
 		case now >= h.sure[i] || h.target.Has(i) || !h.wanted(i):
 		case left > 0:
@@ -363,12 +363,12 @@
 		}
 	}
 	before := h.want
-	h.want = Set{}
-	for i := range h.q.Seats {
+	h.want = SlotSet{}
+	for i := range h.q.Slots {
 		until := h.sure[i]
 		switch {
 		case give.Has(i):
-			h.shyOf[i] = now + h.q.Lease
+			h.shyOf[i] = now + h.q.LeaseTime
 		case now < until:
 			h.want.Add(i)
 			h.since[i] = 0
@@ -377,8 +377,8 @@
 			if h.since[i] == 0 {
 				h.since[i] = now
 			}
-			if now-h.since[i] > h.q.Lease/4 && h.split(now, i) { // another has a part of the guards: one gives way
-				h.since[i], h.shyOf[i] = 0, now+Time(float64(h.q.Lease)*(0.2+0.4*h.rng.Float64()))
+			if now-h.since[i] > h.q.LeaseTime/4 && h.split(now, i) { // another has a part of the guards: one gives way
+				h.since[i], h.shyOf[i] = 0, now+Time(float64(h.q.LeaseTime)*(0.2+0.4*h.rng.Float64()))
 				continue
 			}
 			h.want.Add(i)
@@ -388,7 +388,7 @@
 	}
 	h.round++
 	h.asked[h.round%rounds] = now
-	for i := range h.q.Seats {
+	for i := range h.q.Slots {
 		switch {
 		case !h.want.Has(i): // what is not asked for is given back, and not used any more before a guard hears of it
 			for _, g := range h.q.Guards {
@@ -399,9 +399,9 @@
 			h.from[i] = h.round
 		}
 	}
-	out := make([]Tell, 0, len(h.q.Guards))
+	out := make([]Message, 0, len(h.q.Guards))
 	for _, g := range h.q.Guards {
-		out = append(out, Tell{g, Claim{h.q.Digest(), h.life, h.round, h.want}})
+		out = append(out, Message{g, Claim{h.q.Digest(), h.life, h.round, h.want}})
 	}
 	return out
 }
@@ -420,10 +420,10 @@
 
 // look finds out which seats nobody holds.
 func (h *Holder) look(now Time) {
-	for i := range h.q.Seats {
+	for i := range h.q.Slots {
 		n := 0
 		for _, g := range h.q.Guards {
-			if a := h.answer[g]; a != nil && now-h.heard[g] < h.q.Lease && a.Free.Has(i) {
+			if a := h.answer[g]; a != nil && now-h.heard[g] < h.q.LeaseTime && a.Free.Has(i) {
 				n++
 			}
 		}
@@ -439,14 +439,14 @@
 // orphan tells whether a seat has been free for so long that whose it is by right does
 // not take it: then anybody may, a few at a time.
 func (h *Holder) orphan(now Time, i int) bool {
-	return h.free[i] > 0 && now-h.free[i] > h.q.Lease && (h.since[i] > 0 || h.rng.Float64() < 0.1)
+	return h.free[i] > 0 && now-h.free[i] > h.q.LeaseTime && (h.since[i] > 0 || h.rng.Float64() < 0.1)
 }
 
 // wanted tells whether most guards say that another asks for a seat.
 func (h *Holder) wanted(i int) bool {
 	n := 0
 	for _, g := range h.q.Guards {
-		if a := h.answer[g]; a != nil && a.Wanted.Has(i) {
+		if a := h.answer[g]; a != nil && a.Contested.Has(i) {
 			n++
 		}
 	}
@@ -464,18 +464,18 @@
 	return n > 0 && n < h.q.needs()
 }
 
-// Hear takes a guard's answer: leases count from when they were asked for.
-func (h *Holder) Hear(now Time, from ID, a Leased) {
+// Handle takes a guard's answer: leases count from when they were asked for.
+func (h *Holder) HandleReply(now Time, from ID, a ClaimReply) {
 	until, guard := h.until[from]
-	if !guard || a.Life != h.life || h.round-a.Round >= rounds || a.Round > h.round {
+	if !guard || a.Incarnation != h.life || h.round-a.Round >= rounds || a.Round > h.round {
 		return
 	}
 	if old := h.answer[from]; old == nil || int32(a.Round-old.Round) >= 0 {
 		h.answer[from] = &a
 	}
 	h.heard[from] = now
-	end := h.asked[a.Round%rounds] + h.q.Lease
-	for i := range h.q.Seats {
+	end := h.asked[a.Round%rounds] + h.q.LeaseTime
+	for i := range h.q.Slots {
 		// What was not asked for in a later round the guard may have given to another.
 		if a.Granted.Has(i) && h.want.Has(i) && int32(a.Round-h.from[i]) >= 0 {
 			until[i] = max(until[i], end)
--- a/fleet/shares/seats_test.go
+++ b/fleet/shares/seats_test.go
@@ -17,10 +17,10 @@
 	sum := 0.0
 	for i, n := range w.nodes {
 		if n != nil && w.now >= w.asleep[i] {
-			sum += min(w.needs[i], float64(n.May(w.clock(i))))
+			sum += min(w.needs[i], float64(n.Allowance(w.clock(i))))
 		}
 	}
-	return sum / float64(w.set.Whole)
+	return sum / float64(w.set.Total)
 }
 
 // regain is how long after now a part of the whole is in use for good, as far as 8 s
@@ -49,7 +49,7 @@
 	for seed := range seeds {
 		for _, loss := range []float64{0, 0.1, 0.3} {
 			w := newSeated(t, 39, 0, 36000, seed, 36, 37, 38)
-			w.q.Most = 36
+			w.q.MaxProcesses = 36
 			w.rng = rand.New(rand.NewPCG(seed, 99))
 			side := func(ID) int { return 0 }
 			w.lost = func(a, b ID) float64 {
@@ -132,12 +132,12 @@
 	}
 	w.greedy = func(i int) bool { return i == 7 }
 	w.run(8 * time.Second)
-	early := w.holders[7].Held(w.clock(7))
+	early := w.holders[7].HeldSlots(w.clock(7))
 	for i := 3; i < 7; i++ {
 		w.start(i, true)
 	}
 	w.run(20 * time.Second)
-	if late := w.holders[7].Held(w.clock(7)); early < 12 || late > 27 {
+	if late := w.holders[7].HeldSlots(w.clock(7)); early < 12 || late > 27 {
 		t.Errorf("it has %d seats of 64 among four, and %d among eight", early, late)
 	}
 	if used := w.inUse(); used < 0.9 {
@@ -159,7 +159,7 @@
 // order of delivery, loss, doubling, crash, restart and passing of time, to a depth. No
 // seat is ever held by two, however their views differ.
 func TestSeatsExhaustively(t *testing.T) {
-	q := Quorum{Guards: []ID{0, 1, 2}, Seats: 2, Most: 3, Lease: 8}
+	q := Quorum{Guards: []ID{0, 1, 2}, Slots: 2, MaxProcesses: 3, LeaseTime: 8}
 	type state struct {
 		now   Time
 		h     [3]*Holder
@@ -174,7 +174,7 @@
 			}
 			h, g := *s.h[i], *s.g[i]
 			h.rng = rand.New(rand.NewPCG(1, 1))
-			h.until, h.answer, h.heard = map[ID][]Time{}, map[ID]*Leased{}, map[ID]Time{}
+			h.until, h.answer, h.heard = map[ID][]Time{}, map[ID]*ClaimReply{}, map[ID]Time{}
 			for k, v := range s.h[i].until {
 				h.until[k] = slices.Clone(v)
 			}
@@ -213,7 +213,7 @@
 	start := func(s *state, i int) {
 		s.life[i]++
 		s.h[i], s.g[i] = NewHolder(q, ID(i), s.life[i], s.now, 1), NewGuard(q, s.now)
-		s.h[i].rule, s.h[i].target = all, all(q.Seats, nil, 0) // each takes both for its own by right
+		s.h[i].rule, s.h[i].target = all, all(q.Slots, nil, 0) // each takes both for its own by right
 	}
 	first := state{now: 100}
 	for i := range 3 {
@@ -228,7 +228,7 @@
 	for range depth {
 		var next []state
 		add := func(s state) {
-			for seat := range q.Seats {
+			for seat := range q.Slots {
 				by := 0
 				for _, h := range s.h {
 					if h != nil && s.now < h.sure[seat] {
@@ -258,11 +258,11 @@
 					}
 					switch x := m.say.(type) {
 					case Claim:
-						if a, ok := c.g[m.to].Hear(c.now, m.from, x); ok {
+						if a, ok := c.g[m.to].HandleClaim(c.now, m.from, x); ok {
 							c.mails = append(c.mails, mail{0, m.to, m.from, a})
 						}
-					case Leased:
-						c.h[m.to].Hear(c.now, m.from, x)
+					case ClaimReply:
+						c.h[m.to].HandleReply(c.now, m.from, x)
 					}
 					add(c)
 				}
@@ -278,7 +278,7 @@
 					continue
 				}
 				for _, x := range c.h[i].Tick(c.now, func(int) int { return 2 }) {
-					c.mails = append(c.mails, mail{0, ID(i), x.To, x.Say})
+					c.mails = append(c.mails, mail{0, ID(i), x.To, x.Payload})
 				}
 				add(c)
 				c = copyOf(s)
--- a/fleet/shares/shares.go
+++ b/fleet/shares/shares.go
@@ -30,20 +30,20 @@
 
 // Settings of a whole, the same at all processes.
 type Settings struct {
-	Whole  int64         // in units, such as requests a second times 1,000
-	Nodes  int           // the agreed number of processes that have a base
-	Floor  float64       // part of a base that is never lent
-	Lease  time.Duration // for which something is lent
-	Drift  float64       // by which a clock may be fast or slow, as a part
-	Spare  float64       // multiple of what a process needs that it keeps or asks for
-	Told   int           // others that hear of a spare or a need in a round
-	Least  int64         // units that are worth lending
-	Grants int           // loans that one process has out at most
+	Total         int64         // in units, such as requests a second times 1,000
+	Nodes         int           // the agreed number of processes that have a base
+	FloorFraction float64       // part of a base that is never lent
+	LeaseTime     time.Duration // for which something is lent
+	MaxClockDrift float64       // by which a clock may be fast or slow, as a part
+	Headroom      float64       // multiple of what a process needs that it keeps or asks for
+	OfferFanout   int           // others that hear of a spare or a need in a round
+	MinLease      int64         // units that are worth lending
+	MaxLeases     int           // loans that one process has out at most
 }
 
 // Defaults are the settings of docs/members.md, but for the whole and the nodes.
 func Defaults() Settings {
-	return Settings{Floor: 0.2, Lease: 2 * time.Second, Drift: 0.02, Spare: 1.25, Told: 2, Least: 1, Grants: 64}
+	return Settings{FloorFraction: 0.2, LeaseTime: 2 * time.Second, MaxClockDrift: 0.02, Headroom: 1.25, OfferFanout: 2, MinLease: 1, MaxLeases: 64}
 }
 
 // What processes say to one another. Every message has its sender's life, so that
@@ -53,40 +53,40 @@
 	// a second (to a thousandth).
 	Offer struct {
 		Spare int64
-		Flow  float64
+		Load  float64
 	}
-	// Ask asks for a loan, or, with a nonce that has been granted, for its renewal.
-	Ask struct {
-		Life  uint32
-		Nonce uint32
-		Want  int64
+	// LeaseTerms asks for a loan, or, with a nonce that has been granted, for its renewal.
+	LeaseTerms struct {
+		Incarnation uint32
+		Nonce       uint32
+		Amount      int64
 	}
 	// Grant answers an Ask: so much, for a time from when it was asked for. Round is
 	// that of the Ask.
 	Grant struct {
-		Life   uint32 // the borrower's
-		Nonce  uint32
-		Round  uint32
-		Amount int64
-		For    time.Duration
+		Incarnation uint32 // the borrower's
+		Nonce       uint32
+		Round       uint32
+		Amount      int64
+		Duration    time.Duration
 	}
-	// Return ends a loan before its time; the borrower has stopped using it.
-	Return struct {
-		Life  uint32
-		Nonce uint32
+	// LeaseReturn ends a loan before its time; the borrower has stopped using it.
+	LeaseReturn struct {
+		Incarnation uint32
+		Nonce       uint32
 	}
 )
 
-// Renew is an Ask's round: each renewal has a later one.
-type Renew struct {
-	Ask
+// LeaseRequest is an Ask's round: each renewal has a later one.
+type LeaseRequest struct {
+	LeaseTerms
 	Round uint32
 }
 
-// Tell sends a message.
-type Tell struct {
-	To  ID
-	Say any
+// Message sends a message.
+type Message struct {
+	To      ID
+	Payload any
 }
 
 type loanKey struct {
@@ -154,22 +154,22 @@
 func New(set Settings, self ID, life uint32, now Time, seed int64, first bool) *Share {
 	s := &Share{set: set, self: self, life: life, rng: rand.New(rand.NewPCG(uint64(seed), 0x7368)), loans: map[loanKey]*loan{},
 		debts: map[uint32]*debt{}, offers: map[ID]offer{}, next: now}
-	s.base = set.Whole / int64(max(1, set.Nodes))
-	s.floor = int64(set.Floor * float64(s.base))
+	s.base = set.Total / int64(max(1, set.Nodes))
+	s.floor = int64(set.FloorFraction * float64(s.base))
 	if !first {
 		s.bornTill = now + s.lent()
 	}
 	return s
 }
 
-// NewSeated makes the share of a process whose base is the seats that it holds, and a
+// NewWithSlots makes the share of a process whose base is the seats that it holds, and a
 // floor if its ID is below the quorum's bound. Floor is a part of what would be each
 // process's if there were Most of them.
-func NewSeated(set Settings, h *Holder, now Time, seed int64) *Share {
+func NewWithSlots(set Settings, h *Holder, now Time, seed int64) *Share {
 	s := New(set, h.self, h.life, now, seed, true)
-	most := int64(max(1, h.q.Most))
-	floor := int64(set.Floor * float64(set.Whole) / float64(most))
-	s.holder, s.floor, s.seat = h, 0, (set.Whole-most*floor)/int64(h.q.Seats)
+	most := int64(max(1, h.q.MaxProcesses))
+	floor := int64(set.FloorFraction * float64(set.Total) / float64(most))
+	s.holder, s.floor, s.seat = h, 0, (set.Total-most*floor)/int64(h.q.Slots)
 	if int64(h.self) < most {
 		s.floor = floor
 	}
@@ -178,14 +178,14 @@
 
 // counted is how long a lender counts a loan that its borrower counts for a time.
 func (s *Share) counted(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + s.set.Drift) / (1 - s.set.Drift))
+	return time.Duration(float64(d) * (1 + s.set.MaxClockDrift) / (1 - s.set.MaxClockDrift))
 }
 
-func (s *Share) lent() time.Duration { return s.counted(s.set.Lease) }
+func (s *Share) lent() time.Duration { return s.counted(s.set.LeaseTime) }
 
-// May is how much the process may use at a time. It is to be asked before each use:
+// Allowance is how much the process may use at a time. It is to be asked before each use:
 // what has run out counts no more, also after a stop.
-func (s *Share) May(now Time) int64 {
+func (s *Share) Allowance(now Time) int64 {
 	may := s.own(now)
 	for _, d := range s.debts {
 		if now < d.until {
@@ -199,7 +199,7 @@
 func (s *Share) has(at Time) int64 {
 	switch {
 	case s.holder != nil:
-		return s.floor + s.seat*int64(s.holder.Held(at))
+		return s.floor + s.seat*int64(s.holder.HeldSlots(at))
 	case at < s.bornTill:
 		return s.floor
 	}
@@ -233,13 +233,13 @@
 	return s.has(now) - lent
 }
 
-// Spares is how many seats could be given up without a loan that they stand for.
-func (s *Share) Spares(now Time) int {
+// SpareSlots is how many seats could be given up without a loan that they stand for.
+func (s *Share) SpareSlots(now Time) int {
 	lent, last := s.out(now)
 	if lent == 0 {
-		return MostSeats
+		return MaxSlots
 	}
-	return max(0, s.holder.Held(last)-int((lent+s.seat-1)/max(1, s.seat)))
+	return max(0, s.holder.HeldSlots(last)-int((lent+s.seat-1)/max(1, s.seat)))
 }
 
 // Base is an equal part of the whole, or what the process's seats come to now.
@@ -250,20 +250,20 @@
 	return s.base
 }
 
-// Flow takes how much the process has to do, for others to hear; Flows puts theirs
+// Load takes how much the process has to do, for others to hear; Flows puts theirs
 // together.
-func (s *Share) Flow(rate float64) { s.flow = rate }
+func (s *Share) SetLoad(rate float64) { s.flow = rate }
 
-// Need takes how much the process has a use for now.
-func (s *Share) Need(units float64) { s.need = units }
+// SetDemand takes how much the process has a use for now.
+func (s *Share) SetDemand(units float64) { s.need = units }
 
 // keep is how much it wants to have.
-func (s *Share) keep() int64 { return max(s.floor, int64(s.need*s.set.Spare)) }
+func (s *Share) keep() int64 { return max(s.floor, int64(s.need*s.set.Headroom)) }
 
 // Tick is a round: loans end, renewals and new loans are asked for. others are those
 // that may be talked to.
-func (s *Share) Tick(now Time, others []ID) []Tell {
-	var out []Tell
+func (s *Share) Tick(now Time, others []ID) []Message {
+	var out []Message
 	for k, l := range s.loans {
 		if now >= l.until {
 			delete(s.loans, k)
@@ -272,31 +272,31 @@
 	if now < s.next {
 		return nil
 	}
-	s.next = now + s.set.Lease/8
-	may, want := s.May(now), s.keep()
+	s.next = now + s.set.LeaseTime/8
+	may, want := s.Allowance(now), s.keep()
 	for _, nonce := range s.nonces() {
 		d := s.debts[nonce]
 		switch {
-		case d.amount == 0 && now-d.asked[0] >= s.set.Lease/2, d.amount > 0 && now >= d.until:
+		case d.amount == 0 && now-d.asked[0] >= s.set.LeaseTime/2, d.amount > 0 && now >= d.until:
 			delete(s.debts, nonce) // no answer, or over
 		case d.amount == 0: // the ask or its answer may be lost: the same once more, counted from the first
-			out = append(out, Tell{d.from, Renew{Ask{s.life, nonce, d.want}, 0}})
+			out = append(out, Message{d.from, LeaseRequest{LeaseTerms{s.life, nonce, d.want}, 0}})
 		case d.amount > 0 && may-d.amount >= want+want/8: // more than it needs: back at once
 			may -= d.amount
 			delete(s.debts, nonce)
-			out = append(out, Tell{d.from, Return{s.life, nonce}})
-		case d.until-now < s.set.Lease*5/8:
+			out = append(out, Message{d.from, LeaseReturn{s.life, nonce}})
+		case d.until-now < s.set.LeaseTime*5/8:
 			d.ask(now, d.round+1)
-			out = append(out, Tell{d.from, Renew{Ask{s.life, nonce, d.amount}, d.round}})
+			out = append(out, Message{d.from, LeaseRequest{LeaseTerms{s.life, nonce, d.amount}, d.round}})
 		}
 	}
-	if missing := want - may; missing >= s.set.Least {
+	if missing := want - may; missing >= s.set.MinLease {
 		out = append(out, s.borrow(now, missing)...)
 	}
 	spare, _ := s.spare(now)
-	for range min(s.set.Told, len(others)) {
-		if spare >= s.set.Least || s.flow > 0 {
-			out = append(out, Tell{others[s.rng.IntN(len(others))], Offer{spare, s.flow}})
+	for range min(s.set.OfferFanout, len(others)) {
+		if spare >= s.set.MinLease || s.flow > 0 {
+			out = append(out, Message{others[s.rng.IntN(len(others))], Offer{spare, s.flow}})
 		}
 	}
 	return out
@@ -313,14 +313,14 @@
 
 // borrow asks those that have offered most, half of it at most, so that several who
 // are short get something.
-func (s *Share) borrow(now Time, missing int64) []Tell {
+func (s *Share) borrow(now Time, missing int64) []Message {
 	type from struct {
 		ID
 		offer
 	}
 	var all []from
 	for id, o := range s.offers {
-		if now-o.at > s.set.Lease || o.spare < s.set.Least {
+		if now-o.at > s.set.LeaseTime || o.spare < s.set.MinLease {
 			delete(s.offers, id)
 			continue
 		}
@@ -332,19 +332,19 @@
 			missing -= d.want // asked for and not answered yet
 		}
 	}
-	var out []Tell
+	var out []Message
 	for _, f := range all {
-		if missing < s.set.Least || len(s.debts) >= s.set.Grants {
+		if missing < s.set.MinLease || len(s.debts) >= s.set.MaxLeases {
 			break
 		}
-		want := min(missing, max(s.set.Least, f.spare/2))
+		want := min(missing, max(s.set.MinLease, f.spare/2))
 		missing -= want
 		s.nonce++
 		d := &debt{from: f.ID, want: want}
 		d.ask(now, 0)
 		s.debts[s.nonce] = d
 		delete(s.offers, f.ID)
-		out = append(out, Tell{f.ID, Renew{Ask: Ask{s.life, s.nonce, want}}})
+		out = append(out, Message{f.ID, LeaseRequest{LeaseTerms: LeaseTerms{s.life, s.nonce, want}}})
 	}
 	return out
 }
@@ -353,51 +353,51 @@
 // how long: for a lease, or a shorter time where its own seats are not sure for that
 // long.
 func (s *Share) spare(now Time) (amount int64, lasts time.Duration) {
-	if now < s.bornTill || len(s.loans) >= s.set.Grants {
+	if now < s.bornTill || len(s.loans) >= s.set.MaxLeases {
 		return 0, 0
 	}
 	lent, _ := s.out(now)
-	for _, d := range []time.Duration{s.set.Lease, s.set.Lease / 2} {
-		if amount = min(s.May(now)-s.keep(), s.has(now+s.counted(d))-s.owed()-lent-s.floor); amount > 0 {
+	for _, d := range []time.Duration{s.set.LeaseTime, s.set.LeaseTime / 2} {
+		if amount = min(s.Allowance(now)-s.keep(), s.has(now+s.counted(d))-s.owed()-lent-s.floor); amount > 0 {
 			return amount, d
 		}
 	}
 	return 0, 0
 }
 
-// Hear takes a message. What does not fit is dropped: every message may be lost, so
+// Handle takes a message. What does not fit is dropped: every message may be lost, so
 // none is ever needed for the whole to be kept.
-func (s *Share) Hear(now Time, from ID, say any) []Tell {
+func (s *Share) Handle(now Time, from ID, say any) []Message {
 	switch m := say.(type) {
 	case Offer:
 		if m.Spare > 0 && len(s.offers) < maxOffers {
 			s.offers[from] = offer{m.Spare, now}
 		}
-	case Renew:
+	case LeaseRequest:
 		return s.lend(now, from, m)
 	case Grant:
 		s.granted(now, from, m)
-	case Return:
-		delete(s.loans, loanKey{from, m.Life, m.Nonce})
+	case LeaseReturn:
+		delete(s.loans, loanKey{from, m.Incarnation, m.Nonce})
 	}
 	return nil
 }
 
 // lend grants what can be spared. A loan that still runs is prolonged as it is, as far
 // as what stands behind it is sure.
-func (s *Share) lend(now Time, to ID, m Renew) []Tell {
-	k := loanKey{to, m.Life, m.Nonce}
+func (s *Share) lend(now Time, to ID, m LeaseRequest) []Message {
+	k := loanKey{to, m.Incarnation, m.Nonce}
 	l := s.loans[k]
 	amount, d := s.spare(now)
 	if l == nil || now >= l.until {
-		amount = min(m.Want, amount)
-		if m.Round > 0 || amount < s.set.Least || amount <= 0 { // one that is over begins anew, under a new nonce
+		amount = min(m.Amount, amount)
+		if m.Round > 0 || amount < s.set.MinLease || amount <= 0 { // one that is over begins anew, under a new nonce
 			return nil
 		}
 		l = &loan{amount: amount}
 		s.loans[k] = l
 	} else {
-		if m.Round > 0 && s.May(now) < s.keep() { // it needs it itself: it lets the lease run out
+		if m.Round > 0 && s.Allowance(now) < s.keep() { // it needs it itself: it lets the lease run out
 			return nil
 		}
 		if d = s.sure(now); d == 0 {
@@ -405,13 +405,13 @@
 		}
 	}
 	l.until = max(l.until, now+s.counted(d))
-	return []Tell{{to, Grant{m.Life, m.Nonce, m.Round, l.amount, d}}}
+	return []Message{{to, Grant{m.Incarnation, m.Nonce, m.Round, l.amount, d}}}
 }
 
 // sure is for how long all that is lent could be prolonged; 0: not at all.
 func (s *Share) sure(now Time) time.Duration {
 	lent, _ := s.out(now)
-	for _, d := range []time.Duration{s.set.Lease, s.set.Lease / 2} {
+	for _, d := range []time.Duration{s.set.LeaseTime, s.set.LeaseTime / 2} {
 		if s.has(now+s.counted(d))-s.owed()-lent >= 0 {
 			return d
 		}
@@ -422,11 +422,11 @@
 // granted takes a loan into use, from when that round was asked for.
 func (s *Share) granted(now Time, from ID, m Grant) {
 	d := s.debts[m.Nonce]
-	if m.Life != s.life || d == nil || d.from != from || m.Amount <= 0 || d.amount > 0 && m.Amount != d.amount || m.For <= 0 || m.For > s.set.Lease {
+	if m.Incarnation != s.life || d == nil || d.from != from || m.Amount <= 0 || d.amount > 0 && m.Amount != d.amount || m.Duration <= 0 || m.Duration > s.set.LeaseTime {
 		return
 	}
 	at, known := d.askedAt(m.Round)
-	if until := at + m.For; known && until > now {
+	if until := at + m.Duration; known && until > now {
 		d.amount, d.until = m.Amount, max(d.until, until)
 	}
 }
--- a/fleet/shares/shares_test.go
+++ b/fleet/shares/shares_test.go
@@ -44,9 +44,9 @@
 // a number.
 func newSeated(t interface{ Fatalf(string, ...any) }, n, run int, whole int64, seed uint64, guards ...ID) *world {
 	w := newWorld(t, n, whole, seed)
-	w.q = &Quorum{Guards: guards, Seats: 64, Most: 64, Lease: leaseSeat, Drift: w.set.Drift}
+	w.q = &Quorum{Guards: guards, Slots: 64, MaxProcesses: 64, LeaseTime: leaseSeat, MaxClockDrift: w.set.MaxClockDrift}
 	w.greedy = func(int) bool { return false }
-	w.set.Lease, w.set.Floor = leaseLoan, seatFloor
+	w.set.LeaseTime, w.set.FloorFraction = leaseLoan, seatFloor
 	for i := range w.nodes {
 		w.nodes[i], w.life[i] = nil, 0
 		if i < run {
@@ -59,7 +59,7 @@
 func newWorld(t interface{ Fatalf(string, ...any) }, n int, whole int64, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), set: Defaults(), now: time.Hour, nodes: make([]*Share, n), life: make([]uint32, n),
 		holders: make([]*Holder, n), guards: make([]*Guard, n), asleep: make([]time.Duration, n), rate: make([]float64, n), needs: make([]float64, n), late: 10 * time.Millisecond}
-	w.set.Whole, w.set.Nodes = whole, n
+	w.set.Total, w.set.Nodes = whole, n
 	w.lost = func(ID, ID) float64 { return 0 }
 	for i := range w.nodes {
 		w.rate[i] = 1
@@ -77,38 +77,38 @@
 		w.nodes[i] = New(w.set, ID(i), w.life[i], w.clock(i), seed, first)
 	} else {
 		w.holders[i] = NewHolder(*w.q, ID(i), w.life[i], w.clock(i), seed)
-		w.nodes[i] = NewSeated(w.set, w.holders[i], w.clock(i), seed)
+		w.nodes[i] = NewWithSlots(w.set, w.holders[i], w.clock(i), seed)
 		w.guards[i] = nil
 		if slices.Contains(w.q.Guards, ID(i)) {
 			w.guards[i] = NewGuard(*w.q, w.clock(i))
 		}
 	}
-	w.nodes[i].Need(w.needs[i])
+	w.nodes[i].SetDemand(w.needs[i])
 }
 
 // kill ends a process.
 func (w *world) kill(i int) { w.nodes[i] = nil }
 
 // hear hands a message to its receiver.
-func (w *world) hear(i int, from ID, say any) []Tell {
+func (w *world) hear(i int, from ID, say any) []Message {
 	switch m := say.(type) {
 	case Claim:
-		if a, ok := w.guards[i].Hear(w.clock(i), from, m); ok {
-			return []Tell{{from, a}}
+		if a, ok := w.guards[i].HandleClaim(w.clock(i), from, m); ok {
+			return []Message{{from, a}}
 		}
 		return nil
-	case Leased:
-		w.holders[i].Hear(w.clock(i), from, m)
+	case ClaimReply:
+		w.holders[i].HandleReply(w.clock(i), from, m)
 		return nil
 	}
-	return w.nodes[i].Hear(w.clock(i), from, say)
+	return w.nodes[i].Handle(w.clock(i), from, say)
 }
 
-func (w *world) post(i int, out []Tell) {
+func (w *world) post(i int, out []Message) {
 	for _, t := range out {
 		for range 1 + w.rng.IntN(5)/4 { // one in five comes twice
 			if ID(i) == t.To || w.rng.Float64() >= w.lost(ID(i), t.To) {
-				w.mails = append(w.mails, mail{w.now + time.Duration(w.rng.Float64()*float64(w.late)), ID(i), t.To, t.Say})
+				w.mails = append(w.mails, mail{w.now + time.Duration(w.rng.Float64()*float64(w.late)), ID(i), t.To, t.Payload})
 			}
 		}
 	}
@@ -150,14 +150,14 @@
 			} else if w.holders[i].view == 0 {
 				w.holders[i].rule = placed
 			}
-			w.post(i, w.holders[i].Tick(w.clock(i), func(int) int { return n.Spares(w.clock(i)) }))
+			w.post(i, w.holders[i].Tick(w.clock(i), func(int) int { return n.SpareSlots(w.clock(i)) }))
 		}
 		w.post(i, n.Tick(w.clock(i), others))
 	}
 	w.check()
 }
 
-func all(seats int, _ []ID, _ ID) (out Set) {
+func all(seats int, _ []ID, _ ID) (out SlotSet) {
 	for i := range seats {
 		out.Add(i)
 	}
@@ -170,11 +170,11 @@
 	sum := int64(0)
 	for i, n := range w.nodes {
 		if n != nil {
-			sum += n.May(w.clock(i))
+			sum += n.Allowance(w.clock(i))
 		}
 	}
-	if w.most = max(w.most, sum); sum > w.set.Whole {
-		w.t.Fatalf("all together may use %d of %d", sum, w.set.Whole)
+	if w.most = max(w.most, sum); sum > w.set.Total {
+		w.t.Fatalf("all together may use %d of %d", sum, w.set.Total)
 	}
 }
 
@@ -187,7 +187,7 @@
 func (w *world) need(units ...float64) {
 	for i, u := range units {
 		if w.needs[i] = u; w.nodes[i] != nil {
-			w.nodes[i].Need(u)
+			w.nodes[i].SetDemand(u)
 		}
 	}
 }
@@ -236,9 +236,9 @@
 			case 3:
 				cut = rapid.IntRange(0, n).Draw(r, "cut")
 			default:
-				w.needs[i] = float64(rapid.IntRange(0, int(w.set.Whole)).Draw(r, "need"))
+				w.needs[i] = float64(rapid.IntRange(0, int(w.set.Total)).Draw(r, "need"))
 				if w.nodes[i] != nil {
-					w.nodes[i].Need(w.needs[i])
+					w.nodes[i].SetDemand(w.needs[i])
 				}
 			}
 			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(r, "then")) * time.Millisecond)
@@ -250,7 +250,7 @@
 // doubling, crash, restart and passing of time, to a depth.
 func TestThreeProcessesExhaustively(t *testing.T) {
 	set := Defaults()
-	set.Whole, set.Nodes, set.Lease, set.Floor, set.Drift = 6, 3, 8, 0.5, 0
+	set.Total, set.Nodes, set.LeaseTime, set.FloorFraction, set.MaxClockDrift = 6, 3, 8, 0.5, 0
 	type state struct {
 		now   Time
 		nodes [3]*Share
@@ -311,7 +311,7 @@
 		first.nodes[i] = New(set, ID(i), 1, first.now, 1, true)
 		first.life[i] = 1
 	}
-	first.nodes[0].Need(4) // it needs more than its base of 2, the others nothing
+	first.nodes[0].SetDemand(4) // it needs more than its base of 2, the others nothing
 	seen, level := map[string]bool{name(first): true}, []state{first}
 	const depth, most = 12, 40_000
 	for range depth {
@@ -320,20 +320,20 @@
 			sum := int64(0)
 			for _, n := range s.nodes {
 				if n != nil {
-					sum += n.May(s.now)
+					sum += n.Allowance(s.now)
 				}
 			}
-			if sum > set.Whole {
-				t.Fatalf("all together may use %d of %d: %s", sum, set.Whole, name(s))
+			if sum > set.Total {
+				t.Fatalf("all together may use %d of %d: %s", sum, set.Total, name(s))
 			}
 			if k := name(s); !seen[k] && len(seen) < most && len(s.mails) < 5 {
 				seen[k] = true
 				next = append(next, s)
 			}
 		}
-		post := func(s *state, i int, out []Tell) {
+		post := func(s *state, i int, out []Message) {
 			for _, x := range out {
-				s.mails = append(s.mails, mail{0, ID(i), x.To, x.Say})
+				s.mails = append(s.mails, mail{0, ID(i), x.To, x.Payload})
 			}
 		}
 		for _, s := range level {
@@ -345,7 +345,7 @@
 						c.mails = slices.Delete(c.mails, k, k+1)
 					}
 					if n := c.nodes[m.to]; n != nil {
-						post(&c, int(m.to), n.Hear(c.now, m.from, m.say))
+						post(&c, int(m.to), n.Handle(c.now, m.from, m.say))
 					}
 					add(c)
 				}
@@ -381,7 +381,7 @@
 	}
 }
 
-// Parts follow the need, settle and do not swing, and fall back by themselves.
+// Allocator follow the need, settle and do not swing, and fall back by themselves.
 func TestPartsFollowTheNeed(t *testing.T) {
 	for _, n := range []int{3, 12, 48, -3, -12, -48} {
 		seated := n < 0
@@ -389,7 +389,7 @@
 		w := newWorld(t, n, 1000*int64(n), 5)
 		if seated {
 			w = newSeated(t, n, n, 1000*int64(n), 5, 0, 1, 2)
-			w.q.Most = n
+			w.q.MaxProcesses = n
 			w.run(4 * time.Second) // guards that begin grant nothing for a lease
 		}
 		began := w.now
@@ -403,7 +403,7 @@
 		low, high := int64(1<<62), int64(0)
 		for range 1500 {
 			w.step()
-			may := w.nodes[0].May(w.clock(0))
+			may := w.nodes[0].Allowance(w.clock(0))
 			if settled < 0 && may >= int64(needs[0]) {
 				settled = w.now - began
 			}
@@ -416,15 +416,15 @@
 			t.Errorf("%d processes: settled %v, then %d to %d of %.0f", n, settled, low, high, needs[0])
 		}
 		for i := range w.nodes {
-			if may := w.nodes[i].May(w.clock(i)); float64(may) < needs[i] {
+			if may := w.nodes[i].Allowance(w.clock(i)); float64(may) < needs[i] {
 				t.Errorf("process %d may use %d and needs %.0f", i, may, needs[i])
 			}
 		}
 		w.lost = func(ID, ID) float64 { return 1 } // all talk ends: all falls back
 		w.run(4 * time.Second)
 		for i, x := range w.nodes {
-			if x.May(w.clock(i)) != x.Base(w.clock(i)) || seated && x.May(w.clock(i)) != x.floor {
-				t.Errorf("process %d has %d without talk", i, x.May(w.clock(i)))
+			if x.Allowance(w.clock(i)) != x.Base(w.clock(i)) || seated && x.Allowance(w.clock(i)) != x.floor {
+				t.Errorf("process %d has %d without talk", i, x.Allowance(w.clock(i)))
 			}
 		}
 	}
@@ -438,7 +438,7 @@
 	demand := func() (used, could float64) {
 		for i, n := range w.nodes {
 			if n != nil {
-				used += min(w.needs[i], float64(n.May(w.clock(i))))
+				used += min(w.needs[i], float64(n.Allowance(w.clock(i))))
 				could += w.needs[i]
 			}
 		}
@@ -478,12 +478,12 @@
 
 // What is written is what is read, and nothing else is.
 func TestMessages(t *testing.T) {
-	var set Set
-	for _, i := range []int{0, 63, 64, MostSeats - 1} {
+	var set SlotSet
+	for _, i := range []int{0, 63, 64, MaxSlots - 1} {
 		set.Add(i)
 	}
-	for _, m := range []any{Offer{7, 12.5}, Renew{Ask{1, 2, 3}, 4}, Grant{1, 2, 3, 4, 1500 * time.Millisecond}, Return{1, 2},
-		Claim{9, 1, 2, set}, Claim{9, 1, 2, Set{}}, Leased{1, 2, set, Set{}, set, Holders{1, 1 << 63}}, Leased{}} {
+	for _, m := range []any{Offer{7, 12.5}, LeaseRequest{LeaseTerms{1, 2, 3}, 4}, Grant{1, 2, 3, 4, 1500 * time.Millisecond}, LeaseReturn{1, 2},
+		Claim{9, 1, 2, set}, Claim{9, 1, 2, SlotSet{}}, ClaimReply{1, 2, set, SlotSet{}, set, HolderSet{1, 1 << 63}}, ClaimReply{}} {
 		raw := Encode(3, m)
 		if whole, back, err := Decode(raw); err != nil || whole != 3 || back != m || len(raw) > 256 {
 			t.Errorf("%+v came back as %+v, %v, of %d bytes", m, back, err, len(raw))
@@ -496,7 +496,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(0, Offer{7, 1}))
-	f.Add(Encode(1, Leased{1, 2, Set{1}, Set{2}, Set{3}, Holders{4}}))
+	f.Add(Encode(1, ClaimReply{1, 2, SlotSet{1}, SlotSet{2}, SlotSet{3}, HolderSet{4}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if whole, say, err := Decode(raw); err == nil && Encode(whole, say) == nil {
 			t.Errorf("%x is read and can't be written", raw)
@@ -507,22 +507,22 @@
 // A process finds its part of the fleet's flow from what it hears of some others; one
 // that claims a huge flow takes little of it.
 func TestThePartOfTheFlow(t *testing.T) {
-	var f Flows
+	var f LoadEstimator
 	now := time.Hour
-	if p := f.Part(now, 10, 8); p != 1./8 {
+	if p := f.Fraction(now, 10, 8); p != 1./8 {
 		t.Errorf("without a word its part is %.3f", p)
 	}
 	for i := range 6 {
-		f.Hear(now, ID(i), 10)
+		f.Report(now, ID(i), 10)
 	}
-	if p := f.Part(now, 60, 13); p < 0.33 || p > 0.34 {
+	if p := f.Fraction(now, 60, 13); p < 0.33 || p > 0.34 {
 		t.Errorf("60 of 60 and 12 times 10 is a third, not %.3f", p)
 	}
-	f.Hear(now, 6, 1e9)
-	if p := f.Part(now, 10, 8); p < 0.08 {
+	f.Report(now, 6, 1e9)
+	if p := f.Fraction(now, 10, 8); p < 0.08 {
 		t.Errorf("a liar leaves it %.3f", p)
 	}
-	if p := f.Part(now+time.Minute, 10, 8); p != 1./8 {
+	if p := f.Fraction(now+time.Minute, 10, 8); p != 1./8 {
 		t.Errorf("old words are worth %.3f", p)
 	}
 }
--- a/fleet/subset/even.go
+++ b/fleet/subset/even.go
@@ -5,7 +5,7 @@
 // rounds bounds Even; each is a pass over all servers and their users.
 const rounds = 40
 
-// Even finds one weight for each server by which servers get the parts of all requests
+// BalanceWeights finds one weight for each server by which servers get the parts of all requests
 // that they are to get, where each process divides what it has among the servers that
 // it uses in proportion to their weights: iterative proportional fitting (Deming and
 // Stephan, 1940; Sinkhorn and Knopp, 1967). uses lists the users of each server, want
@@ -13,7 +13,7 @@
 // gives the weights, and the furthest that a server's part is from what it is to get,
 // as a part of that; infinite where a process that has requests has no server. A
 // server that wants nothing gets nothing.
-func Even(uses [][]int32, want, flow []float64) (weights []float64, worst float64) {
+func BalanceWeights(uses [][]int32, want, flow []float64) (weights []float64, worst float64) {
 	weights = append([]float64(nil), want...)
 	sum, got := make([]float64, len(flow)), make([]float64, len(want))
 	for round := 0; ; round++ {
--- a/fleet/subset/groups.go
+++ b/fleet/subset/groups.go
@@ -6,35 +6,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Groups is how many groups there are.
-const Groups = 64
+// GroupCount is how many groups there are.
+const GroupCount = 64
 
-// All stands for a proxy that has every server: it is in no group.
-const All = -1
+// AllServers stands for a proxy that has every server: it is in no group.
+const AllServers = -1
 
-// Set is a set of groups; the empty one stands for all.
-type Set uint64
+// GroupSet is a set of groups; the empty one stands for all.
+type GroupSet uint64
 
 // Has tells whether a group is in it. All has every server.
-func (s Set) Has(group int) bool { return s == 0 || group == All || s>>group&1 == 1 }
+func (s GroupSet) Has(group int) bool { return s == 0 || group == AllServers || s>>group&1 == 1 }
 
 // Len is how many groups it holds; Groups for all.
-func (s Set) Len() int {
+func (s GroupSet) Len() int {
 	if s == 0 {
-		return Groups
+		return GroupCount
 	}
 	return bits.OnesCount64(uint64(s))
 }
 
-// Order ranks the groups for a unit.
-type Order [Groups]uint8
+// GroupRanking ranks the groups for a unit.
+type GroupRanking [GroupCount]uint8
 
-// OrderOf ranks the groups for a unit by its name: the same everywhere, and as nodes
+// RankGroups ranks the groups for a unit by its name: the same everywhere, and as nodes
 // are ranked for a server.
-func OrderOf(unit string) (o Order) {
+func RankGroups(unit string) (o GroupRanking) {
 	key := xxhash.Sum64String(unit)
-	var score [Groups]uint64
-	for g := range Groups {
+	var score [GroupCount]uint64
+	for g := range GroupCount {
 		score[g] = Score(key, uint64(g))
 		i := g
 		for ; i > 0 && score[o[i-1]] < score[g]; i-- { // 64 in all: insertion is as good as anything
@@ -46,8 +46,8 @@
 }
 
 // First gives the first so many groups; all of them are the empty set.
-func (o *Order) First(n int) (s Set) {
-	if n >= Groups {
+func (o *GroupRanking) First(n int) (s GroupSet) {
+	if n >= GroupCount {
 		return 0
 	}
 	for _, g := range o[:max(0, n)] {
@@ -56,19 +56,19 @@
 	return s
 }
 
-// Copies is in how many groups each of so many servers must be, so that a group
+// GroupsPerServer is in how many groups each of so many servers must be, so that a group
 // has so many on average; Groups where that is all.
-func Copies(servers, each int) int {
+func GroupsPerServer(servers, each int) int {
 	if servers <= each || each <= 0 {
-		return Groups
+		return GroupCount
 	}
-	return min(Groups, (Groups*each+servers-1)/servers)
+	return min(GroupCount, (GroupCount*each+servers-1)/servers)
 }
 
 // GroupOf gives the group of a proxy by its name.
-func GroupOf(proxy string) int { return int(xxhash.Sum64String(proxy) % Groups) }
+func GroupOf(proxy string) int { return int(xxhash.Sum64String(proxy) % GroupCount) }
 
-// Balance finds weights by which servers get the parts of all requests that
+// BalanceGroups finds weights by which servers get the parts of all requests that
 // they are to get, where proxies see only their group's servers. want are the
 // parts, which add up to 1; share is what part of all requests comes from each
 // group, and the last one from proxies that have every server. It gives the
@@ -76,19 +76,19 @@
 // part of that: where a group with much to send has few servers, no weights
 // help. A server that wants nothing gets nothing. Groups are processes here whose
 // sets are told; see Even.
-func Balance(sets []Set, want []float64, share [Groups + 1]float64) (weights []float64, worst float64) {
+func BalanceGroups(sets []GroupSet, want []float64, share [GroupCount + 1]float64) (weights []float64, worst float64) {
 	uses := make([][]int32, len(sets))
 	for i, s := range sets {
 		each(s, func(g int) { uses[i] = append(uses[i], int32(g)) })
-		uses[i] = append(uses[i], Groups)
+		uses[i] = append(uses[i], GroupCount)
 	}
-	return Even(uses, want, share[:])
+	return BalanceWeights(uses, want, share[:])
 }
 
 // each calls f with each group of a set.
-func each(s Set, f func(g int)) {
+func each(s GroupSet, f func(g int)) {
 	if s == 0 {
-		for g := range Groups {
+		for g := range GroupCount {
 			f(g)
 		}
 		return
--- a/fleet/subset/plan.go
+++ b/fleet/subset/plan.go
@@ -11,7 +11,7 @@
 // servers a process has, is taken out by the servers' weights (Even) or by what each
 // process sees of its servers.
 //
-// Groups of proxies are a view of the same: a group is a process whose set its proxies
+// GroupCount of proxies are a view of the same: a group is a process whose set its proxies
 // are told.
 package subset
 
@@ -23,20 +23,20 @@
 
 // Settings are the same at all processes.
 type Settings struct {
-	Users int // processes that use a server of the mean size
-	Least int // servers that a process uses at least, if there are so many
+	UsersPerServer int // processes that use a server of the mean size
+	MinServers     int // servers that a process uses at least, if there are so many
 }
 
 // Process is one that uses servers.
 type Process struct {
-	ID      uint32
-	Doubted bool // it may be dead: it keeps its places, and for each there is a stand-in
+	ID        uint32
+	Suspected bool // it may be dead: it keeps its places, and for each there is a stand-in
 }
 
 // Server is one that is used.
 type Server struct {
-	Key  uint64
-	Size float64 // as a multiple of the mean one's; 0: not known
+	Key          uint64
+	RelativeSize float64 // as a multiple of the mean one's; 0: not known
 }
 
 // mostTimes is how many times as many processes as are wanted a server has at most where
@@ -62,8 +62,8 @@
 	return &Planner{set: set, index: map[uint32]int32{}, firsts: map[uint64][]int32{}}
 }
 
-// Fleet says who is there, each ID once. It tells whether that changes anything.
-func (p *Planner) Fleet(procs []Process) bool {
+// SetFleet says who is there, each ID once. It tells whether that changes anything.
+func (p *Planner) SetFleet(procs []Process) bool {
 	procs = slices.Clone(procs)
 	slices.SortFunc(procs, func(a, b Process) int { return cmp.Compare(a.ID, b.ID) })
 	if slices.Equal(procs, p.procs) {
@@ -80,11 +80,11 @@
 	return true
 }
 
-// Use changes the settings of the plans to come.
-func (p *Planner) Use(set Settings) { p.set = set }
+// SetSettings changes the settings of the plans to come.
+func (p *Planner) SetSettings(set Settings) { p.set = set }
 
-// Processes is how many there are.
-func (p *Planner) Processes() int { return len(p.procs) }
+// ProcessCount is how many there are.
+func (p *Planner) ProcessCount() int { return len(p.procs) }
 
 // Has tells whether a process is among them.
 func (p *Planner) Has(id uint32) bool {
@@ -94,7 +94,7 @@
 
 // wants is how many processes are to use a server.
 func (p *Planner) wants(s *Server) int {
-	return min(len(p.procs), min(p.set.Users, len(p.procs))*int(math.Max(1, s.Size)))
+	return min(len(p.procs), min(p.set.UsersPerServer, len(p.procs))*int(math.Max(1, s.RelativeSize)))
 }
 
 // rank gives the first processes for a server, in order.
@@ -149,7 +149,7 @@
 	for _, s := range order {
 		pl.use(p, s, &servers[s])
 	}
-	pl.fill(min(p.set.Least, len(order)), order)
+	pl.fill(min(p.set.MinServers, len(order)), order)
 	return pl
 }
 
@@ -183,7 +183,7 @@
 		}
 		users = append(users, i)
 		pl.sets[i] = append(pl.sets[i], s)
-		if !p.procs[i].Doubted {
+		if !p.procs[i].Suspected {
 			certain++
 		}
 	}
@@ -241,7 +241,7 @@
 	})
 }
 
-// Users lists the processes that use a server, by its place in the list, in order of
+// UsersPerServer lists the processes that use a server, by its place in the list, in order of
 // rank.
 func (pl *Plan) Users(server int) []uint32 {
 	out := make([]uint32, len(pl.users[server]))
@@ -251,8 +251,8 @@
 	return out
 }
 
-// Next lists the processes that come next for a server after its users, so many.
-func (pl *Plan) Next(server, n int) (out []uint32) {
+// NextUsers lists the processes that come next for a server after its users, so many.
+func (pl *Plan) NextUsers(server, n int) (out []uint32) {
 	for _, i := range pl.firsts[server] {
 		if len(out) < n && !slices.Contains(pl.users[server], i) {
 			out = append(out, pl.procs[i].ID)
@@ -261,10 +261,10 @@
 	return out
 }
 
-// Set lists the servers that a process uses, by their places in the list, and then all
+// GroupSet lists the servers that a process uses, by their places in the list, and then all
 // the others, each in the order of its own rank for them, should it have more to do than its
 // set is for. A process that is not in the fleet's view has no set.
-func (pl *Plan) Set(id uint32) (set, next []int32) {
+func (pl *Plan) ServersFor(id uint32) (set, next []int32) {
 	i, is := pl.index[id]
 	if is {
 		set = pl.sets[i]
--- a/fleet/subset/plan_test.go
+++ b/fleet/subset/plan_test.go
@@ -20,14 +20,14 @@
 
 func serversOf(n int) (out []Server) {
 	for i := range n {
-		out = append(out, Server{Key: uint64(1_000_003 * (i + 1)), Size: 1})
+		out = append(out, Server{Key: uint64(1_000_003 * (i + 1)), RelativeSize: 1})
 	}
 	return out
 }
 
 func plan(set Settings, procs []Process, servers []Server) *Plan {
 	p := NewPlanner(set)
-	p.Fleet(procs)
+	p.SetFleet(procs)
 	return p.Plan(servers)
 }
 
@@ -62,7 +62,7 @@
 // stand-ins; and a process knows what it takes next.
 func TestPlansKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Users: rapid.IntRange(1, 12).Draw(t, "users"), Least: rapid.IntRange(1, 6).Draw(t, "least")}
+		set := Settings{UsersPerServer: rapid.IntRange(1, 12).Draw(t, "users"), MinServers: rapid.IntRange(1, 6).Draw(t, "least")}
 		doubted := map[uint32]bool{}
 		var procs []Process
 		for _, id := range rapid.SliceOfNDistinct(rapid.Uint32Range(0, 5000), 1, 120, rapid.ID[uint32]).Draw(t, "ids") {
@@ -74,7 +74,7 @@
 			servers = append(servers, Server{key, rapid.SampledFrom([]float64{0, 1, 1, 2.5, 20}).Draw(t, "size")})
 		}
 		p := NewPlanner(set)
-		p.Fleet(procs)
+		p.SetFleet(procs)
 		pl := p.Plan(servers)
 		uses := 0
 		for s := range servers {
@@ -93,10 +93,10 @@
 			}
 		}
 		for _, x := range procs {
-			mine, next := pl.Set(x.ID)
+			mine, next := pl.ServersFor(x.ID)
 			uses -= len(mine)
 			all := slices.Sorted(slices.Values(slices.Concat(mine, next)))
-			if len(mine) < min(set.Least, len(servers)) || len(all) != len(servers) || len(slices.Compact(all)) != len(servers) {
+			if len(mine) < min(set.MinServers, len(servers)) || len(all) != len(servers) || len(slices.Compact(all)) != len(servers) {
 				t.Fatalf("%d has %v and then %v", x.ID, mine, next)
 			}
 			if slices.ContainsFunc(mine, func(s int32) bool { return !slices.Contains(pl.Users(int(s)), x.ID) }) {
@@ -108,12 +108,12 @@
 		}
 		// whoever lists them, in whatever order, and whatever was planned before
 		q := NewPlanner(set)
-		q.Fleet(procs[:1])
+		q.SetFleet(procs[:1])
 		q.Plan(servers)
 		mixed, other := slices.Clone(procs), slices.Clone(servers)
 		slices.Reverse(mixed)
 		slices.Reverse(other)
-		q.Fleet(mixed)
+		q.SetFleet(mixed)
 		if changed(pl.edges(servers), q.Plan(other).edges(other), func([2]uint64) bool { return false }) > 0 {
 			t.Fatal("two processes work out different sets from the same view")
 		}
@@ -125,7 +125,7 @@
 // docs/subsets.md.
 func TestWhoComesOrGoesChangesLittle(t *testing.T) {
 	for _, c := range [][2]int{{24, 60}, {80, 60}, {300, 175}} {
-		set := Settings{Users: 9, Least: 4}
+		set := Settings{UsersPerServer: 9, MinServers: 4}
 		procs, servers := fleetOf(c[0]), serversOf(c[1])
 		before := plan(set, procs, servers).edges(servers)
 		worstP, worstS := 0, 0
@@ -153,22 +153,22 @@
 	for _, c := range cells {
 		for _, big := range []float64{1, 20} { // the size of the first server
 			servers := serversOf(c[1])
-			servers[0].Size = big
-			pl := plan(Settings{Users: 9, Least: 4}, fleetOf(c[0]), servers)
+			servers[0].RelativeSize = big
+			pl := plan(Settings{UsersPerServer: 9, MinServers: 4}, fleetOf(c[0]), servers)
 			flow, want, least, most := make([]float64, c[0]), make([]float64, c[1]), c[1], 0
 			for i, set := range pl.sets {
 				flow[i], least, most = 1/float64(c[0]), min(least, len(set)), max(most, len(set))
 			}
 			alike, users := 0.0, [2]int{c[0], 0}
 			for s := range servers {
-				want[s] = servers[s].Size / (float64(c[1]) + big - 1)
+				want[s] = servers[s].RelativeSize / (float64(c[1]) + big - 1)
 				load := 0.0
 				for _, i := range pl.users[s] {
 					load += flow[i] / float64(len(pl.sets[i]))
 				}
 				alike, users = max(alike, load/want[s]), [2]int{min(users[0], len(pl.users[s])), max(users[1], len(pl.users[s]))}
 			}
-			_, worst := Even(pl.users, want, flow)
+			_, worst := BalanceWeights(pl.users, want, flow)
 			t.Logf("%d processes, %d servers, one of size %v: sets of %d to %d, users %v, load of the fullest %.2f where all are drawn alike, %.3f by weights",
 				c[0], c[1], big, least, most, users, alike, 1+worst)
 			if worst > 0.05 || big == 1 && alike > 1.7 || big > 1 && users[1] < min(c[0], 100) {
@@ -179,8 +179,8 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	p, servers := NewPlanner(Settings{Users: 9, Least: 4}), serversOf(175)
-	p.Fleet(fleetOf(300))
+	p, servers := NewPlanner(Settings{UsersPerServer: 9, MinServers: 4}), serversOf(175)
+	p.SetFleet(fleetOf(300))
 	p.Plan(servers)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -194,11 +194,11 @@
 func TestServersAreBoundedWhateverIsDoubted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, servers := rapid.IntRange(12, 60).Draw(t, "processes"), serversOf(rapid.IntRange(12, 40).Draw(t, "servers"))
-		set := Settings{Users: rapid.IntRange(2, 9).Draw(t, "users")}
+		set := Settings{UsersPerServer: rapid.IntRange(2, 9).Draw(t, "users")}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		split := rapid.Bool().Draw(t, "split")
 		if split { // that a side has none of the first 27 has a chance of one in a million
-			set.Users = 9
+			set.UsersPerServer = 9
 		}
 		sides := make([]bool, n)
 		for i := range sides {
@@ -208,9 +208,9 @@
 		for self := range n {
 			procs := fleetOf(n)
 			for i := range procs {
-				procs[i].Doubted = i != self && (split && sides[i] != sides[self] || !split && rng.IntN(3) > 0)
+				procs[i].Suspected = i != self && (split && sides[i] != sides[self] || !split && rng.IntN(3) > 0)
 			}
-			mine, _ := plan(set, procs, servers).Set(uint32(self))
+			mine, _ := plan(set, procs, servers).ServersFor(uint32(self))
 			for _, s := range mine {
 				users[s]++
 				if sides[self] {
@@ -229,8 +229,8 @@
 			}
 		}
 		for s, k := range users {
-			if k > mostTimes*set.Users {
-				t.Fatalf("server %d has %d users, %d are wanted", s, k, set.Users)
+			if k > mostTimes*set.UsersPerServer {
+				t.Fatalf("server %d has %d users, %d are wanted", s, k, set.UsersPerServer)
 			}
 			for side, there := range all {
 				if split && 5*there >= 2*n && by[s][side] < 1 {
--- a/fleet/subset/settle.go
+++ b/fleet/subset/settle.go
@@ -9,17 +9,17 @@
 type Time = time.Duration
 
 const (
-	// Within is the time in which a process acts on the death of another, or on a doubt.
+	// ReactionSpread is the time in which a process acts on the death of another, or on a doubt.
 	// When is drawn for each pair: what a hall of processes leaves is taken over one
 	// server after the other, and not in a wave of new connections.
-	Within = 1500 * time.Millisecond
-	// Held is how long a process that is back, or new, has to be there before it counts,
+	ReactionSpread = 1500 * time.Millisecond
+	// RejoinDelay is how long a process that is back, or new, has to be there before it counts,
 	// and as much again at most, drawn for each pair: one that comes and goes moves
 	// nothing, and what its stand-ins have is given back one after the other.
-	Held = 1500 * time.Millisecond
-	// Unmet is how long after its own start a process takes others for alive that the
+	RejoinDelay = 1500 * time.Millisecond
+	// StartupGrace is how long after its own start a process takes others for alive that the
 	// settings name and that nobody has heard of.
-	Unmet = time.Minute
+	StartupGrace = time.Minute
 )
 
 // State is what a process takes another for.
@@ -27,12 +27,12 @@
 
 const (
 	Absent State = iota // it is not there, or has not counted yet
-	Doubtful
-	There
+	Suspected
+	Present
 )
 
-// Seen is a process as the roster has it by now.
-type Seen struct {
+// Observation is a process as the roster has it by now.
+type Observation struct {
 	ID    uint32
 	State State
 }
@@ -42,32 +42,32 @@
 	at       Time // when next holds; 0: nothing is to change
 }
 
-// Settler makes a calm view of the fleet out of a roster that changes: who is in doubt or
+// Damper makes a calm view of the fleet out of a roster that changes: who is in doubt or
 // gone is acted on within a bound, who comes back a while later, and each process in its
 // own time. It is not safe for concurrent use.
-type Settler struct {
+type Damper struct {
 	self    uint32
 	known   map[uint32]pending
 	changed bool
 }
 
-// NewSettler makes the view of a process that starts with others there, itself among
+// NewDamper makes the view of a process that starts with others there, itself among
 // them.
-func NewSettler(self uint32, all []uint32) *Settler {
-	s := &Settler{self: self, known: map[uint32]pending{self: {is: There}}, changed: true}
+func NewDamper(self uint32, all []uint32) *Damper {
+	s := &Damper{self: self, known: map[uint32]pending{self: {is: Present}}, changed: true}
 	for _, id := range all {
-		s.known[id] = pending{is: There}
+		s.known[id] = pending{is: Present}
 	}
 	return s
 }
 
 // turn is a part of a span that is this process's for another one, the same each time.
-func (s *Settler) turn(id uint32, span time.Duration) time.Duration {
+func (s *Damper) turn(id uint32, span time.Duration) time.Duration {
 	return time.Duration(float64(span) * float64(Score(uint64(id), uint64(s.self)|1<<40)>>11) / (1 << 53))
 }
 
-// See takes the roster's view; who is not in it is not there.
-func (s *Settler) See(now Time, all []Seen) {
+// Observe takes the roster's view; who is not in it is not there.
+func (s *Damper) Observe(now Time, all []Observation) {
 	named := make(map[uint32]bool, len(all))
 	for _, x := range all {
 		named[x.ID] = true
@@ -75,7 +75,7 @@
 	}
 	for id := range s.known {
 		if !named[id] {
-			s.see(now, Seen{id, Absent})
+			s.see(now, Observation{id, Absent})
 		}
 	}
 	for id, p := range s.known {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *Settler) see(now Time, x Seen) {
+func (s *Damper) see(now Time, x Observation) {
 	p := s.known[x.ID]
 	switch {
 	case x.ID == s.self:
@@ -98,22 +98,22 @@
 		s.known[x.ID] = p
 	case p.at > 0 && x.State == p.next: // it is on its way
 	case x.State < p.is:
-		s.known[x.ID] = pending{p.is, x.State, now + s.turn(x.ID, Within)}
+		s.known[x.ID] = pending{p.is, x.State, now + s.turn(x.ID, ReactionSpread)}
 	default:
-		s.known[x.ID] = pending{p.is, x.State, now + Held + s.turn(x.ID, Held)}
+		s.known[x.ID] = pending{p.is, x.State, now + RejoinDelay + s.turn(x.ID, RejoinDelay)}
 	}
 }
 
 // View gives the processes that count, itself among them, if that has changed since the
 // last call.
-func (s *Settler) View() (all []Process, changed bool) {
+func (s *Damper) View() (all []Process, changed bool) {
 	if !s.changed {
 		return nil, false
 	}
 	s.changed = false
 	for id, p := range s.known {
 		if p.is != Absent {
-			all = append(all, Process{ID: id, Doubted: p.is == Doubtful})
+			all = append(all, Process{ID: id, Suspected: p.is == Suspected})
 		}
 	}
 	slices.SortFunc(all, func(a, b Process) int { return int(int64(a.ID) - int64(b.ID)) })
--- a/fleet/subset/settle_test.go
+++ b/fleet/subset/settle_test.go
@@ -18,19 +18,19 @@
 	for i := range uint32(n) {
 		all = append(all, i)
 	}
-	var settlers []*Settler
+	var settlers []*Damper
 	var planners []*Planner
 	for i := range uint32(left) {
-		settlers = append(settlers, NewSettler(i, all))
-		planners = append(planners, NewPlanner(Settings{Users: 9, Least: 4}))
+		settlers = append(settlers, NewDamper(i, all))
+		planners = append(planners, NewPlanner(Settings{UsersPerServer: 9, MinServers: 4}))
 	}
-	seen := func(dead bool, doubt State) (out []Seen) {
+	seen := func(dead bool, doubt State) (out []Observation) {
 		for i := range uint32(n) {
-			state := There
+			state := Present
 			if dead && i >= left {
 				state = doubt
 			}
-			out = append(out, Seen{i, state})
+			out = append(out, Observation{i, state})
 		}
 		return out
 	}
@@ -38,9 +38,9 @@
 		out := edges{}
 		for i, p := range planners {
 			if view, changed := settlers[i].View(); changed {
-				p.Fleet(view)
+				p.SetFleet(view)
 			}
-			set, _ := p.Plan(servers).Set(uint32(i))
+			set, _ := p.Plan(servers).ServersFor(uint32(i))
 			for _, s := range set {
 				out[[2]uint64{uint64(s), uint64(i)}] = true
 			}
@@ -53,7 +53,7 @@
 		first, parts := before, []int{}
 		for from := now; now < from+length; now += tenth {
 			for _, s := range settlers {
-				s.See(now, seen(dead, doubt))
+				s.Observe(now, seen(dead, doubt))
 			}
 			after := used()
 			parts = append(parts, changed(before, after, func([2]uint64) bool { return false }))
@@ -74,10 +74,10 @@
 		}
 		return total, most
 	}
-	play(false, There, 5*time.Second)
-	wider, wave := play(true, Doubtful, 2*time.Second)
+	play(false, Present, 5*time.Second)
+	wider, wave := play(true, Suspected, 2*time.Second)
 	gone, _ := play(true, Absent, 2*time.Second)
-	narrower, back := play(false, There, 4*time.Second)
+	narrower, back := play(false, Present, 4*time.Second)
 	t.Logf("%d connections more in 2 s, %.2f of them in a tenth of that at most; %d change when the dead are buried; %d less, %.2f", wider, wave, gone, narrower, back)
 	if wider < 150 || wave > 0.25 || gone > wider/2 || narrower < 150 || back > 0.35 {
 		t.Error("out of its bounds")
@@ -94,39 +94,39 @@
 // faster than Held changes nothing but once.
 func TestViewsSettle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSettler(1, []uint32{1, 2, 3, 4, 5})
+		s := NewDamper(1, []uint32{1, 2, 3, 4, 5})
 		now := time.Hour
 		for range rapid.IntRange(0, 30).Draw(t, "flaps") {
-			var seen []Seen
+			var seen []Observation
 			for id := range uint32(8) {
 				if state := State(rapid.IntRange(0, 2).Draw(t, "state")); state != Absent {
-					seen = append(seen, Seen{id, state})
+					seen = append(seen, Observation{id, state})
 				}
 			}
-			s.See(now, seen)
+			s.Observe(now, seen)
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "later")) * time.Millisecond
 		}
-		last := []Seen{{1, There}, {2, There}, {3, Doubtful}, {7, There}}
+		last := []Observation{{1, Present}, {2, Present}, {3, Suspected}, {7, Present}}
 		for range 40 {
-			s.See(now, last)
+			s.Observe(now, last)
 			now += 100 * time.Millisecond
 		}
 		s.changed = true
 		view, _ := s.View()
-		if len(view) != 4 || view[0].ID != 1 || view[2].ID != 3 || !view[2].Doubted || view[3].ID != 7 || len(s.known) != 4 {
+		if len(view) != 4 || view[0].ID != 1 || view[2].ID != 3 || !view[2].Suspected || view[3].ID != 7 || len(s.known) != 4 {
 			t.Fatalf("%v", view)
 		}
 	})
-	s := NewSettler(1, []uint32{1, 2})
+	s := NewDamper(1, []uint32{1, 2})
 	s.View()
 	for k := range 50 { // every 400 ms it is away or back
-		state := There
+		state := Present
 		if k/4%2 == 0 {
-			state = Doubtful
+			state = Suspected
 		}
-		s.See(time.Hour+time.Duration(k)*100*time.Millisecond, []Seen{{1, There}, {2, state}})
+		s.Observe(time.Hour+time.Duration(k)*100*time.Millisecond, []Observation{{1, Present}, {2, state}})
 	}
-	if _, changed := s.View(); changed && s.known[2].is == There {
+	if _, changed := s.View(); changed && s.known[2].is == Present {
 		t.Error("one that comes and goes counts again before it has stayed")
 	}
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -51,9 +51,9 @@
 	}
 	cfg := f.Member()
 	cfg.Follow.Watch = true
-	cfg.Name, cfg.Self, cfg.Quotas, cfg.Work, cfg.Seeds = c.Name, c.FleetID, false, false, c.Seeds()
-	cfg.Addr, cfg.Build = conn.LocalAddr().(*net.UDPAddr).AddrPort(), build.Digest()
-	x := &fleet{log: log, conn: conn, ranges: cfg.Ranges, wake: cfg.Follow.Wake, clock: wallclock.NewSteady()}
+	cfg.Name, cfg.Self, cfg.ShareQuotas, cfg.ShareWork, cfg.Seeds = c.Name, c.FleetID, false, false, c.Seeds()
+	cfg.Addr, cfg.BuildDigest = conn.LocalAddr().(*net.UDPAddr).AddrPort(), build.Digest()
+	x := &fleet{log: log, conn: conn, ranges: cfg.AllowedPrefixes, wake: cfg.Follow.Wake, clock: wallclock.NewSteady()}
 	x.turnAt = x.now()
 	cfg.Seed = int64(x.turnAt)
 	x.member = member.New(cfg, x.now())
@@ -76,9 +76,9 @@
 	for {
 		select {
 		case <-tick.C:
-			x.handle(member.Ticked{})
+			x.handle(member.Tick{})
 		case <-ctx.Done():
-			x.handle(member.Ends{})
+			x.handle(member.Leaving{})
 			x.conn.Close()
 			<-received
 			return
@@ -98,7 +98,7 @@
 		}
 		at := from.(*net.UDPAddr).AddrPort()
 		if slices.ContainsFunc(x.ranges, func(r netip.Prefix) bool { return r.Contains(at.Addr().Unmap()) }) {
-			x.handle(member.Heard{From: netip.AddrPortFrom(at.Addr().Unmap(), at.Port()), Data: slices.Clone(buf[:n])})
+			x.handle(member.DatagramReceived{From: netip.AddrPortFrom(at.Addr().Unmap(), at.Port()), Data: slices.Clone(buf[:n])})
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	defer x.mu.Unlock()
 	now := x.now()
 	if gap := now - x.turnAt; gap > x.wake {
-		x.carry(x.member.Handle(now, member.Woke{Gap: gap}))
+		x.carry(x.member.Handle(now, member.Resumed{Gap: gap}))
 	}
 	x.turnAt = now
 	x.carry(x.member.Handle(now, e))
@@ -119,7 +119,7 @@
 func (x *fleet) carry(all []member.Action) {
 	for _, a := range all {
 		switch a := a.(type) {
-		case member.Tell:
+		case member.Send:
 			x.conn.WriteTo(a.Data, net.UDPAddrFromAddrPort(a.To))
 		case member.Log:
 			x.log.Info("fleet: " + a.Line)
@@ -130,7 +130,7 @@
 // listed tells the fleet of a list of discovery's, and gives the version that it has
 // there: the count of discovery's beginnings is the fleet's.
 func (x *fleet) listed(l follow.Listed) version.List {
-	x.handle(member.Source{Word: l})
+	x.handle(member.SourceEvent{Event: l})
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.member.Agent().Vector().List
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -38,14 +38,14 @@
 		return nil
 	}
 	cfg := *n.w.member
-	cfg.Name, cfg.Self, cfg.Nodes, cfg.Seed, cfg.Settings, cfg.Build = n.Name, s.Self, s.Nodes, seed, 1, 1
+	cfg.Name, cfg.Self, cfg.Nodes, cfg.Seed, cfg.SettingsDigest, cfg.BuildDigest = n.Name, s.Self, s.Nodes, seed, 1, 1
 	for _, t := range s.Tenants {
-		cfg.Tenants = append(cfg.Tenants, shares.Whole{Name: t.Name, Rate: t.Quota})
+		cfg.TenantQuotas = append(cfg.TenantQuotas, shares.Quota{Name: t.Name, Rate: t.Quota})
 	}
-	if len(cfg.Ranges) > 0 { // processes are known by their addresses
-		cfg.Ranges, cfg.Addr = []netip.Prefix{netip.MustParsePrefix("0.0.0.0/16")}, roster.Numbered(s.Self)
+	if len(cfg.AllowedPrefixes) > 0 { // processes are known by their addresses
+		cfg.AllowedPrefixes, cfg.Addr = []netip.Prefix{netip.MustParsePrefix("0.0.0.0/16")}, roster.NumberedAddr(s.Self)
 		for i := range s.Nodes {
-			cfg.Peers = append(cfg.Peers, roster.Numbered(i))
+			cfg.Peers = append(cfg.Peers, roster.NumberedAddr(i))
 		}
 	}
 	f := &fleet{set: cfg.Follow, turnAt: n.w.now, member: member.New(cfg, Unix+n.w.now)}
@@ -65,7 +65,7 @@
 		gap := n.w.now - f.turnAt
 		f.turnAt = n.w.now
 		if gap > f.set.Wake {
-			n.fleetDo(member.Woke{Gap: gap})
+			n.fleetDo(member.Resumed{Gap: gap})
 		}
 	}
 	return false
@@ -98,7 +98,7 @@
 		return
 	}
 	n.w.plan(n.w.now+fleetTick, n, fleetTicks, life)
-	n.fleetDo(member.Ticked{})
+	n.fleetDo(member.Tick{})
 	if n.fleet.agent.Fresh(Unix+n.w.now) > 0 {
 		n.again()
 	}
@@ -108,24 +108,24 @@
 	f := n.fleet
 	for _, a := range f.member.Handle(Unix+n.w.now, e) {
 		switch a := a.(type) {
-		case member.Tell:
-			if to, ok := roster.Number(a.To); ok {
+		case member.Send:
+			if to, ok := roster.NumberOf(a.To); ok {
 				n.post(to, a.Data)
 			}
-		case member.Rest:
+		case member.Deliver:
 			n.handle(balance.MessageReceived{From: a.From, Data: a.Data})
-		case member.Changed:
+		case member.ServersChanged:
 			f.changed = true
-		case member.AskSource:
+		case member.QuerySource:
 			n.subscribe(true)
-		case member.Given:
-			n.handle(balance.ShareUpdate{TenantRates: a.Quotas, EffectiveNodes: a.Nodes})
-		case member.Fleet:
+		case member.AllocationChanged:
+			n.handle(balance.ShareUpdate{TenantRates: a.Quotas, EffectiveNodes: a.EquivalentNodes})
+		case member.FleetChanged:
 			n.handle(balance.FleetChanged{Nodes: a.Processes})
 		}
 	}
-	source, is := e.(member.Source)
-	if _, listed := source.Word.(follow.Listed); !is || !listed {
+	source, is := e.(member.SourceEvent)
+	if _, listed := source.Event.(follow.Listed); !is || !listed {
 		n.fleetChanged()
 	}
 	if until := f.agent.Holds(); len(f.waiting) > 0 && (until == 0 || Unix+n.w.now >= until) {
@@ -172,7 +172,7 @@
 	for _, x := range l.Instances {
 		e.Entries = append(e.Entries, follow.Entry{Name: x.InstanceID, State: states[x.Lifecycle], StartedAt: time.Duration(x.StartedAtMs) * time.Millisecond})
 	}
-	n.fleetDo(member.Source{Word: e})
+	n.fleetDo(member.SourceEvent{Event: e})
 }
 
 func (n *node) fleetOut(s *listed) bool {
@@ -191,7 +191,7 @@
 		return false
 	}
 	if f.agent.Takes() {
-		f.member.Arrived(tenant)
+		f.member.CountRequest(tenant)
 		return true
 	}
 	f.agent.Recorder().RefusedOld()
@@ -210,7 +210,7 @@
 	}
 	if n.fleet != nil {
 		n.sleeps(nil, 0, 0) // it goes on: it must find out before it hears anybody
-		n.fleetDo(member.Heard{From: roster.Numbered(from), Data: data})
+		n.fleetDo(member.DatagramReceived{From: roster.NumberedAddr(from), Data: data})
 		return
 	}
 	n.handle(balance.MessageReceived{From: from, Data: data})
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -208,7 +208,7 @@
 		}
 		w.record(history.Event{Kind: history.NodeEnded, Node: n.Name})
 		if n.fleet != nil {
-			n.fleetDo(member.Ends{})
+			n.fleetDo(member.Leaving{})
 		}
 		n.stop()
 		if again {
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -46,7 +46,7 @@
 	Older   []string            // nodes that know nothing of it
 	NoFiles bool                // nodes write no record to a file: what their consoles say is enough
 	Control string              // the control service's program
-	Guards  int                 // control services that are of the fleet, numbered from member.FirstService on
+	Guards  int                 // control services that are of the fleet, numbered from member.FirstControlID on
 	Deploy  *load.Deployment    // another one than the brief's; nil: that
 	Watch   func(history.Event) // told of each event, one at a time; may be nil
 }
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -312,10 +312,10 @@
 					h.Forge(7, to, ping(7, now, of, now, 2))
 					h.Forge(7, to, ping(7, now, of, now+900, 0))
 				}
-				h.Forge(7, to, ping(3, now, 3, now, 3))                                                              // another's name
-				h.Forge(7, to, ping(9999, now, 1<<31, now, 0))                                                       // names that nobody has
-				h.Forge(7, to, shares.Encode(0, shares.Grant{Life: 1, Nonce: 1, Amount: 1 << 40, For: time.Second})) // not asked for
-				h.Forge(7, to, shares.Encode(251, shares.Leased{Life: 1, Round: 3, Granted: shares.Set{^uint64(0)}}))
+				h.Forge(7, to, ping(3, now, 3, now, 3))                                                                          // another's name
+				h.Forge(7, to, ping(9999, now, 1<<31, now, 0))                                                                   // names that nobody has
+				h.Forge(7, to, shares.Encode(0, shares.Grant{Incarnation: 1, Nonce: 1, Amount: 1 << 40, Duration: time.Second})) // not asked for
+				h.Forge(7, to, shares.Encode(251, shares.ClaimReply{Incarnation: 1, Round: 3, Granted: shares.SlotSet{^uint64(0)}}))
 				h.Forge(7, to, make([]byte, 400))
 				if h.Clock() > 16500*time.Millisecond && h.Clock() < 18*time.Second && to != 5 {
 					h.Forge(5, to, ping(5, now+3600, 5, now+3600, 0)) // as n5 itself, an hour ahead, before it starts anew
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -57,7 +57,7 @@
 
 // What the loop is told of the fleet.
 type (
-	fleetHeard   member.Heard
+	fleetHeard   member.DatagramReceived
 	recordWanted chan version.Record
 )
 
@@ -68,11 +68,11 @@
 	}
 	f := &fleet{cfg: cfg.Fleet, write: recordfile.Append}
 	c := cfg.Fleet.Member
-	c.Name, c.Self, c.Nodes, c.Seed, c.Settings, c.Build = cfg.Name, cfg.Settings.Self, len(cfg.Peers), cfg.Seed, cfg.settingsDigest, build.Digest()
+	c.Name, c.Self, c.Nodes, c.Seed, c.SettingsDigest, c.BuildDigest = cfg.Name, cfg.Settings.Self, len(cfg.Peers), cfg.Seed, cfg.settingsDigest, build.Digest()
 	for _, t := range cfg.Settings.Tenants {
-		c.Tenants = append(c.Tenants, shares.Whole{Name: t.Name, Rate: t.Quota})
+		c.TenantQuotas = append(c.TenantQuotas, shares.Quota{Name: t.Name, Rate: t.Quota})
 	}
-	if len(c.Ranges) > 0 {
+	if len(c.AllowedPrefixes) > 0 {
 		c.Addr = c.Peers[c.Self]
 	}
 	f.member = member.New(c, now)
@@ -140,7 +140,7 @@
 				n.forgetRequest(r)
 			}
 		}
-		n.fleetDo(member.Woke{Gap: gap})
+		n.fleetDo(member.Resumed{Gap: gap})
 	}
 	n.fleet.turnAt.Store(int64(now))
 }
@@ -153,27 +153,27 @@
 	}
 	for _, a := range f.member.Handle(n.now(), e) {
 		switch a := a.(type) {
-		case member.Tell:
+		case member.Send:
 			n.peers.sendTo(a.To, a.Data)
-		case member.Rest:
+		case member.Deliver:
 			n.handle(balance.MessageReceived{From: a.From, Data: a.Data})
-		case member.Changed:
+		case member.ServersChanged:
 			f.changed = true
-		case member.AskSource:
+		case member.QuerySource:
 			n.source.RestartWatch()
-		case member.Given:
-			n.handle(balance.ShareUpdate{TenantRates: a.Quotas, EffectiveNodes: a.Nodes})
-			if a.Nodes >= 1 && a.Nodes != n.sharing {
-				n.sharing = a.Nodes
+		case member.AllocationChanged:
+			n.handle(balance.ShareUpdate{TenantRates: a.Quotas, EffectiveNodes: a.EquivalentNodes})
+			if a.EquivalentNodes >= 1 && a.EquivalentNodes != n.sharing {
+				n.sharing = a.EquivalentNodes
 				n.source.SetNodes(n.sharing)
 			}
-		case member.Fleet:
+		case member.FleetChanged:
 			n.handle(balance.FleetChanged{Nodes: a.Processes})
 		case member.Log:
 			log.Print("fleet: ", a.Line)
 		}
 	}
-	if s, is := e.(member.Source); !is || !listed(s.Word) { // there the list itself is told next
+	if s, is := e.(member.SourceEvent); !is || !listed(s.Event) { // there the list itself is told next
 		n.fleetChanged()
 	}
 	f.shut.Store(!f.agent.Takes())
@@ -198,7 +198,7 @@
 	if n.fleet == nil {
 		return
 	}
-	n.fleetDo(member.Ticked{})
+	n.fleetDo(member.Tick{})
 	if n.fleet.agent.Fresh(n.now()) == 0 {
 		return
 	}
@@ -226,7 +226,7 @@
 		l.Entries = append(l.Entries, follow.Entry{Name: x.InstanceID, State: states[discovery.LifecycleStates[x.Lifecycle]],
 			StartedAt: time.Duration(x.StartedAtMs) * time.Millisecond})
 	}
-	n.fleetDo(member.Source{Word: l})
+	n.fleetDo(member.SourceEvent{Event: l})
 }
 
 // fleetOut tells whether a server that the list has up is not to be used, by a
@@ -294,7 +294,7 @@
 	if records := n.byHand.Records(); len(records) > 0 {
 		digest = wordsDigest(records)
 	}
-	n.fleetDo(member.Source{Word: follow.Worded{Digest: digest}})
+	n.fleetDo(member.SourceEvent{Event: follow.Worded{Digest: digest}})
 }
 
 func wordsDigest(records []maintenance.Record) uint16 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 			n.byHand.PruneRecords(n.now(), n.cfg.Settings.WarmupTime)
 		case <-ctx.Done():
 			n.answerAll()
-			n.fleetDo(member.Ends{})
+			n.fleetDo(member.Leaving{})
 			n.recordEnd()
 			return
 		}
@@ -274,7 +274,7 @@
 	case overheard:
 		n.takeOthersList(e.State)
 	case fleetHeard:
-		n.fleetDo(member.Heard(e))
+		n.fleetDo(member.DatagramReceived(e))
 	case recordWanted:
 		e <- n.makeRecord()
 	case reload:
@@ -324,7 +324,7 @@
 		if !n.admit(r) {
 			return
 		}
-		n.fleet.member.Arrived(r.Tenant)
+		n.fleet.member.CountRequest(r.Tenant)
 	}
 	n.requests[r.ID] = r
 	r.ClientTimeout, r.BodyPending = time.Until(r.Deadline), r.Rest != nil
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -45,7 +45,7 @@
 	}
 	p := &peers{numbers: map[string]int{}, count: count}
 	if c.Fleet != nil {
-		p.ranges, p.open = c.Fleet.Member.Ranges, len(c.Fleet.Member.Ranges) > 0
+		p.ranges, p.open = c.Fleet.Member.AllowedPrefixes, len(c.Fleet.Member.AllowedPrefixes) > 0
 	}
 	for i, addr := range append(c.Peers[:len(c.Peers):len(c.Peers)], c.PeersAll) {
 		a, err := net.ResolveUDPAddr("udp", addr)
@@ -111,7 +111,7 @@
 		case p.open:
 			post(fleetHeard{From: netip.AddrPortFrom(at.Addr().Unmap(), at.Port()), Data: data})
 		case fleet:
-			post(fleetHeard{From: roster.Numbered(number), Data: data})
+			post(fleetHeard{From: roster.NumberedAddr(number), Data: data})
 		default:
 			post(balance.MessageReceived{From: number, Data: data})
 		}
@@ -135,7 +135,7 @@
 	if p == nil || len(data) > maxDatagram {
 		return
 	}
-	if number, ok := roster.Number(to); !p.open && ok {
+	if number, ok := roster.NumberOf(to); !p.open && ok {
 		p.send(balance.SendMessage{To: number, Data: data})
 		return
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -47,10 +47,10 @@
 	m := member.Config{Follow: follow.Settings{Watch: f.Watch, Hello: f.Hello.Duration, HelloTo: f.HelloTo, Fanout: f.Fanout, Narrow: f.Narrow.Duration,
 		Close: f.Close.Duration, Behind: f.Behind.Duration, Reopen: f.Reopen.Duration, OneTeller: f.OneTeller,
 		AllTellers: f.AllTellers, Part: f.Part, Doubt: f.Doubt.Duration, Wake: f.Wake.Duration, WakeHold: f.WakeHold.Duration},
-		Members: f.Members, Quotas: f.Quotas, Work: f.Work, Subsets: f.Subsets, Guards: f.Guards, Seats: f.Seats, Most: f.Most}
+		Membership: f.Members, ShareQuotas: f.Quotas, ShareWork: f.Work, Subsets: f.Subsets, Guards: f.Guards, Slots: f.Seats, MaxProcesses: f.Most}
 	for _, text := range f.Strangers {
 		if p, err := netip.ParsePrefix(text); err == nil {
-			m.Ranges = append(m.Ranges, p)
+			m.AllowedPrefixes = append(m.AllowedPrefixes, p)
 		}
 	}
 	return m
@@ -145,12 +145,12 @@
 		seen[g] = true
 	}
 	switch {
-	case len(f.Guards) > shares.MostGuards || len(f.Guards) > 0 && len(f.Guards)%2 == 0:
-		return "guards", fmt.Sprintf("name an odd number of guards, %d at most", shares.MostGuards)
-	case f.Seats < 1 || f.Seats > shares.MostSeats:
-		return "seats", fmt.Sprintf("seats must be from 1 to %d", shares.MostSeats)
-	case f.Most < 1 || f.Most > member.FirstService:
-		return "most", fmt.Sprintf("most must be from 1 to %d", member.FirstService)
+	case len(f.Guards) > shares.MaxGuards || len(f.Guards) > 0 && len(f.Guards)%2 == 0:
+		return "guards", fmt.Sprintf("name an odd number of guards, %d at most", shares.MaxGuards)
+	case f.Seats < 1 || f.Seats > shares.MaxSlots:
+		return "seats", fmt.Sprintf("seats must be from 1 to %d", shares.MaxSlots)
+	case f.Most < 1 || f.Most > member.FirstControlID:
+		return "most", fmt.Sprintf("most must be from 1 to %d", member.FirstControlID)
 	case len(f.Guards) > 0 && !f.Members:
 		return "guards", "guards want members = true: parts go to the living"
 	case f.Subsets && !f.Members:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -229,8 +229,8 @@
 		return "fleet_listen", "fleet_listen must be a numeric IPv4 address and port on loopback, such as \"127.0.0.1:7950\""
 	case f.Fleet == nil || len(f.Fleet.Strangers) == 0:
 		return "fleet_listen", "fleet_listen wants the section [fleet] with members = true and strangers: a control service is no configured node"
-	case c.FleetID < member.FirstService || c.FleetID >= 4096:
-		return "fleet_id", fmt.Sprintf("fleet_id must be a number from %d to 4095 that no other process has", member.FirstService)
+	case c.FleetID < member.FirstControlID || c.FleetID >= 4096:
+		return "fleet_id", fmt.Sprintf("fleet_id must be a number from %d to 4095 that no other process has", member.FirstControlID)
 	case len(c.FleetSeeds) < 2:
 		return "fleet_seeds", "fleet_seeds: name two processes of the fleet at least, such as \"127.0.0.1:7946\""
 	}
--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -53,7 +53,7 @@
 type Kind struct {
 	Zone   string
 	Leases bool // the proxy knows TTLs
-	Group  int  // of proxies that are told of the same servers: subset.All, or from 0 on
+	Group  int  // of proxies that are told of the same servers: subset.AllServers, or from 0 on
 }
 
 // Names of a service's clusters. Each is made of a leased one and a held one
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -209,7 +209,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state == nil || !s.state.Subsets {
-		return subset.All
+		return subset.AllServers
 	}
 	return s.state.GroupOf(p)
 }
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -219,7 +219,7 @@
 	}
 	x := &stream{
 		proxy: proxyID(id, g.node), node: g.node, delta: delta, notify: make(chan struct{}, 1),
-		key: viewKey{Kind{Zone: g.node.GetLocality().GetZone(), Leases: slices.Contains(g.node.GetClientFeatures(), ttlFeature), Group: subset.All}, visible},
+		key: viewKey{Kind{Zone: g.node.GetLocality().GetZone(), Leases: slices.Contains(g.node.GetClientFeatures(), ttlFeature), Group: subset.AllServers}, visible},
 	}
 	x.session = NewSession(delta, x.key.Leases)
 	wait, err := s.admit(x)
--- a/internal/xds/subset_test.go
+++ b/internal/xds/subset_test.go
@@ -29,7 +29,7 @@
 		st.Subsets, st.Whole = true, whole
 		ends := st.Views[""].Localities[0].Endpoints
 		for i := range ends {
-			o := subset.OrderOf(fmt.Sprint("pod-", i/2))
+			o := subset.RankGroups(fmt.Sprint("pod-", i/2))
 			ends[i].Groups = o.First(8)
 		}
 		return st
--- a/steer/api.go
+++ b/steer/api.go
@@ -182,8 +182,8 @@
 	Addr   string
 	Cell   int
 	Health Health
-	Weight uint32     // 1 to MaxWeight within its locality
-	Groups subset.Set // of proxies that are told of it
+	Weight uint32          // 1 to MaxWeight within its locality
+	Groups subset.GroupSet // of proxies that are told of it
 }
 
 // MaxWeight is the greatest weight of an endpoint or a locality.
@@ -216,17 +216,17 @@
 	Whole     []ProxyID // that are told of all servers, in order: each sends much of all there is
 }
 
-// GroupOf gives the group of a proxy, or subset.All.
+// GroupOf gives the group of a proxy, or subset.AllServers.
 func (s *State) GroupOf(p ProxyID) int {
 	if _, whole := slices.BinarySearch(s.Whole, p); whole {
-		return subset.All
+		return subset.AllServers
 	}
 	return subset.GroupOf(string(p))
 }
 
 // For gives a view as a group is told it.
 func (v *View) For(group int) *View {
-	if v == nil || group == subset.All {
+	if v == nil || group == subset.AllServers {
 		return v
 	}
 	out := *v
--- a/steer/steer.go
+++ b/steer/steer.go
@@ -40,7 +40,7 @@
 	Server
 	fresh    bool   // its weight is not set yet
 	pod      string // by which it is in groups
-	groups   subset.Order
+	groups   subset.GroupRanking
 	coldFrom Time // when its warm-up began; meaningless unless cold
 	cold     bool
 
@@ -279,7 +279,7 @@
 	}
 	for _, s := range m.order {
 		if name := fmt.Sprint(s.Zone, "/", s.Cell); m.set.Subset > 0 && name != s.pod {
-			s.pod, s.groups = name, subset.OrderOf(name)
+			s.pod, s.groups = name, subset.RankGroups(name)
 		}
 	}
 	m.sizes()
--- a/steer/view.go
+++ b/steer/view.go
@@ -322,17 +322,17 @@
 // divideServers says which groups of proxies are told of which servers of a
 // hall, and changes the weights so that each server still gets its part. nil:
 // all are told of all, as the hall is small, or no weights would do.
-func (m *Module) divideServers(h *hall, weights []float64) []subset.Set {
-	n := subset.Copies(len(h.servers), m.set.Subset)
-	if m.set.Subset == 0 || n == subset.Groups {
+func (m *Module) divideServers(h *hall, weights []float64) []subset.GroupSet {
+	n := subset.GroupsPerServer(len(h.servers), m.set.Subset)
+	if m.set.Subset == 0 || n == subset.GroupCount {
 		return nil
 	}
-	var share [subset.Groups + 1]float64
+	var share [subset.GroupCount + 1]float64
 	all, sum := 0.0, 0.0
 	for _, p := range m.present {
 		x := p.asked() * m.shareOf(p.zone, h.zone)
 		if all += x; p.whole {
-			share[subset.Groups] += x
+			share[subset.GroupCount] += x
 		} else {
 			share[p.group] += x
 		}
@@ -346,11 +346,11 @@
 	for g := range share {
 		share[g] /= all
 	}
-	sets, want := make([]subset.Set, len(weights)), make([]float64, len(weights))
+	sets, want := make([]subset.GroupSet, len(weights)), make([]float64, len(weights))
 	for i, s := range h.servers {
 		sets[i], want[i] = s.groups.First(n), weights[i]/sum
 	}
-	balanced, worst := subset.Balance(sets, want, share)
+	balanced, worst := subset.BalanceGroups(sets, want, share)
 	if worst > subsetOff {
 		return nil
 	}
