--- a/cmd/ivylock-control/versions_test.go
+++ b/cmd/ivylock-control/versions_test.go
@@ -114,7 +114,7 @@
 			}
 			records = append(records, r)
 		}
-		return audit.New(records, audit.Defaults())
+		return audit.New(records, audit.DefaultOptions())
 	}
 	until := func(what string, fits func() (bool, any)) {
 		t.Helper()
@@ -176,9 +176,9 @@
 			return n == 2, got
 		}
 	}
-	until("what the one that began anew says is compared with nothing while it is cut off", asks("a", audit.NotKnown))
-	if r, _ := a2.record(); r.Steers[0].Published >= before.Steers[0].Published {
-		t.Fatalf("it did not begin lower: %d after %d", r.Steers[0].Published, before.Steers[0].Published)
+	until("what the one that began anew says is compared with nothing while it is cut off", asks("a", audit.StateUnknown))
+	if r, _ := a2.record(); r.Proxies[0].Published >= before.Proxies[0].Published {
+		t.Fatalf("it did not begin lower: %d after %d", r.Proxies[0].Published, before.Proxies[0].Published)
 	}
 	way.Set(link.Shape{})
 	until("those that moved back are current by the one that began anew", asks("a", audit.UpToDate))
@@ -186,7 +186,7 @@
 	x := standing(a2, b)
 	moved := 0
 	for _, p := range x.Proxies() {
-		for _, m := range p.Moves {
+		for _, m := range p.ServiceChanges {
 			if m.To != m.From && strings.HasPrefix(m.To, "a of") {
 				moved++
 			}
--- a/cmd/ivylock/fleet_test.go
+++ b/cmd/ivylock/fleet_test.go
@@ -75,11 +75,11 @@
 		t.Errorf("a request went to the draining server %v after the word", last.Sub(drained))
 	}
 	p.mu.Unlock()
-	if stops := old.record(t).Stops; len(stops) == 0 || stops[0].For < time.Second {
+	if stops := old.record(t).Pauses; len(stops) == 0 || stops[0].Duration < time.Second {
 		t.Errorf("the old process's stops: %+v", stops)
 	}
 	old.end(t, syscall.SIGTERM)
-	if b := next.record(t).Before; len(b) != 1 || b[0].Sends < 20 {
+	if b := next.record(t).Predecessors; len(b) != 1 || b[0].Sends < 20 {
 		t.Errorf("the new process knows of the old one: %+v", b)
 	}
 }
--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -23,28 +23,28 @@
 	Grace time.Duration
 	// Tolerance is what clocks and the network may add between two processes.
 	Tolerance time.Duration
-	// Size is how many processes the fleet has; those without a record are then
+	// FleetSize is how many processes the fleet has; those without a record are then
 	// named. 0: as many as the records name.
-	Size int
+	FleetSize int
 }
 
-// Defaults are the rule's grace and what a network of a few ms adds.
-func Defaults() Options {
+// DefaultOptions are the rule's grace and what a network of a few ms adds.
+func DefaultOptions() Options {
 	return Options{Grace: 500 * time.Millisecond, Tolerance: 50 * time.Millisecond}
 }
 
-// Sure says how much stands behind a claim.
-type Sure string
+// Confidence says how much stands behind a claim.
+type Confidence string
 
 // The grades.
 const (
-	Certain Sure = "certain" // the process's own record says so, and nothing speaks against it
-	Likely  Sure = "likely"  // others' words alone, or one record alone
-	Unknown Sure = "unknown" // nothing says either way
+	Certain Confidence = "certain" // the process's own record says so, and nothing speaks against it
+	Likely  Confidence = "likely"  // others' words alone, or one record alone
+	Unknown Confidence = "unknown" // nothing says either way
 )
 
-// Clock says how a process's times stand to the others'.
-type Clock struct {
+// ClockAlignment says how a process's times stand to the others'.
+type ClockAlignment struct {
 	Shift   time.Duration `json:"shift"` // added to its times here
 	Trusted bool          `json:"trusted"`
 	Why     string        `json:"why,omitempty"`
@@ -53,19 +53,19 @@
 // life is one process: a record, its times put in line with the others'.
 type life struct {
 	version.Record
-	clock Clock
+	clock ClockAlignment
 	last  bool // the newest process of its node
 }
 
 // Audit is what the records say together.
 type Audit struct {
 	o        Options
-	lives    []*life        // by node and start
-	services []*life        // control services, by name and start
-	byNumber map[int]*life  // the newest process of each node
-	now      version.Stamp  // of the newest record
-	episodes []*episode     // withdrawals, by server and time
-	names    map[int]string // of nodes by number
+	lives    []*life           // by node and start
+	services []*life           // control services, by name and start
+	byNumber map[int]*life     // the newest process of each node
+	now      version.Timestamp // of the newest record
+	episodes []*episode        // withdrawals, by server and time
+	names    map[int]string    // of nodes by number
 }
 
 // New takes records in any order. Of one life of a process the newest counts;
@@ -74,24 +74,24 @@
 	a := &Audit{o: o, byNumber: map[int]*life{}, names: map[int]string{}}
 	newest := map[string]*life{}
 	for _, r := range records {
-		if r.Process == "" || r.At == 0 {
+		if r.Process == "" || r.TakenAt == 0 {
 			continue
 		}
-		key := fmt.Sprint(r.Process, " ", r.Life)
-		if old := newest[key]; old != nil && old.At >= r.At {
+		key := fmt.Sprint(r.Process, " ", r.Incarnation)
+		if old := newest[key]; old != nil && old.TakenAt >= r.TakenAt {
 			continue
 		}
 		newest[key] = &life{Record: clone(r)}
 	}
 	for _, l := range newest {
-		if l.Service {
+		if l.ControlService {
 			a.services = append(a.services, l)
 		} else {
 			a.lives = append(a.lives, l)
 		}
 	}
 	inOrder := func(x, y *life) int {
-		return cmp.Or(cmp.Compare(x.Number, y.Number), strings.Compare(x.Process, y.Process), cmp.Compare(x.Life, y.Life))
+		return cmp.Or(cmp.Compare(x.Number, y.Number), strings.Compare(x.Process, y.Process), cmp.Compare(x.Incarnation, y.Incarnation))
 	}
 	slices.SortFunc(a.lives, inOrder)
 	slices.SortFunc(a.services, inOrder)
@@ -106,9 +106,9 @@
 		l.last = true
 		a.byNumber[l.Number], a.names[l.Number] = l, l.Process
 		if l.clock.Trusted {
-			a.now = max(a.now, l.At)
+			a.now = max(a.now, l.TakenAt)
 		}
-		a.o.Size = max(a.o.Size, l.Number+1)
+		a.o.FleetSize = max(a.o.FleetSize, l.Number+1)
 	}
 	a.find()
 	return a
@@ -116,11 +116,11 @@
 
 // clone copies what align changes.
 func clone(r version.Record) version.Record {
-	r.Acts, r.Withdrawals = slices.Clone(r.Acts), slices.Clone(r.Withdrawals)
-	r.Servers, r.Heard = slices.Clone(r.Servers), slices.Clone(r.Heard)
-	r.Changes, r.Stops = slices.Clone(r.Changes), slices.Clone(r.Stops)
+	r.Intervals, r.Withdrawals = slices.Clone(r.Intervals), slices.Clone(r.Withdrawals)
+	r.Servers, r.Peers = slices.Clone(r.Servers), slices.Clone(r.Peers)
+	r.ModeChanges, r.Pauses = slices.Clone(r.ModeChanges), slices.Clone(r.Pauses)
 	for i := range r.Servers {
-		r.Servers[i].Marks = slices.Clone(r.Servers[i].Marks)
+		r.Servers[i].Buckets = slices.Clone(r.Servers[i].Buckets)
 	}
 	return r
 }
@@ -132,22 +132,22 @@
 func (a *Audit) align() {
 	leads := map[int][]int64{} // ms, by the process that led
 	for _, l := range a.lives {
-		for _, h := range l.Heard {
-			leads[h.Process] = append(leads[h.Process], h.Lead)
+		for _, h := range l.Peers {
+			leads[h.Process] = append(leads[h.Process], h.ClockLeadMillis)
 		}
 	}
 	for _, l := range a.lives {
 		noted := leads[l.Number]
 		switch {
-		case len(noted) == 0 && len(l.Heard) == 0 && len(a.lives) > 1:
+		case len(noted) == 0 && len(l.Peers) == 0 && len(a.lives) > 1:
 			l.clock.Why = "no process heard it and it heard none: its times can't be compared with the others'"
 		case len(noted) == 0:
-			l.clock = Clock{Trusted: true}
+			l.clock = ClockAlignment{Trusted: true}
 		default:
 			slices.Sort(noted)
 			lead := time.Duration(noted[len(noted)/2]) * time.Millisecond
 			l.clock.Trusted = true
-			if lead.Abs() > version.Ahead {
+			if lead.Abs() > version.MaxClockLead {
 				l.clock.Shift = -lead
 				l.clock.Why = fmt.Sprintf("its clock is off by %v by the word of %d processes", lead.Round(time.Millisecond), len(noted))
 				l.shift(-lead)
@@ -158,49 +158,49 @@
 
 // shift moves all times of a record.
 func (l *life) shift(by time.Duration) {
-	move := func(s *version.Stamp) {
+	move := func(s *version.Timestamp) {
 		if *s != 0 {
 			*s = s.Add(by)
 		}
 	}
-	for _, s := range []*version.Stamp{&l.Life, &l.At, &l.Confirmed, &l.Folded.From, &l.Folded.Until} {
+	for _, s := range []*version.Timestamp{&l.Incarnation, &l.TakenAt, &l.Confirmed, &l.Merged.From, &l.Merged.Until} {
 		move(s)
 	}
-	for i := range l.Acts {
-		move(&l.Acts[i].From)
-		move(&l.Acts[i].Until)
+	for i := range l.Intervals {
+		move(&l.Intervals[i].From)
+		move(&l.Intervals[i].Until)
 	}
 	for i := range l.Withdrawals {
-		move(&l.Withdrawals[i].Known)
-		move(&l.Withdrawals[i].Again)
+		move(&l.Withdrawals[i].KnownAt)
+		move(&l.Withdrawals[i].RestoredAt)
 	}
 	for i := range l.Servers {
 		s := &l.Servers[i]
 		move(&s.First)
 		move(&s.Last)
-		for k := range s.Marks {
-			move(&s.Marks[k].From)
-			move(&s.Marks[k].To)
+		for k := range s.Buckets {
+			move(&s.Buckets[k].From)
+			move(&s.Buckets[k].To)
 		}
 	}
-	for i := range l.Heard {
-		move(&l.Heard[i].At)
+	for i := range l.Peers {
+		move(&l.Peers[i].LastHeard)
 	}
-	for i := range l.Changes {
-		move(&l.Changes[i].At)
+	for i := range l.ModeChanges {
+		move(&l.ModeChanges[i].At)
 	}
-	for i := range l.Stops {
-		move(&l.Stops[i].Until)
+	for i := range l.Pauses {
+		move(&l.Pauses[i].ResumedAt)
 	}
 }
 
 // heard gives what a process heard last of another.
-func (l *life) heard(number int) (version.Heard, bool) {
-	i := slices.IndexFunc(l.Heard, func(h version.Heard) bool { return h.Process == number })
+func (l *life) heard(number int) (version.PeerVersion, bool) {
+	i := slices.IndexFunc(l.Peers, func(h version.PeerVersion) bool { return h.Process == number })
 	if i < 0 {
-		return version.Heard{}, false
+		return version.PeerVersion{}, false
 	}
-	return l.Heard[i], true
+	return l.Peers[i], true
 }
 
 // name gives a node's name, as far as a record tells it.
@@ -212,4 +212,4 @@
 }
 
 // Now is the time of the newest record, as of which the audit speaks.
-func (a *Audit) Now() version.Stamp { return a.now }
+func (a *Audit) Now() version.Timestamp { return a.now }
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -14,7 +14,7 @@
 
 // proc is a process of a made-up fleet whose truth is known.
 type proc struct {
-	clock *version.Clock
+	clock *version.HybridClock
 	rec   *version.Recorder
 	skew  time.Duration
 	n     int
@@ -28,7 +28,7 @@
 func fleetOf(n int, skew func(i int) time.Duration) []*proc {
 	out := make([]*proc, n)
 	for i := range out {
-		p := &proc{clock: &version.Clock{}, n: i, now: began}
+		p := &proc{clock: &version.HybridClock{}, n: i, now: began}
 		if skew != nil {
 			p.skew = skew(i)
 		}
@@ -41,16 +41,16 @@
 
 func (p *proc) acts(generation uint32) {
 	p.list = version.List{Generation: generation, Digest: generation}
-	p.rec.Acts(p.wall(), version.Vector{List: p.list, Form: version.Form})
-	p.rec.Confirmed(p.wall())
-	p.rec.Reached(p.list)
+	p.rec.RecordVersion(p.wall(), version.Vector{List: p.list, Format: version.FormatVersion})
+	p.rec.RecordConfirmed(p.wall())
+	p.rec.RecordApplied(p.list)
 }
 
 // hears takes a word of another process, as package follow does.
 func (p *proc) hears(o *proc) {
-	v := version.Vector{List: o.list, Form: version.Form, Clock: o.clock.Now(o.wall())}
-	p.clock.Hear(p.wall(), v.Clock)
-	p.rec.Hears(p.wall(), o.n, v)
+	v := version.Vector{List: o.list, Format: version.FormatVersion, Clock: o.clock.Now(o.wall())}
+	p.clock.Observe(p.wall(), v.Clock)
+	p.rec.RecordPeer(p.wall(), o.n, v)
 }
 
 func at(all []*proc, d time.Duration) {
@@ -79,20 +79,20 @@
 		all := fleetOf(2, func(i int) time.Duration { return time.Duration(i) * 15 * time.Millisecond })
 		p := all[0]
 		p.acts(41)
-		p.rec.Withdrawn(p.wall(), "s-1", version.Draining, p.list, version.Own)
-		sent := func() { p.rec.Sends("s-1").Sent(p.wall() + x.after) }
+		p.rec.RecordWithdrawal(p.wall(), "s-1", version.Draining, p.list, version.OwnSource)
+		sent := func() { p.rec.SendCounter("s-1").Add(p.wall() + x.after) }
 		at(all, 6*time.Second)
 		if x.after < 0 {
 			sent()
 		}
 		p.hears(all[1])
 		p.acts(42)
-		p.rec.Again(p.wall(), "s-1", p.list)
+		p.rec.RecordRestored(p.wall(), "s-1", p.list)
 		if x.after > 0 {
 			sent()
 		}
 		at(all, 7*time.Second)
-		if got := New([]version.Record{p.rec.Take(p.wall())}, Defaults()).Breaks(); len(got) != x.found {
+		if got := New([]version.Record{p.rec.Snapshot(p.wall())}, DefaultOptions()).LateSends(); len(got) != x.found {
 			t.Errorf("sent %v after its return: %+v", x.after, got)
 		}
 	}
@@ -126,14 +126,14 @@
 			if !behind[p.n] {
 				p.now += time.Duration(rng.IntN(200)) * time.Millisecond
 				p.acts(41)
-				p.rec.Withdrawn(p.wall(), "s-1", version.Draining, p.list, version.Own)
+				p.rec.RecordWithdrawal(p.wall(), "s-1", version.Draining, p.list, version.OwnSource)
 			}
 		}
 		at(all, 12*time.Second)
 		for n := range behind {
 			if rng.IntN(2) == 0 {
 				late[n] = true
-				all[n].rec.Sends("s-1").Sent(all[n].wall())
+				all[n].rec.SendCounter("s-1").Add(all[n].wall())
 			}
 		}
 		at(all, 20*time.Second)
@@ -145,16 +145,16 @@
 				missing[p.n] = true
 				continue
 			}
-			records = append(records, p.rec.Take(p.wall()), p.rec.Take(p.wall())) // one of them twice
+			records = append(records, p.rec.Snapshot(p.wall()), p.rec.Snapshot(p.wall())) // one of them twice
 		}
-		o := Defaults()
-		o.Size = 300
+		o := DefaultOptions()
+		o.FleetSize = 300
 		a := New(records, o)
 		said := map[int]bool{}
-		for _, b := range a.Breaks() {
+		for _, b := range a.LateSends() {
 			said[b.Number] = true
 			if !late[b.Number] {
-				t.Errorf("seed %d: %s is said to have sent too late: %v", seed, b.Process, b.Path)
+				t.Errorf("seed %d: %s is said to have sent too late: %v", seed, b.Process, b.Evidence)
 			}
 		}
 		right := 0
@@ -162,14 +162,14 @@
 			if late[p.Number] && !missing[p.Number] && !said[p.Number] {
 				t.Errorf("seed %d: %s sent too late and is not named", seed, p.Process)
 			}
-			is := p.State == IsBehind
+			is := p.State == Behind
 			switch {
-			case p.State == NotKnown:
+			case p.State == StateUnknown:
 				if !missing[p.Number] {
 					t.Errorf("seed %d: %s is unknown although its record is there: %s", seed, p.Process, p.Why)
 				}
 			case is != behind[p.Number]:
-				t.Errorf("seed %d: %s is said to be %s (%s): %s", seed, p.Process, p.State, p.Sure, p.Why)
+				t.Errorf("seed %d: %s is said to be %s (%s): %s", seed, p.Process, p.State, p.Confidence, p.Why)
 			default:
 				right++
 			}
@@ -177,13 +177,13 @@
 		if right < 285 {
 			t.Errorf("seed %d: %d of 300 judged", seed, right)
 		}
-		var c Change
-		for _, x := range a.Changes() {
+		var c Propagation
+		for _, x := range a.Propagations() {
 			if x.Version.Generation == 41 {
 				c = x
 			}
 		}
-		if c.All != -1 || c.Nine < 0 || c.Nine > 600*time.Millisecond || len(c.Never) == 0 {
+		if c.ToAll != -1 || c.ToNineTenths < 0 || c.ToNineTenths > 600*time.Millisecond || len(c.NotReached) == 0 {
 			t.Errorf("seed %d: the change: %+v", seed, c)
 		}
 	}
@@ -196,33 +196,33 @@
 		do   func(p *proc) (ended, gone bool) // what happens to process 4 from 10 s on; gone: no record after it
 		deaf bool
 		want State
-		sure Sure
+		sure Confidence
 		why  string
 	}{
-		{"cut off from its source", func(*proc) (bool, bool) { return false, false }, false, IsBehind, Certain, "cut off from its source"},
-		{"cut off from all", func(*proc) (bool, bool) { return false, false }, true, IsBehind, Certain, "cut off: neither"},
+		{"cut off from its source", func(*proc) (bool, bool) { return false, false }, false, Behind, Certain, "cut off from its source"},
+		{"cut off from all", func(*proc) (bool, bool) { return false, false }, true, Behind, Certain, "cut off: neither"},
 		{"stopped", func(p *proc) (bool, bool) {
 			p.now += 9 * time.Second
-			p.rec.Stopped(p.wall(), 9*time.Second)
+			p.rec.RecordPause(p.wall(), 9*time.Second)
 			return false, false
-		}, false, IsBehind, Certain, "stopped: it stood still for 9s"},
+		}, false, Behind, Certain, "stopped: it stood still for 9s"},
 		{"starved", func(p *proc) (bool, bool) {
 			for range 5 {
 				p.now += 900 * time.Millisecond
-				p.rec.Stopped(p.wall(), 700*time.Millisecond)
+				p.rec.RecordPause(p.wall(), 700*time.Millisecond)
 			}
 			return false, false
-		}, false, IsBehind, Certain, "starved"},
+		}, false, Behind, Certain, "starved"},
 		{"led by neighbours", func(p *proc) (bool, bool) {
-			p.rec.Reached(version.List{Generation: 41})
+			p.rec.RecordApplied(version.List{Generation: 41})
 			return false, false
-		}, false, Led, Certain, "cut off from its source"},
+		}, false, LedByPeers, Certain, "cut off from its source"},
 		{"refuses what it is told", func(p *proc) (bool, bool) {
 			p.now = began + 19*time.Second
-			p.rec.Refuses(p.wall(), "s-7", version.List{Generation: 41}, 2)
+			p.rec.RecordRefusal(p.wall(), "s-7", version.List{Generation: 41}, 2)
 			return false, false
-		}, false, IsBehind, Certain, "refuses it: 1 withdrawals that others tell it of, s-7"},
-		{"crashed", func(*proc) (bool, bool) { return false, true }, true, NotKnown, Unknown, "crashed, is stopped"},
+		}, false, Behind, Certain, "refuses it: 1 withdrawals that others tell it of, s-7"},
+		{"crashed", func(*proc) (bool, bool) { return false, true }, true, StateUnknown, Unknown, "crashed, is stopped"},
 		{"ended", func(*proc) (bool, bool) { return true, true }, true, Ended, Certain, "in order"},
 	} {
 		all := fleetOf(6, nil)
@@ -231,7 +231,7 @@
 			talk(all, rng, nil)
 		}
 		at(all, 10*time.Second)
-		early := all[4].rec.Take(all[4].wall())
+		early := all[4].rec.Snapshot(all[4].wall())
 		ended, gone := x.do(all[4])
 		early.Ended = ended
 		for _, p := range all {
@@ -247,18 +247,18 @@
 		var records []version.Record
 		for _, p := range all {
 			if p.n != 4 {
-				p.rec.Confirmed(p.wall())
+				p.rec.RecordConfirmed(p.wall())
 			}
-			if r := p.rec.Take(p.wall()); p.n == 4 && gone {
+			if r := p.rec.Snapshot(p.wall()); p.n == 4 && gone {
 				records = append(records, early)
 			} else {
 				records = append(records, r)
 			}
 		}
-		a := New(records, Defaults())
+		a := New(records, DefaultOptions())
 		p := a.Processes()[4]
-		if p.State != x.want || p.Sure != x.sure || !strings.Contains(p.Why, x.why) {
-			t.Errorf("%s: %s (%s): %s", x.name, p.State, p.Sure, p.Why)
+		if p.State != x.want || p.Confidence != x.sure || !strings.Contains(p.Why, x.why) {
+			t.Errorf("%s: %s (%s): %s", x.name, p.State, p.Confidence, p.Why)
 		}
 		if other := a.Processes()[2]; other.State != UpToDate {
 			t.Errorf("%s: a process that is not: %+v", x.name, other)
@@ -278,28 +278,28 @@
 	talk(all, rng, nil)
 	var records []version.Record
 	for _, p := range all {
-		p.rec.Confirmed(p.wall())
-		records = append(records, p.rec.Take(p.wall()))
+		p.rec.RecordConfirmed(p.wall())
+		records = append(records, p.rec.Snapshot(p.wall()))
 	}
-	for _, p := range New(records, Defaults()).Processes() {
-		if p.State == IsBehind {
+	for _, p := range New(records, DefaultOptions()).Processes() {
+		if p.State == Behind {
 			t.Errorf("%s is said to be behind one that is alone", p.Process)
 		}
 	}
 }
 
-// What a proxy acts on is told by the service that it asks now; that a service began
+// Description a proxy acts on is told by the service that it asks now; that a service began
 // anew at a lower version makes nobody behind, and who went back is named.
 func TestProxiesOfSeveralServices(t *testing.T) {
-	row := func(service string, life version.Stamp, joined, left version.Stamp, accepted uint64, generation uint32, state version.ProxyState) version.Steered {
-		return version.Steered{Proxy: "p", Joined: joined, Left: left, State: state.String(), Control: version.Control{Service: service, Life: life,
-			Accepted: accepted, On: version.List{Generation: generation, Digest: generation}}}
+	row := func(service string, life version.Timestamp, joined, left version.Timestamp, accepted uint64, generation uint32, state version.ProxyState) version.ProxyRecord {
+		return version.ProxyRecord{Proxy: "p", Joined: joined, Left: left, State: state.String(), Control: version.Control{Service: service, Incarnation: life,
+			Accepted: accepted, BasedOn: version.List{Generation: generation, Digest: generation}}}
 	}
-	service := func(name string, life version.Stamp, generation uint32, rows ...version.Steered) version.Record {
-		return version.Record{Process: name, Number: -1, Service: true, Life: life, At: 1000 + life, Steers: rows,
-			Acts: []version.Interval{{Version: version.Vector{List: version.List{Generation: generation, Digest: generation}}}}}
+	service := func(name string, life version.Timestamp, generation uint32, rows ...version.ProxyRecord) version.Record {
+		return version.Record{Process: name, Number: -1, ControlService: true, Incarnation: life, TakenAt: 1000 + life, Proxies: rows,
+			Intervals: []version.Interval{{Version: version.Vector{List: version.List{Generation: generation, Digest: generation}}}}}
 	}
-	current, refuses := version.ProxyCurrent, version.ProxyRefuses
+	current, refuses := version.ProxyCurrent, version.ProxyRejecting
 	for name, x := range map[string]struct {
 		records []version.Record
 		state   State
@@ -308,16 +308,16 @@
 	}{
 		"begun anew":         {[]version.Record{service("a", 1, 41, row("a", 1, 1, 0, 900, 41, current)), service("a", 9, 41, row("a", 9, 10, 0, 2, 41, current)), service("b", 2, 41)}, UpToDate, 0, "a"},
 		"moved":              {[]version.Record{service("a", 1, 41, row("a", 1, 1, 5, 900, 41, current)), service("b", 2, 41, row("b", 2, 6, 0, 3, 41, current))}, UpToDate, 0, "b"},
-		"went back":          {[]version.Record{service("a", 1, 42, row("a", 1, 1, 5, 3, 42, current)), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, IsBehind, 1, "b"},
-		"its service is old": {[]version.Record{service("a", 1, 42), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, IsBehind, 0, "b"},
-		"refuses":            {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 42, refuses))}, IsBehind, 0, "a"},
-		"has left":           {[]version.Record{service("a", 1, 42, row("a", 1, 1, 4, 3, 42, current))}, NotKnown, 0, "a"},
-		"not known":          {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 0, current))}, NotKnown, 0, "a"},
+		"went back":          {[]version.Record{service("a", 1, 42, row("a", 1, 1, 5, 3, 42, current)), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, Behind, 1, "b"},
+		"its service is old": {[]version.Record{service("a", 1, 42), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, Behind, 0, "b"},
+		"refuses":            {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 42, refuses))}, Behind, 0, "a"},
+		"has left":           {[]version.Record{service("a", 1, 42, row("a", 1, 1, 4, 3, 42, current))}, StateUnknown, 0, "a"},
+		"not known":          {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 0, current))}, StateUnknown, 0, "a"},
 	} {
-		a := New(x.records, Defaults())
+		a := New(x.records, DefaultOptions())
 		p := a.Proxies()
-		if len(p) != 1 || p[0].State != x.state || p[0].Service != x.asks || len(a.Back()) != x.back {
-			t.Errorf("%s: %+v, %d went back", name, p, len(a.Back()))
+		if len(p) != 1 || p[0].State != x.state || p[0].Service != x.asks || len(a.Regressions()) != x.back {
+			t.Errorf("%s: %+v, %d went back", name, p, len(a.Regressions()))
 		}
 	}
 }
--- a/fleet/audit/behind.go
+++ b/fleet/audit/behind.go
@@ -16,32 +16,32 @@
 
 // The states.
 const (
-	UpToDate State = "current"
-	IsBehind State = "behind"
-	Led      State = "led" // behind by its own source, and all withdrawals are in force
-	Ended    State = "ended"
-	NotKnown State = "unknown"
+	UpToDate     State = "current"
+	Behind       State = "behind"
+	LedByPeers   State = "led" // behind by its own source, and all withdrawals are in force
+	Ended        State = "ended"
+	StateUnknown State = "unknown"
 )
 
 // Process says how one process of the fleet stands, as of the newest record.
 type Process struct {
-	Process  string         `json:"process"`
-	Number   int            `json:"number"`
-	State    State          `json:"state"`
-	Version  version.Vector `json:"version"` // that it acts on, as far as is known
-	Reached  version.List   `json:"reached"` // all withdrawals up to it are in force there
-	By       int            `json:"by"`      // generations that it is behind; -1: not comparable
-	Since    version.Stamp  `json:"since"`   // when the fleet went ahead of it; 0: it did not
-	Why      string         `json:"why"`
-	Sure     Sure           `json:"sure"`
-	Standing string         `json:"standing"` // as it judged itself; empty: not known
-	Seen     version.Stamp  `json:"seen"`     // last sign of it
-	Clock    Clock          `json:"clock"`
+	Process           string            `json:"process"`
+	Number            int               `json:"number"`
+	State             State             `json:"state"`
+	Version           version.Vector    `json:"version"` // that it acts on, as far as is known
+	AppliedVersion    version.List      `json:"reached"` // all withdrawals up to it are in force there
+	GenerationsBehind int               `json:"by"`      // generations that it is behind; -1: not comparable
+	BehindSince       version.Timestamp `json:"since"`   // when the fleet went ahead of it; 0: it did not
+	Why               string            `json:"why"`
+	Confidence        Confidence        `json:"sure"`
+	Mode              string            `json:"standing"` // as it judged itself; empty: not known
+	LastSeen          version.Timestamp `json:"seen"`     // last sign of it
+	Clock             ClockAlignment    `json:"clock"`
 }
 
-// Newest is the newest version of the list that counts: the newest that two
+// NewestVersion is the newest version of the list that counts: the newest that two
 // processes act on, or say that they do, as one alone may be wrong.
-func (a *Audit) Newest() version.List {
+func (a *Audit) NewestVersion() version.List {
 	claims := map[version.List]map[int]bool{}
 	claim := func(v version.List, by int) {
 		v.Digest = 0
@@ -51,10 +51,10 @@
 		claims[v][by] = true
 	}
 	for n, l := range a.byNumber {
-		if len(l.Acts) > 0 {
-			claim(l.Acts[len(l.Acts)-1].Version.List, n)
+		if len(l.Intervals) > 0 {
+			claim(l.Intervals[len(l.Intervals)-1].Version.List, n)
 		}
-		for _, h := range l.Heard {
+		for _, h := range l.Peers {
 			claim(h.Version.List, h.Process)
 		}
 	}
@@ -63,13 +63,13 @@
 	for v := range claims {
 		backers := map[int]bool{}
 		for o, by := range claims {
-			if o.Epoch == v.Epoch && o.Order(v) != version.Older {
+			if o.Epoch == v.Epoch && o.CompareGeneration(v) != version.Older {
 				for n := range by {
 					backers[n] = true
 				}
 			}
 		}
-		if len(backers) >= min(2, a.o.Size) && (!found || v.Order(best) == version.Newer) {
+		if len(backers) >= min(2, a.o.FleetSize) && (!found || v.CompareGeneration(best) == version.Newer) {
 			best, found = v, true
 		}
 	}
@@ -77,14 +77,14 @@
 }
 
 // wentAhead is when the first process acted on a version that is newer than one.
-func (a *Audit) wentAhead(v version.List) version.Stamp {
-	var at version.Stamp
+func (a *Audit) wentAhead(v version.List) version.Timestamp {
+	var at version.Timestamp
 	for _, l := range a.lives {
 		if !l.clock.Trusted {
 			continue
 		}
-		for _, i := range l.Acts {
-			if i.Version.List.Order(v) == version.Newer && (at == 0 || i.From < at) {
+		for _, i := range l.Intervals {
+			if i.Version.List.CompareGeneration(v) == version.Newer && (at == 0 || i.From < at) {
 				at = i.From
 			}
 		}
@@ -94,17 +94,17 @@
 
 // Processes says how each process of the fleet stands.
 func (a *Audit) Processes() []Process {
-	newest := a.Newest()
+	newest := a.NewestVersion()
 	var out []Process
-	for n := range a.o.Size {
-		p := Process{Process: a.name(n), Number: n, State: NotKnown, Sure: Unknown, By: -1}
+	for n := range a.o.FleetSize {
+		p := Process{Process: a.name(n), Number: n, State: StateUnknown, Confidence: Unknown, GenerationsBehind: -1}
 		l := a.byNumber[n]
 		word, by := a.lastWord(n)
 		switch {
-		case l == nil && word.At == 0:
+		case l == nil && word.LastHeard == 0:
 			p.Why = "no record of it, and no other process on record heard it in a form that it knows: it crashed, is cut off, or its build is too old"
 		case l == nil:
-			p.Version, p.Seen = word.Version, word.At
+			p.Version, p.LastSeen = word.Version, word.LastHeard
 			a.byOthers(&p, word, by, newest)
 		default:
 			a.byRecord(&p, l, word, newest)
@@ -116,9 +116,9 @@
 
 // lastWord gives the newest word of a process that others have on record, and who
 // has it.
-func (a *Audit) lastWord(n int) (word version.Heard, by *life) {
+func (a *Audit) lastWord(n int) (word version.PeerVersion, by *life) {
 	for _, l := range a.lives {
-		if h, ok := l.heard(n); ok && l.clock.Trusted && h.At > word.At {
+		if h, ok := l.heard(n); ok && l.clock.Trusted && h.LastHeard > word.LastHeard {
 			word, by = h, l
 		}
 	}
@@ -126,102 +126,102 @@
 }
 
 // byOthers judges a process that has no record by what others heard of it.
-func (a *Audit) byOthers(p *Process, word version.Heard, by *life, newest version.List) {
-	if a.now.Sub(word.At) > fresh {
-		p.Why = fmt.Sprintf("no record of it; %s heard it last %v ago, and it has crashed, is stopped or cut off since", by.Process, a.now.Sub(word.At).Round(100*time.Millisecond))
+func (a *Audit) byOthers(p *Process, word version.PeerVersion, by *life, newest version.List) {
+	if a.now.Sub(word.LastHeard) > fresh {
+		p.Why = fmt.Sprintf("no record of it; %s heard it last %v ago, and it has crashed, is stopped or cut off since", by.Process, a.now.Sub(word.LastHeard).Round(100*time.Millisecond))
 		return
 	}
 	a.place(p, word.Version.List, newest)
-	p.Sure, p.Why = Likely, "no record of it; by its last word to "+by.Process
-	if p.Version.Form < version.Form {
+	p.Confidence, p.Why = Likely, "no record of it; by its last word to "+by.Process
+	if p.Version.Format < version.FormatVersion {
 		p.Why += ", which is of an older build"
 	}
 }
 
 // place says how a version stands to the newest.
 func (a *Audit) place(p *Process, v, newest version.List) {
-	p.State, p.By = UpToDate, 0
-	if v.Order(newest) != version.Older {
+	p.State, p.GenerationsBehind = UpToDate, 0
+	if v.CompareGeneration(newest) != version.Older {
 		return
 	}
-	p.State, p.Since = IsBehind, a.wentAhead(v)
-	if by, same := v.Behind(newest); same {
-		p.By = by
+	p.State, p.BehindSince = Behind, a.wentAhead(v)
+	if by, same := v.GenerationsBehind(newest); same {
+		p.GenerationsBehind = by
 	} else {
-		p.By = -1
+		p.GenerationsBehind = -1
 	}
 }
 
 // byRecord judges a process by its own record, and by what others say of the time
 // after it.
-func (a *Audit) byRecord(p *Process, l *life, word version.Heard, newest version.List) {
-	p.Clock, p.Reached, p.Seen = l.clock, l.Reached, max(l.At, word.At)
-	if n := len(l.Acts); n > 0 {
-		p.Version = l.Acts[n-1].Version
+func (a *Audit) byRecord(p *Process, l *life, word version.PeerVersion, newest version.List) {
+	p.Clock, p.AppliedVersion, p.LastSeen = l.clock, l.AppliedVersion, max(l.TakenAt, word.LastHeard)
+	if n := len(l.Intervals); n > 0 {
+		p.Version = l.Intervals[n-1].Version
 	}
-	if n := len(l.Changes); n > 0 {
-		p.Standing = l.Changes[n-1].To
+	if n := len(l.ModeChanges); n > 0 {
+		p.Mode = l.ModeChanges[n-1].Mode
 	}
-	switch silent := a.now.Sub(l.At); {
+	switch silent := a.now.Sub(l.TakenAt); {
 	case !l.clock.Trusted:
 		p.Why = l.clock.Why
 		return
 	case l.Ended:
-		p.State, p.Sure, p.Why = Ended, Certain, "it ended in order at "+Clocked(l.At)
+		p.State, p.Confidence, p.Why = Ended, Certain, "it ended in order at "+FormatTime(l.TakenAt)
 		return
-	case silent > fresh && a.now.Sub(word.At) > fresh:
+	case silent > fresh && a.now.Sub(word.LastHeard) > fresh:
 		p.Why = fmt.Sprintf("its record ends %v before the newest one and nobody heard it since: it crashed, is stopped, or its record was not to be had", silent.Round(100*time.Millisecond))
 		return
-	case silent > fresh && word.Version.List.Order(p.Version.List) == version.Newer:
+	case silent > fresh && word.Version.List.CompareGeneration(p.Version.List) == version.Newer:
 		p.Version = word.Version
 		a.place(p, word.Version.List, newest)
-		p.Sure, p.Why = Likely, "its record is old; by its last word to others"
+		p.Confidence, p.Why = Likely, "its record is old; by its last word to others"
 		return
 	}
 	a.place(p, p.Version.List, newest)
-	p.Sure = Certain
-	if p.State != IsBehind {
+	p.Confidence = Certain
+	if p.State != Behind {
 		if a.now.Sub(l.Confirmed) > fresh && l.Confirmed != 0 {
-			p.Sure, p.Why = Likely, fmt.Sprintf("its own source has been silent for %v", a.now.Sub(l.Confirmed).Round(100*time.Millisecond))
+			p.Confidence, p.Why = Likely, fmt.Sprintf("its own source has been silent for %v", a.now.Sub(l.Confirmed).Round(100*time.Millisecond))
 		}
 		return
 	}
-	if l.Reached.Order(newest) != version.Older {
-		p.State = Led
+	if l.AppliedVersion.CompareGeneration(newest) != version.Older {
+		p.State = LedByPeers
 	}
 	p.Why = a.why(l, p)
-	if a.now.Sub(p.Since) < time.Second {
-		p.Sure, p.Why = Likely, "the newest version is younger than a second"
+	if a.now.Sub(p.BehindSince) < time.Second {
+		p.Confidence, p.Why = Likely, "the newest version is younger than a second"
 	}
 }
 
 // why says why a process is behind, as far as its record and the others' tell.
 func (a *Audit) why(l *life, p *Process) string {
-	heardAny := slices.ContainsFunc(l.Heard, func(h version.Heard) bool { return l.At.Sub(h.At) < fresh })
+	heardAny := slices.ContainsFunc(l.Peers, func(h version.PeerVersion) bool { return l.TakenAt.Sub(h.LastHeard) < fresh })
 	var lost time.Duration
 	stops := 0
-	for _, s := range l.Stops {
-		if s.Until > p.Since {
-			lost += s.For
+	for _, s := range l.Pauses {
+		if s.ResumedAt > p.BehindSince {
+			lost += s.Duration
 			stops++
 		}
 	}
-	refused := slices.ContainsFunc(l.Refused, func(r version.Refusal) bool {
-		return l.At.Sub(r.Last) < fresh && r.List.Order(p.Version.List) == version.Newer && !l.withdrew(r)
+	refused := slices.ContainsFunc(l.RefusedWithdrawals, func(r version.Refusal) bool {
+		return l.TakenAt.Sub(r.Last) < fresh && r.List.CompareGeneration(p.Version.List) == version.Newer && !l.withdrew(r)
 	})
 	switch {
-	case stops > 0 && l.Stops[len(l.Stops)-1].For >= time.Second:
+	case stops > 0 && l.Pauses[len(l.Pauses)-1].Duration >= time.Second:
 		return fmt.Sprintf("stopped: it stood still for %v in all since then", lost.Round(time.Millisecond))
 	case stops > 2:
 		return fmt.Sprintf("starved: it did not run for %v in all, %d times, since then", lost.Round(time.Millisecond), stops)
 	case refused:
 		return l.refuses()
-	case l.Confirmed == 0 || l.At.Sub(l.Confirmed) > fresh/2:
+	case l.Confirmed == 0 || l.TakenAt.Sub(l.Confirmed) > fresh/2:
 		if !heardAny {
 			return "cut off: neither its source nor another process is heard there"
 		}
-		return "cut off from its source, which it heard last at " + Clocked(l.Confirmed)
-	case l.ClockRefused > 0 && l.clock.Shift == 0:
+		return "cut off from its source, which it heard last at " + FormatTime(l.Confirmed)
+	case l.ClockRejected > 0 && l.clock.Shift == 0:
 		return "its source speaks and is itself behind, or another discovery; clocks were not believed there"
 	}
 	return "its own source speaks, and is itself behind or another discovery"
@@ -230,15 +230,15 @@
 // withdrew tells whether a process has taken a withdrawal after all that it refused.
 func (l *life) withdrew(r version.Refusal) bool {
 	return slices.ContainsFunc(l.Withdrawals, func(w version.Withdrawal) bool {
-		return w.Server == r.Server && w.Again == 0 && w.List.Order(r.List) != version.Older
+		return w.Server == r.Server && w.RestoredAt == 0 && w.List.CompareGeneration(r.List) != version.Older
 	})
 }
 
 // refuses words which withdrawals a process does not take.
 func (l *life) refuses() string {
 	n, first := 0, ""
-	for _, r := range l.Refused {
-		if l.At.Sub(r.Last) < fresh && !l.withdrew(r) {
+	for _, r := range l.RefusedWithdrawals {
+		if l.TakenAt.Sub(r.Last) < fresh && !l.withdrew(r) {
 			n++
 			if first == "" {
 				first = r.Server
--- a/fleet/audit/breaks.go
+++ b/fleet/audit/breaks.go
@@ -17,10 +17,10 @@
 	list   version.List // the first version that says so
 	back   version.List // the first that gives it back
 	given  bool
-	first  version.Stamp // when the first process knew of its own source; of any, if none did
-	source bool          // one did
-	again  version.Stamp // when the first process had it back; 0: none had
-	knows  []knower      // by time
+	first  version.Timestamp // when the first process knew of its own source; of any, if none did
+	source bool              // one did
+	again  version.Timestamp // when the first process had it back; 0: none had
+	knows  []knower          // by time
 }
 
 type knower struct {
@@ -38,17 +38,17 @@
 	}
 	for server, all := range by {
 		slices.SortFunc(all, func(x, y knower) int {
-			switch x.List.Order(y.List) {
+			switch x.List.CompareGeneration(y.List) {
 			case version.Older:
 				return -1
 			case version.Newer:
 				return 1
 			}
-			return cmp.Or(cmp.Compare(x.Known, y.Known), cmp.Compare(x.Number, y.Number))
+			return cmp.Or(cmp.Compare(x.KnownAt, y.KnownAt), cmp.Compare(x.Number, y.Number))
 		})
 		var e *episode
 		for _, k := range all {
-			if e == nil || e.given && k.List.Order(e.back) != version.Older {
+			if e == nil || e.given && k.List.CompareGeneration(e.back) != version.Older {
 				e = &episode{server: server, list: k.List}
 				a.episodes = append(a.episodes, e)
 			}
@@ -56,13 +56,15 @@
 		}
 	}
 	for _, e := range a.episodes {
-		slices.SortFunc(e.knows, func(x, y knower) int { return cmp.Or(cmp.Compare(x.Known, y.Known), cmp.Compare(x.Number, y.Number)) })
+		slices.SortFunc(e.knows, func(x, y knower) int {
+			return cmp.Or(cmp.Compare(x.KnownAt, y.KnownAt), cmp.Compare(x.Number, y.Number))
+		})
 		for _, k := range e.knows {
-			if own := k.From == version.Own; k.clock.Trusted && (e.first == 0 || own && !e.source) {
-				e.first, e.source = k.Known, own
+			if own := k.ReportedBy == version.OwnSource; k.clock.Trusted && (e.first == 0 || own && !e.source) {
+				e.first, e.source = k.KnownAt, own
 			}
-			if k.clock.Trusted && k.Again != 0 && (e.again == 0 || k.Again < e.again) {
-				e.again = k.Again
+			if k.clock.Trusted && k.RestoredAt != 0 && (e.again == 0 || k.RestoredAt < e.again) {
+				e.again = k.RestoredAt
 			}
 		}
 	}
@@ -72,8 +74,8 @@
 func (e *episode) add(k knower) {
 	e.knows = append(e.knows, k)
 	e.state = max(e.state, k.State)
-	if k.Again != 0 && (!e.given || k.Back.Order(e.back) == version.Older) {
-		e.given, e.back = true, k.Back
+	if k.RestoredAt != 0 && (!e.given || k.RestoredBy.CompareGeneration(e.back) == version.Older) {
+		e.given, e.back = true, k.RestoredBy
 	}
 }
 
@@ -86,66 +88,66 @@
 	return e.knows[i], true
 }
 
-// Break is sends to a server that wanted nothing new.
-type Break struct {
-	Process string        `json:"process"`
-	Number  int           `json:"number"`
-	Life    version.Stamp `json:"life"`
-	Server  string        `json:"server"`
-	State   string        `json:"state"`
-	Version version.List  `json:"version"` // that withdrew it
-	Own     bool          `json:"own"`     // the process itself knew; else another did
-	Least   uint64        `json:"least"`   // sends that were too late for certain
-	Most    uint64        `json:"most"`    // with those that may have been
-	From    version.Stamp `json:"from"`    // from when on sends were too late
-	Last    version.Stamp `json:"last"`
-	Late    time.Duration `json:"late"` // the last one after the first that knew
-	Path    []string      `json:"path"` // who knew when, and how the sender could have
-	Sure    Sure          `json:"sure"`
+// LateSendReport is sends to a server that wanted nothing new.
+type LateSendReport struct {
+	Process    string            `json:"process"`
+	Number     int               `json:"number"`
+	Life       version.Timestamp `json:"life"`
+	Server     string            `json:"server"`
+	State      string            `json:"state"`
+	Version    version.List      `json:"version"` // that withdrew it
+	SelfKnew   bool              `json:"own"`     // the process itself knew; else another did
+	MinSends   uint64            `json:"least"`   // sends that were too late for certain
+	MaxSends   uint64            `json:"most"`    // with those that may have been
+	LateFrom   version.Timestamp `json:"from"`    // from when on sends were too late
+	LastSend   version.Timestamp `json:"last"`
+	Lateness   time.Duration     `json:"late"` // the last one after the first that knew
+	Evidence   []string          `json:"path"` // who knew when, and how the sender could have
+	Confidence Confidence        `json:"sure"`
 }
 
-// Breaks lists the sends that happened although somebody knew better, by time.
-func (a *Audit) Breaks() []Break {
-	var out []Break
+// LateSends lists the sends that happened although somebody knew better, by time.
+func (a *Audit) LateSends() []LateSendReport {
+	var out []LateSendReport
 	for _, e := range a.episodes {
 		for _, l := range a.lives {
 			out = append(out, a.breaks(e, l)...)
 		}
 	}
-	slices.SortFunc(out, func(x, y Break) int {
-		return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.Number, y.Number), cmp.Compare(x.Server, y.Server))
+	slices.SortFunc(out, func(x, y LateSendReport) int {
+		return cmp.Or(cmp.Compare(x.LateFrom, y.LateFrom), cmp.Compare(x.Number, y.Number), cmp.Compare(x.Server, y.Server))
 	})
 	return out
 }
 
-func (a *Audit) breaks(e *episode, l *life) []Break {
-	i := slices.IndexFunc(l.Servers, func(s version.Server) bool { return s.Name == e.server })
+func (a *Audit) breaks(e *episode, l *life) []LateSendReport {
+	i := slices.IndexFunc(l.Servers, func(s version.ServerSends) bool { return s.Name == e.server })
 	if i < 0 {
 		return nil
 	}
 	s := l.Servers[i]
-	var out []Break
-	add := func(own bool, from, to version.Stamp) {
+	var out []LateSendReport
+	add := func(own bool, from, to version.Timestamp) {
 		least, most, last := count(&s, from, to)
 		if least == 0 {
 			return
 		}
-		b := Break{Process: l.Process, Number: l.Number, Life: l.Life, Server: e.server, State: e.state.String(), Version: e.list, Own: own,
-			Least: least, Most: most, From: from, Last: last, Late: last.Sub(e.first), Path: a.path(e, l, last), Sure: Certain}
+		b := LateSendReport{Process: l.Process, Number: l.Number, Life: l.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: own,
+			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.path(e, l, last), Confidence: Certain}
 		if !e.source {
-			b.Sure = Likely // nobody's record says that a source said so
+			b.Confidence = Likely // nobody's record says that a source said so
 		}
 		out = append(out, b)
 	}
 	wait := a.o.Grace + a.o.Tolerance
-	end := l.At + 1
+	end := l.TakenAt + 1
 	if k, knew := e.of(l); knew {
 		until := end
-		if k.Again != 0 {
-			until = k.Again
+		if k.RestoredAt != 0 {
+			until = k.RestoredAt
 		}
-		add(true, k.Known.Add(wait), until)
-		end = min(end, k.Known.Add(a.o.Grace))
+		add(true, k.KnownAt.Add(wait), until)
+		end = min(end, k.KnownAt.Add(a.o.Grace))
 	}
 	if !l.clock.Trusted || e.first == 0 {
 		return out
@@ -153,14 +155,14 @@
 	if e.again != 0 { // from then on nobody's knowledge was better
 		end = min(end, e.again)
 	}
-	add(false, max(e.first.Add(wait), l.Life), end)
+	add(false, max(e.first.Add(wait), l.Incarnation), end)
 	return out
 }
 
 // count gives how many sends to a server fell for certain, and at most, between two
 // times, and the last of them.
-func count(s *version.Server, from, to version.Stamp) (least, most uint64, last version.Stamp) {
-	for _, m := range s.Marks {
+func count(s *version.ServerSends, from, to version.Timestamp) (least, most uint64, last version.Timestamp) {
+	for _, m := range s.Buckets {
 		switch {
 		case m.From >= from && m.To < to:
 			least, most, last = least+m.Sends, most+m.Sends, m.To
@@ -176,7 +178,7 @@
 }
 
 // path tells who knew of a withdrawal when, and how one that sent could have known.
-func (a *Audit) path(e *episode, l *life, at version.Stamp) []string {
+func (a *Audit) path(e *episode, l *life, at version.Timestamp) []string {
 	var out []string
 	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	for i, k := range e.knows {
@@ -184,38 +186,38 @@
 			say("and %d more", len(e.knows)-i)
 			break
 		}
-		if k.From == version.Own {
-			say("%s knew at %s by its own source, version %v", k.Process, Clocked(k.Known), k.List)
+		if k.ReportedBy == version.OwnSource {
+			say("%s knew at %s by its own source, version %v", k.Process, FormatTime(k.KnownAt), k.List)
 		} else {
-			say("%s knew at %s by %s, version %v", k.Process, Clocked(k.Known), a.name(k.From), k.List)
+			say("%s knew at %s by %s, version %v", k.Process, FormatTime(k.KnownAt), a.name(k.ReportedBy), k.List)
 		}
 	}
 	heard := false
 	for _, k := range e.knows {
-		if h, ok := l.heard(k.Number); ok && k.life != l && h.At > k.Known && h.At <= at {
-			say("%s heard %s at %s, which knew by then", l.Process, k.Process, Clocked(h.At))
+		if h, ok := l.heard(k.Number); ok && k.life != l && h.LastHeard > k.KnownAt && h.LastHeard <= at {
+			say("%s heard %s at %s, which knew by then", l.Process, k.Process, FormatTime(h.LastHeard))
 			heard = true
 			break
 		}
 	}
-	if k, knew := e.of(l); knew && k.Known <= at {
-		say("%s knew itself since %s", l.Process, Clocked(k.Known))
+	if k, knew := e.of(l); knew && k.KnownAt <= at {
+		say("%s knew itself since %s", l.Process, FormatTime(k.KnownAt))
 	} else if !heard {
 		say("no word from one that knew to %s is on record before its last send", l.Process)
 	}
-	for _, s := range l.Stops {
-		if s.Until <= at && at.Sub(s.Until) < time.Second {
-			say("%s stood still for %v until %s", l.Process, s.For.Round(time.Millisecond), Clocked(s.Until))
+	for _, s := range l.Pauses {
+		if s.ResumedAt <= at && at.Sub(s.ResumedAt) < time.Second {
+			say("%s stood still for %v until %s", l.Process, s.Duration.Round(time.Millisecond), FormatTime(s.ResumedAt))
 		}
 	}
-	say("%s sent last at %s, acting on %v", l.Process, Clocked(at), l.actedOn(at))
+	say("%s sent last at %s, acting on %v", l.Process, FormatTime(at), l.actedOn(at))
 	return out
 }
 
 // actedOn gives the version that a process acted on at a time.
-func (l *life) actedOn(at version.Stamp) version.List {
+func (l *life) actedOn(at version.Timestamp) version.List {
 	var v version.List
-	for _, i := range l.Acts {
+	for _, i := range l.Intervals {
 		if i.From <= at {
 			v = i.Version.List
 		}
--- a/fleet/audit/changes.go
+++ b/fleet/audit/changes.go
@@ -8,29 +8,29 @@
 	"ivylock/fleet/version"
 )
 
-// Change is one version of the list on its way through the fleet.
-type Change struct {
-	Version  version.List  `json:"version"`
-	At       version.Stamp `json:"at"`    // when the first process acted on it
-	First    string        `json:"first"` // which one
-	Half     time.Duration `json:"half"`  // until half of those that are on record did, -1: they did not
-	Nine     time.Duration `json:"nine"`  // nine in ten
-	All      time.Duration `json:"all"`
-	Reached  int           `json:"reached"`
-	Never    []string      `json:"never"`     // ran then, and did not act on it as long as their records go
-	NoRecord int           `json:"no_record"` // processes that nothing is known of
+// Propagation is one version of the list on its way through the fleet.
+type Propagation struct {
+	Version      version.List      `json:"version"`
+	FirstAt      version.Timestamp `json:"at"`    // when the first process acted on it
+	FirstProcess string            `json:"first"` // which one
+	ToHalf       time.Duration     `json:"half"`  // until half of those that are on record did, -1: they did not
+	ToNineTenths time.Duration     `json:"nine"`  // nine in ten
+	ToAll        time.Duration     `json:"all"`
+	Reached      int               `json:"reached"`
+	NotReached   []string          `json:"never"`     // ran then, and did not act on it as long as their records go
+	NoRecord     int               `json:"no_record"` // processes that nothing is known of
 }
 
-// Changes lists the versions that processes acted on, and how long each took to
+// Propagations lists the versions that processes acted on, and how long each took to
 // reach the first, half, nine in ten and all that ran.
-func (a *Audit) Changes() []Change {
+func (a *Audit) Propagations() []Propagation {
 	type reach struct {
 		l  *life
-		at version.Stamp
+		at version.Timestamp
 	}
 	versions := map[version.List]bool{}
 	for _, l := range a.lives {
-		for i, act := range l.Acts {
+		for i, act := range l.Intervals {
 			if i > 0 { // the first is what it began with
 				v := act.Version.List
 				v.Digest = 0
@@ -38,19 +38,19 @@
 			}
 		}
 	}
-	var out []Change
+	var out []Propagation
 	for v := range versions {
-		c := Change{Version: v, Half: -1, Nine: -1, All: -1}
+		c := Propagation{Version: v, ToHalf: -1, ToNineTenths: -1, ToAll: -1}
 		var reached []reach
 		var late []string
 		for _, l := range a.lives {
 			if !l.clock.Trusted {
 				continue
 			}
-			i := slices.IndexFunc(l.Acts, func(i version.Interval) bool { return i.Version.List.Order(v) != version.Older })
+			i := slices.IndexFunc(l.Intervals, func(i version.Interval) bool { return i.Version.List.CompareGeneration(v) != version.Older })
 			switch {
 			case i > 0:
-				reached = append(reached, reach{l, l.Acts[i].From})
+				reached = append(reached, reach{l, l.Intervals[i].From})
 			case i < 0 && l.last:
 				late = append(late, l.Process)
 			}
@@ -59,50 +59,50 @@
 			continue
 		}
 		slices.SortFunc(reached, func(x, y reach) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.l.Number, y.l.Number)) })
-		c.At, c.First, c.Reached = reached[0].at, reached[0].l.Process, len(reached)
+		c.FirstAt, c.FirstProcess, c.Reached = reached[0].at, reached[0].l.Process, len(reached)
 		for _, l := range late { // those that were still alive when it began
-			if x := a.lives[slices.IndexFunc(a.lives, func(x *life) bool { return x.last && x.Process == l })]; x.At > c.At {
-				c.Never = append(c.Never, l)
+			if x := a.lives[slices.IndexFunc(a.lives, func(x *life) bool { return x.last && x.Process == l })]; x.TakenAt > c.FirstAt {
+				c.NotReached = append(c.NotReached, l)
 			}
 		}
-		all := len(reached) + len(c.Never)
+		all := len(reached) + len(c.NotReached)
 		took := func(part float64) time.Duration {
 			n := int(part*float64(all) + 0.999999)
 			if n = max(n, 1); n > len(reached) {
 				return -1
 			}
-			return reached[n-1].at.Sub(c.At)
+			return reached[n-1].at.Sub(c.FirstAt)
 		}
-		c.Half, c.Nine, c.All = took(0.5), took(0.9), took(1)
-		c.NoRecord = a.o.Size - len(a.byNumber)
+		c.ToHalf, c.ToNineTenths, c.ToAll = took(0.5), took(0.9), took(1)
+		c.NoRecord = a.o.FleetSize - len(a.byNumber)
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(x, y Change) int {
-		return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Version.Generation, y.Version.Generation))
+	slices.SortFunc(out, func(x, y Propagation) int {
+		return cmp.Or(cmp.Compare(x.FirstAt, y.FirstAt), cmp.Compare(x.Version.Generation, y.Version.Generation))
 	})
 	return out
 }
 
 // Span is a time in which a process acted on one version.
 type Span struct {
-	Process string         `json:"process"`
-	Number  int            `json:"number"`
-	Life    version.Stamp  `json:"life"`
-	Version version.Vector `json:"version"`
-	From    version.Stamp  `json:"from"`
-	Until   version.Stamp  `json:"until"`
-	Sends   uint64         `json:"sends"`
-	Open    bool           `json:"open"` // it lasted as long as the record goes
+	Process string            `json:"process"`
+	Number  int               `json:"number"`
+	Life    version.Timestamp `json:"life"`
+	Version version.Vector    `json:"version"`
+	From    version.Timestamp `json:"from"`
+	Until   version.Timestamp `json:"until"`
+	Sends   uint64            `json:"sends"`
+	Ongoing bool              `json:"open"` // it lasted as long as the record goes
 }
 
 // Spans lists who acted on which version when.
 func (a *Audit) Spans() []Span {
 	var out []Span
 	for _, l := range a.lives {
-		for _, i := range l.Acts {
-			s := Span{l.Process, l.Number, l.Life, i.Version, i.From, i.Until, i.Sends, i.Until == 0}
-			if s.Open {
-				s.Until = l.At
+		for _, i := range l.Intervals {
+			s := Span{l.Process, l.Number, l.Incarnation, i.Version, i.From, i.Until, i.Sends, i.Until == 0}
+			if s.Ongoing {
+				s.Until = l.TakenAt
 			}
 			out = append(out, s)
 		}
--- a/fleet/audit/events.go
+++ b/fleet/audit/events.go
@@ -11,14 +11,14 @@
 
 // Event is something that a process has on record.
 type Event struct {
-	At   version.Stamp `json:"at"`
-	What string        `json:"what"`
+	At          version.Timestamp `json:"at"`
+	Description string            `json:"what"`
 }
 
 // Events tells what one node's processes have on record, by time.
 func (a *Audit) Events(process string) []Event {
 	var out []Event
-	add := func(at version.Stamp, format string, args ...any) {
+	add := func(at version.Timestamp, format string, args ...any) {
 		if at != 0 {
 			out = append(out, Event{at, fmt.Sprintf(format, args...)})
 		}
@@ -27,49 +27,49 @@
 		if l.Process != process {
 			continue
 		}
-		add(l.Life, "started")
-		for _, b := range l.Before {
-			add(b.Life, "a former process of it started; it sent %d until %s, at the end on %v", b.Sends, Clocked(b.Until), b.Last.List)
+		add(l.Incarnation, "started")
+		for _, b := range l.Predecessors {
+			add(b.Incarnation, "a former process of it started; it sent %d until %s, at the end on %v", b.Sends, FormatTime(b.Until), b.LastVersion.List)
 		}
-		if l.Folded.Intervals > 0 {
-			add(l.Folded.From, "%d versions, %d sends, folded together", l.Folded.Intervals, l.Folded.Sends)
+		if l.Merged.Intervals > 0 {
+			add(l.Merged.From, "%d versions, %d sends, folded together", l.Merged.Intervals, l.Merged.Sends)
 		}
-		for _, i := range l.Acts {
-			add(i.From, "acts on %v (settings %04x, build %04x, words %04x): %d sends", i.Version.List, i.Version.Settings, i.Version.Build, i.Version.Words, i.Sends)
+		for _, i := range l.Intervals {
+			add(i.From, "acts on %v (settings %04x, build %04x, words %04x): %d sends", i.Version.List, i.Version.Settings, i.Version.Build, i.Version.Maintenance, i.Sends)
 		}
 		for _, w := range l.Withdrawals {
 			by := "its own source"
-			if w.From != version.Own {
-				by = a.name(w.From)
+			if w.ReportedBy != version.OwnSource {
+				by = a.name(w.ReportedBy)
 			}
-			add(w.Known, "knows that %s is %v, by %s, version %v", w.Server, w.State, by, w.List)
-			add(w.Again, "has %s back, version %v", w.Server, w.Back)
+			add(w.KnownAt, "knows that %s is %v, by %s, version %v", w.Server, w.State, by, w.List)
+			add(w.RestoredAt, "has %s back, version %v", w.Server, w.RestoredBy)
 		}
-		for _, r := range l.Refused {
-			add(r.First, "refuses that %s is withdrawn, version %v, by %s; %d times until %s", r.Server, r.List, a.name(r.From), r.Times, Clocked(r.Last))
+		for _, r := range l.RefusedWithdrawals {
+			add(r.First, "refuses that %s is withdrawn, version %v, by %s; %d times until %s", r.Server, r.List, a.name(r.ReportedBy), r.Count, FormatTime(r.Last))
 		}
-		for _, c := range l.Changes {
-			add(c.At, "%s%s", c.To, because(c.Why))
+		for _, c := range l.ModeChanges {
+			add(c.At, "%s%s", c.Mode, because(c.Why))
 		}
-		for _, s := range l.Stops {
-			add(s.Until, "goes on after it stood still for %v", s.For.Round(time.Millisecond))
+		for _, s := range l.Pauses {
+			add(s.ResumedAt, "goes on after it stood still for %v", s.Duration.Round(time.Millisecond))
 		}
 		add(l.Confirmed, "heard its own source last")
-		for _, h := range l.Heard {
-			add(h.At, "heard %s last, which acted on %v", a.name(h.Process), h.Version.List)
+		for _, h := range l.Peers {
+			add(h.LastHeard, "heard %s last, which acted on %v", a.name(h.Process), h.Version.List)
 		}
-		if l.RefusedOld > 0 {
-			add(l.At, "has refused %d requests, as what it knew was too old", l.RefusedOld)
+		if l.StaleRefusals > 0 {
+			add(l.TakenAt, "has refused %d requests, as what it knew was too old", l.StaleRefusals)
 		}
 		if l.Ended {
-			add(l.At, "ended in order")
+			add(l.TakenAt, "ended in order")
 		} else {
-			add(l.At, "its record was taken")
+			add(l.TakenAt, "its record was taken")
 		}
 	}
 	for _, l := range a.lives {
 		if h, ok := l.heard(a.numberOf(process)); ok && l.Process != process {
-			out = append(out, Event{h.At, fmt.Sprintf("was heard by %s last, acting on %v", l.Process, h.Version.List)})
+			out = append(out, Event{h.LastHeard, fmt.Sprintf("was heard by %s last, acting on %v", l.Process, h.Version.List)})
 		}
 	}
 	slices.SortStableFunc(out, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
@@ -92,7 +92,7 @@
 	return -1
 }
 
-// Clocked words a time of day, UTC, to a millisecond.
-func Clocked(s version.Stamp) string {
+// FormatTime words a time of day, UTC, to a millisecond.
+func FormatTime(s version.Timestamp) string {
 	return time.UnixMilli(s.Time().Milliseconds()).UTC().Format("15:04:05.000")
 }
--- a/fleet/audit/members.go
+++ b/fleet/audit/members.go
@@ -10,14 +10,14 @@
 
 // View is how one process sees the fleet.
 type View struct {
-	Process  string   `json:"process"`
-	Digest   uint32   `json:"digest"`  // the same where the same ones are taken for alive
-	Seats    int      `json:"seats"`   // that it holds of what the fleet shares
-	Quorate  bool     `json:"quorate"` // most guards of the seats answer it, if there are any
-	Known    int      `json:"known"`
-	Alive    int      `json:"alive"`
-	Majority bool     `json:"majority"` // most of the last agreed fleet are alive to it
-	Others   []string `json:"others"`   // those that are not, and what it takes them for
+	Process   string   `json:"process"`
+	Digest    uint32   `json:"digest"`  // the same where the same ones are taken for alive
+	Slots     int      `json:"seats"`   // that it holds of what the fleet shares
+	HasQuorum bool     `json:"quorate"` // most guards of the seats answer it, if there are any
+	Known     int      `json:"known"`
+	Alive     int      `json:"alive"`
+	Majority  bool     `json:"majority"` // most of the last agreed fleet are alive to it
+	NotAlive  []string `json:"others"`   // those that are not, and what it takes them for
 }
 
 // Views tells how each process that finds out who is alive sees the fleet. Views
@@ -28,57 +28,57 @@
 		if !l.last || len(l.Members) == 0 {
 			continue
 		}
-		v := View{Process: l.Process, Digest: l.View, Seats: l.Seats, Quorate: l.Quorate, Known: len(l.Members), Majority: l.Majority}
+		v := View{Process: l.Process, Digest: l.ViewDigest, Slots: l.Slots, HasQuorum: l.HasQuorum, Known: len(l.Members), Majority: l.Majority}
 		for _, m := range l.Members {
 			if m.Status == "alive" {
 				v.Alive++
 				continue
 			}
-			v.Others = append(v.Others, fmt.Sprintf("%s %s", a.name(m.Process), m.Status))
+			v.NotAlive = append(v.NotAlive, fmt.Sprintf("%s %s", a.name(m.Process), m.Status))
 		}
 		out = append(out, v)
 	}
 	return out
 }
 
-// Shared is a whole that the fleet shares, as far as the records go. They are of
+// SharedQuota is a whole that the fleet shares, as far as the records go. They are of
 // different moments, so a sum may be off by what changed hands meanwhile.
-type Shared struct {
-	Whole string  `json:"whole"`
-	All   float64 `json:"all"` // the whole, by the largest settings
-	Base  float64 `json:"base"`
-	Held  float64 `json:"held"`
-	Need  float64 `json:"need"`
-	Parts []Held  `json:"parts"`
+type SharedQuota struct {
+	Quota      string      `json:"whole"`
+	Total      float64     `json:"all"` // the whole, by the largest settings
+	EqualShare float64     `json:"base"`
+	Held       float64     `json:"held"`
+	Demand     float64     `json:"need"`
+	Leases     []HeldLease `json:"parts"`
 }
 
-// Held is one process's part.
-type Held struct {
+// HeldLease is one process's part.
+type HeldLease struct {
 	Process string `json:"process"`
-	version.Part
+	version.QuotaLease
 }
 
-// Shares tells what the processes hold of each whole.
-func (a *Audit) Shares() []Shared {
-	by := map[string]*Shared{}
+// SharedQuotas tells what the processes hold of each whole.
+func (a *Audit) SharedQuotas() []SharedQuota {
+	by := map[string]*SharedQuota{}
 	for _, l := range a.lives {
-		for _, p := range l.Parts {
+		for _, p := range l.Leases {
 			if !l.last {
 				continue
 			}
-			s := by[p.Whole]
+			s := by[p.Quota]
 			if s == nil {
-				s = &Shared{Whole: p.Whole}
-				by[p.Whole] = s
+				s = &SharedQuota{Quota: p.Quota}
+				by[p.Quota] = s
 			}
-			s.Base, s.Held, s.Need, s.All = s.Base+p.Base, s.Held+p.Held, s.Need+p.Need, max(s.All, p.All)
-			s.Parts = append(s.Parts, Held{l.Process, p})
+			s.EqualShare, s.Held, s.Demand, s.Total = s.EqualShare+p.EqualShare, s.Held+p.Held, s.Demand+p.Demand, max(s.Total, p.Total)
+			s.Leases = append(s.Leases, HeldLease{l.Process, p})
 		}
 	}
-	var out []Shared
+	var out []SharedQuota
 	for _, s := range by {
 		out = append(out, *s)
 	}
-	slices.SortFunc(out, func(x, y Shared) int { return strings.Compare(x.Whole, y.Whole) })
+	slices.SortFunc(out, func(x, y SharedQuota) int { return strings.Compare(x.Quota, y.Quota) })
 	return out
 }
--- a/fleet/follow/agent.go
+++ b/fleet/follow/agent.go
@@ -30,13 +30,13 @@
 type peer struct {
 	heard      Time // last word; 0: never
 	sent       Time // when that was sent, by this process's clock
-	stamp      version.Stamp
+	stamp      version.Timestamp
 	offset     time.Duration // least of (own clock less the stamp) so far: its clock's, and the network's least delay
 	offsetAt   Time
 	vector     version.Vector
 	acts       version.List
 	age        time.Duration // of its source's word when it was sent; negative: none
-	standing   Standing
+	standing   Mode
 	askedAt    Time
 	askWait    time.Duration
 	answeredAt Time
@@ -84,12 +84,12 @@
 	set       Settings
 	fleet     Fleet
 	rng       *rand.Rand
-	clock     *version.Clock
+	clock     *version.HybridClock
 	rec       *version.Recorder
 	now       Time
 	out       []Action
 	vector    version.Vector
-	sum       version.Sum
+	sum       version.RunningDigest
 	entries   map[version.Key]entry
 	up        int // entries that are
 	listed    bool
@@ -105,7 +105,7 @@
 	nextHello Time
 	nextAsk   Time
 	repeats   []repeat
-	standing  Standing
+	standing  Mode
 	why       string
 	started   Time
 	wokeAt    Time
@@ -118,11 +118,11 @@
 // New makes the agent of a process that starts now. Settings and build are
 // digests (version.Digest).
 func New(set Settings, f Fleet, now Time, seed int64, process string, settings, build uint16) *Agent {
-	clock := &version.Clock{}
+	clock := &version.HybridClock{}
 	a := &Agent{set: set, fleet: f, rng: rand.New(rand.NewPCG(uint64(seed), 0x666f6c6c)), clock: clock, now: now, started: now,
 		rec: version.NewRecorder(process, f.Self(), now, clock), entries: map[version.Key]entry{}, held: map[version.Key]*held{}}
-	a.vector = version.Vector{Settings: settings, Build: build, Form: version.Form}
-	a.nextHello = now + Time(a.rng.Float64()*float64(set.Hello))
+	a.vector = version.Vector{Settings: settings, Build: build, Format: version.FormatVersion}
+	a.nextHello = now + Time(a.rng.Float64()*float64(set.HelloInterval))
 	return a
 }
 
@@ -132,31 +132,31 @@
 // Counts gives the figures.
 func (a *Agent) Counts() Counts { return a.counts }
 
-// Standing tells how the process stands and why.
-func (a *Agent) Standing() (Standing, string) { return a.standing, a.why }
+// Mode tells how the process stands and why.
+func (a *Agent) Mode() (Mode, string) { return a.standing, a.why }
 
 // Vector is what the process acts on.
 func (a *Agent) Vector() version.Vector { return a.vector }
 
-// Acts is the version up to which all withdrawals are in force here.
-func (a *Agent) Acts() version.List { return a.acts }
+// AppliedVersion is the version up to which all withdrawals are in force here.
+func (a *Agent) AppliedVersion() version.List { return a.acts }
 
 // Handle takes an event and returns what is to be done, in order. The slice is
 // reused by the next call.
 func (a *Agent) Handle(now Time, e Event) []Action {
 	a.now, a.out = max(now, a.now), a.out[:0]
 	switch e := e.(type) {
-	case Listed:
+	case ListReceived:
 		a.list(e)
-	case Heard:
+	case DatagramReceived:
 		a.hear(e)
-	case Ticked:
+	case Tick:
 		a.tick()
-	case Woke:
+	case Resumed:
 		a.woke(e)
-	case Worded:
-		a.vector.Words = e.Digest
-		a.rec.Acts(a.now, a.vector)
+	case MaintenanceChanged:
+		a.vector.Maintenance = e.Digest
+		a.rec.RecordVersion(a.now, a.vector)
 	}
 	return a.out
 }
@@ -166,10 +166,10 @@
 func (a *Agent) logf(format string, args ...any) { a.do(Log{fmt.Sprintf(format, args...)}) }
 
 // list takes a word of the own source.
-func (a *Agent) list(e Listed) {
+func (a *Agent) list(e ListReceived) {
 	before, gen := a.vector.List, uint32(e.Generation)
 	next := version.List{Epoch: before.Epoch, Generation: gen}
-	begun := a.listed && next.Order(before) == version.Older // discovery began anew
+	begun := a.listed && next.CompareGeneration(before) == version.Older // discovery began anew
 	if begun {
 		next.Epoch++
 		a.log, a.floor = a.log[:0], next
@@ -184,10 +184,10 @@
 			fresh = append(fresh, w)
 		}
 	}
-	if e.Kind != Changes {
+	if e.Kind != Delta {
 		for _, k := range a.keys() {
 			if x := a.entries[k]; !named[k] {
-				x.state = version.Gone
+				x.state = version.Removed
 				w, _ := a.put(k, Entry{x.name, x.state, x.startedAt}, next)
 				fresh = append(fresh, w)
 			}
@@ -200,13 +200,13 @@
 	}
 	if e.Kind != Cached {
 		a.confirmed = a.now
-		a.rec.Confirmed(a.now)
+		a.rec.RecordConfirmed(a.now)
 	}
 	if !a.listed {
 		a.listed, a.floor, a.acts, fresh = true, next, next, nil
 	}
 	a.overtaken()
-	a.rec.Acts(a.now, a.vector)
+	a.rec.RecordVersion(a.now, a.vector)
 	if len(fresh) > 0 {
 		a.push(before, fresh)
 	}
@@ -234,7 +234,7 @@
 		}
 	}
 	w = word{key: k, state: x.State, list: at}
-	if x.State == version.Gone {
+	if x.State == version.Removed {
 		delete(a.entries, k)
 	} else {
 		a.entries[k] = entry{x.Name, x.State, x.StartedAt}
@@ -244,11 +244,11 @@
 		a.up++
 		a.log = slices.DeleteFunc(a.log, func(o word) bool { return o.key == k })
 		if !known || old.state != version.Up {
-			a.rec.Again(a.now, x.Name, at)
+			a.rec.RecordRestored(a.now, x.Name, at)
 		}
 		return w, false
 	}
-	if !known && x.State == version.Gone || known && old.state >= x.State {
+	if !known && x.State == version.Removed || known && old.state >= x.State {
 		return w, false
 	}
 	a.log = slices.DeleteFunc(a.log, func(o word) bool { return o.key == k })
@@ -257,7 +257,7 @@
 		a.log = slices.Delete(a.log, 0, 1)
 	}
 	if a.listed {
-		a.rec.Withdrawn(a.now, x.Name, x.State, at, version.Own)
+		a.rec.RecordWithdrawal(a.now, x.Name, x.State, at, version.OwnSource)
 	}
 	return w, true
 }
@@ -268,21 +268,21 @@
 	changed := false
 	for _, k := range a.heldKeys() {
 		h := a.held[k]
-		if h.list.Order(a.vector.List) == version.Newer {
+		if h.list.CompareGeneration(a.vector.List) == version.Newer {
 			continue
 		}
 		delete(a.held, k)
 		changed = changed || h.acted
 		if x, known := a.entries[k]; known && x.state == version.Up && h.acted {
-			a.rec.Again(a.now, x.name, a.vector.List)
+			a.rec.RecordRestored(a.now, x.name, a.vector.List)
 		}
 	}
-	if a.acts.Order(a.vector.List) != version.Newer {
+	if a.acts.CompareGeneration(a.vector.List) != version.Newer {
 		a.acts = a.vector.List
 	}
-	a.rec.Reached(a.acts)
+	a.rec.RecordApplied(a.acts)
 	if changed {
-		a.do(Changed{})
+		a.do(EligibilityChanged{})
 	}
 }
 
@@ -295,9 +295,9 @@
 	return out
 }
 
-// Out tells whether a server that the own list has up is not to be used, by a
+// Withdrawn tells whether a server that the own list has up is not to be used, by a
 // neighbour's newer word.
-func (a *Agent) Out(name string) bool {
+func (a *Agent) Withdrawn(name string) bool {
 	if len(a.held) == 0 {
 		return false
 	}
@@ -305,28 +305,28 @@
 	return h != nil && h.acted
 }
 
-// Fresh is the time since which a server must have answered to be used; 0 if none
+// MinAnswerTime is the time since which a server must have answered to be used; 0 if none
 // need have. It is for a process that has narrowed.
-func (a *Agent) Fresh(now Time) Time {
+func (a *Agent) MinAnswerTime(now Time) Time {
 	if a.standing != Narrowed && a.standing != Closed {
 		return 0
 	}
-	return max(1, now-a.set.Narrow/2)
+	return max(1, now-a.set.NarrowAfter/2)
 }
 
-// Takes tells whether the process takes new requests.
-func (a *Agent) Takes() bool { return a.standing != Closed }
+// AcceptsRequests tells whether the process takes new requests.
+func (a *Agent) AcceptsRequests() bool { return a.standing != Closed }
 
-// Holds tells until when requests are to wait, 0 if they need not: the process
+// HoldUntil tells until when requests are to wait, 0 if they need not: the process
 // stood still and has not heard yet whether what it believes still holds.
-func (a *Agent) Holds() Time { return a.holdUntil }
+func (a *Agent) HoldUntil() Time { return a.holdUntil }
 
-// Uses tells whether another process's readings and suspicions are to be used.
-func (a *Agent) Uses(from int) bool {
-	if a.set.Watch || from < 0 || from >= len(a.peers) || !a.peers[from].behind {
+// TrustsPeer tells whether another process's readings and suspicions are to be used.
+func (a *Agent) TrustsPeer(from int) bool {
+	if a.set.ObserveOnly || from < 0 || from >= len(a.peers) || !a.peers[from].behind {
 		return true
 	}
-	a.counts.Unused++
+	a.counts.Ignored++
 	return false
 }
 
@@ -351,7 +351,7 @@
 }
 
 // ownFresh tells whether the own source has spoken of late.
-func (a *Agent) ownFresh() bool { return a.confirmed > 0 && a.now-a.confirmed <= a.set.Narrow }
+func (a *Agent) ownFresh() bool { return a.confirmed > 0 && a.now-a.confirmed <= a.set.NarrowAfter }
 
 func (a *Agent) send(to int, m message) {
 	data := m.append(make([]byte, 0, MaxDatagram))
@@ -359,17 +359,17 @@
 	case hello:
 		a.counts.Hellos++
 	case ask:
-		a.counts.Asks++
+		a.counts.Queries++
 	default:
 		a.counts.Answers++
 		if m.kind == words {
-			a.counts.Words += uint64(len(m.words))
+			a.counts.Withdrawals += uint64(len(m.words))
 		}
 	}
 	a.counts.Bytes += uint64(len(data))
 	a.grow()
 	a.peers[to].told = a.now
-	a.do(Tell{to, data})
+	a.do(Send{to, data})
 }
 
 // grow makes room for all processes of the fleet.
@@ -387,7 +387,7 @@
 		return data
 	}
 	p := &a.peers[to]
-	if p.heard == 0 || now-p.heard > forgetTime || now-p.told < a.set.Hello {
+	if p.heard == 0 || now-p.heard > forgetTime || now-p.told < a.set.HelloInterval {
 		return data
 	}
 	a.now = max(a.now, now)
@@ -399,10 +399,10 @@
 	return m.append(make([]byte, 0, MaxDatagram))
 }
 
-// Unwrap gives what is not the fleet's own of a datagram: all of one in another
+// Payload gives what is not the fleet's own of a datagram: all of one in another
 // form, what a hello carries, nothing of the others.
-func Unwrap(data []byte) []byte {
-	if !Ours(data) {
+func Payload(data []byte) []byte {
+	if !IsFleetDatagram(data) {
 		return data
 	}
 	if len(data) > head && data[1] == byte(hello) {
@@ -416,7 +416,7 @@
 	size, self := a.fleet.Size(), a.fleet.Self()
 	out := make([]int, 0, max(0, size-1))
 	for i := range size {
-		if i != self && a.fleet.Lives(i) {
+		if i != self && a.fleet.IsAlive(i) {
 			out = append(out, i)
 		}
 	}
@@ -440,9 +440,9 @@
 		}
 	}
 	if a.now >= a.nextHello {
-		a.nextHello = a.now + Time(float64(a.set.Hello)*(0.75+0.5*a.rng.Float64()))
-		unsure := a.listed && a.now-a.shown() > a.set.Narrow/2
-		for _, to := range a.some(a.set.HelloTo) {
+		a.nextHello = a.now + Time(float64(a.set.HelloInterval)*(0.75+0.5*a.rng.Float64()))
+		unsure := a.listed && a.now-a.shown() > a.set.NarrowAfter/2
+		for _, to := range a.some(a.set.HelloFanout) {
 			if a.greet(to); unsure { // whoever it is can say whether this list is current
 				m := a.message(ask)
 				m.since = a.acts
@@ -453,8 +453,8 @@
 	for len(a.repeats) > 0 && a.repeats[0].at <= a.now {
 		since := a.repeats[0].since
 		a.repeats = a.repeats[1:]
-		if since.Epoch == a.speaksFor().Epoch && since.Order(a.floor) != version.Older {
-			a.tellWords(a.some(a.set.Fanout), since, a.since(since)) // what has come meanwhile too: words are all there are up to now
+		if since.Epoch == a.speaksFor().Epoch && since.CompareGeneration(a.floor) != version.Older {
+			a.tellWords(a.some(a.set.PushFanout), since, a.since(since)) // what has come meanwhile too: words are all there are up to now
 		}
 	}
 	a.doubt()
@@ -464,7 +464,7 @@
 }
 
 // hear takes a datagram.
-func (a *Agent) hear(e Heard) {
+func (a *Agent) hear(e DatagramReceived) {
 	a.grow()
 	if e.From < 0 || e.From >= len(a.peers) || e.From == a.fleet.Self() {
 		a.counts.Malformed++
@@ -477,7 +477,7 @@
 	}
 	p := &a.peers[e.From]
 	if p.heard > 0 && a.now-p.heard < forgetTime && m.vector.Clock <= p.stamp {
-		a.counts.Old++ // doubled, late, or said again by somebody else
+		a.counts.Stale++ // doubled, late, or said again by somebody else
 		if m.kind == hello || p.stamp.Sub(m.vector.Clock) > overtake {
 			return
 		}
@@ -502,7 +502,7 @@
 
 // know takes how another process stands by its newest datagram.
 func (a *Agent) know(from int, p *peer, m *message) {
-	a.clock.Hear(a.now, m.vector.Clock)
+	a.clock.Observe(a.now, m.vector.Clock)
 	// How long it was on its way: what waited while this process stood still is as
 	// old as it is.
 	off := a.now - m.vector.Clock.Time()
@@ -513,7 +513,7 @@
 	p.offsetAt = a.now
 	p.heard, p.stamp, p.vector, p.acts, p.age, p.standing = a.now, m.vector.Clock, m.vector, m.acts, m.age, m.standing
 	p.sent = a.now - (off - p.offset)
-	a.rec.Hears(a.now, from, m.vector)
+	a.rec.RecordPeer(a.now, from, m.vector)
 	a.sameEpoch(p)
 }
 
@@ -548,7 +548,7 @@
 		a.acts = a.vector.List
 	}
 	a.overtaken()
-	a.rec.Acts(a.now, a.vector)
+	a.rec.RecordVersion(a.now, a.vector)
 }
 
 // quorum is how many processes must say a thing that one alone is not believed:
@@ -556,14 +556,14 @@
 func (a *Agent) quorum() int { return min(2, max(1, a.hearing)) }
 
 // woke takes that the process stood still.
-func (a *Agent) woke(e Woke) {
-	a.rec.Stopped(a.now, e.Gap)
-	if a.set.Watch {
+func (a *Agent) woke(e Resumed) {
+	a.rec.RecordPause(a.now, e.Gap)
+	if a.set.ObserveOnly {
 		return
 	}
-	a.wokeAt, a.holdUntil = a.now, a.now+a.set.WakeHold
+	a.wokeAt, a.holdUntil = a.now, a.now+a.set.PauseHold
 	a.logf("stood still for %v; all it believes is old until somebody says it is not", e.Gap.Round(time.Millisecond))
-	a.do(AskSource{})
+	a.do(QuerySource{})
 	for _, to := range a.some(3) {
 		m := a.message(ask)
 		m.since = a.acts
@@ -577,6 +577,6 @@
 	if others == 0 {
 		return 0
 	}
-	hellos := float64(a.set.HelloTo) * float64(in) / float64(a.set.Hello)
+	hellos := float64(a.set.HelloFanout) * float64(in) / float64(a.set.HelloInterval)
 	return float64(others) * (1 - math.Exp(-hellos/float64(others)))
 }
--- a/fleet/follow/api.go
+++ b/fleet/follow/api.go
@@ -22,50 +22,50 @@
 	Size() int
 	// Self is this process's number.
 	Self() int
-	// Lives tells whether another one is not known to be gone.
-	Lives(number int) bool
+	// IsAlive tells whether another one is not known to be gone.
+	IsAlive(number int) bool
 }
 
-// Fixed is a fleet as the configuration names it.
-type Fixed struct{ Nodes, Number int }
+// StaticFleet is a fleet as the configuration names it.
+type StaticFleet struct{ Nodes, Number int }
 
-func (f Fixed) Size() int { return f.Nodes }
-func (f Fixed) Self() int { return f.Number }
+func (f StaticFleet) Size() int { return f.Nodes }
+func (f StaticFleet) Self() int { return f.Number }
 
 // Lives: a configuration knows of no death.
-func (f Fixed) Lives(int) bool { return true }
+func (f StaticFleet) IsAlive(int) bool { return true }
 
 // Settings are the figures of a fleet, the same at all its processes.
 type Settings struct {
-	Watch      bool          // tell and record alone: no neighbour's word is acted on, and nothing is narrowed
-	Hello      time.Duration // between two rounds of hellos
-	HelloTo    int           // processes that one round goes to
-	Fanout     int           // processes that a withdrawal is told to at once
-	Narrow     time.Duration // without a sign that the list is current: only servers that have just answered are used
-	Close      time.Duration // and so long: nothing new is taken
-	Behind     time.Duration // a process that acts on older lists for so long is not listened to
-	Reopen     time.Duration // over which processes come back that were closed together
-	OneTeller  float64       // part of the list that one neighbour's word may take out
-	AllTellers float64       // part that all neighbours together may
-	Part       float64       // of the fleet: if so many are behind it is the source that is
-	Doubt      time.Duration // after which a word is dropped that the own source, speaking, does not bear out
-	Wake       time.Duration // a gap in the ticks from which on the process has stood still
-	WakeHold   time.Duration // that it waits then, at most, to hear whether what it believes still holds
+	ObserveOnly         bool          // tell and record alone: no neighbour's word is acted on, and nothing is narrowed
+	HelloInterval       time.Duration // between two rounds of hellos
+	HelloFanout         int           // processes that one round goes to
+	PushFanout          int           // processes that a withdrawal is told to at once
+	NarrowAfter         time.Duration // without a sign that the list is current: only servers that have just answered are used
+	CloseAfter          time.Duration // and so long: nothing new is taken
+	BehindAfter         time.Duration // a process that acts on older lists for so long is not listened to
+	ReopenJitter        time.Duration // over which processes come back that were closed together
+	OnePeerFraction     float64       // part of the list that one neighbour's word may take out
+	AllPeersFraction    float64       // part that all neighbours together may
+	StaleSourceFraction float64       // of the fleet: if so many are behind it is the source that is
+	UnconfirmedTimeout  time.Duration // after which a word is dropped that the own source, speaking, does not bear out
+	PauseThreshold      time.Duration // a gap in the ticks from which on the process has stood still
+	PauseHold           time.Duration // that it waits then, at most, to hear whether what it believes still holds
 }
 
-// Defaults are the settings of docs/audit.md.
-func Defaults() Settings {
-	return Settings{Hello: 250 * time.Millisecond, HelloTo: 2, Fanout: 8, Narrow: 3 * time.Second, Close: 6 * time.Second,
-		Behind: 2 * time.Second, Reopen: time.Second, OneTeller: 0.25, AllTellers: 0.5, Part: 0.6, Doubt: 8 * time.Second,
-		Wake: 400 * time.Millisecond, WakeHold: 300 * time.Millisecond}
+// DefaultSettings are the settings of docs/audit.md.
+func DefaultSettings() Settings {
+	return Settings{HelloInterval: 250 * time.Millisecond, HelloFanout: 2, PushFanout: 8, NarrowAfter: 3 * time.Second, CloseAfter: 6 * time.Second,
+		BehindAfter: 2 * time.Second, ReopenJitter: time.Second, OnePeerFraction: 0.25, AllPeersFraction: 0.5, StaleSourceFraction: 0.6, UnconfirmedTimeout: 8 * time.Second,
+		PauseThreshold: 400 * time.Millisecond, PauseHold: 300 * time.Millisecond}
 }
 
-// Standing is how well a process can show that what it acts on is current.
-type Standing uint8
+// Mode is how well a process can show that what it acts on is current.
+type Mode uint8
 
 const (
 	// Current: its own source, or neighbours with the same list, have just said so.
-	Current Standing = iota
+	Current Mode = iota
 	// Held: nobody's source speaks, so the last good list holds for all.
 	Held
 	// Narrowed: it uses only servers that have just answered.
@@ -75,7 +75,7 @@
 	standings
 )
 
-func (s Standing) String() string {
+func (s Mode) String() string {
 	return [...]string{"current", "held", "narrowed", "closed"}[min(s, Closed)]
 }
 
@@ -86,12 +86,12 @@
 	StartedAt Time
 }
 
-// Kind is the form of a list.
-type Kind int
+// ListKind is the form of a list.
+type ListKind int
 
 const (
-	// Changes holds only the changed entries.
-	Changes Kind = iota
+	// Delta holds only the changed entries.
+	Delta ListKind = iota
 	// Full holds all; a server not in it is gone.
 	Full
 	// Cached is a full list that the process had before; it can be old.
@@ -103,64 +103,64 @@
 
 // Events.
 type (
-	// Listed is a word of the process's own source.
-	Listed struct {
-		Kind       Kind
+	// ListReceived is a word of the process's own source.
+	ListReceived struct {
+		Kind       ListKind
 		Generation uint64
 		Entries    []Entry
 	}
-	// Heard is a datagram of the fleet's from a process.
-	Heard struct {
+	// DatagramReceived is a datagram of the fleet's from a process.
+	DatagramReceived struct {
 		From int
 		Data []byte
 	}
-	// Ticked comes every tenth of a second or so.
-	Ticked struct{}
-	// Woke says that the process stood still for a time and goes on now. It comes
+	// Tick comes every tenth of a second or so.
+	Tick struct{}
+	// Resumed says that the process stood still for a time and goes on now. It comes
 	// before all that happened meanwhile.
-	Woke struct{ Gap time.Duration }
-	// Worded says that the words of maintenance have changed.
-	Worded struct{ Digest uint16 }
+	Resumed struct{ Gap time.Duration }
+	// MaintenanceChanged says that the words of maintenance have changed.
+	MaintenanceChanged struct{ Digest uint16 }
 )
 
-func (Listed) event() {}
-func (Heard) event()  {}
-func (Ticked) event() {}
-func (Woke) event()   {}
-func (Worded) event() {}
+func (ListReceived) event()       {}
+func (DatagramReceived) event()   {}
+func (Tick) event()               {}
+func (Resumed) event()            {}
+func (MaintenanceChanged) event() {}
 
 // Action is something the caller is to do.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// Tell sends a datagram to a process.
-	Tell struct {
+	// Send sends a datagram to a process.
+	Send struct {
 		To   int
 		Data []byte
 	}
-	// Changed says that servers may be used, or may not, that it was otherwise for.
-	Changed struct{}
-	// AskSource asks the own source again, at once.
-	AskSource struct{}
+	// EligibilityChanged says that servers may be used, or may not, that it was otherwise for.
+	EligibilityChanged struct{}
+	// QuerySource asks the own source again, at once.
+	QuerySource struct{}
 	// Log is a line for the operators.
 	Log struct{ Line string }
 )
 
-func (Tell) action()      {}
-func (Changed) action()   {}
-func (AskSource) action() {}
-func (Log) action()       {}
+func (Send) action()               {}
+func (EligibilityChanged) action() {}
+func (QuerySource) action()        {}
+func (Log) action()                {}
 
 // Counts are an agent's figures since its start.
 type Counts struct {
-	Hellos, Asks, Answers, Words uint64 // datagrams sent, by kind
-	Bytes                        uint64 // of all of them
-	Acted                        uint64 // withdrawals taken of neighbours
-	OverBound                    uint64 // that were not, as they would have taken out too much
-	Doubted                      uint64 // that were dropped again, as the own source did not bear them out
-	Malformed                    uint64 // datagrams in no known form
-	Old                          uint64 // older than what their sender said before
-	Unused                       uint64 // datagrams of processes that are too far behind to be listened to
-	Dropped                      uint64 // words that there was no room for
+	Hellos, Queries, Answers, Withdrawals uint64 // datagrams sent, by kind
+	Bytes                                 uint64 // of all of them
+	Applied                               uint64 // withdrawals taken of neighbours
+	OverLimit                             uint64 // that were not, as they would have taken out too much
+	Reverted                              uint64 // that were dropped again, as the own source did not bear them out
+	Malformed                             uint64 // datagrams in no known form
+	Stale                                 uint64 // older than what their sender said before
+	Ignored                               uint64 // datagrams of processes that are too far behind to be listened to
+	Dropped                               uint64 // words that there was no room for
 }
--- a/fleet/follow/follow_test.go
+++ b/fleet/follow/follow_test.go
@@ -62,7 +62,7 @@
 		return 0
 	}
 	for i := range 40 {
-		s.set(version.Gone, fmt.Sprintf("s-%d", i))
+		s.set(version.Removed, fmt.Sprintf("s-%d", i))
 		s.run(50 * time.Millisecond)
 	}
 	for i := range 9 {
@@ -75,11 +75,11 @@
 	}
 	s.outAt(4, "s-0", time.Second)
 	for i := range 40 {
-		if !s.agents[4].Out(fmt.Sprintf("s-%d", i)) {
+		if !s.agents[4].Withdrawn(fmt.Sprintf("s-%d", i)) {
 			t.Fatalf("s-%d is still used", i)
 		}
 	}
-	if s.agents[4].Out("s-77") {
+	if s.agents[4].Withdrawn("s-77") {
 		t.Error("a server is out that nobody withdrew")
 	}
 	s.run(3 * time.Second)
@@ -88,7 +88,7 @@
 	}
 	s.cut[4] = false
 	s.run(2 * time.Second)
-	if s.agents[4].Out("s-3") || len(s.agents[4].held) > 0 {
+	if s.agents[4].Withdrawn("s-3") || len(s.agents[4].held) > 0 {
 		t.Error("its own source has spoken, and words of neighbours still hold")
 	}
 }
@@ -102,12 +102,12 @@
 	s.outAt(4, "s-1", time.Second)
 	s.set(version.Up, "s-1")
 	s.run(3 * time.Second)
-	if !s.agents[4].Out("s-1") {
+	if !s.agents[4].Withdrawn("s-1") {
 		t.Error("a neighbour's word gave work")
 	}
 	s.cut[4] = false
 	s.run(1500 * time.Millisecond)
-	if s.agents[4].Out("s-1") {
+	if s.agents[4].Withdrawn("s-1") {
 		t.Error("the own source's word does not hold")
 	}
 }
@@ -119,8 +119,8 @@
 		nodes int
 		cut   func(s *sim) // what is done to node 0, or to all
 		at    time.Duration
-		want  Standing // of node 0
-		rest  Standing // of the others
+		want  Mode // of node 0
+		rest  Mode // of the others
 	}{
 		{"cut off from both", 9, func(s *sim) { s.cut[0] = true; s.lost = only(0, 1) }, 7 * time.Second, Closed, Current},
 		{"the same, a little earlier", 9, func(s *sim) { s.cut[0] = true; s.lost = only(0, 1) }, 4500 * time.Millisecond, Narrowed, Current},
@@ -218,8 +218,8 @@
 				s.run(10 * time.Millisecond)
 				a := s.agents[4]
 				for name, gen := range gens {
-					if uint64(a.Acts().Generation) >= gen && !a.Out(name) {
-						t.Fatalf("seed %d: it acts on %v, and uses %s, withdrawn by %d", seed, a.Acts(), name, gen)
+					if uint64(a.AppliedVersion().Generation) >= gen && !a.Withdrawn(name) {
+						t.Fatalf("seed %d: it acts on %v, and uses %s, withdrawn by %d", seed, a.AppliedVersion(), name, gen)
 					}
 				}
 				if loss == 1 && s.rng.IntN(3) == 0 {
@@ -253,7 +253,7 @@
 		s.set(version.Up, "s-3")
 		s.run(2 * time.Second)
 		for i := range 8 {
-			if s.agents[i].Out("s-3") || s.agents[i].vector.List != s.agents[7].vector.List {
+			if s.agents[i].Withdrawn("s-3") || s.agents[i].vector.List != s.agents[7].vector.List {
 				t.Errorf("seed %d: node %d is at %v, node 7 at %v", seed, i, s.agents[i].vector.List, s.agents[7].vector.List)
 			}
 		}
@@ -283,7 +283,7 @@
 		"a clock an hour ahead": func(*sim) func(int, int, []byte) []byte {
 			return func(from, _ int, data []byte) []byte {
 				if from == 0 {
-					v, _ := version.Read(data[2:])
+					v, _ := version.ParseVector(data[2:])
 					v.Clock = v.Clock.Add(time.Hour)
 					copy(data[2:], v.Append(nil))
 				}
@@ -299,7 +299,7 @@
 				m.kind, m.part, m.parts, m.since = words, 0, 1, m.acts
 				m.acts.Generation += 5
 				for i := range 12 {
-					m.words = append(m.words, word{key: version.KeyOf(fmt.Sprintf("s-%d", i)), state: version.Gone, list: m.acts})
+					m.words = append(m.words, word{key: version.KeyOf(fmt.Sprintf("s-%d", i)), state: version.Removed, list: m.acts})
 				}
 				m.rest = nil
 				return m.append(nil)
@@ -332,7 +332,7 @@
 				}
 				out := 0
 				for k := range 12 {
-					if s.agents[i].Out(fmt.Sprintf("s-%d", k)) {
+					if s.agents[i].Withdrawn(fmt.Sprintf("s-%d", k)) {
 						out++
 					}
 				}
@@ -353,7 +353,7 @@
 		}
 		s.liar = nil
 		for i := 1; i < 9; i++ {
-			if out := s.agents[i].Out("s-2"); i != 5 && out {
+			if out := s.agents[i].Withdrawn("s-2"); i != 5 && out {
 				t.Errorf("%s: node %d, whose source speaks, still goes by the lie", name, i)
 			}
 		}
@@ -376,8 +376,8 @@
 			for s.now < woke+2*time.Second {
 				s.run(5 * time.Millisecond)
 				a := s.agents[2]
-				holds := a.Holds() > s.now || s.now-s.lastAt[2] > a.set.Wake
-				if uses := !a.Out("s-1") && a.entries[version.KeyOf("s-1")].state == version.Up; uses && !holds && a.Fresh(s.now) == 0 {
+				holds := a.HoldUntil() > s.now || s.now-s.lastAt[2] > a.set.PauseThreshold
+				if uses := !a.Withdrawn("s-1") && a.entries[version.KeyOf("s-1")].state == version.Up; uses && !holds && a.MinAnswerTime(s.now) == 0 {
 					t.Fatalf("stopped for %v, seed %d: %v after it went on it uses a server that drains", stop, seed, s.now-woke)
 				}
 			}
@@ -412,7 +412,7 @@
 	s.gen = other.Generation + 1
 	s.run(3 * time.Second)
 	for i := range 8 {
-		if s.agents[i].Out("s-3") {
+		if s.agents[i].Withdrawn("s-3") {
 			t.Errorf("node %d still goes by the other source", i)
 		}
 	}
@@ -435,7 +435,7 @@
 		}
 		for range rapid.IntRange(1, 12).Draw(r, "changes") {
 			name := fmt.Sprintf("s-%d", rapid.IntRange(0, 11).Draw(r, "server"))
-			s.set(rapid.SampledFrom([]version.State{version.Up, version.Draining, version.Gone}).Draw(r, "state"), name)
+			s.set(rapid.SampledFrom([]version.State{version.Up, version.Draining, version.Removed}).Draw(r, "state"), name)
 			s.run(time.Duration(rapid.IntRange(0, 1500).Draw(r, "then")) * time.Millisecond)
 		}
 		s.run(2 * time.Second)
@@ -443,11 +443,11 @@
 			r.Fatalf("standings %v", s.standing)
 		}
 		for i := range n {
-			if s.agents[i].counts.Unused > 0 || s.agents[i].vector.List.Digest != s.agents[0].vector.List.Digest {
+			if s.agents[i].counts.Ignored > 0 || s.agents[i].vector.List.Digest != s.agents[0].vector.List.Digest {
 				r.Fatalf("node %d is at %v, node 0 at %v", i, s.agents[i].vector.List, s.agents[0].vector.List)
 			}
 			for k := range 12 {
-				if name := fmt.Sprintf("s-%d", k); s.agents[i].Out(name) {
+				if name := fmt.Sprintf("s-%d", k); s.agents[i].Withdrawn(name) {
 					r.Fatalf("node %d, at the newest version, leaves out %s by a word", i, name)
 				}
 			}
@@ -456,14 +456,14 @@
 }
 
 func FuzzHear(f *testing.F) {
-	m := message{kind: words, parts: 1, words: []word{{key: 1, state: version.Gone}}}
+	m := message{kind: words, parts: 1, words: []word{{key: 1, state: version.Removed}}}
 	f.Add(m.append(nil))
 	m = message{kind: whole, parts: 2, keys: []version.Key{1, 2}}
 	f.Add(m.append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := newSim(t, 3, 8, 1)
 		a := s.agents[0]
-		a.Handle(began+time.Second, Heard{1, data})
+		a.Handle(began+time.Second, DatagramReceived{1, data})
 		if m, err := parse(data); err == nil && !bytes.Equal(m.append(nil), data) && m.kind != hello {
 			if again, err := parse(m.append(nil)); err != nil || len(again.words) != len(m.words) || len(again.keys) != len(m.keys) {
 				t.Errorf("what was read is not what is written: %v", err)
@@ -471,7 +471,7 @@
 		}
 		out := 0
 		for i := range 8 {
-			if a.Out(fmt.Sprintf("s-%d", i)) {
+			if a.Withdrawn(fmt.Sprintf("s-%d", i)) {
 				out++
 			}
 		}
--- a/fleet/follow/message.go
+++ b/fleet/follow/message.go
@@ -21,7 +21,7 @@
 // order.
 const (
 	form = 0xF1
-	head = 2 + version.Size + 2 + 1 + 6
+	head = 2 + version.VectorSize + 2 + 1 + 6
 
 	wordSize  = 8 + 1 + 4
 	wordsHead = 2 + 6
@@ -61,7 +61,7 @@
 	kind        kind
 	vector      version.Vector
 	age         time.Duration // of the word of the sender's own source; negative: it never spoke
-	standing    Standing
+	standing    Mode
 	acts        version.List // version up to which the sender acts on all withdrawals
 	since       version.List // of an ask, and of words
 	part, parts int
@@ -112,8 +112,8 @@
 	return version.List{Epoch: binary.BigEndian.Uint16(b), Generation: binary.BigEndian.Uint32(b[2:])}
 }
 
-// Ours tells whether a datagram is one of the fleet's, of whatever kind.
-func Ours(data []byte) bool { return len(data) > 0 && data[0] == form }
+// IsFleetDatagram tells whether a datagram is one of the fleet's, of whatever kind.
+func IsFleetDatagram(data []byte) bool { return len(data) > 0 && data[0] == form }
 
 // parse reads a datagram. Nothing of one that has not this form is taken.
 func parse(data []byte) (message, error) {
@@ -122,13 +122,13 @@
 		return m, errForm
 	}
 	m.kind = kind(data[1])
-	m.vector, _ = version.Read(data[2:])
-	b := data[2+version.Size:]
+	m.vector, _ = version.ParseVector(data[2:])
+	b := data[2+version.VectorSize:]
 	m.age = -1
 	if age := binary.BigEndian.Uint16(b); age != neverAge {
 		m.age = time.Duration(age) * 10 * time.Millisecond
 	}
-	m.standing, m.acts = Standing(b[2]), readList(b[3:])
+	m.standing, m.acts = Mode(b[2]), readList(b[3:])
 	if m.standing >= standings {
 		return m, errForm
 	}
@@ -149,7 +149,7 @@
 		for b = b[wordsHead:]; len(b) > 0; b = b[wordSize:] {
 			w := word{key: version.Key(binary.BigEndian.Uint64(b)), state: version.State(b[8] & stateBits), hearsay: b[8]&hearsay != 0,
 				list: version.List{Epoch: m.acts.Epoch, Generation: binary.BigEndian.Uint32(b[9:])}}
-			if w.state != version.Draining && w.state != version.Gone || w.list.Order(m.acts) == version.Newer {
+			if w.state != version.Draining && w.state != version.Removed || w.list.CompareGeneration(m.acts) == version.Newer {
 				return m, errForm // a word that gives work, or is newer than what the sender says it has
 			}
 			m.words = append(m.words, w)
--- a/fleet/follow/sim_test.go
+++ b/fleet/follow/sim_test.go
@@ -33,7 +33,7 @@
 	lastAt   []Time // last tick of a process
 	liar     func(from, to int, data []byte) []byte
 	bytes    int
-	standing map[Standing]int
+	standing map[Mode]int
 }
 
 type plan struct {
@@ -60,14 +60,14 @@
 
 func newSim(t testing.TB, n, servers int, seed uint64) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: began, stopped: make([]bool, n), cut: make([]bool, n), skew: make([]time.Duration, n),
-		lag: make([]time.Duration, n), calls: make([]int, n), lastAt: make([]Time, n), gen: 40, list: map[string]version.State{}, standing: map[Standing]int{}}
+		lag: make([]time.Duration, n), calls: make([]int, n), lastAt: make([]Time, n), gen: 40, list: map[string]version.State{}, standing: map[Mode]int{}}
 	s.lost = func(int, int) float64 { return 0 }
 	s.delay = func(int, int) time.Duration { return time.Duration(3+s.rng.IntN(4)) * time.Millisecond }
 	for i := range servers {
 		s.list[fmt.Sprintf("s-%d", i)] = version.Up
 	}
 	for i := range n {
-		s.agents = append(s.agents, New(Defaults(), Fixed{n, i}, s.now, int64(seed)*1000+int64(i), fmt.Sprintf("n%d", i), 7, 9))
+		s.agents = append(s.agents, New(DefaultSettings(), StaticFleet{n, i}, s.now, int64(seed)*1000+int64(i), fmt.Sprintf("n%d", i), 7, 9))
 		s.start(i)
 	}
 	return s
@@ -104,12 +104,12 @@
 	if s.stopped[i] {
 		return
 	}
-	if gap := s.now - s.lastAt[i]; gap > Defaults().Wake {
-		s.handle(i, Woke{gap})
+	if gap := s.now - s.lastAt[i]; gap > DefaultSettings().PauseThreshold {
+		s.handle(i, Resumed{gap})
 	}
 	s.lastAt[i] = s.now
-	s.handle(i, Ticked{})
-	st, _ := s.agents[i].Standing()
+	s.handle(i, Tick{})
+	st, _ := s.agents[i].Mode()
 	s.standing[st]++
 }
 
@@ -134,11 +134,11 @@
 	})
 }
 
-func (s *sim) whole(k Kind) Listed {
-	l := Listed{Kind: k, Generation: s.gen}
+func (s *sim) whole(k ListKind) ListReceived {
+	l := ListReceived{Kind: k, Generation: s.gen}
 	for i := range len(s.list) + 64 {
 		name := fmt.Sprintf("s-%d", i)
-		if st, known := s.list[name]; known && st != version.Gone {
+		if st, known := s.list[name]; known && st != version.Removed {
 			l.Entries = append(l.Entries, Entry{Name: name, State: st})
 		}
 	}
@@ -159,9 +159,9 @@
 func (s *sim) handle(i int, e Event) {
 	for _, a := range s.agents[i].Handle(s.now+s.skew[i], e) {
 		switch a := a.(type) {
-		case Tell:
+		case Send:
 			s.send(i, a.To, append([]byte(nil), a.Data...))
-		case AskSource:
+		case QuerySource:
 			s.tell(i)
 		}
 	}
@@ -195,11 +195,11 @@
 		s.after(10*time.Millisecond, func() { s.arrive(from, to, data) })
 		return
 	}
-	if gap := s.now - s.lastAt[to]; gap > Defaults().Wake { // as a loop does before all that waited
-		s.handle(to, Woke{gap})
+	if gap := s.now - s.lastAt[to]; gap > DefaultSettings().PauseThreshold { // as a loop does before all that waited
+		s.handle(to, Resumed{gap})
 		s.lastAt[to] = s.now
 	}
-	s.handle(to, Heard{from, data})
+	s.handle(to, DatagramReceived{from, data})
 }
 
 func (s *sim) stop(i int, d time.Duration) {
@@ -207,13 +207,13 @@
 	s.after(d, func() { s.stopped[i] = false })
 }
 
-func (s *sim) standingOf(i int) Standing { st, _ := s.agents[i].Standing(); return st }
+func (s *sim) standingOf(i int) Mode { st, _ := s.agents[i].Mode(); return st }
 
 // outAt runs until a process does not use a server and gives how long it took.
 func (s *sim) outAt(i int, name string, most time.Duration) time.Duration {
 	from := s.now
 	for s.now-from < most {
-		if s.agents[i].Out(name) || s.agents[i].entries[version.KeyOf(name)].state != version.Up {
+		if s.agents[i].Withdrawn(name) || s.agents[i].entries[version.KeyOf(name)].state != version.Up {
 			return s.now - from
 		}
 		s.run(5 * time.Millisecond)
--- a/fleet/follow/standing.go
+++ b/fleet/follow/standing.go
@@ -36,22 +36,22 @@
 // acted on here is current.
 func (a *Agent) vouches(p *peer) bool {
 	return p.vector.List == a.vector.List ||
-		p.vector.List.Order(a.vector.List) == version.Newer && a.acts.Order(p.vector.List) != version.Older
+		p.vector.List.CompareGeneration(a.vector.List) == version.Newer && a.acts.CompareGeneration(p.vector.List) != version.Older
 }
 
 // sourceSilent tells whether so much of the fleet has no word of its source that it
 // is the source that is behind, and not this process.
 func (a *Agent) sourceSilent(age time.Duration) bool {
 	others := len(a.others()) // those that are gone say nothing
-	window := min(forgetTime, age-a.set.Narrow/2)
+	window := min(forgetTime, age-a.set.NarrowAfter/2)
 	if window <= 0 {
 		return false
 	}
 	if a.frozenAt > 0 && a.now-a.frozenAt < frozenFor {
 		return true // guards against one who hears few by chance
 	}
-	part := a.set.Part
-	if age < a.set.Close { // few were heard in so short a time, and narrowing can wait
+	part := a.set.StaleSourceFraction
+	if age < a.set.CloseAfter { // few were heard in so short a time, and narrowing can wait
 		part /= 2
 	}
 	silent := 0
@@ -59,14 +59,14 @@
 		p := &a.peers[i]
 		// One whose source speaks again and that has this very list says nothing against
 		// holding on to it: guards against closing when the source comes back to others first.
-		if p.heard > 0 && a.now-p.sent <= window && (p.age < 0 || p.age >= a.set.Narrow/2 || a.vouches(p)) {
+		if p.heard > 0 && a.now-p.sent <= window && (p.age < 0 || p.age >= a.set.NarrowAfter/2 || a.vouches(p)) {
 			silent++
 		}
 	}
 	if float64(silent) < max(1, part*a.expected(others, window)) {
 		return false
 	}
-	if part == a.set.Part {
+	if part == a.set.StaleSourceFraction {
 		a.frozenAt = a.now
 	}
 	return true
@@ -80,11 +80,11 @@
 	}
 	to, why := Current, ""
 	switch {
-	case a.set.Watch || a.fleet.Size() <= 1: // nobody could know better
-	case age < a.set.Narrow:
+	case a.set.ObserveOnly || a.fleet.Size() <= 1: // nobody could know better
+	case age < a.set.NarrowAfter:
 	case a.sourceSilent(age):
 		to, why = Held, fmt.Sprintf("nobody's source has spoken for %v", age.Round(time.Second))
-	case age < a.set.Close:
+	case age < a.set.CloseAfter:
 		to, why = Narrowed, "no word of the own source and of no neighbour that this list is current"
 	default:
 		to, why = Closed, "no word of the own source and of no neighbour that this list is current"
@@ -95,7 +95,7 @@
 	}
 	if a.standing == Closed && to < Closed { // in turn: those that were closed together do not come back together
 		if a.reopenAt == 0 {
-			a.reopenAt = a.now + Time(a.rng.Float64()*float64(a.set.Reopen))
+			a.reopenAt = a.now + Time(a.rng.Float64()*float64(a.set.ReopenJitter))
 		}
 		if a.now < a.reopenAt {
 			return
@@ -104,8 +104,8 @@
 	a.reopenAt = 0
 	a.logf("%s, after %s: %s", to, a.standing, reason(why))
 	a.standing, a.why = to, why
-	a.rec.Stands(a.now, to.String(), why)
-	a.do(Changed{})
+	a.rec.RecordMode(a.now, to.String(), why)
+	a.do(EligibilityChanged{})
 }
 
 func reason(why string) string {
@@ -128,13 +128,13 @@
 		}
 		heard++
 		own := a.vector.List
-		if a.now-a.listAt > a.set.Behind && p.sent-a.listAt > a.set.Behind && a.now-a.confirmed < a.set.Narrow &&
-			p.acts.Order(own) == version.Older {
+		if a.now-a.listAt > a.set.BehindAfter && p.sent-a.listAt > a.set.BehindAfter && a.now-a.confirmed < a.set.NarrowAfter &&
+			p.acts.CompareGeneration(own) == version.Older {
 			p.behind = true
 			behind++
 		}
 	}
-	if float64(behind) > (1-a.set.Part)*float64(heard)/2 && behind > 1 {
+	if float64(behind) > (1-a.set.StaleSourceFraction)*float64(heard)/2 && behind > 1 {
 		for i := range a.peers {
 			a.peers[i].behind = false
 		}
@@ -143,12 +143,12 @@
 
 // Peer is what an agent knows of another process, for operators.
 type Peer struct {
-	Process  int            `json:"process"`
-	Version  version.Vector `json:"version"`
-	Acts     version.List   `json:"acts"`
-	Standing string         `json:"standing"`
-	Heard    time.Duration  `json:"heard"` // ago
-	Unused   bool           `json:"unused"`
+	Process        int            `json:"process"`
+	Version        version.Vector `json:"version"`
+	AppliedVersion version.List   `json:"acts"`
+	Mode           string         `json:"standing"`
+	SinceHeard     time.Duration  `json:"heard"` // ago
+	Ignored        bool           `json:"unused"`
 }
 
 // Peers lists the processes that have ever been heard.
--- a/fleet/follow/words.go
+++ b/fleet/follow/words.go
@@ -9,7 +9,7 @@
 
 // push tells of withdrawals at once, and once more a little later.
 func (a *Agent) push(since version.List, ws []word) {
-	a.tellWords(a.some(a.set.Fanout), since, ws)
+	a.tellWords(a.some(a.set.PushFanout), since, ws)
 	if len(a.repeats) < mostLog {
 		a.repeats = append(a.repeats, repeat{a.now + repeatIn, since})
 	}
@@ -27,7 +27,7 @@
 			m := a.message(words)
 			m.since, m.part, m.parts = since, part, max(1, parts)
 			for _, w := range ws[part*mostWords : min(len(ws), (part+1)*mostWords)] {
-				if w.list.Epoch == m.acts.Epoch && w.list.Order(m.acts) != version.Newer {
+				if w.list.Epoch == m.acts.Epoch && w.list.CompareGeneration(m.acts) != version.Newer {
 					m.words = append(m.words, w)
 				}
 			}
@@ -54,13 +54,13 @@
 
 // seek asks a process that acts on newer withdrawals for what is missing here.
 func (a *Agent) seek() {
-	if a.now < a.nextAsk || !a.listed || a.set.Watch {
+	if a.now < a.nextAsk || !a.listed || a.set.ObserveOnly {
 		return
 	}
 	best := -1
 	for i := range a.peers {
 		p := &a.peers[i]
-		if p.heard == 0 || a.now-p.heard > hearWindow || p.acts.Order(a.acts) != version.Newer || a.now < p.askedAt+p.askWait {
+		if p.heard == 0 || a.now-p.heard > hearWindow || p.acts.CompareGeneration(a.acts) != version.Newer || a.now < p.askedAt+p.askWait {
 			continue
 		}
 		if best < 0 || p.heard > a.peers[best].heard {
@@ -86,15 +86,15 @@
 	}
 	p.answeredAt = a.now
 	acts := a.speaksFor()
-	if since.Order(acts) != version.Older {
+	if since.CompareGeneration(acts) != version.Older {
 		a.send(to, a.message(hello)) // nothing is missing; it hears how fresh this is
 		return
 	}
-	if since.Epoch == acts.Epoch && since.Order(a.floor) != version.Older {
+	if since.Epoch == acts.Epoch && since.CompareGeneration(a.floor) != version.Older {
 		a.tellWords([]int{to}, since, a.since(since))
 		return
 	}
-	if acts.Order(a.vector.List) == version.Newer {
+	if acts.CompareGeneration(a.vector.List) == version.Newer {
 		a.send(to, a.message(hello)) // what this process was told of others is not all of a list
 		return
 	}
@@ -120,7 +120,7 @@
 func (a *Agent) since(l version.List) []word {
 	var out []word
 	for _, w := range a.log {
-		if w.list.Order(l) == version.Newer {
+		if w.list.CompareGeneration(l) == version.Newer {
 			out = append(out, w)
 		}
 	}
@@ -128,7 +128,7 @@
 		return out
 	}
 	for _, k := range a.heldKeys() {
-		if h := a.held[k]; h.acted && h.list.Order(l) == version.Newer {
+		if h := a.held[k]; h.acted && h.list.CompareGeneration(l) == version.Newer {
 			w := h.word
 			w.hearsay = true
 			out = append(out, w)
@@ -159,20 +159,20 @@
 		changed, ok = changed || acted, ok && sound
 	}
 	if p.collect(m, ok) {
-		if p.parts.ok && m.since.Epoch == a.acts.Epoch && m.since.Order(a.acts) != version.Newer {
+		if p.parts.ok && m.since.Epoch == a.acts.Epoch && m.since.CompareGeneration(a.acts) != version.Newer {
 			a.reached(p, m.acts)
 		}
 		p.parts = assembly{}
 	}
 	if changed {
-		a.do(Changed{})
+		a.do(EligibilityChanged{})
 	}
 }
 
 // takeWhole takes which servers a neighbour's list has up. What this one's has
 // besides, as of an older version, has been withdrawn.
 func (a *Agent) takeWhole(from int, p *peer, m *message) {
-	if m.acts.Order(a.vector.List) != version.Newer || !p.collect(m, true) {
+	if m.acts.CompareGeneration(a.vector.List) != version.Newer || !p.collect(m, true) {
 		return
 	}
 	up := map[version.Key]bool{}
@@ -191,7 +191,7 @@
 		a.reached(p, m.acts)
 	}
 	if changed {
-		a.do(Changed{})
+		a.do(EligibilityChanged{})
 	}
 }
 
@@ -200,19 +200,19 @@
 // this process from asking the others.
 func (a *Agent) reached(p *peer, to version.List) {
 	p.askWait = 0
-	if to.Order(a.acts) != version.Newer || a.backing(to) < a.quorum() {
+	if to.CompareGeneration(a.acts) != version.Newer || a.backing(to) < a.quorum() {
 		return
 	}
 	to.Digest = 0
 	a.acts = to
-	a.rec.Reached(to)
+	a.rec.RecordApplied(to)
 }
 
 // backing counts the processes heard of late that act on a version or a newer one.
 func (a *Agent) backing(to version.List) int {
 	n := 0
 	for i := range a.peers {
-		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= hearWindow && p.acts.Order(to) != version.Older {
+		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= hearWindow && p.acts.CompareGeneration(to) != version.Older {
 			n++
 		}
 	}
@@ -224,10 +224,10 @@
 // how much of the list neighbours can take out: one alone a smaller part than
 // several that agree. sound says that nothing stands against having it in force.
 func (a *Agent) take(from int, p *peer, w word) (acted, sound bool) {
-	if a.set.Watch {
+	if a.set.ObserveOnly {
 		return false, false
 	}
-	if w.list.Order(a.vector.List) != version.Newer {
+	if w.list.CompareGeneration(a.vector.List) != version.Newer {
 		return false, true // the own source's word holds
 	}
 	h := a.held[w.key]
@@ -239,7 +239,7 @@
 		h = &held{word: w, via: from, at: a.now}
 		a.held[w.key] = h
 	}
-	if w.list.Order(h.list) == version.Newer {
+	if w.list.CompareGeneration(h.list) == version.Newer {
 		h.list, h.state = w.list, max(h.state, w.state)
 	}
 	if teller := teller(from, w); !slices.Contains(h.tellers, teller) && len(h.tellers) < mostTellers && a.now >= p.doubtUntil {
@@ -250,13 +250,13 @@
 		return false, true
 	}
 	if !a.mayTake(h) {
-		a.counts.OverBound++
-		a.rec.Refuses(a.now, x.name, w.list, from)
+		a.counts.OverLimit++
+		a.rec.RecordRefusal(a.now, x.name, w.list, from)
 		return false, false
 	}
 	h.acted = true
-	a.counts.Acted++
-	a.rec.Withdrawn(a.now, x.name, w.state, w.list, from)
+	a.counts.Applied++
+	a.rec.RecordWithdrawal(a.now, x.name, w.state, w.list, from)
 	return true, true
 }
 
@@ -294,10 +294,10 @@
 	switch {
 	case h.backers() == 0:
 		return false
-	case h.backers() == 1 && one >= limit(a.set.OneTeller):
+	case h.backers() == 1 && one >= limit(a.set.OnePeerFraction):
 		return false
 	}
-	return all < limit(a.set.AllTellers)
+	return all < limit(a.set.AllPeersFraction)
 }
 
 // doubt drops words that the own source, which has spoken since, does not bear out
@@ -317,15 +317,15 @@
 			}
 			continue
 		}
-		wait := a.set.Doubt
+		wait := a.set.UnconfirmedTimeout
 		if h.backers() > 1 { // several sources against one: it may be the own one that is late
 			wait *= 4
 		}
-		if a.confirmed < h.at+wait || a.now-a.confirmed > a.set.Narrow {
+		if a.confirmed < h.at+wait || a.now-a.confirmed > a.set.NarrowAfter {
 			continue
 		}
 		a.drop(k, h)
-		a.counts.Doubted++
+		a.counts.Reverted++
 		for _, t := range h.tellers {
 			if t >= 0 && h.backers() == 1 {
 				a.peers[t].doubtUntil = a.now + doubtTime
@@ -337,7 +337,7 @@
 		}
 	}
 	if changed {
-		a.do(Changed{})
+		a.do(EligibilityChanged{})
 	}
 }
 
@@ -345,11 +345,11 @@
 // heard anew.
 func (a *Agent) drop(k version.Key, h *held) {
 	delete(a.held, k)
-	if a.acts.Order(a.vector.List) == version.Newer {
+	if a.acts.CompareGeneration(a.vector.List) == version.Newer {
 		a.acts, a.vouched = a.vector.List, a.confirmed
 	}
 	if x, known := a.entries[k]; known && h.acted {
-		a.rec.Again(a.now, x.name, a.vector.List)
+		a.rec.RecordRestored(a.now, x.name, a.vector.List)
 	}
 }
 
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -231,7 +231,7 @@
 
 func (f fleetOf) Size() int { return f.m.size }
 func (f fleetOf) Self() int { return f.m.cfg.Self }
-func (f fleetOf) Lives(number int) bool {
+func (f fleetOf) IsAlive(number int) bool {
 	m := f.m
 	if m.roster == nil {
 		return number < m.cfg.Nodes
@@ -255,11 +255,11 @@
 		m.roll(roster.Tick{})
 		m.share()
 		m.view()
-		m.follow(follow.Ticked{})
+		m.follow(follow.Tick{})
 	case Resumed:
 		m.share() // what has run out must not be used by what comes next
 		m.roll(roster.Resumed{Gap: e.Gap})
-		m.follow(follow.Woke{Gap: e.Gap})
+		m.follow(follow.Resumed{Gap: e.Gap})
 	case Leaving:
 		m.roll(roster.Leaving{})
 	}
@@ -293,11 +293,11 @@
 func (m *Member) follow(e follow.Event) {
 	for _, a := range m.agent.Handle(m.now, e) {
 		switch a := a.(type) {
-		case follow.Tell:
+		case follow.Send:
 			m.tell(a.To, a.Data)
-		case follow.Changed:
+		case follow.EligibilityChanged:
 			m.do(ServersChanged{})
-		case follow.AskSource:
+		case follow.QuerySource:
 			m.do(QuerySource{})
 		case follow.Log:
 			m.do(Log{a.Line})
@@ -360,7 +360,7 @@
 // living lists the nodes that this process takes for alive, itself among them.
 func (m *Member) living() (out []shares.ID) {
 	for i := range min(m.size, FirstControlID) {
-		if i == m.cfg.Self || (fleetOf{m}).Lives(i) {
+		if i == m.cfg.Self || (fleetOf{m}).IsAlive(i) {
 			out = append(out, shares.ID(i))
 		}
 	}
@@ -382,9 +382,9 @@
 	if !roster.IsMessage(data) { // whatever it says, it lives
 		m.roll(roster.PeerActive{ID: roster.ID(from)})
 	}
-	if follow.Ours(data) {
-		m.follow(follow.Heard{From: from, Data: data})
-		if data = follow.Unwrap(data); len(data) == 0 {
+	if follow.IsFleetDatagram(data) {
+		m.follow(follow.DatagramReceived{From: from, Data: data})
+		if data = follow.Payload(data); len(data) == 0 {
 			return
 		}
 	}
@@ -393,14 +393,14 @@
 		if m.parts == nil {
 			return
 		}
-		if shares.IsRequest(data) && !m.agent.Uses(from) { // a straggler claims nothing; what it gives back or grants counts
+		if shares.IsRequest(data) && !m.agent.TrustsPeer(from) { // a straggler claims nothing; what it gives back or grants counts
 			m.counts.IgnoredRequests++
 			return
 		}
 		m.post(m.parts.Handle(m.now, shares.ID(from), data))
 	case roster.IsMessage(data):
 		m.roll(roster.DatagramReceived{From: e.From, Data: data})
-	case m.agent.Uses(from):
+	case m.agent.TrustsPeer(from):
 		m.do(Deliver{from, data})
 	}
 }
@@ -430,23 +430,23 @@
 
 // Record gives what the process has on record, with whom it knows and what it holds.
 func (m *Member) Record(now Time) version.Record {
-	r := m.agent.Recorder().Take(now)
+	r := m.agent.Recorder().Snapshot(now)
 	if m.parts != nil {
 		for _, p := range m.parts.Holdings(now) {
-			r.Parts = append(r.Parts, version.Part{Whole: p.Name, Base: p.Base, Held: p.Held, Need: p.Demand, All: p.Total})
+			r.Leases = append(r.Leases, version.QuotaLease{Quota: p.Name, EqualShare: p.Base, Held: p.Held, Demand: p.Demand, Total: p.Total})
 		}
-		r.Seats, r.Quorate = m.parts.HeldSlots(now), m.parts.HasQuorum(now)
+		r.Slots, r.HasQuorum = m.parts.HeldSlots(now), m.parts.HasQuorum(now)
 	}
 	if m.roster == nil {
 		return r
 	}
-	r.Majority, r.View = m.roster.HasMajority(), m.roster.Digest()
+	r.Majority, r.ViewDigest = m.roster.HasMajority(), m.roster.Digest()
 	for _, x := range m.roster.Members() {
 		heard := time.Duration(-1)
 		if x.LastHeard > 0 {
 			heard = now - x.LastHeard
 		}
-		r.Members = append(r.Members, version.Member{Process: int(x.ID), Status: x.Status.String(), Life: uint32(x.Incarnation), Heard: heard})
+		r.Members = append(r.Members, version.Member{Process: int(x.ID), Status: x.Status.String(), Incarnation: uint32(x.Incarnation), SinceHeard: heard})
 	}
 	return r
 }
@@ -462,12 +462,12 @@
 // Figures gives all of them.
 func (m *Member) Figures(now Time) []Figure {
 	c, v := m.agent.Counts(), m.agent.Vector()
-	standing, _ := m.agent.Standing()
+	standing, _ := m.agent.Mode()
 	out := []Figure{{"standing", "g", int64(standing)}, {"epoch", "g", int64(v.List.Epoch)}, {"generation", "g", int64(v.List.Generation)},
-		{"acts_on", "g", int64(m.agent.Acts().Generation)}, {"hellos", "c", int64(c.Hellos)}, {"asks", "c", int64(c.Asks)},
-		{"answers", "c", int64(c.Answers)}, {"bytes", "c", int64(c.Bytes)}, {"acted", "c", int64(c.Acted)},
-		{"over_bound", "c", int64(c.OverBound)}, {"doubted", "c", int64(c.Doubted)}, {"malformed", "c", int64(c.Malformed)},
-		{"old", "c", int64(c.Old)}, {"unused", "c", int64(c.Unused + m.counts.IgnoredRequests)}, {"dropped", "c", int64(c.Dropped)},
+		{"acts_on", "g", int64(m.agent.AppliedVersion().Generation)}, {"hellos", "c", int64(c.Hellos)}, {"asks", "c", int64(c.Queries)},
+		{"answers", "c", int64(c.Answers)}, {"bytes", "c", int64(c.Bytes)}, {"acted", "c", int64(c.Applied)},
+		{"over_bound", "c", int64(c.OverLimit)}, {"doubted", "c", int64(c.Reverted)}, {"malformed", "c", int64(c.Malformed)},
+		{"old", "c", int64(c.Stale)}, {"unused", "c", int64(c.Ignored + m.counts.IgnoredRequests)}, {"dropped", "c", int64(c.Dropped)},
 		{"strangers", "c", int64(m.counts.UnknownSenders)}}
 	if m.roster != nil {
 		out = append(out, m.rosterFigures()...)
--- a/fleet/steered/steered.go
+++ b/fleet/steered/steered.go
@@ -25,18 +25,18 @@
 
 // Settings of a table.
 type Settings struct {
-	Service string        // name of the control service
-	Life    version.Stamp // of the control service
-	Within  time.Duration // in which a proxy must answer what it is sent
-	Grace   time.Duration // after it has accepted a withdrawal, in which sends may still go there
-	Proxies int           // that are kept; more are counted
+	Service       string            // name of the control service
+	Incarnation   version.Timestamp // of the control service
+	AnswerTimeout time.Duration     // in which a proxy must answer what it is sent
+	Grace         time.Duration     // after it has accepted a withdrawal, in which sends may still go there
+	MaxProxies    int               // that are kept; more are counted
 }
 
 // Server names a withdrawn server, by either name that load reports use.
 type Server struct{ ID, Addr string }
 
-// Sends is what a load report says of one server, by either name.
-type Sends struct {
+// ServerLoad is what a load report says of one server, by either name.
+type ServerLoad struct {
 	Server
 	Issued uint64
 }
@@ -48,7 +48,7 @@
 
 type proxy struct {
 	version.Control
-	joined     version.Stamp
+	joined     version.Timestamp
 	sentAt     Time
 	acceptedAt map[uint64]Time // when versions were accepted that withdraw something
 	state      version.ProxyState
@@ -77,7 +77,7 @@
 	out     map[Server]withdrawal
 	number  uint64
 	lists   []published // oldest first
-	left    []version.Steered
+	left    []version.ProxyRecord
 	Dropped uint64 // proxies and servers that there was no room for
 }
 
@@ -86,29 +86,29 @@
 	return &Table{set: s, proxies: map[string]*proxy{}, out: map[Server]withdrawal{}}
 }
 
-// Change is a new verdict on a proxy.
-type Change struct {
+// VerdictChange is a new verdict on a proxy.
+type VerdictChange struct {
 	Proxy string
 	State version.ProxyState
 	Why   string
-	// Counted is whether what it reports may be learnt from.
-	Counted bool
-	Turned  bool // Counted has changed
+	// Reliable is whether what it reports may be learnt from.
+	Reliable           bool
+	ReliabilityChanged bool // Reliable has changed
 }
 
-// Joined takes a proxy in, Left out; at is when, by the clock of records.
-func (t *Table) Joined(at version.Stamp, id string) {
+// ProxyJoined takes a proxy in, Left out; at is when, by the clock of records.
+func (t *Table) ProxyJoined(at version.Timestamp, id string) {
 	if t.proxies[id] != nil {
 		return
 	}
-	if len(t.proxies) >= t.set.Proxies {
+	if len(t.proxies) >= t.set.MaxProxies {
 		t.Dropped++
 		return
 	}
-	t.proxies[id] = &proxy{Control: version.Control{Service: t.set.Service, Life: t.set.Life, Published: t.number}, joined: at, acceptedAt: map[uint64]Time{}}
+	t.proxies[id] = &proxy{Control: version.Control{Service: t.set.Service, Incarnation: t.set.Incarnation, Published: t.number}, joined: at, acceptedAt: map[uint64]Time{}}
 }
 
-func (t *Table) Left(at version.Stamp, id string) {
+func (t *Table) ProxyLeft(at version.Timestamp, id string) {
 	p := t.proxies[id]
 	if p == nil {
 		return
@@ -121,9 +121,9 @@
 	}
 }
 
-// Published takes a new version, the list that it rests on, and the servers that
+// VersionPublished takes a new version, the list that it rests on, and the servers that
 // it withdraws.
-func (t *Table) Published(number uint64, list version.List, out []Server) {
+func (t *Table) VersionPublished(number uint64, list version.List, out []Server) {
 	t.number = number
 	if n := len(t.lists); n == 0 || t.lists[n-1].list != list {
 		if t.lists = append(t.lists, published{number, list}); len(t.lists) > maxLists {
@@ -148,9 +148,9 @@
 	}
 }
 
-// Sent says that a version went out to a proxy, for a time after which the proxy
+// VersionSent says that a version went out to a proxy, for a time after which the proxy
 // drops it by itself; 0: it does not.
-func (t *Table) Sent(now Time, id string, number uint64, lease time.Duration) {
+func (t *Table) VersionSent(now Time, id string, number uint64, lease time.Duration) {
 	p := t.proxies[id]
 	if p != nil && lease > 0 {
 		p.LeaseEnds = now + lease
@@ -163,21 +163,21 @@
 	}
 }
 
-// Answered says that a proxy has taken a version, or why it has not.
-func (t *Table) Answered(now Time, id string, number uint64, why string) {
+// VersionAnswered says that a proxy has taken a version, or why it has not.
+func (t *Table) VersionAnswered(now Time, id string, number uint64, why string) {
 	p := t.proxies[id]
 	if p == nil {
 		return
 	}
 	if why != "" {
-		p.Refused, p.refusal = max(p.Refused, number), why
+		p.Rejected, p.refusal = max(p.Rejected, number), why
 		return
 	}
 	if number < p.Accepted {
 		return
 	}
 	p.Accepted = number
-	p.On = t.on(number)
+	p.BasedOn = t.on(number)
 	for s := range t.out { // at most one time a version, and only those that are still out
 		if v := t.out[s].version; v <= number {
 			if _, known := p.acceptedAt[v]; !known {
@@ -192,11 +192,11 @@
 	}
 }
 
-// Holds says that a proxy has all that a version has for it, also where nothing of
+// VersionHeld says that a proxy has all that a version has for it, also where nothing of
 // it had to be sent.
-func (t *Table) Holds(id string, number uint64) {
+func (t *Table) VersionHeld(id string, number uint64) {
 	if p := t.proxies[id]; p != nil && number > p.Accepted {
-		p.Accepted, p.On = number, t.on(number)
+		p.Accepted, p.BasedOn = number, t.on(number)
 	}
 }
 
@@ -219,9 +219,9 @@
 	return false
 }
 
-// Loaded takes a proxy's load report over an interval that ends now. Sends count
+// LoadReported takes a proxy's load report over an interval that ends now. Sends count
 // as strays where the whole of it lies after the grace.
-func (t *Table) Loaded(now Time, id string, interval time.Duration, loads []Sends) {
+func (t *Table) LoadReported(now Time, id string, interval time.Duration, loads []ServerLoad) {
 	p := t.proxies[id]
 	if p == nil {
 		return
@@ -246,64 +246,64 @@
 	}
 }
 
-// Tick gives the verdicts that have changed, by proxy.
-func (t *Table) Tick(now Time) []Change {
-	var out []Change
+// UpdateVerdicts gives the verdicts that have changed, by proxy.
+func (t *Table) UpdateVerdicts(now Time) []VerdictChange {
+	var out []VerdictChange
 	for id, p := range t.proxies {
 		strays := uint64(0)
-		if p.row >= strayTwice || p.state == version.ProxyIdle && p.row > -strayTwice {
+		if p.row >= strayTwice || p.state == version.ProxyNotApplying && p.row > -strayTwice {
 			strays = max(1, p.strays)
 		}
-		state := p.Judge(now, p.sentAt, t.set.Within, strays)
+		state := p.Evaluate(now, p.sentAt, t.set.AnswerTimeout, strays)
 		if state == p.state {
 			continue
 		}
-		c := Change{Proxy: id, State: state, Counted: state.Follows(), Turned: state.Follows() != p.state.Follows()}
+		c := VerdictChange{Proxy: id, State: state, Reliable: state.Reliable(), ReliabilityChanged: state.Reliable() != p.state.Reliable()}
 		switch state {
-		case version.ProxyFrozen:
+		case version.ProxyUnresponsive:
 			c.Why = fmt.Sprintf("version %d has been without an answer for %v", p.Sent, (now - p.sentAt).Round(time.Millisecond))
-		case version.ProxyRefuses:
-			c.Why = fmt.Sprintf("it turned version %d down: %s", p.Refused, p.refusal)
-		case version.ProxyIdle:
+		case version.ProxyRejecting:
+			c.Why = fmt.Sprintf("it turned version %d down: %s", p.Rejected, p.refusal)
+		case version.ProxyNotApplying:
 			c.Why = fmt.Sprintf("it accepted version %d and reports sends to servers that it withdraws, %d in all", p.Accepted, p.total)
 		}
 		p.state, p.why = state, c.Why
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(x, y Change) int { return cmp.Compare(x.Proxy, y.Proxy) })
+	slices.SortFunc(out, func(x, y VerdictChange) int { return cmp.Compare(x.Proxy, y.Proxy) })
 	return out
 }
 
-func (p *proxy) steered(id string) version.Steered {
-	return version.Steered{Proxy: id, Control: p.Control, State: p.state.String(), Why: p.why, Strays: p.total, Joined: p.joined}
+func (p *proxy) steered(id string) version.ProxyRecord {
+	return version.ProxyRecord{Proxy: id, Control: p.Control, State: p.state.String(), Why: p.why, LateSends: p.total, Joined: p.joined}
 }
 
-// Rows lists all proxies that are there, by name.
-func (t *Table) Rows() []version.Steered {
-	out := make([]version.Steered, 0, len(t.proxies))
+// ProxyRecords lists all proxies that are there, by name.
+func (t *Table) ProxyRecords() []version.ProxyRecord {
+	out := make([]version.ProxyRecord, 0, len(t.proxies))
 	for id, p := range t.proxies {
 		out = append(out, p.steered(id))
 	}
-	slices.SortFunc(out, func(x, y version.Steered) int { return cmp.Compare(x.Proxy, y.Proxy) })
+	slices.SortFunc(out, func(x, y version.ProxyRecord) int { return cmp.Compare(x.Proxy, y.Proxy) })
 	return out
 }
 
 // Record lists them for a record: those that are there, then those that have left,
 // the latest first. What is over the bound is dropped, and how much that is, told.
-func (t *Table) Record() (rows []version.Steered, dropped uint64) {
-	rows = t.Rows()
+func (t *Table) Record() (rows []version.ProxyRecord, dropped uint64) {
+	rows = t.ProxyRecords()
 	for _, x := range slices.Backward(t.left) {
 		rows = append(rows, x)
 	}
-	n := min(len(rows), version.MostSteered)
+	n := min(len(rows), version.MaxProxies)
 	return rows[:n], uint64(len(rows)-n) + t.Dropped
 }
 
-// Lagging counts the proxies that are not counted on.
-func (t *Table) Lagging() int {
+// UnreliableCount counts the proxies that are not counted on.
+func (t *Table) UnreliableCount() int {
 	n := 0
 	for _, p := range t.proxies {
-		if !p.state.Follows() {
+		if !p.state.Reliable() {
 			n++
 		}
 	}
--- a/fleet/steered/steered_test.go
+++ b/fleet/steered/steered_test.go
@@ -12,58 +12,58 @@
 const s = time.Second
 
 func table() *Table {
-	t := New(Settings{Service: "a", Life: 1, Within: 2 * s, Grace: 500 * time.Millisecond, Proxies: 8})
-	t.Joined(1, "p")
-	t.Published(1, version.List{Generation: 40, Digest: 4}, nil)
-	t.Sent(0, "p", 1, 0)
-	t.Answered(0, "p", 1, "")
-	t.Tick(0)
+	t := New(Settings{Service: "a", Incarnation: 1, AnswerTimeout: 2 * s, Grace: 500 * time.Millisecond, MaxProxies: 8})
+	t.ProxyJoined(1, "p")
+	t.VersionPublished(1, version.List{Generation: 40, Digest: 4}, nil)
+	t.VersionSent(0, "p", 1, 0)
+	t.VersionAnswered(0, "p", 1, "")
+	t.UpdateVerdicts(0)
 	return t
 }
 
-func state(t *Table) string { return t.Rows()[0].State }
+func state(t *Table) string { return t.ProxyRecords()[0].State }
 
 // A proxy that accepts and goes on sending, one that refuses, one that is silent: each
 // is named, and counted on again once it follows.
 func TestWhoDoesNotFollow(t *testing.T) {
 	drained := []Server{{"a", "1:1"}}
 	x := table()
-	x.Published(2, version.List{Generation: 41, Digest: 5}, drained)
-	x.Sent(s, "p", 2, 0)
-	x.Answered(s, "p", 2, "")
+	x.VersionPublished(2, version.List{Generation: 41, Digest: 5}, drained)
+	x.VersionSent(s, "p", 2, 0)
+	x.VersionAnswered(s, "p", 2, "")
 	for i := range 6 {
 		now := s + time.Duration(i+1)*500*time.Millisecond
-		x.Loaded(now, "p", 500*time.Millisecond, []Sends{{Server{Addr: "1:1"}, 7}, {Server{ID: "b"}, 7}})
-		c := x.Tick(now)
-		if want := i == 2; want != (len(c) == 1 && c[0].State == version.ProxyIdle && !c[0].Counted && c[0].Turned) {
+		x.LoadReported(now, "p", 500*time.Millisecond, []ServerLoad{{Server{Addr: "1:1"}, 7}, {Server{ID: "b"}, 7}})
+		c := x.UpdateVerdicts(now)
+		if want := i == 2; want != (len(c) == 1 && c[0].State == version.ProxyNotApplying && !c[0].Reliable && c[0].ReliabilityChanged) {
 			t.Errorf("report %d: %+v", i, c) // the first lies within the grace
 		}
 	}
 	for i := range 2 {
-		x.Loaded(10*s, "p", 500*time.Millisecond, []Sends{{Server{ID: "b"}, 7}})
-		if c := x.Tick(10 * s); (len(c) == 1 && c[0].Counted) != (i == 1) {
+		x.LoadReported(10*s, "p", 500*time.Millisecond, []ServerLoad{{Server{ID: "b"}, 7}})
+		if c := x.UpdateVerdicts(10 * s); (len(c) == 1 && c[0].Reliable) != (i == 1) {
 			t.Errorf("clean report %d: %+v", i, c)
 		}
 	}
 	x = table()
-	x.Published(2, version.List{Generation: 41, Digest: 5}, drained)
-	x.Sent(s, "p", 2, 0)
-	x.Answered(s, "p", 2, "no such field")
-	if c := x.Tick(s); len(c) != 1 || c[0].State != version.ProxyRefuses {
+	x.VersionPublished(2, version.List{Generation: 41, Digest: 5}, drained)
+	x.VersionSent(s, "p", 2, 0)
+	x.VersionAnswered(s, "p", 2, "no such field")
+	if c := x.UpdateVerdicts(s); len(c) != 1 || c[0].State != version.ProxyRejecting {
 		t.Errorf("%+v", c)
 	}
-	x.Sent(2*s, "p", 3, 0)
-	x.Answered(2*s, "p", 3, "")
-	if c := x.Tick(2 * s); len(c) != 1 || c[0].State != version.ProxyCurrent || !c[0].Turned {
+	x.VersionSent(2*s, "p", 3, 0)
+	x.VersionAnswered(2*s, "p", 3, "")
+	if c := x.UpdateVerdicts(2 * s); len(c) != 1 || c[0].State != version.ProxyCurrent || !c[0].ReliabilityChanged {
 		t.Errorf("%+v", c)
 	}
-	x.Sent(3*s, "p", 4, 0)
-	x.Sent(4*s, "p", 5, 0)
-	x.Tick(4 * s)
-	if x.Tick(5 * s); state(x) != version.ProxyWaits.String() {
+	x.VersionSent(3*s, "p", 4, 0)
+	x.VersionSent(4*s, "p", 5, 0)
+	x.UpdateVerdicts(4 * s)
+	if x.UpdateVerdicts(5 * s); state(x) != version.ProxyPending.String() {
 		t.Errorf("%v", state(x))
 	}
-	if c := x.Tick(6 * s); len(c) != 1 || c[0].State != version.ProxyFrozen {
+	if c := x.UpdateVerdicts(6 * s); len(c) != 1 || c[0].State != version.ProxyUnresponsive {
 		t.Errorf("it was sent two versions and answers none: %+v", c)
 	}
 }
@@ -88,10 +88,10 @@
 				for s := range out {
 					list = append(list, s)
 				}
-				x.Published(number, version.List{Generation: uint32(number), Digest: 1}, list)
+				x.VersionPublished(number, version.List{Generation: uint32(number), Digest: 1}, list)
 			case 1:
-				x.Sent(now, "p", number, 0)
-				x.Answered(now, "p", number, "")
+				x.VersionSent(now, "p", number, 0)
+				x.VersionAnswered(now, "p", number, "")
 				for s := range accepted {
 					if !out[s] {
 						delete(accepted, s)
@@ -104,17 +104,17 @@
 				}
 			default: // it sends to what it has not accepted as withdrawn; within the grace to all
 				const interval = 500 * time.Millisecond
-				var sends []Sends
+				var sends []ServerLoad
 				for _, id := range []string{"a", "b", "c"} {
 					srv := Server{ID: id}
 					if since, known := accepted[srv]; !known || now-interval < since {
-						sends = append(sends, Sends{srv, 3})
+						sends = append(sends, ServerLoad{srv, 3})
 					}
 				}
-				x.Loaded(now, "p", interval, sends)
+				x.LoadReported(now, "p", interval, sends)
 			}
-			for _, c := range x.Tick(now) {
-				if c.State == version.ProxyIdle {
+			for _, c := range x.UpdateVerdicts(now) {
+				if c.State == version.ProxyNotApplying {
 					r.Fatalf("%+v", c)
 				}
 			}
@@ -126,17 +126,17 @@
 // it had to be sent, and after it has left.
 func TestTheRecordTellsWhichListAProxyActsOn(t *testing.T) {
 	x := table()
-	if r := x.Rows()[0]; r.On.Generation != 40 || r.Service != "a" {
+	if r := x.ProxyRecords()[0]; r.BasedOn.Generation != 40 || r.Service != "a" {
 		t.Errorf("%+v", r)
 	}
-	x.Published(2, version.List{Generation: 41, Digest: 5}, nil)
-	x.Published(3, version.List{Generation: 41, Digest: 5}, nil)
-	x.Holds("p", 3)
-	if r := x.Rows()[0]; r.On.Generation != 41 || r.Accepted != 3 {
+	x.VersionPublished(2, version.List{Generation: 41, Digest: 5}, nil)
+	x.VersionPublished(3, version.List{Generation: 41, Digest: 5}, nil)
+	x.VersionHeld("p", 3)
+	if r := x.ProxyRecords()[0]; r.BasedOn.Generation != 41 || r.Accepted != 3 {
 		t.Errorf("%+v", r)
 	}
-	x.Left(9, "p")
-	if r, dropped := x.Record(); len(r) != 1 || r[0].Left != 9 || r[0].On.Generation != 41 || dropped != 0 {
+	x.ProxyLeft(9, "p")
+	if r, dropped := x.Record(); len(r) != 1 || r[0].Left != 9 || r[0].BasedOn.Generation != 41 || dropped != 0 {
 		t.Errorf("%+v, %d dropped", r, dropped)
 	}
 }
--- a/fleet/version/digest.go
+++ b/fleet/version/digest.go
@@ -14,11 +14,11 @@
 	Up State = iota
 	// Draining servers want nothing new.
 	Draining
-	// Gone servers have been removed.
-	Gone
+	// Removed servers have been removed.
+	Removed
 )
 
-func (s State) String() string { return [...]string{"up", "draining", "removed"}[min(s, Gone)] }
+func (s State) String() string { return [...]string{"up", "draining", "removed"}[min(s, Removed)] }
 
 // Key names a server in datagrams: a hash of its name (xxHash64).
 type Key uint64
@@ -26,26 +26,26 @@
 // KeyOf gives a server's key.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// Sum is the digest of a list, kept up as servers come and go: a sum of hashes,
+// RunningDigest is the digest of a list, kept up as servers come and go: a sum of hashes,
 // so that the order of the words that led to it does not show.
-type Sum uint64
+type RunningDigest uint64
 
 // of hashes one entry. Where a process reaches a server differs from process to
 // process and is left out.
-func of(k Key, s State, startedAt Time) Sum {
+func of(k Key, s State, startedAt Time) RunningDigest {
 	var b [17]byte
 	binary.BigEndian.PutUint64(b[:], uint64(k))
 	b[8] = byte(s)
 	binary.BigEndian.PutUint64(b[9:], uint64(startedAt))
-	return Sum(xxhash.Sum64(b[:]))
+	return RunningDigest(xxhash.Sum64(b[:]))
 }
 
 // Add puts an entry in; Remove takes it out again.
-func (d *Sum) Add(k Key, s State, startedAt Time)    { *d += of(k, s, startedAt) }
-func (d *Sum) Remove(k Key, s State, startedAt Time) { *d -= of(k, s, startedAt) }
+func (d *RunningDigest) Add(k Key, s State, startedAt Time)    { *d += of(k, s, startedAt) }
+func (d *RunningDigest) Remove(k Key, s State, startedAt Time) { *d -= of(k, s, startedAt) }
 
 // Short is the digest as a List holds it; never 0.
-func (d Sum) Short() uint32 {
+func (d RunningDigest) Short() uint32 {
 	if s := uint32(d>>32) ^ uint32(d); s != 0 {
 		return s
 	}
--- a/fleet/version/file.go
+++ b/fleet/version/file.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// MaxRecord bounds a record's text, bytes.
-const MaxRecord = 4 << 20
+// MaxRecordBytes bounds a record's text, bytes.
+const MaxRecordBytes = 4 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -19,32 +19,32 @@
 type serverText struct {
 	Name  string     `json:"name"`
 	Sends uint64     `json:"sends"`
-	First Stamp      `json:"first"`
-	Last  Stamp      `json:"last"`
+	First Timestamp  `json:"first"`
+	Last  Timestamp  `json:"last"`
 	Marks [][3]int64 `json:"marks,omitempty"`
 }
 
 // MarshalJSON writes a server's marks short; stamps of them lose their counters.
-func (s Server) MarshalJSON() ([]byte, error) {
+func (s ServerSends) MarshalJSON() ([]byte, error) {
 	t := serverText{s.Name, s.Sends, s.First, s.Last, nil}
-	for _, m := range s.Marks {
+	for _, m := range s.Buckets {
 		t.Marks = append(t.Marks, [3]int64{s.Last.Sub(m.From).Milliseconds(), s.Last.Sub(m.To).Milliseconds(), int64(m.Sends)})
 	}
 	return json.Marshal(t)
 }
 
 // UnmarshalJSON reads what MarshalJSON wrote.
-func (s *Server) UnmarshalJSON(raw []byte) error {
+func (s *ServerSends) UnmarshalJSON(raw []byte) error {
 	var t serverText
 	if err := json.Unmarshal(raw, &t); err != nil {
 		return err
 	}
-	*s = Server{Name: t.Name, Sends: t.Sends, First: t.First, Last: t.Last}
+	*s = ServerSends{Name: t.Name, Sends: t.Sends, First: t.First, Last: t.Last}
 	for _, m := range t.Marks[:min(len(t.Marks), mostMarks+1)] {
 		if m[2] < 0 || m[0] < 0 || m[1] < 0 || m[0] > maxSpan || m[1] > maxSpan {
 			return errMarks
 		}
-		s.Marks = append(s.Marks, Mark{t.Last.Add(-time.Duration(m[0]) * time.Millisecond), t.Last.Add(-time.Duration(m[1]) * time.Millisecond), uint64(m[2])})
+		s.Buckets = append(s.Buckets, SendBucket{t.Last.Add(-time.Duration(m[0]) * time.Millisecond), t.Last.Add(-time.Duration(m[1]) * time.Millisecond), uint64(m[2])})
 	}
 	return nil
 }
@@ -61,8 +61,8 @@
 	if err != nil {
 		return to, fmt.Errorf("record: %w", err)
 	}
-	if len(body) > MaxRecord {
-		return to, fmt.Errorf("record: %d bytes are over the bound of %d", len(body), MaxRecord)
+	if len(body) > MaxRecordBytes {
+		return to, fmt.Errorf("record: %d bytes are over the bound of %d", len(body), MaxRecordBytes)
 	}
 	to = fmt.Appendf(to, "%08x ", crc32.Checksum(body, castagnoli))
 	return append(append(to, body...), '\n'), nil
@@ -81,7 +81,7 @@
 			spoilt++
 			continue
 		}
-		key := fmt.Sprintf("%s %d", r.Process, r.Life)
+		key := fmt.Sprintf("%s %d", r.Process, r.Incarnation)
 		if i, known := at[key]; known {
 			records[i] = r
 			continue
@@ -95,7 +95,7 @@
 func readLine(line []byte) (Record, bool) {
 	var r Record
 	sum, body, found := bytes.Cut(line, []byte{' '})
-	if !found || len(sum) != 8 || len(body) > MaxRecord || fmt.Sprintf("%08x", crc32.Checksum(body, castagnoli)) != string(sum) {
+	if !found || len(sum) != 8 || len(body) > MaxRecordBytes || fmt.Sprintf("%08x", crc32.Checksum(body, castagnoli)) != string(sum) {
 		return r, false
 	}
 	return r, json.Unmarshal(body, &r) == nil
--- a/fleet/version/record.go
+++ b/fleet/version/record.go
@@ -11,32 +11,32 @@
 // Bounds of a record. What is over them is folded together or dropped, oldest
 // first, and counted.
 const (
-	MostIntervals   = 64
-	MostWithdrawals = 256
-	MostServers     = 4096
-	MostHeard       = 1024
-	MostChanges     = 64
-	MostRefusals    = 64
-	MostSteered     = 8192
+	MaxIntervals   = 64
+	MaxWithdrawals = 256
+	MaxServers     = 4096
+	MaxPeers       = 1024
+	MaxChanges     = 64
+	MaxRefusals    = 64
+	MaxProxies     = 8192
 
 	markBits  = 27 // a mark is 2^27 ns, about 134 ms
 	mostMarks = 32 // marks of a server that are kept: those in which something was sent
 )
 
-// MarkLength is how long one mark of sends is at most.
-const MarkLength = time.Duration(1) << markBits
+// BucketLength is how long one mark of sends is at most.
+const BucketLength = time.Duration(1) << markBits
 
-// Mark counts the sends of one short time, from the first of them to the last.
-type Mark struct {
-	From  Stamp  `json:"from"`
-	To    Stamp  `json:"to"`
-	Sends uint64 `json:"sends"`
+// SendBucket counts the sends of one short time, from the first of them to the last.
+type SendBucket struct {
+	From  Timestamp `json:"from"`
+	To    Timestamp `json:"to"`
+	Sends uint64    `json:"sends"`
 }
 
-// Sends counts what this process writes to one server. It may be used by several
+// SendCounter counts what this process writes to one server. It may be used by several
 // goroutines; a send costs one comparison and one addition under a lock that
 // nobody else wants.
-type Sends struct {
+type SendCounter struct {
 	mu          sync.Mutex
 	slot        int64
 	count       uint64 // of the slot
@@ -51,8 +51,8 @@
 	total *atomic.Uint64
 }
 
-// Sent counts a send.
-func (s *Sends) Sent(now Time) {
+// Add counts a send.
+func (s *SendCounter) Add(now Time) {
 	slot := int64(now) >> markBits
 	s.mu.Lock()
 	if slot != s.slot {
@@ -64,7 +64,7 @@
 	s.total.Add(1)
 }
 
-func (s *Sends) turn(slot int64, now Time) {
+func (s *SendCounter) turn(slot int64, now Time) {
 	if s.count > 0 {
 		m := &s.marks[s.next%mostMarks]
 		m.from, m.to, m.count = s.since, s.last, s.count
@@ -76,176 +76,176 @@
 	s.slot, s.count, s.since = slot, 0, now
 }
 
-// Server is what was sent to one server, as a record tells it. Times are the
+// ServerSends is what was sent to one server, as a record tells it. Times are the
 // hybrid clock's, as far as it was ahead when the record was taken.
-type Server struct {
-	Name  string `json:"name"`
-	Sends uint64 `json:"sends"`
-	First Stamp  `json:"first,omitempty"`
-	Last  Stamp  `json:"last,omitempty"`
-	Marks []Mark `json:"marks,omitempty"` // the latest ones
+type ServerSends struct {
+	Name    string       `json:"name"`
+	Sends   uint64       `json:"sends"`
+	First   Timestamp    `json:"first,omitempty"`
+	Last    Timestamp    `json:"last,omitempty"`
+	Buckets []SendBucket `json:"marks,omitempty"` // the latest ones
 }
 
-func (s *Sends) server(name string, lag time.Duration) Server {
+func (s *SendCounter) server(name string, lag time.Duration) ServerSends {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Server{Name: name, Sends: s.all + s.count}
+	out := ServerSends{Name: name, Sends: s.all + s.count}
 	if out.Sends == 0 {
 		return out
 	}
-	out.First, out.Last = StampOf(s.first+lag), StampOf(s.last+lag)
+	out.First, out.Last = TimestampOf(s.first+lag), TimestampOf(s.last+lag)
 	for i := max(0, s.next-mostMarks); i < s.next; i++ {
 		m := s.marks[i%mostMarks]
-		out.Marks = append(out.Marks, Mark{StampOf(m.from + lag), StampOf(m.to + lag), m.count})
+		out.Buckets = append(out.Buckets, SendBucket{TimestampOf(m.from + lag), TimestampOf(m.to + lag), m.count})
 	}
-	out.Marks = append(out.Marks, Mark{StampOf(s.since + lag), out.Last, s.count})
+	out.Buckets = append(out.Buckets, SendBucket{TimestampOf(s.since + lag), out.Last, s.count})
 	return out
 }
 
-// Own is the teller of what a process's own source said.
-const Own = -1
+// OwnSource is the teller of what a process's own source said.
+const OwnSource = -1
 
 // Interval is a time in which a process acted on one version.
 type Interval struct {
-	Version Vector `json:"version"`
-	From    Stamp  `json:"from"`
-	Until   Stamp  `json:"until"` // 0: still
-	Sends   uint64 `json:"sends"`
+	Version Vector    `json:"version"`
+	From    Timestamp `json:"from"`
+	Until   Timestamp `json:"until"` // 0: still
+	Sends   uint64    `json:"sends"`
 }
 
-// Folded stands for intervals that a record has no room for.
-type Folded struct {
-	Intervals uint64 `json:"intervals"`
-	From      Stamp  `json:"from,omitempty"`
-	Until     Stamp  `json:"until,omitempty"`
-	Sends     uint64 `json:"sends"`
+// MergedIntervals stands for intervals that a record has no room for.
+type MergedIntervals struct {
+	Intervals uint64    `json:"intervals"`
+	From      Timestamp `json:"from,omitempty"`
+	Until     Timestamp `json:"until,omitempty"`
+	Sends     uint64    `json:"sends"`
 }
 
 // Withdrawal is a server that wants nothing new, as a process came to know.
 type Withdrawal struct {
-	Server string `json:"server"` // name
-	State  State  `json:"state"`
-	List   List   `json:"list"`  // the version that says so
-	Known  Stamp  `json:"known"` // when this process knew
-	From   int    `json:"from"`  // who told it: a process's number, or Own
-	Again  Stamp  `json:"again"` // when its own source gave the server back; 0: not yet
-	Back   List   `json:"back"`  // the version that gave it back
+	Server     string    `json:"server"` // name
+	State      State     `json:"state"`
+	List       List      `json:"list"`  // the version that says so
+	KnownAt    Timestamp `json:"known"` // when this process knew
+	ReportedBy int       `json:"from"`  // who told it: a process's number, or Own
+	RestoredAt Timestamp `json:"again"` // when its own source gave the server back; 0: not yet
+	RestoredBy List      `json:"back"`  // the version that gave it back
 }
 
-// Heard is the last word that a process had of another.
-type Heard struct {
-	Process int    `json:"process"`
-	Version Vector `json:"version"`
-	At      Stamp  `json:"at"`   // this process's clock
-	Lead    int64  `json:"lead"` // ms by which the teller's stamp was ahead of this process's, at the latest word
-	Count   uint64 `json:"count"`
+// PeerVersion is the last word that a process had of another.
+type PeerVersion struct {
+	Process         int       `json:"process"`
+	Version         Vector    `json:"version"`
+	LastHeard       Timestamp `json:"at"`   // this process's clock
+	ClockLeadMillis int64     `json:"lead"` // ms by which the teller's stamp was ahead of this process's, at the latest word
+	Count           uint64    `json:"count"`
 }
 
-// Change is a change of a process's standing.
-type Change struct {
-	At  Stamp  `json:"at"`
-	To  string `json:"to"`
-	Why string `json:"why"`
+// ModeChange is a change of a process's standing.
+type ModeChange struct {
+	At   Timestamp `json:"at"`
+	Mode string    `json:"to"`
+	Why  string    `json:"why"`
 }
 
-// Stop is a time in which a process stood still.
-type Stop struct {
-	Until Stamp         `json:"until"` // when it went on
-	For   time.Duration `json:"for"`
+// Pause is a time in which a process stood still.
+type Pause struct {
+	ResumedAt Timestamp     `json:"until"` // when it went on
+	Duration  time.Duration `json:"for"`
 }
 
 // Record is what a process has acted on, for an audit.
 type Record struct {
-	Process      string        `json:"process"`
-	Number       int           `json:"number"`
-	Life         Stamp         `json:"life"`  // its start
-	At           Stamp         `json:"at"`    // when the record was taken
-	Wall         int64         `json:"wall"`  // ms, the process's own clock then
-	Ended        bool          `json:"ended"` // it ended in order after this record
-	Acts         []Interval    `json:"acts"`
-	Folded       Folded        `json:"folded"`
-	Servers      []Server      `json:"servers"`
-	Withdrawals  []Withdrawal  `json:"withdrawals"`
-	Dropped      uint64        `json:"dropped"` // withdrawals, servers and words that there was no room for
-	Heard        []Heard       `json:"heard"`
-	Changes      []Change      `json:"changes"`
-	Stops        []Stop        `json:"stops"`
-	RefusedOld   uint64        `json:"refused_old"`   // requests refused as what it acts on was too old
-	ClockRefused int           `json:"clock_refused"` // stamps too far ahead to be believed
-	ClockLag     time.Duration `json:"clock_lag"`     // the most that another clock was ahead
-	Confirmed    Stamp         `json:"confirmed"`     // when its own source spoke last
-	Reached      List          `json:"reached"`       // up to which all withdrawals are in force, by whoever told them
-	Before       []Life        `json:"before"`        // former processes of this node, oldest first
-	Members      []Member      `json:"members"`       // who it takes to be in the fleet; none where it does not find out
-	Parts        []Part        `json:"parts"`         // of wholes that are shared
-	Majority     bool          `json:"majority"`      // most of the last agreed fleet are among them
-	View         uint32        `json:"view"`          // digest of who it takes for alive
-	Seats        int           `json:"seats"`         // of the fleet's that it holds
-	Quorate      bool          `json:"quorate"`       // most guards of the seats answer it
-	Refused      []Refusal     `json:"refused"`       // withdrawals of neighbours that were not taken, as too much would have been out
-	Uses         []string      `json:"uses"`          // servers that it uses now, by name and in order; a node's
-	Steers       []Steered     `json:"steers"`        // of a control service: how each proxy follows
-	Service      bool          `json:"service"`       // a control service's; Number means nothing then
+	Process            string          `json:"process"`
+	Number             int             `json:"number"`
+	Incarnation        Timestamp       `json:"life"`  // its start
+	TakenAt            Timestamp       `json:"at"`    // when the record was taken
+	WallMillis         int64           `json:"wall"`  // ms, the process's own clock then
+	Ended              bool            `json:"ended"` // it ended in order after this record
+	Intervals          []Interval      `json:"acts"`
+	Merged             MergedIntervals `json:"folded"`
+	Servers            []ServerSends   `json:"servers"`
+	Withdrawals        []Withdrawal    `json:"withdrawals"`
+	Dropped            uint64          `json:"dropped"` // withdrawals, servers and words that there was no room for
+	Peers              []PeerVersion   `json:"heard"`
+	ModeChanges        []ModeChange    `json:"changes"`
+	Pauses             []Pause         `json:"stops"`
+	StaleRefusals      uint64          `json:"refused_old"`   // requests refused as what it acts on was too old
+	ClockRejected      int             `json:"clock_refused"` // stamps too far ahead to be believed
+	ClockLead          time.Duration   `json:"clock_lag"`     // the most that another clock was ahead
+	Confirmed          Timestamp       `json:"confirmed"`     // when its own source spoke last
+	AppliedVersion     List            `json:"reached"`       // up to which all withdrawals are in force, by whoever told them
+	Predecessors       []Predecessor   `json:"before"`        // former processes of this node, oldest first
+	Members            []Member        `json:"members"`       // who it takes to be in the fleet; none where it does not find out
+	Leases             []QuotaLease    `json:"parts"`         // of wholes that are shared
+	Majority           bool            `json:"majority"`      // most of the last agreed fleet are among them
+	ViewDigest         uint32          `json:"view"`          // digest of who it takes for alive
+	Slots              int             `json:"seats"`         // of the fleet's that it holds
+	HasQuorum          bool            `json:"quorate"`       // most guards of the seats answer it
+	RefusedWithdrawals []Refusal       `json:"refused"`       // withdrawals of neighbours that were not taken, as too much would have been out
+	ServersInUse       []string        `json:"uses"`          // servers that it uses now, by name and in order; a node's
+	Proxies            []ProxyRecord   `json:"steers"`        // of a control service: how each proxy follows
+	ControlService     bool            `json:"service"`       // a control service's; Number means nothing then
 }
 
 // Refusal is a withdrawal that a process was told of and did not take.
 type Refusal struct {
-	Server string `json:"server"`
-	List   List   `json:"list"` // the version that says so
-	From   int    `json:"from"` // who told it last
-	First  Stamp  `json:"first"`
-	Last   Stamp  `json:"last"`
-	Times  uint64 `json:"times"`
+	Server     string    `json:"server"`
+	List       List      `json:"list"` // the version that says so
+	ReportedBy int       `json:"from"` // who told it last
+	First      Timestamp `json:"first"`
+	Last       Timestamp `json:"last"`
+	Count      uint64    `json:"times"`
 }
 
 // Member is a process of the fleet as another one takes it.
 type Member struct {
-	Process int           `json:"process"`
-	Status  string        `json:"status"`
-	Life    uint32        `json:"life"`
-	Heard   time.Duration `json:"heard"` // ago; negative: never
+	Process     int           `json:"process"`
+	Status      string        `json:"status"`
+	Incarnation uint32        `json:"life"`
+	SinceHeard  time.Duration `json:"heard"` // ago; negative: never
 }
 
-// Part is what a process holds of a whole that the fleet shares, in its unit.
-type Part struct {
-	Whole string  `json:"whole"`
-	Base  float64 `json:"base"` // an equal part
-	Held  float64 `json:"held"`
-	Need  float64 `json:"need"`
-	All   float64 `json:"all"` // the whole
+// QuotaLease is what a process holds of a whole that the fleet shares, in its unit.
+type QuotaLease struct {
+	Quota      string  `json:"whole"`
+	EqualShare float64 `json:"base"` // an equal part
+	Held       float64 `json:"held"`
+	Demand     float64 `json:"need"`
+	Total      float64 `json:"all"` // the whole
 }
 
-// Life sums up a former process of the same node.
-type Life struct {
-	Life  Stamp  `json:"life"`
-	Until Stamp  `json:"until"`
-	Sends uint64 `json:"sends"`
-	Last  Vector `json:"last"`
+// Incarnation sums up a former process of the same node.
+type Predecessor struct {
+	Incarnation Timestamp `json:"life"`
+	Until       Timestamp `json:"until"`
+	Sends       uint64    `json:"sends"`
+	LastVersion Vector    `json:"last"`
 }
 
 // Recorder keeps a process's record. All but Sends is for one goroutine.
 type Recorder struct {
 	rec     Record
-	clock   *Clock
+	clock   *HybridClock
 	total   atomic.Uint64
 	began   uint64 // total at the last interval's beginning
-	sends   map[string]*Sends
-	heard   map[int]*Heard
+	sends   map[string]*SendCounter
+	heard   map[int]*PeerVersion
 	refused atomic.Uint64
 }
 
 // NewRecorder begins a record of a process at a time.
-func NewRecorder(process string, number int, now Time, clock *Clock) *Recorder {
-	return &Recorder{rec: Record{Process: process, Number: number, Life: clock.Now(now)}, clock: clock,
-		sends: map[string]*Sends{}, heard: map[int]*Heard{}}
+func NewRecorder(process string, number int, now Time, clock *HybridClock) *Recorder {
+	return &Recorder{rec: Record{Process: process, Number: number, Incarnation: clock.Now(now)}, clock: clock,
+		sends: map[string]*SendCounter{}, heard: map[int]*PeerVersion{}}
 }
 
-// Sends gives the counter of a server, which lasts while the server may still be asked about.
-func (r *Recorder) Sends(name string) *Sends {
+// SendCounter gives the counter of a server, which lasts while the server may still be asked about.
+func (r *Recorder) SendCounter(name string) *SendCounter {
 	s := r.sends[name]
 	if s == nil {
-		s = &Sends{total: &r.total}
-		if len(r.sends) >= MostServers {
+		s = &SendCounter{total: &r.total}
+		if len(r.sends) >= MaxServers {
 			r.rec.Dropped++ // it counts, in the total alone
 			return s
 		}
@@ -262,11 +262,11 @@
 	}
 }
 
-// Acts says that from now on the process acts on a version.
-func (r *Recorder) Acts(now Time, v Vector) {
+// Intervals says that from now on the process acts on a version.
+func (r *Recorder) RecordVersion(now Time, v Vector) {
 	at := r.clock.Now(now)
-	if n := len(r.rec.Acts); n > 0 {
-		last := &r.rec.Acts[n-1]
+	if n := len(r.rec.Intervals); n > 0 {
+		last := &r.rec.Intervals[n-1]
 		if last.Version.Compare(v) == Same {
 			return
 		}
@@ -274,143 +274,143 @@
 	}
 	r.began = r.total.Load()
 	v.Clock = at
-	if r.rec.Acts = append(r.rec.Acts, Interval{Version: v, From: at}); len(r.rec.Acts) > MostIntervals {
-		old := r.rec.Acts[0]
-		f := &r.rec.Folded
+	if r.rec.Intervals = append(r.rec.Intervals, Interval{Version: v, From: at}); len(r.rec.Intervals) > MaxIntervals {
+		old := r.rec.Intervals[0]
+		f := &r.rec.Merged
 		if f.Intervals++; f.Intervals == 1 {
 			f.From = old.From
 		}
 		f.Until, f.Sends = old.Until, f.Sends+old.Sends
-		r.rec.Acts = slices.Delete(r.rec.Acts, 0, 1)
+		r.rec.Intervals = slices.Delete(r.rec.Intervals, 0, 1)
 	}
 }
 
-// Withdrawn says that a server wants nothing new, by a version, told by a
+// RecordWithdrawal says that a server wants nothing new, by a version, told by a
 // process or Own. The first teller of a version counts.
-func (r *Recorder) Withdrawn(now Time, name string, s State, l List, from int) {
+func (r *Recorder) RecordWithdrawal(now Time, name string, s State, l List, from int) {
 	for i := len(r.rec.Withdrawals) - 1; i >= 0; i-- {
 		w := &r.rec.Withdrawals[i]
-		if w.Server != name || w.Again != 0 {
+		if w.Server != name || w.RestoredAt != 0 {
 			continue
 		}
-		if w.State = max(w.State, s); w.List.Order(l) == Older {
+		if w.State = max(w.State, s); w.List.CompareGeneration(l) == Older {
 			w.List = l // a later word of what is known: draining, then removed
 		}
 		return
 	}
-	r.rec.Withdrawals = append(r.rec.Withdrawals, Withdrawal{Server: name, State: s, List: l, Known: r.clock.Now(now), From: from})
-	if len(r.rec.Withdrawals) > MostWithdrawals {
+	r.rec.Withdrawals = append(r.rec.Withdrawals, Withdrawal{Server: name, State: s, List: l, KnownAt: r.clock.Now(now), ReportedBy: from})
+	if len(r.rec.Withdrawals) > MaxWithdrawals {
 		old := r.rec.Withdrawals[0]
 		r.rec.Withdrawals = slices.Delete(r.rec.Withdrawals, 0, 1)
 		r.rec.Dropped++
-		if old.State == Gone && old.Again == 0 {
+		if old.State == Removed && old.RestoredAt == 0 {
 			r.forget(old.Server)
 		}
 	}
 }
 
-// Again says that a server may be used again, by a version of the own list. It is stamped by the process's own
+// RestoredAt says that a server may be used again, by a version of the own list. It is stamped by the process's own
 // clock, as sends are, and put beside the fleet's with them when the record is taken: the fleet's clock runs ahead
 // of the own one from time to time, and sends that follow would seem to come before.
-func (r *Recorder) Again(now Time, name string, l List) {
+func (r *Recorder) RecordRestored(now Time, name string, l List) {
 	for i := len(r.rec.Withdrawals) - 1; i >= 0; i-- {
-		if w := &r.rec.Withdrawals[i]; w.Server == name && w.Again == 0 {
-			w.Again, w.Back = StampOf(now), l
+		if w := &r.rec.Withdrawals[i]; w.Server == name && w.RestoredAt == 0 {
+			w.RestoredAt, w.RestoredBy = TimestampOf(now), l
 		}
 	}
 }
 
-// Hears notes a word of another process.
-func (r *Recorder) Hears(now Time, from int, v Vector) {
+// RecordPeer notes a word of another process.
+func (r *Recorder) RecordPeer(now Time, from int, v Vector) {
 	h := r.heard[from]
 	if h == nil {
-		if len(r.heard) >= MostHeard {
+		if len(r.heard) >= MaxPeers {
 			r.rec.Dropped++
 			return
 		}
-		h = &Heard{Process: from}
+		h = &PeerVersion{Process: from}
 		r.heard[from] = h
 	}
-	h.Version, h.At, h.Lead = v, r.clock.Last(), (v.Clock.Time() - max(now, r.clock.Last().Time())).Milliseconds()
+	h.Version, h.LastHeard, h.ClockLeadMillis = v, r.clock.Last(), (v.Clock.Time() - max(now, r.clock.Last().Time())).Milliseconds()
 	h.Count++
 }
 
-// Stands notes a change of standing.
-func (r *Recorder) Stands(now Time, to, why string) {
-	if r.rec.Changes = append(r.rec.Changes, Change{r.clock.Now(now), to, why}); len(r.rec.Changes) > MostChanges {
-		r.rec.Changes = slices.Delete(r.rec.Changes, 0, 1)
+// RecordMode notes a change of standing.
+func (r *Recorder) RecordMode(now Time, to, why string) {
+	if r.rec.ModeChanges = append(r.rec.ModeChanges, ModeChange{r.clock.Now(now), to, why}); len(r.rec.ModeChanges) > MaxChanges {
+		r.rec.ModeChanges = slices.Delete(r.rec.ModeChanges, 0, 1)
 		r.rec.Dropped++
 	}
 }
 
-// Stopped notes that the process stood still until now.
-func (r *Recorder) Stopped(now Time, gap time.Duration) {
-	if r.rec.Stops = append(r.rec.Stops, Stop{r.clock.Now(now), gap}); len(r.rec.Stops) > MostChanges {
-		r.rec.Stops = slices.Delete(r.rec.Stops, 0, 1)
+// RecordPause notes that the process stood still until now.
+func (r *Recorder) RecordPause(now Time, gap time.Duration) {
+	if r.rec.Pauses = append(r.rec.Pauses, Pause{r.clock.Now(now), gap}); len(r.rec.Pauses) > MaxChanges {
+		r.rec.Pauses = slices.Delete(r.rec.Pauses, 0, 1)
 		r.rec.Dropped++
 	}
 }
 
-// Refuses notes that a neighbour's word of a withdrawal was not taken.
-func (r *Recorder) Refuses(now Time, server string, l List, from int) {
+// RecordRefusal notes that a neighbour's word of a withdrawal was not taken.
+func (r *Recorder) RecordRefusal(now Time, server string, l List, from int) {
 	at := r.clock.Now(now)
-	for i := range r.rec.Refused {
-		if x := &r.rec.Refused[i]; x.Server == server {
-			x.From, x.Last, x.Times = from, at, x.Times+1
-			if x.List.Order(l) == Older {
+	for i := range r.rec.RefusedWithdrawals {
+		if x := &r.rec.RefusedWithdrawals[i]; x.Server == server {
+			x.ReportedBy, x.Last, x.Count = from, at, x.Count+1
+			if x.List.CompareGeneration(l) == Older {
 				x.List = l
 			}
 			return
 		}
 	}
-	if r.rec.Refused = append(r.rec.Refused, Refusal{server, l, from, at, at, 1}); len(r.rec.Refused) > MostRefusals {
-		r.rec.Refused = slices.Delete(r.rec.Refused, 0, 1)
+	if r.rec.RefusedWithdrawals = append(r.rec.RefusedWithdrawals, Refusal{server, l, from, at, at, 1}); len(r.rec.RefusedWithdrawals) > MaxRefusals {
+		r.rec.RefusedWithdrawals = slices.Delete(r.rec.RefusedWithdrawals, 0, 1)
 		r.rec.Dropped++
 	}
 }
 
-// RefusedOld counts a request that was refused for the age of what is known.
-func (r *Recorder) RefusedOld() { r.refused.Add(1) }
+// StaleRefusals counts a request that was refused for the age of what is known.
+func (r *Recorder) CountStaleRefusal() { r.refused.Add(1) }
 
-// Confirmed notes that the process's own source spoke.
-func (r *Recorder) Confirmed(now Time) { r.rec.Confirmed = r.clock.Now(now) }
+// RecordConfirmed notes that the process's own source spoke.
+func (r *Recorder) RecordConfirmed(now Time) { r.rec.Confirmed = r.clock.Now(now) }
 
-// Reached notes up to which version all withdrawals are in force.
-func (r *Recorder) Reached(l List) { r.rec.Reached = l }
+// AppliedVersion notes up to which version all withdrawals are in force.
+func (r *Recorder) RecordApplied(l List) { r.rec.AppliedVersion = l }
 
-// Former takes the record of the process before this one, of the same node.
-func (r *Recorder) Former(old Record) {
-	l := Life{Life: old.Life, Until: old.At, Sends: old.Folded.Sends}
-	for _, a := range old.Acts {
-		l.Sends, l.Last = l.Sends+a.Sends, a.Version
+// AddPredecessor takes the record of the process before this one, of the same node.
+func (r *Recorder) AddPredecessor(old Record) {
+	l := Predecessor{Incarnation: old.Incarnation, Until: old.TakenAt, Sends: old.Merged.Sends}
+	for _, a := range old.Intervals {
+		l.Sends, l.LastVersion = l.Sends+a.Sends, a.Version
 	}
-	r.rec.Before = append(old.Before, l)
-	if n := len(r.rec.Before) - MostChanges; n > 0 {
-		r.rec.Before = r.rec.Before[n:]
+	r.rec.Predecessors = append(old.Predecessors, l)
+	if n := len(r.rec.Predecessors) - MaxChanges; n > 0 {
+		r.rec.Predecessors = r.rec.Predecessors[n:]
 		r.rec.Dropped += uint64(n)
 	}
 	for _, w := range old.Withdrawals { // what it knew, this one knows
-		if w.Again == 0 && len(r.rec.Withdrawals) < MostWithdrawals {
+		if w.RestoredAt == 0 && len(r.rec.Withdrawals) < MaxWithdrawals {
 			r.rec.Withdrawals = append(r.rec.Withdrawals, w)
 		}
 	}
 }
 
-// Take gives the record as of now. It shares nothing with the recorder.
-func (r *Recorder) Take(now Time) Record {
+// Snapshot gives the record as of now. It shares nothing with the recorder.
+func (r *Recorder) Snapshot(now Time) Record {
 	out := r.rec
-	out.At, out.Wall = r.clock.Now(now), now.Milliseconds()
-	out.Acts = slices.Clone(r.rec.Acts)
-	if n := len(out.Acts); n > 0 {
-		out.Acts[n-1].Sends = r.total.Load() - r.began
+	out.TakenAt, out.WallMillis = r.clock.Now(now), now.Milliseconds()
+	out.Intervals = slices.Clone(r.rec.Intervals)
+	if n := len(out.Intervals); n > 0 {
+		out.Intervals[n-1].Sends = r.total.Load() - r.began
 	}
-	out.Withdrawals, out.Changes, out.Stops = slices.Clone(r.rec.Withdrawals), slices.Clone(r.rec.Changes), slices.Clone(r.rec.Stops)
-	out.Before, out.Refused = slices.Clone(r.rec.Before), slices.Clone(r.rec.Refused)
-	out.RefusedOld, out.ClockRefused, out.ClockLag = r.refused.Load(), r.clock.Refused, r.clock.WorstLag
-	lag := max(0, out.At.Time()-now)
+	out.Withdrawals, out.ModeChanges, out.Pauses = slices.Clone(r.rec.Withdrawals), slices.Clone(r.rec.ModeChanges), slices.Clone(r.rec.Pauses)
+	out.Predecessors, out.RefusedWithdrawals = slices.Clone(r.rec.Predecessors), slices.Clone(r.rec.RefusedWithdrawals)
+	out.StaleRefusals, out.ClockRejected, out.ClockLead = r.refused.Load(), r.clock.Rejected, r.clock.MaxLead
+	lag := max(0, out.TakenAt.Time()-now)
 	for i := range out.Withdrawals {
-		if w := &out.Withdrawals[i]; w.Again != 0 {
-			w.Again = StampOf(w.Again.Time() + lag)
+		if w := &out.Withdrawals[i]; w.RestoredAt != 0 {
+			w.RestoredAt = TimestampOf(w.RestoredAt.Time() + lag)
 		}
 	}
 	for name, s := range r.sends {
@@ -418,10 +418,10 @@
 			out.Servers = append(out.Servers, x)
 		}
 	}
-	slices.SortFunc(out.Servers, func(a, b Server) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out.Servers, func(a, b ServerSends) int { return strings.Compare(a.Name, b.Name) })
 	for _, h := range r.heard {
-		out.Heard = append(out.Heard, *h)
+		out.Peers = append(out.Peers, *h)
 	}
-	slices.SortFunc(out.Heard, func(a, b Heard) int { return a.Process - b.Process })
+	slices.SortFunc(out.Peers, func(a, b PeerVersion) int { return a.Process - b.Process })
 	return out
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -50,10 +50,10 @@
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	cfg := f.Member()
-	cfg.Follow.Watch = true
+	cfg.Follow.ObserveOnly = true
 	cfg.Name, cfg.Self, cfg.ShareQuotas, cfg.ShareWork, cfg.Seeds = c.Name, c.FleetID, false, false, c.Seeds()
 	cfg.Addr, cfg.BuildDigest = conn.LocalAddr().(*net.UDPAddr).AddrPort(), build.Digest()
-	x := &fleet{log: log, conn: conn, ranges: cfg.AllowedPrefixes, wake: cfg.Follow.Wake, clock: wallclock.NewSteady()}
+	x := &fleet{log: log, conn: conn, ranges: cfg.AllowedPrefixes, wake: cfg.Follow.PauseThreshold, clock: wallclock.NewSteady()}
 	x.turnAt = x.now()
 	cfg.Seed = int64(x.turnAt)
 	x.member = member.New(cfg, x.now())
@@ -129,7 +129,7 @@
 
 // listed tells the fleet of a list of discovery's, and gives the version that it has
 // there: the count of discovery's beginnings is the fleet's.
-func (x *fleet) listed(l follow.Listed) version.List {
+func (x *fleet) listed(l follow.ListReceived) version.List {
 	x.handle(member.SourceEvent{Event: l})
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -48,7 +48,7 @@
 
 // vector is the list's version, as nodes of the same discovery tell theirs.
 func (l *list) vector() fleetversion.List {
-	var sum fleetversion.Sum
+	var sum fleetversion.RunningDigest
 	states := map[balance.ServerState]fleetversion.State{balance.Ready: fleetversion.Up, balance.Draining: fleetversion.Draining}
 	for _, x := range l.entries {
 		sum.Add(fleetversion.KeyOf(x.InstanceID), states[discovery.LifecycleStates[x.Lifecycle]], time.Duration(x.StartedAtMs)*time.Millisecond)
--- a/internal/control/steered.go
+++ b/internal/control/steered.go
@@ -32,7 +32,7 @@
 	mu      sync.Mutex
 	table   *steered.Table
 	fleet   *fleet // nil: of none
-	clock   *version.Clock
+	clock   *version.HybridClock
 	rec     *version.Recorder       // of the lists that states rest on
 	list    version.List            // the last one
 	there   map[string]bool         // servers that it names
@@ -41,14 +41,14 @@
 }
 
 func newSteered(c *operator.Control, f *fleet, post func(steer.Event), log *slog.Logger) *proxies {
-	p := &proxies{post: post, log: log, fleet: f, steady: wallclock.NewSteady(), clock: &version.Clock{}, known: map[steered.Server]bool{}, there: map[string]bool{}}
+	p := &proxies{post: post, log: log, fleet: f, steady: wallclock.NewSteady(), clock: &version.HybridClock{}, known: map[steered.Server]bool{}, there: map[string]bool{}}
 	p.rec = version.NewRecorder(c.Name, -1, p.wall(), p.clock)
 	life := p.clock.Last()
 	if f != nil {
-		life = f.record().Life
+		life = f.record().Incarnation
 	}
-	p.table = steered.New(steered.Settings{Service: c.Name, Life: life, Within: c.AckWithin.Duration / 2,
-		Grace: drainGrace, Proxies: c.MaxStreams})
+	p.table = steered.New(steered.Settings{Service: c.Name, Incarnation: life, AnswerTimeout: c.AckWithin.Duration / 2,
+		Grace: drainGrace, MaxProxies: c.MaxStreams})
 	return p
 }
 
@@ -68,7 +68,7 @@
 // is of a fleet the version is as the fleet counts it.
 func (p *proxies) listed(v version.List, entries []discovery.Entry) {
 	if p.fleet != nil {
-		l := follow.Listed{Kind: follow.Full, Generation: uint64(v.Generation)}
+		l := follow.ListReceived{Kind: follow.Full, Generation: uint64(v.Generation)}
 		for _, x := range entries {
 			state := version.Up
 			if discovery.LifecycleStates[x.Lifecycle] == balance.Draining {
@@ -85,20 +85,20 @@
 		for _, x := range entries {
 			there[x.InstanceID] = true
 			if discovery.LifecycleStates[x.Lifecycle] == balance.Ready {
-				p.rec.Again(now, x.InstanceID, v)
+				p.rec.RecordRestored(now, x.InstanceID, v)
 			} else {
-				p.rec.Withdrawn(now, x.InstanceID, version.Draining, v, version.Own)
+				p.rec.RecordWithdrawal(now, x.InstanceID, version.Draining, v, version.OwnSource)
 			}
 		}
 		for id := range p.there {
 			if !there[id] {
-				p.rec.Withdrawn(now, id, version.Gone, v, version.Own)
+				p.rec.RecordWithdrawal(now, id, version.Removed, v, version.OwnSource)
 			}
 		}
 		p.there = there
-		p.rec.Acts(now, version.Vector{List: v, Form: version.Form})
-		p.rec.Confirmed(now)
-		p.rec.Reached(v)
+		p.rec.RecordVersion(now, version.Vector{List: v, Format: version.FormatVersion})
+		p.rec.RecordConfirmed(now)
+		p.rec.RecordApplied(v)
 	})
 }
 
@@ -108,11 +108,11 @@
 		if p.fleet != nil {
 			r = p.fleet.record()
 		} else {
-			r = p.rec.Take(p.wall())
+			r = p.rec.Snapshot(p.wall())
 		}
 		var dropped uint64
-		r.Service = true
-		r.Steers, dropped = p.table.Record()
+		r.ControlService = true
+		r.Proxies, dropped = p.table.Record()
 		r.Dropped += dropped
 	})
 	return r
@@ -121,29 +121,29 @@
 // connect has a server's streams tell the table what they bring.
 func (p *proxies) connect(cfg *xds.Config) {
 	cfg.Joined = func(id steer.ProxyID, zone string) {
-		p.with(func(steered.Time) { p.table.Joined(p.clock.Now(p.wall()), string(id)) })
+		p.with(func(steered.Time) { p.table.ProxyJoined(p.clock.Now(p.wall()), string(id)) })
 		p.post(steer.Joined{Proxy: id, Zone: zone})
 	}
 	cfg.Left = func(id steer.ProxyID) {
-		p.with(func(steered.Time) { p.table.Left(p.clock.Now(p.wall()), string(id)) })
+		p.with(func(steered.Time) { p.table.ProxyLeft(p.clock.Now(p.wall()), string(id)) })
 		p.post(steer.Left{Proxy: id})
 	}
 	cfg.Loaded = func(l steer.Loaded) {
-		var sends []steered.Sends
+		var sends []steered.ServerLoad
 		for _, x := range l.Loads {
-			sends = append(sends, steered.Sends{Server: steered.Server{ID: string(x.Server), Addr: x.Addr}, Issued: x.Issued})
+			sends = append(sends, steered.ServerLoad{Server: steered.Server{ID: string(x.Server), Addr: x.Addr}, Issued: x.Issued})
 		}
-		p.with(func(now steered.Time) { p.table.Loaded(now, string(l.Proxy), l.Interval, sends) })
+		p.with(func(now steered.Time) { p.table.LoadReported(now, string(l.Proxy), l.Interval, sends) })
 		p.post(l)
 	}
 	cfg.Sent = func(id steer.ProxyID, number uint64, lease time.Duration) {
-		p.with(func(now steered.Time) { p.table.Sent(now, string(id), number, lease) })
+		p.with(func(now steered.Time) { p.table.VersionSent(now, string(id), number, lease) })
 	}
 	cfg.Holds = func(id steer.ProxyID, number uint64) {
-		p.with(func(steered.Time) { p.table.Holds(string(id), number) })
+		p.with(func(steered.Time) { p.table.VersionHeld(string(id), number) })
 	}
 	cfg.Answered = func(id steer.ProxyID, number uint64, why string) {
-		p.with(func(now steered.Time) { p.table.Answered(now, string(id), number, why) })
+		p.with(func(now steered.Time) { p.table.VersionAnswered(now, string(id), number, why) })
 	}
 }
 
@@ -192,7 +192,7 @@
 		if len(p.known) > 2*(len(up)+len(drains))+64 { // those that are gone are not told of for ever
 			p.known = up
 		}
-		p.table.Published(s.Version, p.list, out)
+		p.table.VersionPublished(s.Version, p.list, out)
 	})
 	w.to.Publish(s)
 }
@@ -208,18 +208,18 @@
 
 // look carries out new verdicts.
 func (p *proxies) look() {
-	var changed []steered.Change
+	var changed []steered.VerdictChange
 	p.with(func(now steered.Time) {
-		changed = p.table.Tick(now)
-		p.lagging.Store(int64(p.table.Lagging()))
+		changed = p.table.UpdateVerdicts(now)
+		p.lagging.Store(int64(p.table.UnreliableCount()))
 	})
 	for _, c := range changed {
-		if c.Turned {
-			p.post(steer.Counted{Proxy: steer.ProxyID(c.Proxy), On: c.Counted})
+		if c.ReliabilityChanged {
+			p.post(steer.Counted{Proxy: steer.ProxyID(c.Proxy), On: c.Reliable})
 		}
-		if !c.Counted {
+		if !c.Reliable {
 			p.log.Warn("a proxy does not follow", "proxy", c.Proxy, "state", c.State.String(), "why", c.Why)
-		} else if c.Turned {
+		} else if c.ReliabilityChanged {
 			p.log.Info("a proxy follows again", "proxy", c.Proxy)
 		}
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -41,7 +41,7 @@
 
 // Run carries out one call and gives its exit code.
 func Run(args []string, out, errs io.Writer) int {
-	a := &app{out: out, err: errs, options: audit.Defaults()}
+	a := &app{out: out, err: errs, options: audit.DefaultOptions()}
 	root := a.root()
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -69,7 +69,7 @@
 	flags.DurationVar(&a.from.wait, "wait", 2*time.Second, "for each console")
 	flags.BoolVar(&a.json, "json", false, "JSON in place of a table")
 	flags.DurationVar(&a.options.Grace, "grace", a.options.Grace, "after a withdrawal, in which sends may still go there")
-	flags.IntVar(&a.options.Size, "size", 0, "processes that the fleet has; 0: as many as the records name")
+	flags.IntVar(&a.options.FleetSize, "size", 0, "processes that the fleet has; 0: as many as the records name")
 	versions := a.command("versions", "who acts on which version, and who is behind", a.versions)
 	versions.Flags().StringVar(&a.plot, "plot", "", "draws the versions of each process over time into a file (.png, .svg or .pdf)")
 	why := a.command("why NODE", "one process: what it acted on, when, and what else is known", nil)
@@ -126,15 +126,15 @@
 	err := a.table(all, "process\tstate\tacts on\twithdrawals to\tbehind\tsettings\tbuild\tstanding\tsure\twhy", func(w io.Writer) {
 		for _, p := range all {
 			by := "-"
-			if p.By > 0 {
-				by = fmt.Sprint(p.By)
+			if p.GenerationsBehind > 0 {
+				by = fmt.Sprint(p.GenerationsBehind)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%04x\t%04x\t%s\t%s\t%s\n", p.Process, p.State, p.Version.List, p.Reached, by,
-				p.Version.Settings, p.Version.Build, orDash(p.Standing), p.Sure, orDash(p.Why))
+			fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%04x\t%04x\t%s\t%s\t%s\n", p.Process, p.State, p.Version.List, p.AppliedVersion, by,
+				p.Version.Settings, p.Version.Build, orDash(p.Mode), p.Confidence, orDash(p.Why))
 		}
 	})
 	for _, p := range all {
-		if err == nil && p.State == audit.IsBehind {
+		if err == nil && p.State == audit.Behind {
 			return errFound
 		}
 	}
@@ -149,18 +149,18 @@
 }
 
 func (a *app) breaks(x *audit.Audit) error {
-	all := x.Breaks()
+	all := x.LateSends()
 	err := a.table(all, "process\tserver\twithdrawn by\tsends\tlast\tafter\tknew\tsure", func(w io.Writer) {
 		for _, b := range all {
-			knew, sends := "another", fmt.Sprint(b.Least)
-			if b.Own {
+			knew, sends := "another", fmt.Sprint(b.MinSends)
+			if b.SelfKnew {
 				knew = "itself"
 			}
-			if b.Most > b.Least {
-				sends = fmt.Sprintf("%d to %d", b.Least, b.Most)
+			if b.MaxSends > b.MinSends {
+				sends = fmt.Sprintf("%d to %d", b.MinSends, b.MaxSends)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%v (%s)\t%s\t%s\t%v\t%s\t%s\n", b.Process, b.Server, b.Version, b.State, sends, audit.Clocked(b.Last),
-				b.Late.Round(time.Millisecond), knew, b.Sure)
+			fmt.Fprintf(w, "%s\t%s\t%v (%s)\t%s\t%s\t%v\t%s\t%s\n", b.Process, b.Server, b.Version, b.State, sends, audit.FormatTime(b.LastSend),
+				b.Lateness.Round(time.Millisecond), knew, b.Confidence)
 		}
 		if len(all) == 0 {
 			fmt.Fprintf(w, "none on record of %d processes; %d are unknown\n", len(x.Processes()), unknown(x))
@@ -175,7 +175,7 @@
 func unknown(x *audit.Audit) int {
 	n := 0
 	for _, p := range x.Processes() {
-		if p.State == audit.NotKnown {
+		if p.State == audit.StateUnknown {
 			n++
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 func (a *app) changes(x *audit.Audit) error {
-	all := x.Changes()
+	all := x.Propagations()
 	took := func(d time.Duration) string {
 		if d < 0 {
 			return "never"
@@ -192,8 +192,8 @@
 	}
 	return a.table(all, "version\tfirst\tat\thalf\tnine in ten\tall\treached\tnever\tno record", func(w io.Writer) {
 		for _, c := range all {
-			fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Version, c.First, audit.Clocked(c.At), took(c.Half), took(c.Nine), took(c.All),
-				c.Reached, len(c.Never), c.NoRecord)
+			fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Version, c.FirstProcess, audit.FormatTime(c.FirstAt), took(c.ToHalf), took(c.ToNineTenths), took(c.ToAll),
+				c.Reached, len(c.NotReached), c.NoRecord)
 		}
 	})
 }
@@ -204,18 +204,18 @@
 	all := x.Proxies()
 	err := a.table(all, "proxy\tstate\tasks\taccepted\tacts on\tmoves\tsure\twhy", func(w io.Writer) {
 		for _, p := range all {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v\t%d\t%s\t%s\n", p.Proxy, p.State, p.Service, p.Accepted, p.On, len(p.Moves), p.Sure, orDash(p.Why))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v\t%d\t%s\t%s\n", p.Proxy, p.State, p.Service, p.Accepted, p.BasedOn, len(p.ServiceChanges), p.Confidence, orDash(p.Why))
 		}
 		if len(all) == 0 {
 			fmt.Fprintln(w, "no control service is on record that steers a proxy; console or record_file in [control] has it tell")
 		}
 	})
 	for _, p := range all {
-		if err == nil && p.State == audit.IsBehind {
+		if err == nil && p.State == audit.Behind {
 			return errFound
 		}
 	}
-	if err == nil && len(x.Back()) > 0 {
+	if err == nil && len(x.Regressions()) > 0 {
 		return errFound
 	}
 	return err
@@ -228,17 +228,17 @@
 	err := a.table(all, "process\talive\tof\tview\tmajority\tseats\tguards\tnot alive", func(w io.Writer) {
 		for _, v := range all {
 			guards := "answer"
-			if !v.Quorate {
+			if !v.HasQuorum {
 				guards = "too few"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%08x\t%v\t%d\t%s\t%s\n", v.Process, v.Alive, v.Known, v.Digest, v.Majority, v.Seats, guards, orDash(strings.Join(v.Others, ", ")))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%08x\t%v\t%d\t%s\t%s\n", v.Process, v.Alive, v.Known, v.Digest, v.Majority, v.Slots, guards, orDash(strings.Join(v.NotAlive, ", ")))
 		}
 		if len(all) == 0 {
 			fmt.Fprintln(w, "no process on record finds out who is alive; members = true in [fleet] has them do so")
 		}
 	})
 	for _, v := range all {
-		if err == nil && (len(v.Others) > 0 || !v.Majority) {
+		if err == nil && (len(v.NotAlive) > 0 || !v.Majority) {
 			return errFound
 		}
 	}
@@ -251,20 +251,20 @@
 
 // shares shows what each process holds of each whole, and what that comes to.
 func (a *app) shares(x *audit.Audit) error {
-	all := x.Shares()
+	all := x.SharedQuotas()
 	err := a.table(all, "whole\tprocess\tbase\theld\tneed", func(w io.Writer) {
 		for _, s := range all {
-			for _, p := range s.Parts {
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\n", s.Whole, p.Process, p.Base, p.Held, p.Need)
+			for _, p := range s.Leases {
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\n", s.Quota, p.Process, p.EqualShare, p.Held, p.Demand)
 			}
-			fmt.Fprintf(w, "%s\tsum of %d\t%.1f\t%.1f\t%.1f\n%s\twhole\t\t%.1f\t\n", s.Whole, len(s.Parts), s.Base, s.Held, s.Need, s.Whole, s.All)
+			fmt.Fprintf(w, "%s\tsum of %d\t%.1f\t%.1f\t%.1f\n%s\twhole\t\t%.1f\t\n", s.Quota, len(s.Leases), s.EqualShare, s.Held, s.Demand, s.Quota, s.Total)
 		}
 		if len(all) == 0 {
 			fmt.Fprintln(w, "no process on record shares anything; quotas = true or work = true in [fleet] has nodes do so")
 		}
 	})
 	for _, s := range all {
-		if err == nil && s.Held > overheld*s.All {
+		if err == nil && s.Held > overheld*s.Total {
 			return errFound
 		}
 	}
@@ -274,9 +274,9 @@
 // story is all that is known of one process.
 type story struct {
 	audit.Process
-	Spans  []audit.Span  `json:"spans"`
-	Breaks []audit.Break `json:"breaks"`
-	Events []audit.Event `json:"events"`
+	Spans  []audit.Span           `json:"spans"`
+	Breaks []audit.LateSendReport `json:"breaks"`
+	Events []audit.Event          `json:"events"`
 }
 
 func (a *app) why(x *audit.Audit, name string) error {
@@ -295,7 +295,7 @@
 			s.Spans = append(s.Spans, sp)
 		}
 	}
-	for _, b := range x.Breaks() {
+	for _, b := range x.LateSends() {
 		if b.Process == name {
 			s.Breaks = append(s.Breaks, b)
 		}
@@ -304,17 +304,17 @@
 	if a.json {
 		return a.table(s, "", nil)
 	}
-	fmt.Fprintf(a.out, "%s: %s (%s)", s.Process.Process, s.State, s.Sure)
+	fmt.Fprintf(a.out, "%s: %s (%s)", s.Process.Process, s.State, s.Confidence)
 	if s.Why != "" {
 		fmt.Fprintf(a.out, ": %s", s.Why)
 	}
 	fmt.Fprintln(a.out)
 	for _, e := range s.Events {
-		fmt.Fprintf(a.out, "  %s  %s\n", audit.Clocked(e.At), e.What)
+		fmt.Fprintf(a.out, "  %s  %s\n", audit.FormatTime(e.At), e.Description)
 	}
 	for _, b := range s.Breaks {
-		fmt.Fprintf(a.out, "sent %d or more to %s too late, the last %v after it was withdrawn:\n", b.Least, b.Server, b.Late.Round(time.Millisecond))
-		for _, line := range b.Path {
+		fmt.Fprintf(a.out, "sent %d or more to %s too late, the last %v after it was withdrawn:\n", b.MinSends, b.Server, b.Lateness.Round(time.Millisecond))
+		for _, line := range b.Evidence {
 			fmt.Fprintf(a.out, "  %s\n", line)
 		}
 	}
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -20,16 +20,16 @@
 func fleet() []version.Record {
 	const began = 1_800_000_000 * time.Second
 	var recs []*version.Recorder
-	var clocks []*version.Clock
+	var clocks []*version.HybridClock
 	for i := range 3 {
-		clocks = append(clocks, &version.Clock{})
+		clocks = append(clocks, &version.HybridClock{})
 		recs = append(recs, version.NewRecorder(fmt.Sprintf("n%d", i), i, began, clocks[i]))
 	}
 	acts := func(i int, now time.Duration, generation uint32) version.Vector {
-		v := version.Vector{List: version.List{Generation: generation, Digest: generation}, Form: version.Form}
-		recs[i].Acts(now, v)
-		recs[i].Confirmed(now)
-		recs[i].Reached(v.List)
+		v := version.Vector{List: version.List{Generation: generation, Digest: generation}, Format: version.FormatVersion}
+		recs[i].RecordVersion(now, v)
+		recs[i].RecordConfirmed(now)
+		recs[i].RecordApplied(v.List)
 		return v
 	}
 	for i := range 3 {
@@ -37,23 +37,23 @@
 	}
 	for i := range 2 {
 		v := acts(i, began+5*time.Second, 41)
-		recs[i].Withdrawn(began+5*time.Second, "s-1", version.Draining, v.List, version.Own)
+		recs[i].RecordWithdrawal(began+5*time.Second, "s-1", version.Draining, v.List, version.OwnSource)
 	}
-	recs[2].Sends("s-1").Sent(began + 8*time.Second)
+	recs[2].SendCounter("s-1").Add(began + 8*time.Second)
 	var out []version.Record
 	for i := range 3 {
 		for j := range 3 {
 			if i != j {
-				v := version.Vector{List: version.List{Generation: 41 - uint32(j/2), Digest: 41 - uint32(j/2)}, Form: version.Form, Clock: clocks[j].Now(began + 9*time.Second)}
-				recs[i].Hears(began+9*time.Second, j, v)
+				v := version.Vector{List: version.List{Generation: 41 - uint32(j/2), Digest: 41 - uint32(j/2)}, Format: version.FormatVersion, Clock: clocks[j].Now(began + 9*time.Second)}
+				recs[i].RecordPeer(began+9*time.Second, j, v)
 			}
 		}
 	}
 	for i := range 2 {
-		recs[i].Confirmed(began + 9*time.Second)
+		recs[i].RecordConfirmed(began + 9*time.Second)
 	}
 	for i := range 3 {
-		out = append(out, recs[i].Take(began+10*time.Second))
+		out = append(out, recs[i].Snapshot(began+10*time.Second))
 	}
 	out[0].Members, out[0].Majority = []version.Member{{Process: 0, Status: "alive"}, {Process: 1, Status: "alive"}, {Process: 2, Status: "suspect"}}, true
 	return out
@@ -68,10 +68,10 @@
 	dir := t.TempDir()
 	file := filepath.Join(dir, "records")
 	var raw []byte
-	steers := version.Record{Process: "control-1", Number: -1, Service: true, Life: 1, At: records[0].At,
-		Acts: []version.Interval{{Version: version.Vector{List: version.List{Generation: 41, Digest: 41}}}},
-		Steers: []version.Steered{{Proxy: "studio-7", Joined: 1, State: "refuses", Why: "no such field",
-			Control: version.Control{Service: "control-1", Life: 1, Accepted: 3, On: version.List{Generation: 41, Digest: 41}}}}}
+	steers := version.Record{Process: "control-1", Number: -1, ControlService: true, Incarnation: 1, TakenAt: records[0].TakenAt,
+		Intervals: []version.Interval{{Version: version.Vector{List: version.List{Generation: 41, Digest: 41}}}},
+		Proxies: []version.ProxyRecord{{Proxy: "studio-7", Joined: 1, State: "refuses", Why: "no such field",
+			Control: version.Control{Service: "control-1", Incarnation: 1, Accepted: 3, BasedOn: version.List{Generation: 41, Digest: 41}}}}}
 	for _, r := range append(records[1:], steers) {
 		raw, _ = version.AppendLine(raw, &r)
 	}
--- a/internal/ctl/plot.go
+++ b/internal/ctl/plot.go
@@ -29,7 +29,7 @@
 		}
 	}
 	slices.SortFunc(lists, func(x, y version.List) int {
-		switch x.Order(y) {
+		switch x.CompareGeneration(y) {
 		case version.Older:
 			return -1
 		case version.Newer:
--- a/internal/ctl/source.go
+++ b/internal/ctl/source.go
@@ -78,7 +78,7 @@
 		return r, err
 	}
 	defer resp.Body.Close()
-	body := io.LimitReader(resp.Body, version.MaxRecord)
+	body := io.LimitReader(resp.Body, version.MaxRecordBytes)
 	if resp.StatusCode != http.StatusOK {
 		why, _ := io.ReadAll(io.LimitReader(body, 200))
 		return r, fmt.Errorf("%s: %s", resp.Status, why)
--- a/internal/lab/memory/audit_test.go
+++ b/internal/lab/memory/audit_test.go
@@ -97,18 +97,18 @@
 // nothing that the history does not bear out, on random days on which the nodes
 // only watch: whoever is cut off goes on sending.
 func TestTheAuditFindsWhatTheJudgeKnows(t *testing.T) {
-	watch := follow.Defaults()
-	watch.Watch = true
+	watch := follow.DefaultSettings()
+	watch.ObserveOnly = true
 	days, known, found, behind, unknown := *auditDays, 0, 0, 0, 0
 	for seed := range int64(days) {
 		s := cutDay(seed)
 		var records []version.Record
 		h := Run(s, Options{Fleet: &member.Config{Follow: watch}, Records: func(r version.Record) { records = append(records, r) }})
-		a := audit.New(records, audit.Defaults())
+		a := audit.New(records, audit.DefaultOptions())
 		said := map[sentTo]bool{}
-		for _, b := range a.Breaks() {
-			if b.Own {
-				t.Errorf("seed %d: %s is said to have known of %s itself: %v", seed, b.Process, b.Server, b.Path)
+		for _, b := range a.LateSends() {
+			if b.SelfKnew {
+				t.Errorf("seed %d: %s is said to have known of %s itself: %v", seed, b.Process, b.Server, b.Evidence)
 			}
 			said[sentTo{b.Process, b.Server}] = true
 		}
@@ -148,12 +148,12 @@
 				continue
 			}
 			switch p.State {
-			case audit.IsBehind, audit.Led:
+			case audit.Behind, audit.LedByPeers:
 				behind++
 				if !last {
 					t.Errorf("seed %d: %s is said to be behind, and was told all: %s", seed, p.Process, p.Why)
 				}
-			case audit.NotKnown:
+			case audit.StateUnknown:
 				unknown++
 			default:
 				if last {
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -64,7 +64,7 @@
 	if f := n.fleet; f != nil && n.up { // one that is dead finds out nothing
 		gap := n.w.now - f.turnAt
 		f.turnAt = n.w.now
-		if gap > f.set.Wake {
+		if gap > f.set.PauseThreshold {
 			n.fleetDo(member.Resumed{Gap: gap})
 		}
 	}
@@ -99,7 +99,7 @@
 	}
 	n.w.plan(n.w.now+fleetTick, n, fleetTicks, life)
 	n.fleetDo(member.Tick{})
-	if n.fleet.agent.Fresh(Unix+n.w.now) > 0 {
+	if n.fleet.agent.MinAnswerTime(Unix+n.w.now) > 0 {
 		n.again()
 	}
 }
@@ -125,10 +125,10 @@
 		}
 	}
 	source, is := e.(member.SourceEvent)
-	if _, listed := source.Event.(follow.Listed); !is || !listed {
+	if _, listed := source.Event.(follow.ListReceived); !is || !listed {
 		n.fleetChanged()
 	}
-	if until := f.agent.Holds(); len(f.waiting) > 0 && (until == 0 || Unix+n.w.now >= until) {
+	if until := f.agent.HoldUntil(); len(f.waiting) > 0 && (until == 0 || Unix+n.w.now >= until) {
 		waiting := f.waiting
 		f.waiting = nil
 		for _, do := range waiting {
@@ -166,9 +166,9 @@
 			}
 		}
 	}
-	kinds := map[balance.ListKind]follow.Kind{balance.ListChanges: follow.Changes, balance.ListFull: follow.Full, balance.ListCached: follow.Cached}
-	states := map[string]version.State{hosts.Up: version.Up, hosts.Draining: version.Draining, hosts.Removed: version.Gone}
-	e := follow.Listed{Kind: kinds[kind], Generation: l.Generation}
+	kinds := map[balance.ListKind]follow.ListKind{balance.ListChanges: follow.Delta, balance.ListFull: follow.Full, balance.ListCached: follow.Cached}
+	states := map[string]version.State{hosts.Up: version.Up, hosts.Draining: version.Draining, hosts.Removed: version.Removed}
+	e := follow.ListReceived{Kind: kinds[kind], Generation: l.Generation}
 	for _, x := range l.Instances {
 		e.Entries = append(e.Entries, follow.Entry{Name: x.InstanceID, State: states[x.Lifecycle], StartedAt: time.Duration(x.StartedAtMs) * time.Millisecond})
 	}
@@ -179,22 +179,22 @@
 	if n.fleet == nil {
 		return false
 	}
-	fresh := n.fleet.agent.Fresh(Unix + n.w.now)
-	return n.fleet.agent.Out(s.lifecycle.InstanceID) || fresh > 0 && s.answered < fresh
+	fresh := n.fleet.agent.MinAnswerTime(Unix + n.w.now)
+	return n.fleet.agent.Withdrawn(s.lifecycle.InstanceID) || fresh > 0 && s.answered < fresh
 }
 
 // admit tells whether a request, a tenant's, goes on to the module now.
 func (n *node) admit(c *client, r *request, tenant string) bool {
 	f := n.fleet
-	if until := f.agent.Holds(); until > 0 && Unix+n.w.now < until {
+	if until := f.agent.HoldUntil(); until > 0 && Unix+n.w.now < until {
 		f.waiting = append(f.waiting, func() { n.arrive(c, r.deadline-n.w.now) })
 		return false
 	}
-	if f.agent.Takes() {
+	if f.agent.AcceptsRequests() {
 		f.member.CountRequest(tenant)
 		return true
 	}
-	f.agent.Recorder().RefusedOld()
+	f.agent.Recorder().CountStaleRefusal()
 	c.later(n.w.jitter(n.w.s.Net.Client.Duration), history.Refused, "", time.Second)
 	return false
 }
@@ -222,7 +222,7 @@
 		return
 	}
 	w := n.w
-	w.after(n.fleet.set.Narrow/3, func() {
+	w.after(n.fleet.set.NarrowAfter/3, func() {
 		switch {
 		case n.life != life || n.watch != watch || !n.watching:
 		case n.cut: // for discovery the call has ended; the node finds out later
--- a/internal/lab/memory/fleet_test.go
+++ b/internal/lab/memory/fleet_test.go
@@ -26,9 +26,9 @@
 		}
 		for seed := range int64(10) {
 			h := Run(s, Options{Seed: seed + 1, Records: func(r version.Record) {
-				for _, c := range r.Changes {
-					if c.To == "closed" || c.To == "narrowed" && name != "release" { // there a node hears one other alone for a while
-						t.Errorf("%s, seed %d: %s was %s", name, seed+1, r.Process, c.To)
+				for _, c := range r.ModeChanges {
+					if c.Mode == "closed" || c.Mode == "narrowed" && name != "release" { // there a node hears one other alone for a while
+						t.Errorf("%s, seed %d: %s was %s", name, seed+1, r.Process, c.Mode)
 					}
 				}
 			}})
--- a/internal/lab/memory/members_test.go
+++ b/internal/lab/memory/members_test.go
@@ -19,8 +19,8 @@
 func held(all []version.Record) map[string]float64 {
 	out := map[string]float64{}
 	for _, r := range all {
-		for _, p := range r.Parts {
-			out[p.Whole] += p.Held / p.All
+		for _, p := range r.Leases {
+			out[p.Quota] += p.Held / p.Total
 		}
 	}
 	return out
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -429,7 +429,7 @@
 		return
 	}
 	if n.fleet != nil && a.request != nil {
-		n.fleet.agent.Recorder().Sends(a.server.Name).Sent(Unix + w.now)
+		n.fleet.agent.Recorder().SendCounter(a.server.Name).Add(Unix + w.now)
 	}
 	if n.link(a.to).state == "reset" {
 		w.plan(w.now+delay, a, ends, uint64(balance.Reset))
