--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -100,16 +100,16 @@
 			for _, line := range holds.Check(s, h, &v) {
 				t.Error(line)
 			}
-			a := audit.New(records, audit.Defaults())
-			for _, b := range a.Breaks() {
-				if name != "straggler" && !(name == "late" && b.Process == "n5" && b.Late < 2*time.Second) { // it flaps; it hears so late
-					t.Errorf("the audit: %s sent %d to %s too late: %s", b.Process, b.Least, b.Server, strings.Join(b.Path, "; "))
+			a := audit.New(records, audit.DefaultOptions())
+			for _, b := range a.LateSends() {
+				if name != "straggler" && !(name == "late" && b.Process == "n5" && b.Lateness < 2*time.Second) { // it flaps; it hears so late
+					t.Errorf("the audit: %s sent %d to %s too late: %s", b.Process, b.MinSends, b.Server, strings.Join(b.Evidence, "; "))
 				}
 			}
 			for _, r := range records {
-				for _, c := range r.Changes {
-					if c.To == "closed" || c.To == "narrowed" {
-						t.Errorf("%s was %s: %s", r.Process, c.To, c.Why)
+				for _, c := range r.ModeChanges {
+					if c.Mode == "closed" || c.Mode == "narrowed" {
+						t.Errorf("%s was %s: %s", r.Process, c.Mode, c.Why)
 					}
 				}
 			}
@@ -248,15 +248,15 @@
 					continue
 				}
 				for _, w := range r.Withdrawals { // against the first node that knew of the same version
-					first := w.Known
+					first := w.KnownAt
 					for _, o := range records {
 						for _, x := range o.Withdrawals {
-							if x.Server == w.Server && x.List.Order(w.List) == version.Same {
-								first = min(first, x.Known)
+							if x.Server == w.Server && x.List.CompareGeneration(w.List) == version.Same {
+								first = min(first, x.KnownAt)
 							}
 						}
 					}
-					took = append(took, w.Known.Sub(first))
+					took = append(took, w.KnownAt.Sub(first))
 				}
 			}
 			slices.Sort(took)
@@ -313,7 +313,7 @@
 			}
 			t.Logf("stopped for %v: %d requests without an answer in time", stop, lost)
 			i := slices.IndexFunc(records, func(r version.Record) bool { return r.Process == "n4" })
-			if i < 0 || len(records[i].Stops) == 0 || (records[i].Stops[0].For-stop).Abs() > 300*time.Millisecond {
+			if i < 0 || len(records[i].Pauses) == 0 || (records[i].Pauses[0].Duration-stop).Abs() > 300*time.Millisecond {
 				t.Error("its record does not tell of the stop")
 			}
 			for i := range s.Faults {
@@ -344,8 +344,8 @@
 	}
 	for _, r := range records {
 		var to []string
-		for _, c := range r.Changes {
-			to = append(to, c.To)
+		for _, c := range r.ModeChanges {
+			to = append(to, c.Mode)
 		}
 		want := ""
 		if r.Process == "n4" {
@@ -354,7 +354,7 @@
 		if got := strings.Join(to, " "); got != want {
 			t.Errorf("%s went %q, want %q", r.Process, got, want)
 		}
-		if r.Process == "n4" && r.RefusedOld == 0 {
+		if r.Process == "n4" && r.StaleRefusals == 0 {
 			t.Error("it refused nothing")
 		}
 	}
@@ -380,17 +380,17 @@
 			}
 			for _, r := range records {
 				to := ""
-				for _, c := range r.Changes {
-					to += c.To + " "
+				for _, c := range r.ModeChanges {
+					to += c.Mode + " "
 				}
 				if left := r.Number >= 6; left && !strings.Contains(to, x.want) || strings.Contains(to, "closed") && x.want != "closed" {
 					t.Errorf("%s went %s", r.Process, to)
-					for _, c := range r.Changes {
-						t.Logf("%s at %v: %s %s", r.Process, c.At.Sub(r.Life), c.To, c.Why)
+					for _, c := range r.ModeChanges {
+						t.Logf("%s at %v: %s %s", r.Process, c.At.Sub(r.Incarnation), c.Mode, c.Why)
 					}
 				}
 			}
-			views := audit.New(records, audit.Defaults()).Views()
+			views := audit.New(records, audit.DefaultOptions()).Views()
 			if x.more == "" {
 				return
 			}
@@ -399,7 +399,7 @@
 			}
 			for _, v := range views {
 				if v.Alive != 9 || !v.Majority {
-					t.Errorf("%s knows %d of %d alive, majority %v: %v", v.Process, v.Alive, v.Known, v.Majority, v.Others)
+					t.Errorf("%s knows %d of %d alive, majority %v: %v", v.Process, v.Alive, v.Known, v.Majority, v.NotAlive)
 				}
 			}
 		})
@@ -434,13 +434,13 @@
 	for when, all := range looks {
 		has := 0
 		for _, records := range all {
-			x := audit.New(records, audit.Defaults()).Shares()
-			if len(x) != 1 || len(x[0].Parts) != 9 {
+			x := audit.New(records, audit.DefaultOptions()).SharedQuotas()
+			if len(x) != 1 || len(x[0].Leases) != 9 {
 				t.Fatalf("%s: %+v", when, x)
 			}
-			p := x[0].Parts[0]
-			t.Logf("%s: n0 has %.1f of its need of %.1f, base %.1f; all together %.1f of 200", when, p.Held, p.Need, p.Base, x[0].Held)
-			if before := when == "before its death"; before && p.Held >= 1.4*p.Base || !before && p.Held >= p.Need { // without shares it has an equal part
+			p := x[0].Leases[0]
+			t.Logf("%s: n0 has %.1f of its need of %.1f, base %.1f; all together %.1f of 200", when, p.Held, p.Demand, p.EqualShare, x[0].Held)
+			if before := when == "before its death"; before && p.Held >= 1.4*p.EqualShare || !before && p.Held >= p.Demand { // without shares it has an equal part
 				has++
 			}
 			if x[0].Held > 210 { // the records are some ms apart
@@ -467,10 +467,10 @@
 	for _, line := range holds.Rules(&v) {
 		t.Error(line)
 	}
-	o := audit.Defaults()
-	o.Size = 9
+	o := audit.DefaultOptions()
+	o.FleetSize = 9
 	for _, p := range audit.New(records, o).Processes() {
-		if old := slices.Contains(older, fmt.Sprintf("n%d", p.Number)); old != (p.State == audit.NotKnown) {
+		if old := slices.Contains(older, fmt.Sprintf("n%d", p.Number)); old != (p.State == audit.StateUnknown) {
 			t.Errorf("%s is said to be %s: %s", p.Process, p.State, p.Why)
 		}
 	}
@@ -491,7 +491,7 @@
 		for till(ctx, h, 2*time.Second) && wait(ctx, 100*time.Millisecond) {
 			now := time.Since(h.Began()) + time.Duration(h.Began().UnixNano())
 			for _, to := range []int{1, 3, 4, 5, 6, 7} {
-				v := version.Vector{List: version.List{Generation: 9_000_000, Digest: 7}, Form: version.Form, Clock: version.StampOf(now)}
+				v := version.Vector{List: version.List{Generation: 9_000_000, Digest: 7}, Format: version.FormatVersion, Clock: version.TimestampOf(now)}
 				huge := append(v.Append([]byte{0xF1, 0}), 0, 0, 0, 0, 0, 0x70, 0, 0, 0)
 				h.Forge(0, to, huge)
 				v.List.Generation = 60
@@ -502,7 +502,7 @@
 						for b := 56; b >= 0; b -= 8 {
 							all = append(all, byte(key>>b))
 						}
-						all = append(all, byte(version.Gone), 0, 0, 0, 60)
+						all = append(all, byte(version.Removed), 0, 0, 0, 60)
 					}
 				}
 				h.Forge(2, to, all)
@@ -527,14 +527,14 @@
 		t.Errorf("%d sends to what drained, the last after %v", sends, worst)
 	}
 	for _, r := range records {
-		for _, c := range r.Changes {
-			if c.To == "closed" || c.To == "narrowed" {
-				t.Errorf("%s was %s: %s", r.Process, c.To, c.Why)
+		for _, c := range r.ModeChanges {
+			if c.Mode == "closed" || c.Mode == "narrowed" {
+				t.Errorf("%s was %s: %s", r.Process, c.Mode, c.Why)
 			}
 		}
 		out := 0
 		for _, w := range r.Withdrawals {
-			if w.From == 2 && w.Server != "hall-nord.1" { // that one drains
+			if w.ReportedBy == 2 && w.Server != "hall-nord.1" { // that one drains
 				out++
 			}
 		}
@@ -561,11 +561,11 @@
 			records = h.Records()
 		}
 	})
-	for _, p := range audit.New(records, audit.Defaults()).Processes() {
-		if p.Process == "n4" && (p.State != audit.IsBehind || !strings.HasPrefix(p.Why, "refuses it: 3 withdrawals")) || p.Process != "n4" && p.State != audit.UpToDate {
-			t.Errorf("%s is %s, acts on %v, reached %v, %d refused: %s", p.Process, p.State, p.Version.List, p.Reached, len(records[4].Refused), p.Why)
+	for _, p := range audit.New(records, audit.DefaultOptions()).Processes() {
+		if p.Process == "n4" && (p.State != audit.Behind || !strings.HasPrefix(p.Why, "refuses it: 3 withdrawals")) || p.Process != "n4" && p.State != audit.UpToDate {
+			t.Errorf("%s is %s, acts on %v, reached %v, %d refused: %s", p.Process, p.State, p.Version.List, p.AppliedVersion, len(records[4].RefusedWithdrawals), p.Why)
 			for _, r := range records {
-				t.Log(r.Process, r.Reached, r.Withdrawals, r.Refused)
+				t.Log(r.Process, r.AppliedVersion, r.Withdrawals, r.RefusedWithdrawals)
 			}
 		}
 	}
@@ -604,22 +604,22 @@
 	// a neighbour that was quicker.
 	known, own := map[string]bool{}, map[string]bool{}
 	for _, r := range records {
-		if n := len(r.Acts); r.Acts[n-1].Version.List.Digest != records[0].Acts[len(records[0].Acts)-1].Version.List.Digest {
+		if n := len(r.Intervals); r.Intervals[n-1].Version.List.Digest != records[0].Intervals[len(records[0].Intervals)-1].Version.List.Digest {
 			t.Errorf("%s ends on another list", r.Process)
 		}
 		for _, w := range r.Withdrawals {
 			if slices.Contains(halves, r.Process) {
 				known[r.Process+" "+w.Server] = true
 			}
-			if w.From == version.Own {
+			if w.ReportedBy == version.OwnSource {
 				own[w.Server] = true
 			}
-			if w.Again == 0 {
-				t.Errorf("%s still leaves %s out, by the word of %d: %v at %v, acts on %v", r.Process, w.Server, w.From, w.List, time.Duration(w.Known.Time())-time.Duration(r.Life.Time()), r.Acts[len(r.Acts)-1].Version.List)
+			if w.RestoredAt == 0 {
+				t.Errorf("%s still leaves %s out, by the word of %d: %v at %v, acts on %v", r.Process, w.Server, w.ReportedBy, w.List, time.Duration(w.KnownAt.Time())-time.Duration(r.Incarnation.Time()), r.Intervals[len(r.Intervals)-1].Version.List)
 			}
 		}
-		for _, c := range r.Changes {
-			t.Errorf("%s: %s, %s", r.Process, c.To, c.Why)
+		for _, c := range r.ModeChanges {
+			t.Errorf("%s: %s, %s", r.Process, c.Mode, c.Why)
 		}
 	}
 	if len(known) < 2*len(halves) || len(own) < 2 {
@@ -630,7 +630,7 @@
 // auditSpan is by how much the audit and the lab may differ on how late a send was: the
 // lab's clock runs from the first word on the wire to the first byte at a server, the
 // audit's between a process's own marks, which are as long.
-const auditSpan = version.MarkLength + 50*time.Millisecond
+const auditSpan = version.BucketLength + 50*time.Millisecond
 
 // The audit of nodes that only watch finds those that were cut off and went on
 // sending, on sockets as in memory, and nobody else.
@@ -664,23 +664,23 @@
 	cut := []string{fmt.Sprintf("n%d", number%4), fmt.Sprintf("n%d", 4+number%5)}
 	text := strings.Replace(drainWhileCut(float64(number%5)/10, 10, longDrain), `who = ["n1", "n4", "n7"]`, fmt.Sprintf("who = [%q, %q]", cut[0], cut[1]), 1)
 	h, records := day(t, parse(t, text), Options{Fleet: "only_watch = true"})
-	options := audit.Defaults()
-	breaks, sends := audit.New(records, options).Breaks(), sendsToDrained(h)
+	options := audit.DefaultOptions()
+	breaks, sends := audit.New(records, options).LateSends(), sendsToDrained(h)
 	for _, b := range breaks {
 		if !slices.Contains(cut, b.Process) {
-			t.Errorf("%s is said to have sent to %s too late: %v", b.Process, b.Server, b.Path)
+			t.Errorf("%s is said to have sent to %s too late: %v", b.Process, b.Server, b.Evidence)
 		}
 		if !slices.ContainsFunc(sends, func(s lateSend) bool {
-			return s.node == b.Process && s.server == b.Server && s.after > max(options.Grace, b.Late-auditSpan)
+			return s.node == b.Process && s.server == b.Server && s.after > max(options.Grace, b.Lateness-auditSpan)
 		}) {
-			t.Errorf("the history has no send of %s to %s that is %v late: %v", b.Process, b.Server, b.Late, b.Path)
+			t.Errorf("the history has no send of %s to %s that is %v late: %v", b.Process, b.Server, b.Lateness, b.Evidence)
 		}
 	}
 	for _, s := range sends {
 		if s.after < options.Grace+options.Tolerance+auditSpan || s.left > 0 && s.left < auditSpan {
 			continue
 		}
-		if !slices.ContainsFunc(breaks, func(b audit.Break) bool { return b.Process == s.node && b.Server == s.server }) {
+		if !slices.ContainsFunc(breaks, func(b audit.LateSendReport) bool { return b.Process == s.node && b.Server == s.server }) {
 			t.Errorf("the audit does not find the send of %s to %s %v after the first word of the drain", s.node, s.server, s.after)
 		}
 	}
@@ -709,15 +709,15 @@
 	}
 	s := parse(t, fmt.Sprintf("name = \"starved\"\nlength = \"%v\"\nfleet = true\n[load]\nrate = 60.0\n%s", length, nine))
 	_, records := day(t, s, Options{Fleet: "members = true"})
-	for _, v := range audit.New(records, audit.Defaults()).Views() {
-		if slices.ContainsFunc(v.Others, func(o string) bool { return strings.HasSuffix(o, "gone") }) {
-			t.Errorf("%s takes processes for gone: %v", v.Process, v.Others)
+	for _, v := range audit.New(records, audit.DefaultOptions()).Views() {
+		if slices.ContainsFunc(v.NotAlive, func(o string) bool { return strings.HasSuffix(o, "gone") }) {
+			t.Errorf("%s takes processes for gone: %v", v.Process, v.NotAlive)
 		}
 	}
 	for _, r := range records {
-		if len(r.Changes) > 0 {
-			t.Errorf("%s: %+v", r.Process, r.Changes)
+		if len(r.ModeChanges) > 0 {
+			t.Errorf("%s: %+v", r.Process, r.ModeChanges)
 		}
-		t.Logf("%s stood still %d times", r.Process, len(r.Stops))
+		t.Logf("%s stood still %d times", r.Process, len(r.Pauses))
 	}
 }
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -35,9 +35,9 @@
 	for till(ctx, h, h.Clock()+400*time.Millisecond) {
 		sum, from := 0.0, h.Clock()
 		records := h.Now()
-		for _, s := range audit.New(records, audit.Defaults()).Shares() {
-			if strings.HasPrefix(s.Whole, "quota") {
-				sum = s.Held / s.All
+		for _, s := range audit.New(records, audit.DefaultOptions()).SharedQuotas() {
+			if strings.HasPrefix(s.Quota, "quota") {
+				sum = s.Held / s.Total
 			}
 		}
 		l.at, l.held, l.slow = append(l.at, h.Clock()), append(l.held, sum), append(l.slow, h.Clock()-from > slowLook)
@@ -49,7 +49,7 @@
 func usersOf(records []version.Record) map[string]int {
 	users := map[string]int{}
 	for _, r := range records {
-		for _, server := range r.Uses {
+		for _, server := range r.ServersInUse {
 			users[server]++
 		}
 	}
@@ -186,9 +186,9 @@
 			if len(last) != up {
 				t.Errorf("%d processes are up", len(last))
 			}
-			for _, x := range audit.New(last, audit.Defaults()).Views() {
+			for _, x := range audit.New(last, audit.DefaultOptions()).Views() {
 				if x.Alive != up && name != "grow" && name != "crowd" { // there some are suspected for a while after they have left
-					t.Errorf("%s knows %d alive of %d: %v", x.Process, x.Alive, up, x.Others)
+					t.Errorf("%s knows %d alive of %d: %v", x.Process, x.Alive, up, x.NotAlive)
 				}
 			}
 		})
@@ -252,9 +252,9 @@
 		}
 		if till(ctx, h, 11*time.Second) {
 			for _, r := range h.Now() {
-				for _, p := range r.Parts {
-					if p.Whole == "quota club" {
-						held[r.Number] = p.Held / p.All
+				for _, p := range r.Leases {
+					if p.Quota == "quota club" {
+						held[r.Number] = p.Held / p.Total
 					}
 				}
 			}
@@ -345,16 +345,16 @@
 	for _, r := range last {
 		for _, m := range r.Members {
 			if m.Process == 5 {
-				lives[m.Life] = true
+				lives[m.Incarnation] = true
 			}
 		}
 	}
 	if len(lives) != 1 {
 		t.Errorf("n5 is known under lives %v", lives)
 	}
-	for _, x := range audit.New(last, audit.Defaults()).Views() {
-		if slices.ContainsFunc(x.Others, func(o string) bool { return !strings.Contains(o, "7 ") }) || !x.Quorate { // n7 is none of them
-			t.Errorf("%s knows %d alive, guards answer %v: %v", x.Process, x.Alive, x.Quorate, x.Others)
+	for _, x := range audit.New(last, audit.DefaultOptions()).Views() {
+		if slices.ContainsFunc(x.NotAlive, func(o string) bool { return !strings.Contains(o, "7 ") }) || !x.HasQuorum { // n7 is none of them
+			t.Errorf("%s knows %d alive, guards answer %v: %v", x.Process, x.Alive, x.HasQuorum, x.NotAlive)
 		}
 	}
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -27,10 +27,10 @@
 	end     time.Time // when its time is over
 	latest  time.Time // after which nothing of it may be written; zero: no such bound
 	cancel  func()
-	sends   *version.Sends // nil: not counted
-	timer   *time.Timer    // ends it when its time is over
-	told    time.Duration  // of the client's time, to the server; the attempt's goroutine's
-	mayRun  bool           // it is out, or has ended without proof that it never ran; the loop's
+	sends   *version.SendCounter // nil: not counted
+	timer   *time.Timer          // ends it when its time is over
+	told    time.Duration        // of the client's time, to the server; the attempt's goroutine's
+	mayRun  bool                 // it is out, or has ended without proof that it never ran; the loop's
 }
 
 // send starts an attempt. Its outcome comes back as an attemptDone, always.
@@ -50,7 +50,7 @@
 		a.latest = a.sentAt.Add(s.WriteWithin)
 	}
 	if n.fleet != nil {
-		a.sends = n.fleet.agent.Recorder().Sends(b.Name)
+		a.sends = n.fleet.agent.Recorder().SendCounter(b.Name)
 	}
 	timeout := time.Until(r.Deadline)
 	if s.Timeout != 0 {
@@ -121,7 +121,7 @@
 				return false
 			}
 			if a.sends != nil {
-				a.sends.Sent(n.now())
+				a.sends.Add(n.now())
 			}
 			return true
 		},
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -42,7 +42,7 @@
 	}
 	n.byHand = maintenance.New(handoff.MaintenanceRecords(found, n.now()))
 	if n.fleet != nil && found.Record != nil {
-		n.fleet.agent.Recorder().Former(*found.Record)
+		n.fleet.agent.Recorder().AddPredecessor(*found.Record)
 	}
 	if len(found.List) > 0 && found.Generation >= n.cfg.Known.Generation {
 		n.cfg.Known = listOf(found)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -98,12 +98,12 @@
 
 // hold is how long a call of the watch may wait: the answer shows that the list is
 // current, also when there is no news.
-func (f *fleet) hold() time.Duration { return f.cfg.Member.Follow.Narrow / holdsPerNarrow }
+func (f *fleet) hold() time.Duration { return f.cfg.Member.Follow.NarrowAfter / holdsPerNarrow }
 
 // stoodStill tells whether the loop has not run for so long that what it believes
 // must not be acted on before it has looked.
 func (f *fleet) stoodStill(now balance.Time) bool {
-	return now-balance.Time(f.turnAt.Load()) > f.cfg.Member.Follow.Wake
+	return now-balance.Time(f.turnAt.Load()) > f.cfg.Member.Follow.PauseThreshold
 }
 
 // Late is how long a request that is read now may have waited unread, as the whole
@@ -114,7 +114,7 @@
 		return 0
 	}
 	now := n.now()
-	if gap := now - balance.Time(f.turnAt.Load()); gap > f.cfg.Member.Follow.Wake {
+	if gap := now - balance.Time(f.turnAt.Load()); gap > f.cfg.Member.Follow.PauseThreshold {
 		return gap // the loop has not found out yet
 	}
 	if now-balance.Time(f.wokeAt.Load()) < unreadTime {
@@ -131,7 +131,7 @@
 	}
 	now := n.now()
 	gap := now - balance.Time(n.fleet.turnAt.Load())
-	if gap > n.fleet.cfg.Member.Follow.Wake {
+	if gap > n.fleet.cfg.Member.Follow.PauseThreshold {
 		n.fleet.gap.Store(int64(gap))
 		n.fleet.wokeAt.Store(int64(now))
 		for _, r := range n.requests {
@@ -176,12 +176,12 @@
 	if s, is := e.(member.SourceEvent); !is || !listed(s.Event) { // there the list itself is told next
 		n.fleetChanged()
 	}
-	f.shut.Store(!f.agent.Takes())
+	f.shut.Store(!f.agent.AcceptsRequests())
 	n.fleetRelease(false)
 }
 
 func listed(word follow.Event) bool {
-	_, is := word.(follow.Listed)
+	_, is := word.(follow.ListReceived)
 	return is
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	n.fleetDo(member.Tick{})
-	if n.fleet.agent.Fresh(n.now()) == 0 {
+	if n.fleet.agent.MinAnswerTime(n.now()) == 0 {
 		return
 	}
 	used := uint64(0)
@@ -219,9 +219,9 @@
 	if n.fleet == nil {
 		return
 	}
-	kinds := map[balance.ListKind]follow.Kind{balance.ListChanges: follow.Changes, balance.ListFull: follow.Full, balance.ListCached: follow.Cached}
-	states := map[balance.ServerState]version.State{balance.Ready: version.Up, balance.Draining: version.Draining, balance.Removed: version.Gone}
-	l := follow.Listed{Kind: kinds[e.Kind], Generation: e.List.Generation}
+	kinds := map[balance.ListKind]follow.ListKind{balance.ListChanges: follow.Delta, balance.ListFull: follow.Full, balance.ListCached: follow.Cached}
+	states := map[balance.ServerState]version.State{balance.Ready: version.Up, balance.Draining: version.Draining, balance.Removed: version.Removed}
+	l := follow.ListReceived{Kind: kinds[e.Kind], Generation: e.List.Generation}
 	for _, x := range e.List.Instances {
 		l.Entries = append(l.Entries, follow.Entry{Name: x.InstanceID, State: states[discovery.LifecycleStates[x.Lifecycle]],
 			StartedAt: time.Duration(x.StartedAtMs) * time.Millisecond})
@@ -235,24 +235,24 @@
 	if n.fleet == nil {
 		return false
 	}
-	fresh := n.fleet.agent.Fresh(n.now())
-	return n.fleet.agent.Out(name) || fresh > 0 && (b == nil || b.Answered < fresh)
+	fresh := n.fleet.agent.MinAnswerTime(n.now())
+	return n.fleet.agent.Withdrawn(name) || fresh > 0 && (b == nil || b.Answered < fresh)
 }
 
 // admit tells whether a request goes on to the module now. One that does not waits,
 // or has been refused.
 func (n *Node) admit(r *Request) bool {
 	f := n.fleet
-	until := f.agent.Holds()
+	until := f.agent.HoldUntil()
 	holds := until > 0 && n.now() < until
 	if holds && time.Until(r.Deadline) > spareTime && len(f.waiting) < n.cfg.Settings.MaxOpenRequests {
 		f.waiting = append(f.waiting, r)
 		return false
 	}
-	if !holds && f.agent.Takes() {
+	if !holds && f.agent.AcceptsRequests() {
 		return true
 	}
-	f.agent.Recorder().RefusedOld()
+	f.agent.Recorder().CountStaleRefusal()
 	a := Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedStale}
 	if n.cfg.Settings.RetryAfterSupported {
 		a.HoldOff = min(closedHoldOff, n.cfg.Settings.MaxRetryAfter)
@@ -268,7 +268,7 @@
 	if f == nil || len(f.waiting) == 0 {
 		return
 	}
-	until := f.agent.Holds()
+	until := f.agent.HoldUntil()
 	holds := !end && until > 0 && n.now() < until
 	waiting := f.waiting
 	f.waiting = nil
@@ -294,7 +294,7 @@
 	if records := n.byHand.Records(); len(records) > 0 {
 		digest = wordsDigest(records)
 	}
-	n.fleetDo(member.SourceEvent{Event: follow.Worded{Digest: digest}})
+	n.fleetDo(member.SourceEvent{Event: follow.MaintenanceChanged{Digest: digest}})
 }
 
 func wordsDigest(records []maintenance.Record) uint16 {
@@ -322,10 +322,10 @@
 	r := n.fleet.member.Record(n.now())
 	for _, id := range n.module.ServersInUse() {
 		if b := n.servers[id]; b != nil {
-			r.Uses = append(r.Uses, b.Name)
+			r.ServersInUse = append(r.ServersInUse, b.Name)
 		}
 	}
-	slices.Sort(r.Uses)
+	slices.Sort(r.ServersInUse)
 	return r
 }
 
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -44,9 +44,9 @@
 // Member is what package member takes of it; check has found that the ranges can be
 // read.
 func (f *Fleet) Member() member.Config {
-	m := member.Config{Follow: follow.Settings{Watch: f.Watch, Hello: f.Hello.Duration, HelloTo: f.HelloTo, Fanout: f.Fanout, Narrow: f.Narrow.Duration,
-		Close: f.Close.Duration, Behind: f.Behind.Duration, Reopen: f.Reopen.Duration, OneTeller: f.OneTeller,
-		AllTellers: f.AllTellers, Part: f.Part, Doubt: f.Doubt.Duration, Wake: f.Wake.Duration, WakeHold: f.WakeHold.Duration},
+	m := member.Config{Follow: follow.Settings{ObserveOnly: f.Watch, HelloInterval: f.Hello.Duration, HelloFanout: f.HelloTo, PushFanout: f.Fanout, NarrowAfter: f.Narrow.Duration,
+		CloseAfter: f.Close.Duration, BehindAfter: f.Behind.Duration, ReopenJitter: f.Reopen.Duration, OnePeerFraction: f.OneTeller,
+		AllPeersFraction: f.AllTellers, StaleSourceFraction: f.Part, UnconfirmedTimeout: f.Doubt.Duration, PauseThreshold: f.Wake.Duration, PauseHold: f.WakeHold.Duration},
 		Membership: f.Members, ShareQuotas: f.Quotas, ShareWork: f.Work, Subsets: f.Subsets, Guards: f.Guards, Slots: f.Seats, MaxProcesses: f.Most}
 	for _, text := range f.Strangers {
 		if p, err := netip.ParsePrefix(text); err == nil {
@@ -57,12 +57,12 @@
 }
 
 func (f *Fleet) defaults() {
-	d := follow.Defaults()
+	d := follow.DefaultSettings()
 	for _, x := range []struct {
 		span *strict.Span
 		d    time.Duration
-	}{{&f.Hello, d.Hello}, {&f.Narrow, d.Narrow}, {&f.Close, d.Close}, {&f.Behind, d.Behind}, {&f.Reopen, d.Reopen},
-		{&f.Doubt, d.Doubt}, {&f.Wake, d.Wake}, {&f.WakeHold, d.WakeHold}, {&f.RecordEvery, time.Second}} {
+	}{{&f.Hello, d.HelloInterval}, {&f.Narrow, d.NarrowAfter}, {&f.Close, d.CloseAfter}, {&f.Behind, d.BehindAfter}, {&f.Reopen, d.ReopenJitter},
+		{&f.Doubt, d.UnconfirmedTimeout}, {&f.Wake, d.PauseThreshold}, {&f.WakeHold, d.PauseHold}, {&f.RecordEvery, time.Second}} {
 		if x.span.Duration == 0 {
 			x.span.Duration = x.d
 		}
@@ -70,7 +70,7 @@
 	for _, x := range []struct {
 		n *int
 		d int
-	}{{&f.HelloTo, d.HelloTo}, {&f.Fanout, d.Fanout}, {&f.Seats, 256}, {&f.Most, 256}} {
+	}{{&f.HelloTo, d.HelloFanout}, {&f.Fanout, d.PushFanout}, {&f.Seats, 256}, {&f.Most, 256}} {
 		if *x.n == 0 {
 			*x.n = x.d
 		}
@@ -78,7 +78,7 @@
 	for _, x := range []struct {
 		v *float64
 		d float64
-	}{{&f.OneTeller, d.OneTeller}, {&f.AllTellers, d.AllTellers}, {&f.Part, d.Part}} {
+	}{{&f.OneTeller, d.OnePeerFraction}, {&f.AllTellers, d.AllPeersFraction}, {&f.Part, d.StaleSourceFraction}} {
 		if *x.v == 0 {
 			*x.v = x.d
 		}
