--- a/cmd/ivylock/main.go
+++ b/cmd/ivylock/main.go
@@ -66,7 +66,7 @@
 	}
 	n := node.New(cfg)
 	// A log that nobody reads any more must neither end the node nor hold it up.
-	lines := logsink.Stderr(&n.Count().LogLinesDropped)
+	lines := logsink.Stderr(&n.Metrics().LogLinesDropped)
 	log.SetOutput(lines)
 	defer lines.Flush(logsink.ExitTime)
 	var shared *handover.SharedDir
@@ -97,7 +97,7 @@
 			reload(n)
 		}
 	}()
-	f := front.New(n, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyRoom())
+	f := front.New(n, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
 	f.SocketKept = inherited
 	if inherited {
 		sharing, end := context.WithCancel(context.Background())
@@ -127,7 +127,7 @@
 	if f == nil {
 		return nil
 	}
-	cfg.Fleet = &node.Fleet{Member: f.Member(), RecordFile: f.RecordFile, RecordEvery: f.RecordEvery.Duration}
+	cfg.Fleet = &node.FleetConfig{Member: f.Member(), RecordFile: f.RecordFile, RecordInterval: f.RecordEvery.Duration}
 	m := &cfg.Fleet.Member
 	if len(m.AllowedPrefixes) == 0 {
 		return nil
@@ -159,7 +159,7 @@
 func reload(n *node.Node) {
 	cfg, err := node.LoadConfig(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
-		n.Count().ReloadsRefused.Add(1)
+		n.Metrics().ReloadsRefused.Add(1)
 	} else {
 		err = n.Reload(cfg)
 	}
--- a/cmd/ivylock/share.go
+++ b/cmd/ivylock/share.go
@@ -35,7 +35,7 @@
 func share(ctx context.Context, shared *handover.SharedDir, n *node.Node, f *front.HTTP, full handover.Usage, name string) {
 	set := func(most handover.Usage, _ bool) {
 		f.SetMost(most.Clients)
-		n.Backends().SetMost(most.Backends)
+		n.BackendPool().SetMost(most.Backends)
 	}
 	if shared == nil {
 		set(handover.Usage{Clients: handoff.ConnectionLimit(full.Clients, full.Clients, false), Backends: handoff.ConnectionLimit(full.Backends, full.Backends, false)}, false)
@@ -45,7 +45,7 @@
 		defer shared.Close()
 	}
 	shared.RunUsageExchange(ctx, full, func() handover.Usage {
-		return handover.Usage{Clients: f.Connections(), Backends: n.Backends().Open()}
+		return handover.Usage{Clients: f.Connections(), Backends: n.BackendPool().Open()}
 	}, set)
 }
 
--- a/cmd/ivylock/shutdown_test.go
+++ b/cmd/ivylock/shutdown_test.go
@@ -127,7 +127,7 @@
 
 // send sends the request, if its connection still stands, and waits for the answer.
 func (r *lateRequest) send(told time.Time, until time.Time) {
-	if !bounded.Quiet(r.conn) { // the connection has ended, or an answer has come before the request was whole
+	if !bounded.OpenAndIdle(r.conn) { // the connection has ended, or an answer has come before the request was whole
 		r.skipped = true
 		if r.kind == unused || r.kind == used {
 			r.conn.SetReadDeadline(time.Now().Add(time.Second))
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -54,7 +54,7 @@
 		if res.Code != balance.OK {
 			t.Fatalf("exchange %d: outcome %d", i, res.Code)
 		}
-		for end := time.Now().Add(nodetest.Patience); bounded.Quiet(to.idle[0].Conn) && time.Now().Before(end); {
+		for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(to.idle[0].Conn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -150,7 +150,7 @@
 	p.Add(to)
 	p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)})
 	close(late)
-	for end := time.Now().Add(nodetest.Patience); !bounded.Unread(to.idle[0].Conn) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); !bounded.HasUnread(to.idle[0].Conn) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if p.take(to); p.spoiltAt.IsZero() {
 		t.Error("late: not seen")
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -52,15 +52,15 @@
 type Stream struct {
 	Start  []byte // read already
 	Length int64  // of all; -1: not known before it ends
-	answer *bounded.Answer
+	answer *bounded.Response
 	ended  func(error)
 }
 
 // NewStream makes a stream of an answer; ended is told how the passing on ended.
-func NewStream(answer *bounded.Answer, ended func(error)) *Stream {
+func NewStream(answer *bounded.Response, ended func(error)) *Stream {
 	s := &Stream{Length: -1, answer: answer, ended: ended}
 	if answer != nil {
-		s.Start, s.Length = answer.Start, answer.Length
+		s.Start, s.Length = answer.Prefix, answer.BodyLength
 	}
 	return s
 }
@@ -148,17 +148,17 @@
 	if call.Wrote != nil {
 		call.Wrote()
 	}
-	a, err := c.r.Answer(call.Request)
-	c.spoilt = errors.Is(err, bounded.ErrSpoilt)
+	a, err := c.r.ReadResponse(call.Request)
+	c.spoilt = errors.Is(err, bounded.ErrMalformedResponse)
 	if c.spoilt {
 		return Result{Code: balance.ServerError}, false // the backend works, so it is not taken for dead
 	}
 	if err != nil {
 		return Result{Code: balance.Reset}, false
 	}
-	res.Began, res.Body, res.Report = a.Began, a.Start, loadreport.Parse(a.Header.Get("Server-Load"))
+	res.Began, res.Body, res.Report = a.FirstByteAt, a.Prefix, loadreport.Parse(a.Header.Get("Server-Load"))
 	switch {
-	case a.StatusCode == http.StatusOK && a.Whole:
+	case a.StatusCode == http.StatusOK && a.Complete:
 		res.Code = balance.OK
 	case a.StatusCode == http.StatusOK && call.Begun != nil:
 		ended := make(chan error, 1)
@@ -178,8 +178,8 @@
 	default:
 		res.Code = balance.ServerError
 	}
-	c.spoilt, c.usedAt = !c.r.Clean(), time.Now()
-	return res, (a.Whole || res.Code == balance.OK) && !a.Close && !c.spoilt
+	c.spoilt, c.usedAt = !c.r.BufferEmpty(), time.Now()
+	return res, (a.Complete || res.Code == balance.OK) && !a.Close && !c.spoilt
 }
 
 // whole is a body that is all there.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -175,10 +175,10 @@
 		b.idle = slices.Delete(b.idle, i, i+1)
 		// Guards against spending an attempt, which may count as run, on a
 		// connection that is known to be dead.
-		if now.Sub(c.idleSince) < p.idleTime && bounded.Quiet(c.Conn) {
+		if now.Sub(c.idleSince) < p.idleTime && bounded.OpenAndIdle(c.Conn) {
 			return c, c.addr, c.startedAt, true
 		}
-		if bounded.Unread(c.Conn) {
+		if bounded.HasUnread(c.Conn) {
 			p.spoiltAt = now
 		}
 		p.open--
--- a/internal/bounded/answer.go
+++ b/internal/bounded/answer.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// MaxBody is the most of a body that is held for as long as the request is
+	// MaxBufferedBody is the most of a body that is held for as long as the request is
 	// open. Longer ones pass through in pieces (protocol and days pages).
-	MaxBody = 64 << 10
-	// MaxLength is the most that a body holds, in either direction: twice what
+	MaxBufferedBody = 64 << 10
+	// MaxBodyLength is the most that a body holds, in either direction: twice what
 	// occurs (days page).
-	MaxLength = 64 << 20
-	// MaxHead is the most that a client's head holds.
-	MaxHead = 8 << 10
+	MaxBodyLength = 64 << 20
+	// MaxHeaderBytes is the most that a client's head holds.
+	MaxHeaderBytes = 8 << 10
 	// maxStart is what is read of an answer at most before it is passed on: its
-	// head, 1xx answers ahead of it, MaxBody and the framing of small chunks.
-	maxStart = 16 * MaxBody
+	// head, 1xx answers ahead of it, MaxBufferedBody and the framing of small chunks.
+	maxStart = 16 * MaxBufferedBody
 
 	answerTime = 500 * time.Millisecond // from one piece of an answer's start to the next: backends send them whole
 	restTime   = 10 * time.Second       // the same in what is passed on: a backend that stopped
 	maxInterim = 8                      // 1xx answers ahead of the answer
 )
 
-// ErrSpoilt says that an answer came, but none that may be passed on.
-var ErrSpoilt = errors.New("spoilt answer")
+// ErrMalformedResponse says that an answer came, but none that may be passed on.
+var ErrMalformedResponse = errors.New("spoilt answer")
 
 // Reader reads answers from a connection.
 type Reader struct {
@@ -89,26 +89,26 @@
 // Stopped tells whether Stop was called.
 func (r *Reader) Stopped() bool { return r.stopped.Load() }
 
-// Clean tells that nothing has been read past the last answer.
-func (r *Reader) Clean() bool { return r.r.Buffered() == 0 }
+// BufferEmpty tells that nothing has been read past the last answer.
+func (r *Reader) BufferEmpty() bool { return r.r.Buffered() == 0 }
 
-// Answer is an answer, whole or begun.
-type Answer struct {
+// Response is an answer, whole or begun.
+type Response struct {
 	*http.Response
-	Start  []byte // the body's first part; all of it if Whole
-	Whole  bool
-	Began  time.Time // when its first byte was there
-	Length int64     // of the whole body; -1: not known before it ends
-	from   *Reader
+	Prefix      []byte // the body's first part; all of it if Whole
+	Complete    bool
+	FirstByteAt time.Time // when its first byte was there
+	BodyLength  int64     // of the whole body; -1: not known before it ends
+	from        *Reader
 }
 
-// Answer reads one answer, past the 1xx ones ahead of it: all of one of up to
-// MaxBody, the start of a longer one. Once the first byte is there each piece
+// Response reads one answer, past the 1xx ones ahead of it: all of one of up to
+// MaxBufferedBody, the start of a longer one. Once the first byte is there each piece
 // has 0.5 s: guards against one that is cut short, or noise, on a connection
-// that stays open. The error is ErrSpoilt if something came that is no answer,
+// that stays open. The error is ErrMalformedResponse if something came that is no answer,
 // else that of the connection. An answer with neither a length nor chunks is
 // whole when its connection is closed, and not reset, within that time.
-func (r *Reader) Answer(req *http.Request) (*Answer, error) {
+func (r *Reader) ReadResponse(req *http.Request) (*Response, error) {
 	r.limit.N, r.pause = maxStart, 0
 	if _, err := r.r.Peek(1); err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 	a, err := r.parse(req)
 	r.pause = 0
 	if err == nil {
-		a.Began = began
+		a.FirstByteAt = began
 		r.disarm()
 		return a, nil
 	}
@@ -126,25 +126,25 @@
 	switch {
 	case errors.As(err, &broken):
 		if broken.Timeout() && !r.stopped.Load() {
-			return nil, ErrSpoilt
+			return nil, ErrMalformedResponse
 		}
 		return nil, err // broken off, or called off
 	case (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) && r.limit.N > 0:
 		return nil, err // broken off
 	}
-	return nil, ErrSpoilt
+	return nil, ErrMalformedResponse
 }
 
 // parse does not wait for more than it takes to see that something is no
 // answer.
-func (r *Reader) parse(req *http.Request) (*Answer, error) {
+func (r *Reader) parse(req *http.Request) (*Response, error) {
 	for range maxInterim + 1 {
 		const version = "HTTP/1."
 		for n := 1; n <= len(version); n++ {
 			if start, err := r.r.Peek(n); err != nil {
 				return nil, err
 			} else if start[n-1] != version[n-1] {
-				return nil, ErrSpoilt
+				return nil, ErrMalformedResponse
 			}
 		}
 		resp, err := http.ReadResponse(r.r, req)
@@ -154,40 +154,40 @@
 		if resp.StatusCode < 200 {
 			continue
 		}
-		a := &Answer{Response: resp, Length: resp.ContentLength, from: r}
-		if a.Length > MaxLength {
-			return nil, ErrSpoilt
+		a := &Response{Response: resp, BodyLength: resp.ContentLength, from: r}
+		if a.BodyLength > MaxBodyLength {
+			return nil, ErrMalformedResponse
 		}
-		if a.Length > MaxBody {
-			a.Start = make([]byte, 4096) // its first bytes are what counts: they are not held back for more
-			n, err := resp.Body.Read(a.Start)
-			if a.Start = a.Start[:n]; n == 0 && err != nil {
+		if a.BodyLength > MaxBufferedBody {
+			a.Prefix = make([]byte, 4096) // its first bytes are what counts: they are not held back for more
+			n, err := resp.Body.Read(a.Prefix)
+			if a.Prefix = a.Prefix[:n]; n == 0 && err != nil {
 				return nil, err
 			}
 			return a, nil
 		}
-		if a.Length >= 0 {
-			a.Start = make([]byte, a.Length)
-			_, err = io.ReadFull(resp.Body, a.Start)
+		if a.BodyLength >= 0 {
+			a.Prefix = make([]byte, a.BodyLength)
+			_, err = io.ReadFull(resp.Body, a.Prefix)
 			if err == nil {
 				_, err = resp.Body.Read(r.last[:]) // takes in what ends the message
 			}
 		} else {
-			a.Start, err = io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
-			if err == nil && len(a.Start) <= MaxBody {
+			a.Prefix, err = io.ReadAll(io.LimitReader(resp.Body, MaxBufferedBody+1))
+			if err == nil && len(a.Prefix) <= MaxBufferedBody {
 				err = io.EOF
 			}
 		}
-		if a.Whole = errors.Is(err, io.EOF); a.Whole || err == nil {
+		if a.Complete = errors.Is(err, io.EOF); a.Complete || err == nil {
 			return a, nil
 		}
 		return nil, err
 	}
-	return nil, ErrSpoilt
+	return nil, ErrMalformedResponse
 }
 
 // Read reads what comes after Start. A backend that stops for 10 s has failed.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	a.from.limit.N, a.from.pause = math.MaxInt64, restTime
 	n, err := a.Body.Read(b)
 	if err != nil {
--- a/internal/bounded/answer_test.go
+++ b/internal/bounded/answer_test.go
@@ -29,12 +29,12 @@
 		}
 	}()
 	ours.SetDeadline(time.Now().Add(20 * time.Second))
-	a, err := NewReader(ours).Answer(nil)
+	a, err := NewReader(ours).ReadResponse(nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	body = a.Start
-	if !a.Whole {
+	body = a.Prefix
+	if !a.Complete {
 		rest, err := io.ReadAll(a)
 		return a.StatusCode, append(body, rest...), err
 	}
@@ -84,7 +84,7 @@
 	wantStatus, want, wantErr := reference(raw)
 	status, got, err := read(t, raw, piece)
 	if (err == nil) != (wantErr == nil) {
-		if err != nil && wantErr == nil && (len(want) > MaxLength || errors.Is(err, ErrSpoilt)) {
+		if err != nil && wantErr == nil && (len(want) > MaxBodyLength || errors.Is(err, ErrMalformedResponse)) {
 			return // stricter is right: too long, or a head out of bounds
 		}
 		t.Fatalf("%.100q in pieces of %d: %v, net/http says %v", raw, piece, err, wantErr)
@@ -125,7 +125,7 @@
 	defer theirs.Close()
 	go io.WriteString(theirs, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")
 	began := time.Now()
-	if _, err := NewReader(ours).Answer(nil); !errors.Is(err, ErrSpoilt) {
+	if _, err := NewReader(ours).ReadResponse(nil); !errors.Is(err, ErrMalformedResponse) {
 		t.Errorf("got %v", err)
 	}
 	if took := time.Since(began); took < answerTime {
@@ -134,7 +134,7 @@
 	// Stop ends it at once, also when it comes between two pieces.
 	r := NewReader(ours)
 	r.Stop()
-	if _, err := r.Answer(nil); err == nil || errors.Is(err, ErrSpoilt) {
+	if _, err := r.ReadResponse(nil); err == nil || errors.Is(err, ErrMalformedResponse) {
 		t.Errorf("after Stop: %v", err)
 	}
 }
@@ -162,8 +162,8 @@
 			theirs.Close()
 		}()
 		d := &deadlines{Conn: ours}
-		a, err := NewReader(d).Answer(nil)
-		if err == nil && !a.Whole {
+		a, err := NewReader(d).ReadResponse(nil)
+		if err == nil && !a.Complete {
 			if d.last.IsZero() == false {
 				t.Errorf("%.60q: a deadline is left after its start", text)
 			}
--- a/internal/bounded/quiet.go
+++ b/internal/bounded/quiet.go
@@ -6,24 +6,24 @@
 	"syscall"
 )
 
-// Quiet tells whether a connection stands and nothing has come on it that is
+// OpenAndIdle tells whether a connection stands and nothing has come on it that is
 // still unread. It does not wait, and may be asked while another goroutine
 // reads.
-func Quiet(c net.Conn) bool {
+func OpenAndIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Unread tells whether something has come on a connection that is still unread; its end
+// HasUnread tells whether something has come on a connection that is still unread; its end
 // is nothing. It does not wait either.
-func Unread(c net.Conn) bool {
+func HasUnread(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
 
-// Ended tells whether the other side has closed or reset a connection, and nothing that is
+// PeerClosed tells whether the other side has closed or reset a connection, and nothing that is
 // unread came before that. It does not wait either.
-func Ended(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET)
 }
--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -27,8 +27,8 @@
 	l := nodetest.NewFailingListener(t, 100)
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), b.Addr)
 	n := &running{Node: node.New(cfg), cfg: cfg, url: "http://" + l.Addr().String(), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
-	n.SetSchedule(quickSchedule)
-	n.front = New(n.Node, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyRoom())
+	n.SetShutdownSchedule(quickSchedule)
+	n.front = New(n.Node, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { n.ended <- n.Run(ctx, n.front) }()
 	var slowest time.Duration
@@ -74,8 +74,8 @@
 	}
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t))
 	n := node.New(cfg)
-	n.SetSchedule(guard.ShutdownSchedule{})
-	f := New(n, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyRoom())
+	n.SetShutdownSchedule(guard.ShutdownSchedule{})
+	f := New(n, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, f) }()
@@ -161,7 +161,7 @@
 	n.front.SetMost(1)
 	open := dial(t, n.url)
 	io.WriteString(open, get("open"))
-	wait(t, "it is open", func() bool { return n.Count().Open.Load() == 1 })
+	wait(t, "it is open", func() bool { return n.Metrics().Open.Load() == 1 })
 	var waiting []net.Conn
 	for i := range 24 {
 		c := dial(t, n.url)
@@ -210,8 +210,8 @@
 	defer held.Close()
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t))
 	n := node.New(cfg)
-	n.SetSchedule(quickSchedule)
-	f := New(n, l, cfg.Settings.Classes, 1, cfg.BodyRoom())
+	n.SetShutdownSchedule(quickSchedule)
+	f := New(n, l, cfg.Settings.Classes, 1, cfg.BodyBudget())
 	f.SocketKept = true
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -59,22 +59,22 @@
 	if r.ContentLength == 0 {
 		return in, nil
 	}
-	if r.ContentLength > bounded.MaxLength {
+	if r.ContentLength > bounded.MaxBodyLength {
 		return in, errTooLong
 	}
 	u := &upload{c: http.NewResponseController(w), body: r.Body, length: r.ContentLength, began: time.Now()}
-	most, size := bounded.MaxBody, firstPart
+	most, size := bounded.MaxBufferedBody, firstPart
 	if r.ContentLength > 0 {
-		size = int(min(bounded.MaxBody, r.ContentLength))
+		size = int(min(bounded.MaxBufferedBody, r.ContentLength))
 	}
 	in.held = make([]byte, 0, size)
 	for {
 		if len(in.held) == most {
-			if most == MaxHeld || r.ContentLength > MaxHeld || !b.reserve(MaxHeld-bounded.MaxBody) {
+			if most == MaxHeld || r.ContentLength > MaxHeld || !b.reserve(MaxHeld-bounded.MaxBufferedBody) {
 				in.rest = u
 				return in, nil
 			}
-			in.release = sync.OnceFunc(func() { b.room.Add(MaxHeld - bounded.MaxBody) })
+			in.release = sync.OnceFunc(func() { b.room.Add(MaxHeld - bounded.MaxBufferedBody) })
 			most = MaxHeld
 		}
 		if len(in.held) == cap(in.held) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// upload is a body that is read as it is sent on. It satisfies node.Rest.
+// upload is a body that is read as it is sent on. It satisfies node.BodyStream.
 type upload struct {
 	c        *http.ResponseController
 	body     io.Reader
@@ -112,7 +112,7 @@
 
 // longest is a bound on the time that the rest may take to come.
 func (u *upload) longest() time.Duration {
-	left := int64(bounded.MaxLength)
+	left := int64(bounded.MaxBodyLength)
 	if u.length >= 0 {
 		left = u.length
 	}
@@ -122,8 +122,8 @@
 // Length is that of the whole body.
 func (u *upload) Length() int64 { return u.length }
 
-// Patience is how long the client waits from the last byte on.
-func (u *upload) Patience() time.Duration { return u.patience }
+// Timeout is how long the client waits from the last byte on.
+func (u *upload) Timeout() time.Duration { return u.patience }
 
 // Deadline is when the client stops waiting for the answer.
 func (u *upload) Deadline() time.Time {
@@ -179,7 +179,7 @@
 		if n == 0 {
 			err = io.EOF
 		}
-	case err == nil && u.got > bounded.MaxLength:
+	case err == nil && u.got > bounded.MaxBodyLength:
 		u.failed = errTooLong
 	case err != nil:
 		u.failed = err
@@ -206,7 +206,7 @@
 		return
 	}
 	u.c.SetReadDeadline(until)
-	io.Copy(io.Discard, io.LimitReader(u.body, bounded.MaxLength))
+	io.Copy(io.Discard, io.LimitReader(u.body, bounded.MaxBodyLength))
 	u.failed = os.ErrDeadlineExceeded
 }
 
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -51,7 +51,7 @@
 	handed    int64     // bytes that net/http was given since the last request
 	lastRead  time.Time // when the last of them was read
 	receiving bool      // the open request's body has not come whole
-	seen      []byte    // read since the last request, as net/http forgets a Content-Length beside a Transfer-Encoding; bounded.MaxHead at most
+	seen      []byte    // read since the last request, as net/http forgets a Content-Length beside a Transfer-Encoding; bounded.MaxHeaderBytes at most
 	ahead     []byte    // read beyond the open request and not handed out yet; maxAhead at most
 	phase     phase
 	ended     bool  // nothing that is read from here on is handed out
@@ -128,7 +128,7 @@
 // guards against a request that waits unread because the process stood still, and is cut
 // off by the time that it was to come in. The caller holds the lock.
 func (c *client) readLate(b []byte, late error) (int, error) {
-	if !bounded.Unread(c.TCPConn) {
+	if !bounded.HasUnread(c.TCPConn) {
 		c.timedOut = true
 		return 0, late
 	}
@@ -148,7 +148,7 @@
 		c.handed += int64(len(b))
 		c.lastRead = time.Now()
 	}
-	if room := bounded.MaxHead - len(c.seen); room > 0 {
+	if room := bounded.MaxHeaderBytes - len(c.seen); room > 0 {
 		c.seen = append(c.seen, b[:min(len(b), room)]...)
 	}
 }
@@ -283,7 +283,7 @@
 // lock.
 func (c *client) state() guard.Connection {
 	return guard.Connection{Closed: c.ended, RequestOpen: c.phase == open, ReceivingBody: c.receiving,
-		HeadPending: len(c.ahead) > 0 || bytes.Contains(c.seen, endOfHead), PartialRequest: c.handed > 0, UnreadData: !bounded.Quiet(c.TCPConn)}
+		HeadPending: len(c.ahead) > 0 || bytes.Contains(c.seen, endOfHead), PartialRequest: c.handed > 0, UnreadData: !bounded.OpenAndIdle(c.TCPConn)}
 }
 
 // receives notes that the open request's body is being read, and received that it has
@@ -308,7 +308,7 @@
 }
 
 // endUnfinished answers a request that has not come whole, and ends the connection.
-func (c *client) endUnfinished(a node.Answer) {
+func (c *client) endUnfinished(a node.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state().CloseMode() != guard.RejectThenClose {
@@ -316,7 +316,7 @@
 	}
 	c.ended = true
 	c.closes(figures.ClosedAnswered)
-	c.refuse(a.Status, a.HoldOff)
+	c.refuse(a.Status, a.RetryAfter)
 	c.linger()
 }
 
@@ -353,7 +353,7 @@
 func (c *client) left() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gone != nil || bounded.Ended(c.TCPConn)
+	return c.gone != nil || bounded.PeerClosed(c.TCPConn)
 }
 
 // lingers tells whether the connection is still open although it was closed.
@@ -399,14 +399,14 @@
 		case c.handed > 0: // its last byte may be on its way
 			c.refuse(http.StatusRequestTimeout, 0)
 			return c.linger()
-		case bounded.Unread(c.TCPConn): // it came in this moment, and nobody will read it
+		case bounded.HasUnread(c.TCPConn): // it came in this moment, and nobody will read it
 			c.refuse(http.StatusServiceUnavailable, 0)
 			return c.linger()
 		}
 	default:
 		c.closes(figures.ClosedByClient)
 	}
-	if c.abrupt || bounded.Quiet(c.TCPConn) {
+	if c.abrupt || bounded.OpenAndIdle(c.TCPConn) {
 		return c.TCPConn.Close()
 	}
 	return c.linger()
@@ -430,7 +430,7 @@
 // discardRest reads and drops what still comes, for a while.
 func (c *client) discardRest() {
 	c.SetReadDeadline(time.Now().Add(lingerMost))
-	io.Copy(io.Discard, io.LimitReader(c.TCPConn, bounded.MaxLength))
+	io.Copy(io.Discard, io.LimitReader(c.TCPConn, bounded.MaxBodyLength))
 }
 
 var endOfHead = []byte("\r\n\r\n")
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -33,8 +33,8 @@
 	all   map[*client]bool
 	closing
 
-	turningAway  chan struct{}      // holds one for each connection that is being turned away
-	endingAnswer func() node.Answer // what those are answered
+	turningAway  chan struct{}        // holds one for each connection that is being turned away
+	endingAnswer func() node.Response // what those are answered
 
 	figures *figures.Set
 	history *eventlog.Log // nil: nothing is kept
@@ -104,7 +104,7 @@
 func closeLongest(silent map[net.Conn]time.Time, before time.Time) bool {
 	var longest net.Conn
 	for conn, since := range silent {
-		if c, is := conn.(*client); is && !bounded.Quiet(c.TCPConn) {
+		if c, is := conn.(*client); is && !bounded.OpenAndIdle(c.TCPConn) {
 			continue
 		}
 		if since.Before(before) {
@@ -138,7 +138,7 @@
 
 // refuseUnfinished ends connections on which a part of a request has come, and no more,
 // with an answer: its last byte may be on its way.
-func (c *clientConns) refuseUnfinished(a node.Answer) {
+func (c *clientConns) refuseUnfinished(a node.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := range c.all {
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -205,8 +205,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	h := &held{running: &running{Node: node.New(cfg), url: "http://" + l.Addr().String(), stop: stop, ended: make(chan error, 1)},
 		reached: make(chan net.Conn, 1), let: make(chan bool)}
-	h.front = New(h.Node, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyRoom())
-	h.SetSchedule(quickSchedule)
+	h.front = New(h.Node, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
+	h.SetShutdownSchedule(quickSchedule)
 	track := h.front.server.ConnState
 	h.front.server.ConnState = func(c net.Conn, s http.ConnState) {
 		if h.armed.CompareAndSwap(int64(s)+1, 0) {
@@ -307,7 +307,7 @@
 	t.Parallel()
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
-	n.SetSchedule(guard.ShutdownSchedule{AcceptUntil: idleSpare * 3 / 4, ServeUntil: idleSpare, AnswerBy: 2 * idleSpare, ExitBy: 2 * idleSpare})
+	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: idleSpare * 3 / 4, ServeUntil: idleSpare, AnswerBy: 2 * idleSpare, ExitBy: 2 * idleSpare})
 	for _, id := range []string{"rests", "is let in by an accept that had room", "waits"} {
 		c := dial(t, n.url)
 		io.WriteString(c, get(strings.ReplaceAll(id, " ", "-")))
@@ -358,7 +358,7 @@
 		ours.mu.Lock()
 		io.WriteString(theirs, "G")
 		for end := time.Now().Add(100 * time.Millisecond); !crossed && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			crossed = bounded.Quiet(ours.TCPConn)
+			crossed = bounded.OpenAndIdle(ours.TCPConn)
 		}
 		ours.ended = crossed
 		ours.mu.Unlock()
@@ -386,7 +386,7 @@
 	ours := got.(*client)
 	conns.track(ours, http.StateNew)
 	io.WriteString(theirs, get("unread"))
-	wait(t, "the bytes are there", func() bool { return !bounded.Quiet(ours.TCPConn) })
+	wait(t, "the bytes are there", func() bool { return !bounded.OpenAndIdle(ours.TCPConn) })
 	ours.SetNoDelay(false)
 	answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
 	for _, piece := range strings.SplitAfter(answer, "\n") {
@@ -419,7 +419,7 @@
 		n.ask(context.Background(), "clip", "one", 10*time.Second)
 		answered <- time.Now()
 	}()
-	wait(t, "the attempt dials", func() bool { return n.Backends().Open() == 1 })
+	wait(t, "the attempt dials", func() bool { return n.BackendPool().Open() == 1 })
 	server.LetGo(t) // the kernel knocks again 1 s after the first time
 	go http.Serve(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told <- r.Header.Get("Request-Timeout-Ms")
@@ -522,7 +522,7 @@
 					key = "Idempotency-Key: k\r\n"
 				}
 				fmt.Fprintf(c, "%s /%s/a HTTP/1.1\r\nHost: h\r\nRequest-Id: one\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: 9000\r\n%sContent-Length: 0\r\n\r\n", method, class, class, key)
-				wait(t, "it dials", func() bool { return n.Backends().Open() == 1 })
+				wait(t, "it dials", func() bool { return n.BackendPool().Open() == 1 })
 				switch what {
 				case "drain":
 					tell <- true
@@ -536,7 +536,7 @@
 					c.Close()
 				}
 				if what != "drain" {
-					wait(t, "its departure is known", func() bool { return n.Count().Open.Load() == 0 })
+					wait(t, "its departure is known", func() bool { return n.Metrics().Open.Load() == 0 })
 				}
 				written := make(chan bool, 1)
 				server.LetGo(t) // the kernel knocks again 1 s after the first time
@@ -675,10 +675,10 @@
 			}()
 		}
 		all.Wait()
-		wait(t, "all connections have ended", func() bool { return n.front.Connections() == 0 && n.Count().Open.Load() == 0 })
-		n.Backends().SetMost(0) // closes what rests
-		wait(t, "those to servers too", func() bool { return n.Backends().Open() == 0 })
-		n.Backends().SetMost(n.cfg.BackendSockets())
+		wait(t, "all connections have ended", func() bool { return n.front.Connections() == 0 && n.Metrics().Open.Load() == 0 })
+		n.BackendPool().SetMost(0) // closes what rests
+		wait(t, "those to servers too", func() bool { return n.BackendPool().Open() == 0 })
+		n.BackendPool().SetMost(n.cfg.BackendSockets())
 	}
 	left := func() (goroutines, descriptors int, heap uint64) {
 		runtime.GC()
--- a/internal/front/figures_test.go
+++ b/internal/front/figures_test.go
@@ -85,7 +85,7 @@
 	for class, w := range c.ended {
 		extra := int64(0)
 		for o := range figures.Outcomes {
-			got := c.Count().Of(class, o)
+			got := c.Metrics().Of(class, o)
 			if got < w[o] {
 				wrong += fmt.Sprintf("%s, outcome %d: %d, clients counted %d\n", class, o, got, w[o])
 			}
@@ -99,10 +99,10 @@
 	for _, n := range c.attempts {
 		sent += int64(n)
 	}
-	if got := c.Count().Relayed.Load(); got != sent {
+	if got := c.Metrics().Relayed.Load(); got != sent {
 		wrong += fmt.Sprintf("relayed %d, servers counted %d\n", got, sent)
 	}
-	if got := c.Count().Open.Load(); got != 0 {
+	if got := c.Metrics().Open.Load(); got != 0 {
 		wrong += fmt.Sprintf("%d open\n", got)
 	}
 	return wrong
@@ -150,7 +150,7 @@
 			for i := range 60 {
 				all.Go(func() { c.askOne(context.Background(), "order", fmt.Sprint("held-", i)) })
 			}
-			for end := time.Now().Add(nodetest.Patience); c.Count().Of("order", figures.Throttled) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(nodetest.Patience); c.Metrics().Of("order", figures.Throttled) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			goAway()
 			close(c.held)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -68,13 +68,13 @@
 // New makes a front for a node, on a listener, with so many client
 // connections at most and so many bytes for long bodies, all together.
 func New(n *node.Node, listener net.Listener, classes []balance.Class, most int, room int64) *HTTP {
-	f := &HTTP{node: n, classes: map[string]balance.Class{}, accepted: make(chan struct{}), drained: make(chan struct{}), bodies: newBodies(room), clients: newClientConns(listener, most, n.Count(), n.History(), n.Checker())}
-	f.clients.endingAnswer = n.EndingAnswer
+	f := &HTTP{node: n, classes: map[string]balance.Class{}, accepted: make(chan struct{}), drained: make(chan struct{}), bodies: newBodies(room), clients: newClientConns(listener, most, n.Metrics(), n.History(), n.Checker())}
+	f.clients.endingAnswer = n.ShutdownResponse
 	for _, c := range classes {
 		f.classes[c.Name] = c
 	}
 	// ReadTimeout and WriteTimeout would cut off a request that has been taken.
-	f.server = &http.Server{Handler: f, MaxHeaderBytes: bounded.MaxHead, ReadHeaderTimeout: headTime, IdleTimeout: clientIdle,
+	f.server = &http.Server{Handler: f, MaxHeaderBytes: bounded.MaxHeaderBytes, ReadHeaderTimeout: headTime, IdleTimeout: clientIdle,
 		ConnState:   f.clients.track,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, clientKey{}, c) }}
 	return f
@@ -98,18 +98,18 @@
 // has just read, and drop a request that it has read and not yet handed on). What
 // has not come whole by the time for answers is refused, and its connection ends.
 func (f *HTTP) Drain() error {
-	schedule := f.node.Schedule()
+	schedule := f.node.ShutdownSchedule()
 	f.draining.Store(true)
 	f.clients.drains()
 	defer close(f.drained)
 	f.logStep("draining")
-	time.Sleep(time.Until(f.node.TimeOf(schedule.AcceptUntil)))
+	time.Sleep(time.Until(f.node.ShutdownStepTime(schedule.AcceptUntil)))
 	if !f.SocketKept {
 		f.clients.empty(schedule.BacklogTime())
 	}
 	f.clients.Close()
 	f.logStep("listener closed")
-	answer := f.node.TimeOf(schedule.AnswerBy)
+	answer := f.node.ShutdownStepTime(schedule.AnswerBy)
 	select {
 	case <-f.accepted: // guards against ending while a connection is accepted and not yet counted
 	case <-time.After(time.Until(answer)):
@@ -126,7 +126,7 @@
 	for f.clients.count() > 0 {
 		f.clients.endIdle(time.Now().Add(-restSpare))
 		if f.sinceSignal() >= schedule.AnswerBy {
-			f.clients.refuseUnfinished(f.node.EndingAnswer())
+			f.clients.refuseUnfinished(f.node.ShutdownResponse())
 		}
 		owed, now := f.clients.owed() > 0, f.sinceSignal()
 		if owed {
@@ -148,12 +148,12 @@
 }
 
 // sinceSignal is how long ago the process was told to end.
-func (f *HTTP) sinceSignal() time.Duration { return time.Since(f.node.TimeOf(0)) }
+func (f *HTTP) sinceSignal() time.Duration { return time.Since(f.node.ShutdownStepTime(0)) }
 
 // late logs a request that is read after a shutdown has closed the listener, and the
 // history of its connection.
 func (f *HTTP) late(req *taken, conn *client) {
-	f.node.Count().RequestsLate.Add(1)
+	f.node.Metrics().RequestsLate.Add(1)
 	if f.lateLines.Add(1) > maxLateLines {
 		return // it is counted
 	}
@@ -220,7 +220,7 @@
 
 // serve hands a request to the node and gives its answer.
 func (f *HTTP) serve(w http.ResponseWriter, r *http.Request, req *taken, conn *client) {
-	count, rest := f.node.Count(), req.body.rest
+	count, rest := f.node.Metrics(), req.body.rest
 	defer req.body.release()
 	if rest == nil {
 		count.Open.Add(1)
@@ -230,13 +230,13 @@
 		rest.over = func() { count.Open.Add(-1) }
 		defer rest.end() // nothing reads from the connection once the handler has returned
 	}
-	if f.node.Phase() >= guard.Finishing {
+	if f.node.ShutdownPhase() >= guard.Finishing {
 		f.late(req, conn)
 	}
 	conn.serves(string(req.ID))
 	f.event(eventlog.RequestRead, req, conn, 0, "")
-	answer := f.node.Take(req.Request)
-	var a node.Answer
+	answer := f.node.Submit(req.Request)
+	var a node.Response
 	select {
 	case a = <-answer:
 		f.event(eventlog.RequestEnded, req, conn, a.Status, f.why(a))
@@ -244,7 +244,7 @@
 		select {
 		case a = <-answer:
 		default:
-			a = f.node.EndingAnswer()
+			a = f.node.ShutdownResponse()
 		}
 		f.event(eventlog.RequestEnded, req, conn, a.Status, f.why(a))
 	case <-r.Context().Done(): // the client is gone, or net/http waited for its body in vain
@@ -262,17 +262,17 @@
 			return
 		}
 	}
-	if a.HoldOff > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.HoldOff.Seconds(), 'f', 3, 64))
+	if a.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	early := rest != nil && !rest.complete()
 	if early || f.draining.Load() && !conn.more() || f.clients.crowded() || conn.last() {
 		w.Header().Set("Connection", "close")
 	}
-	if a.Rest != nil {
+	if a.BodyStream != nil {
 		conn.passes()
 		cut := func() { panic(http.ErrAbortHandler) }
-		if !r.ProtoAtLeast(1, 1) && a.Rest.Length < 0 {
+		if !r.ProtoAtLeast(1, 1) && a.BodyStream.Length < 0 {
 			// Guards against an answer cut short that looks whole: to HTTP/1.0 it
 			// ends with its connection, so one that breaks off is reset.
 			cut = func() {
@@ -300,7 +300,7 @@
 func (f *HTTP) lingerUntil() time.Time {
 	until := time.Now().Add(lingerTime)
 	if f.draining.Load() {
-		if end := f.node.TimeOf(f.node.Schedule().ExitBy); end.Before(until) {
+		if end := f.node.ShutdownStepTime(f.node.ShutdownSchedule().ExitBy); end.Before(until) {
 			return end
 		}
 	}
@@ -313,11 +313,11 @@
 }
 
 // why words the cause of an answer that no server made.
-func (f *HTTP) why(a node.Answer) string {
+func (f *HTTP) why(a node.Response) string {
 	if a.Status == http.StatusOK {
 		return ""
 	}
-	return f.node.Count().RequestsTurned.Word(int(a.Why))
+	return f.node.Metrics().RequestsTurned.Word(int(a.Reason))
 }
 
 // turnDown answers a request that the module has not heard of, or whose body
@@ -339,10 +339,10 @@
 // no faster than the client reads. If the backend breaks off the client's
 // connection is cut, so that it can tell that the answer is not whole; cut
 // does not return.
-func (f *HTTP) passOn(w http.ResponseWriter, req *node.Request, a node.Answer, cut func()) {
-	c, count := http.NewResponseController(w), f.node.Count()
-	if a.Rest.Length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.Rest.Length, 10))
+func (f *HTTP) passOn(w http.ResponseWriter, req *node.Request, a node.Response, cut func()) {
+	c, count := http.NewResponseController(w), f.node.Metrics()
+	if a.BodyStream.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(a.BodyStream.Length, 10))
 	}
 	w.WriteHeader(a.Status)
 	piece, buf := a.Body, make([]byte, pieceSize)
@@ -353,10 +353,10 @@
 			err = c.Flush()
 		}
 		if err != nil {
-			a.Rest.Done(backend.ErrUnread)
+			a.BodyStream.Done(backend.ErrUnread)
 			cut()
 		}
-		n, err := a.Rest.Read(buf)
+		n, err := a.BodyStream.Read(buf)
 		if piece = buf[:n]; n > 0 {
 			continue // an error comes again
 		}
@@ -364,12 +364,12 @@
 			break
 		}
 		if err != nil {
-			a.Rest.Done(err)
+			a.BodyStream.Done(err)
 			count.Ended(req.Class, figures.Faulted)
 			cut()
 		}
 	}
-	a.Rest.Done(nil)
+	a.BodyStream.Done(nil)
 	count.Ended(req.Class, figures.Fulfilled)
 	c.SetWriteDeadline(time.Time{})
 }
@@ -433,7 +433,7 @@
 	// A request's time counts from its last byte, and not from when a process
 	// that stood still came to read it.
 	patience := time.Duration(ms) * time.Millisecond
-	deadline := time.Now().Add(patience - f.node.Late())
+	deadline := time.Now().Add(patience - f.node.PauseDelay())
 	req := &node.Request{
 		RequestArrived: balance.RequestArrived{ID: balance.RequestID(id), Class: class.Name,
 			Tenant: r.Header.Get("Tenant"), Key: r.URL.Query().Get("sid"), ClientTimeout: time.Until(deadline),
@@ -442,11 +442,11 @@
 		Method: method, URI: r.RequestURI, Key: key, Body: in.held, Deadline: deadline, ReadAt: conn.readAt(),
 	}
 	if conn != nil {
-		req.Left = conn.left
+		req.ClientGone = conn.left
 	}
 	if in.rest != nil {
 		in.rest.patience = patience
-		req.Rest, req.Deadline = in.rest, deadline.Add(in.rest.longest())
+		req.BodyStream, req.Deadline = in.rest, deadline.Add(in.rest.longest())
 	}
 	return &taken{req, in}, nil
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -57,8 +57,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &running{Node: node.New(c), cfg: c, url: "http://" + l.Addr().String(), stop: cancel, ended: make(chan error, 1),
 		client: &http.Client{Transport: &http.Transport{}, Timeout: nodetest.Patience}}
-	n.front = New(n.Node, l, c.Settings.Classes, c.ClientSockets(), c.BodyRoom())
-	n.SetSchedule(quickSchedule)
+	n.front = New(n.Node, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
+	n.SetShutdownSchedule(quickSchedule)
 	go func() { n.ended <- n.Run(ctx, n.front) }()
 	t.Cleanup(func() {
 		n.client.CloseIdleConnections()
@@ -185,7 +185,7 @@
 		{"wrong method", "GET", "/order", "", good(nil), 405},
 		{"POST for a safe class", "POST", "/clip", "", good(header{"Request-Class": "clip"}), 405},
 		{"body on a GET", "GET", "/clip", "x", good(header{"Request-Class": "clip"}), 400},
-		{"body too large", "POST", "/order", strings.Repeat("x", bounded.MaxLength+1), good(nil), 413},
+		{"body too large", "POST", "/order", strings.Repeat("x", bounded.MaxBodyLength+1), good(nil), 413},
 	} {
 		req, _ := http.NewRequest(c.method, n.url+c.path, strings.NewReader(c.body))
 		for k, v := range c.header {
@@ -366,7 +366,7 @@
 		return nodetest.Reply(c, "200 OK", "done")
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
-	n.SetSchedule(guard.ShutdownSchedule{AcceptUntil: 2 * time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 3 * time.Second})
+	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 2 * time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 3 * time.Second})
 	answers := make(chan int, 2)
 	ask := func(id string) {
 		status, _, header, _ := n.ask(context.Background(), "clip", id, time.Minute)
@@ -683,7 +683,7 @@
 		c.track(conn, http.StateNew)
 		ours = append(ours, conn)
 	}
-	for end := time.Now().Add(nodetest.Patience); bounded.Quiet(ours[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(ours[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	c.room(time.Now().Add(time.Minute)) // both have been silent for long
 	if len(c.fresh) != 1 || c.fresh[ours[0]].IsZero() {
@@ -712,8 +712,8 @@
 	file.Fd() // makes it a blocking one
 	c := nodeConfig(t, nodetest.ClosedAddr(t))
 	n := node.New(c)
-	f := New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyRoom())
-	n.SetSchedule(quickSchedule)
+	f := New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
+	n.SetShutdownSchedule(quickSchedule)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, f) }()
--- a/internal/front/invariant_test.go
+++ b/internal/front/invariant_test.go
@@ -29,5 +29,5 @@
 		k.Close()
 	}
 	h.front.clients.mu.Unlock()
-	wait(t, "the violation is counted", func() bool { return h.Count().InvariantsBroken.Of(int(invariant.Unanswered)) == 1 })
+	wait(t, "the violation is counted", func() bool { return h.Metrics().InvariantsBroken.Of(int(invariant.Unanswered)) == 1 })
 }
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -256,7 +256,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		servers.Store(&[]string{c.Known.Instances[0].HostPort, c.Known.Instances[1].HostPort})
+		servers.Store(&[]string{c.InitialList.Instances[0].HostPort, c.InitialList.Instances[1].HostPort})
 		return strings.Replace(config, "on_request", "pushed", 1)
 	}
 }
--- a/internal/front/turnaway.go
+++ b/internal/front/turnaway.go
@@ -40,7 +40,7 @@
 
 // turnAway answers the request that comes on a connection that nobody serves, and closes
 // the connection. One on which nothing has come is closed with no word.
-func (c *client) turnAway(answer node.Answer) {
+func (c *client) turnAway(answer node.Response) {
 	defer c.TCPConn.Close()
 	c.SetReadDeadline(time.Now().Add(firstByteTime))
 	if _, err := io.ReadFull(c.TCPConn, make([]byte, 1)); err != nil {
@@ -48,8 +48,8 @@
 		return
 	}
 	c.closes(figures.ClosedAnswered)
-	c.conns.figures.RequestsTurned.Add(int(answer.Why))
-	c.refuse(answer.Status, answer.HoldOff)
+	c.conns.figures.RequestsTurned.Add(int(answer.Reason))
+	c.refuse(answer.Status, answer.RetryAfter)
 	if c.CloseWrite() == nil {
 		c.discardRest()
 	}
--- a/internal/front/unfinished_test.go
+++ b/internal/front/unfinished_test.go
@@ -43,7 +43,7 @@
 	t.Parallel()
 	theirs, ours, _ := accepted(t)
 	io.WriteString(theirs, get("waits"))
-	wait(t, "it is there", func() bool { return bounded.Unread(ours.TCPConn) })
+	wait(t, "it is there", func() bool { return bounded.HasUnread(ours.TCPConn) })
 	ours.SetReadDeadline(time.Unix(1, 0))
 	b := make([]byte, 4096)
 	if n, err := ours.Read(b); err != nil || string(b[:n]) != get("waits") {
@@ -64,7 +64,7 @@
 		t.Error("gone at once")
 	}
 	io.WriteString(theirs, "x")
-	wait(t, "it is there", func() bool { return bounded.Unread(ours.TCPConn) })
+	wait(t, "it is there", func() bool { return bounded.HasUnread(ours.TCPConn) })
 	if ours.left() {
 		t.Error("gone by what it sent")
 	}
@@ -138,7 +138,7 @@
 	t.Parallel()
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
-	n.SetSchedule(guard.ShutdownSchedule{AcceptUntil: 100 * time.Millisecond, ServeUntil: 150 * time.Millisecond, AnswerBy: time.Second, ExitBy: 1300 * time.Millisecond})
+	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 100 * time.Millisecond, ServeUntil: 150 * time.Millisecond, AnswerBy: time.Second, ExitBy: 1300 * time.Millisecond})
 	const parts = 30
 	unused, finished, never := dial(t, n.url), dial(t, n.url), dial(t, n.url)
 	io.WriteString(finished, get("finished")[:parts])
@@ -149,10 +149,10 @@
 	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the unused one: %v", err)
 	}
-	if since := time.Since(n.TimeOf(0)); since > 800*time.Millisecond {
+	if since := time.Since(n.ShutdownStepTime(0)); since > 800*time.Millisecond {
 		t.Errorf("the unused one ended %v after the signal", since)
 	}
-	wait(t, "the intake is over", func() bool { return n.Phase() >= guard.Refusing })
+	wait(t, "the intake is over", func() bool { return n.ShutdownPhase() >= guard.Refusing })
 	io.WriteString(finished, get("finished")[parts:])
 	for name, c := range map[string]net.Conn{"finished": finished, "never": never} {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -180,7 +180,7 @@
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
 	const ms = time.Millisecond
-	n.SetSchedule(guard.ShutdownSchedule{AcceptUntil: 100 * ms, ServeUntil: 150 * ms, ExitBy: 200 * ms, AnswerBy: 600 * ms, ForceExitAt: 5 * time.Second})
+	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 100 * ms, ServeUntil: 150 * ms, ExitBy: 200 * ms, AnswerBy: 600 * ms, ForceExitAt: 5 * time.Second})
 	half, hung := dial(t, n.url), dial(t, n.url)
 	io.WriteString(half, get("half")[:30])
 	io.WriteString(hung, get("hung"))
@@ -195,7 +195,7 @@
 	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(n.TimeOf(0)); took > 3*time.Second {
+	if took := time.Since(n.ShutdownStepTime(0)); took > 3*time.Second {
 		t.Errorf("it ended %v after the signal", took)
 	}
 }
@@ -217,7 +217,7 @@
 	io.WriteString(c, get("0")+get("1")) // read together
 	<-first
 	io.WriteString(c, get("2")) // read ahead
-	wait(t, "it is read", func() bool { return bounded.Quiet(c) && n.headsAhead() })
+	wait(t, "it is read", func() bool { return bounded.OpenAndIdle(c) && n.headsAhead() })
 	n.stop()
 	wait(t, "the drain goes on", func() bool { return n.front.draining.Load() })
 	close(release)
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -202,10 +202,10 @@
 	return nil, f.write(stateName, s)
 }
 
-// News gives what another process of the node has written since the last call:
+// PollNewer gives what another process of the node has written since the last call:
 // the state of a newer one, or the list that an older one was told. It is nil
 // if there is nothing new that can be read.
-func (f *SharedDir) News() (newest *handoff.State) {
+func (f *SharedDir) PollNewer() (newest *handoff.State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range []string{stateName, newsName} {
@@ -222,9 +222,9 @@
 	return newest
 }
 
-// Speaks tells whether this process speaks for the node; if not the error is
+// CheckOwner tells whether this process speaks for the node; if not the error is
 // ErrTakenOver.
-func (f *SharedDir) Speaks() error {
+func (f *SharedDir) CheckOwner() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	found, _ := f.read(stateName)
--- a/internal/handover/files_test.go
+++ b/internal/handover/files_test.go
@@ -84,10 +84,10 @@
 	if err != nil || found == nil || !reflect.DeepEqual(found.Maintenance, s.Maintenance) || found.Generation != 41 {
 		t.Fatalf("the next one found %+v, %v", found, err)
 	}
-	if err := next.Speaks(); err != nil {
+	if err := next.CheckOwner(); err != nil {
 		t.Errorf("the next one: %v", err)
 	}
-	if err := old.Speaks(); !errors.Is(err, ErrTakenOver) {
+	if err := old.CheckOwner(); !errors.Is(err, ErrTakenOver) {
 		t.Errorf("the old one: %v", err)
 	}
 	s.Maintenance = nil
@@ -102,11 +102,11 @@
 	if err != nil || newer == nil {
 		t.Fatalf("after the next one's death: %+v, %v", newer, err)
 	}
-	if _, err := old.Store(s); err != nil || old.Speaks() != nil {
+	if _, err := old.Store(s); err != nil || old.CheckOwner() != nil {
 		t.Errorf("the old one does not speak again: %v", err)
 	}
 	third := process(t, dir)
-	if found, err := third.TakeOwnership(); err != nil || found.Epoch != 3 || third.Speaks() != nil || old.Speaks() == nil {
+	if found, err := third.TakeOwnership(); err != nil || found.Epoch != 3 || third.CheckOwner() != nil || old.CheckOwner() == nil {
 		t.Errorf("a third one found %+v, %v", found, err)
 	}
 }
@@ -205,7 +205,7 @@
 	if _, err := next.TakeOwnership(); err == nil {
 		t.Error("a torn state was read")
 	}
-	if _, err := old.Store(example()); !errors.Is(err, ErrTakenOver) || next.Speaks() != nil {
+	if _, err := old.Store(example()); !errors.Is(err, ErrTakenOver) || next.CheckOwner() != nil {
 		t.Errorf("the old one still speaks: %v", err)
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	next := process(t, dir)
 	next.TakeOwnership()
-	if _, err := old.Store(example()); !errors.Is(err, ErrTakenOver) || next.Speaks() != nil {
+	if _, err := old.Store(example()); !errors.Is(err, ErrTakenOver) || next.CheckOwner() != nil {
 		t.Errorf("the old one still speaks: %v", err)
 	}
 }
@@ -243,14 +243,14 @@
 		t.Errorf("after %v: %v", time.Since(began), err)
 	}
 	unlock()
-	if next.Speaks() == nil {
+	if next.CheckOwner() == nil {
 		t.Error("two processes speak")
 	}
 	old.run.Close() // it dies
 	if _, err := next.Store(example()); err != nil {
 		t.Error(err)
 	}
-	if _, err := next.Store(example()); err != nil || next.Speaks() != nil {
+	if _, err := next.Store(example()); err != nil || next.CheckOwner() != nil {
 		t.Errorf("the next one does not speak: %v", err)
 	}
 }
@@ -265,37 +265,37 @@
 	}
 	old.TakeOwnership()
 	old.Store(told(1, 5))
-	if s := old.News(); s != nil {
+	if s := old.PollNewer(); s != nil {
 		t.Errorf("it heard itself: %+v", s)
 	}
 	next.TakeOwnership()
-	next.News()
+	next.PollNewer()
 	if _, err := old.Store(told(2, 6)); !errors.Is(err, ErrTakenOver) {
 		t.Fatal(err)
 	}
-	if s := next.News(); s == nil || s.Generation != 6 || len(s.List) != 1 {
+	if s := next.PollNewer(); s == nil || s.Generation != 6 || len(s.List) != 1 {
 		t.Errorf("the newer process heard %+v", s)
 	}
-	if s := next.News(); s != nil {
+	if s := next.PollNewer(); s != nil {
 		t.Errorf("it heard it twice: %+v", s)
 	}
-	old.News()
+	old.PollNewer()
 	if _, err := next.Store(told(3, 7)); err != nil {
 		t.Fatal(err)
 	}
-	if s := old.News(); s == nil || s.Generation != 7 {
+	if s := old.PollNewer(); s == nil || s.Generation != 7 {
 		t.Errorf("the older process heard %+v", s)
 	}
 	if _, err := old.Store(told(2, 6)); !errors.Is(err, ErrTakenOver) {
 		t.Fatal(err)
 	}
-	if s := next.News(); s != nil {
+	if s := next.PollNewer(); s != nil {
 		t.Errorf("it heard what it knows better: %+v", s)
 	}
 	if err := os.WriteFile(filepath.Join(dir, newsName), []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s := next.News(); s != nil {
+	if s := next.PollNewer(); s != nil {
 		t.Errorf("it believed a torn file: %+v", s)
 	}
 }
--- a/internal/lab/caller/late.go
+++ b/internal/lab/caller/late.go
@@ -101,7 +101,7 @@
 	text := wording(o, id, patience)
 	io.WriteString(k, text[:part])
 	time.Sleep(wait)
-	if !bounded.Quiet(k.TCPConn) { // the process has ended it, or has answered the part
+	if !bounded.OpenAndIdle(k.TCPConn) { // the process has ended it, or has answered the part
 		c.drop(k)
 		return
 	}
--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -86,7 +86,7 @@
 	}
 	fmt.Fprintf(a.out, "%-8s %-14s %10s %10s %9s %9s %9s\n", "clients", "proxy", "answers/s", "CPU us", "p50 us", "p99 us", "refused")
 	counts := []int{1, 16, 64}
-	if *body > bounded.MaxBody { // one after another: what a byte costs
+	if *body > bounded.MaxBufferedBody { // one after another: what a byte costs
 		counts = counts[:1]
 	}
 	for _, clients := range counts {
@@ -109,7 +109,7 @@
 			rate, cpu = append(rate, node.Rate/other.Rate), append(cpu, node.cpu/other.cpu)
 			p50, p99 = append(p50, ratio(node.P50, other.P50)), append(p99, ratio(node.P99, other.P99))
 		}
-		if *body > bounded.MaxBody {
+		if *body > bounded.MaxBufferedBody {
 			fmt.Fprintf(a.out, "%-8d CPU of the node for each MB, median: %.0f us\n", clients, median(each)/(float64(*body)/1e6))
 		}
 		fmt.Fprintf(a.out, "%-8d node / reverse proxy, medians: answers/s %.2f, CPU a request %.2f, p50 %.2f, p99 %.2f\n", clients,
--- a/internal/lab/perf/perf_test.go
+++ b/internal/lab/perf/perf_test.go
@@ -35,8 +35,8 @@
 		tb.Fatal(err)
 	}
 	n := node.New(c)
-	f := front.New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyRoom())
-	n.SetSchedule(guard.ShutdownSchedule{}) // it ends at once
+	f := front.New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
+	n.SetShutdownSchedule(guard.ShutdownSchedule{}) // it ends at once
 	ctx, stop := context.WithCancel(context.Background())
 	go n.Run(ctx, f)
 	tb.Cleanup(func() { stop(); <-n.Done() })
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -95,10 +95,10 @@
 func (n *Node) attempt(ctx context.Context, a *attempt) backend.Result {
 	r, b := a.request, a.server
 	var req *http.Request
-	if r.Rest == nil {
+	if r.BodyStream == nil {
 		req = backend.NewRequest(r.Method, r.URI, r.Body)
 	} else {
-		req = backend.NewStreamed(r.Method, r.URI, io.MultiReader(bytes.NewReader(r.Body), r.Rest), r.Rest.Length())
+		req = backend.NewStreamed(r.Method, r.URI, io.MultiReader(bytes.NewReader(r.Body), r.BodyStream), r.BodyStream.Length())
 	}
 	req.Header.Set("Request-Id", string(r.ID))
 	if r.Key != "" {
@@ -108,8 +108,8 @@
 		Request: req,
 		Word: func(req *http.Request) { // what is left now: the connection may have come up late
 			left := time.Until(a.end)
-			if r.Rest != nil {
-				left = min(left, r.Rest.Patience())
+			if r.BodyStream != nil {
+				left = min(left, r.BodyStream.Timeout())
 			}
 			a.told = guard.ForwardedTimeout(left)
 			req.Header.Set("Request-Timeout-Ms", strconv.FormatInt(a.told.Milliseconds(), 10))
@@ -129,10 +129,10 @@
 			n.figures.Relayed.Add(1)
 			n.note(a, eventlog.AttemptWritten, "")
 			n.checkWritten(a)
-			if r.Rest != nil { // its time runs from now on, and so does the server's
+			if r.BodyStream != nil { // its time runs from now on, and so does the server's
 				n.post(balance.RequestBodySent{ID: r.ID})
 				a.sentAt = time.Now()
-				a.timer.Reset(time.Until(r.Rest.Deadline()))
+				a.timer.Reset(time.Until(r.BodyStream.Deadline()))
 			}
 		},
 		Begun: func(s *backend.Stream) {
@@ -155,7 +155,7 @@
 	n.note(e.attempt, eventlog.AttemptEnded, n.figures.AttemptsEnded.Word(int(e.Code)))
 	if e.Code == balance.OK {
 		e.server.Answered = n.now()
-		n.finish(r, Answer{Status: http.StatusOK, Body: e.Body})
+		n.finish(r, Response{Status: http.StatusOK, Body: e.Body})
 	}
 	n.outcome = balance.AttemptEnded{ID: r.ID, Attempt: e.number, Server: e.server.ID, RequestDone: r.isOver(),
 		Elapsed: e.elapsed, Code: e.Code, Report: e.Report, BodyConsumed: r.spent.Load()}
@@ -169,7 +169,7 @@
 // request has its final answer, and can not be tried again.
 func (n *Node) answerBegun(e attemptBegun) {
 	r := e.request
-	if !n.finish(r, Answer{Status: http.StatusOK, Body: e.Start, Rest: e.Stream}) {
+	if !n.finish(r, Response{Status: http.StatusOK, Body: e.Start, BodyStream: e.Stream}) {
 		e.Stream.Done(backend.ErrUnread)
 		return
 	}
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -21,20 +21,20 @@
 // told: well under the grace for drains.
 const newsInterval = 50 * time.Millisecond
 
-// Keeper keeps what the process that takes over from this one must know.
+// StateStore keeps what the process that takes over from this one must know.
 // internal/handover has one.
-type Keeper interface {
+type StateStore interface {
 	// Store keeps a state; handover.SharedDir says what the results mean.
 	Store(*handoff.State) (newer *handoff.State, err error)
-	// Speaks tells whether this process speaks for the node.
-	Speaks() error
-	// News gives what another process has written since the last call, or nil.
-	News() *handoff.State
+	// CheckOwner tells whether this process speaks for the node.
+	CheckOwner() error
+	// PollNewer gives what another process has written since the last call, or nil.
+	PollNewer() *handoff.State
 }
 
 // TakeOver begins from what an earlier process of this node left, if found is
 // not nil, and keeps with k what the next one must know. It comes before Run.
-func (n *Node) TakeOver(found *handoff.State, k Keeper) {
+func (n *Node) TakeOver(found *handoff.State, k StateStore) {
 	n.keeper, n.keep = k, make(chan *handoff.State, 1)
 	words, measured := handoff.UsableParts(found, n.cfg.Name, n.now())
 	if !words {
@@ -44,9 +44,9 @@
 	if n.fleet != nil && found.Record != nil {
 		n.fleet.agent.Recorder().AddPredecessor(*found.Record)
 	}
-	if len(found.List) > 0 && found.Generation >= n.cfg.Known.Generation {
-		n.cfg.Known = listOf(found)
-		n.list.ApplySiblingList(found.Generation, found.ListReceivedAt, entriesOf(n.cfg.Known))
+	if len(found.List) > 0 && found.Generation >= n.cfg.InitialList.Generation {
+		n.cfg.InitialList = listOf(found)
+		n.list.ApplySiblingList(found.Generation, found.ListReceivedAt, entriesOf(n.cfg.InitialList))
 	}
 	if !measured {
 		return
@@ -94,7 +94,7 @@
 	for {
 		select {
 		case <-news.C:
-			if s := n.keeper.News(); s != nil {
+			if s := n.keeper.PollNewer(); s != nil {
 				n.post(overheard{s})
 			}
 		case s := <-n.keep:
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -26,8 +26,8 @@
 	}
 	return k.newer, k.err
 }
-func (k *fakeKeeper) Speaks() error        { return k.err }
-func (k *fakeKeeper) News() *handoff.State { return nil }
+func (k *fakeKeeper) CheckOwner() error         { return k.err }
+func (k *fakeKeeper) PollNewer() *handoff.State { return nil }
 
 // hear runs one turn of the loop by hand.
 func hear(n *Node, id string, out bool) error {
@@ -39,7 +39,7 @@
 func TestOutByHandHoldsOverListsAndTheNextProcess(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	n := New(cfg)
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
 	closed := func(n *Node, name string) bool { b := n.servers[n.ids[name]]; return b == nil || b.Closed() }
 	if err := hear(n, "nobody", true); !errors.Is(err, maintenance.ErrUnknown) {
 		t.Errorf("an id that nobody has: %v", err)
@@ -68,7 +68,7 @@
 	if next.list.Generation() != 9 {
 		t.Errorf("it goes on from list %d", next.list.Generation())
 	}
-	next.takeNews(discovery.Update{Kind: balance.ListCached, List: next.cfg.Known})
+	next.takeNews(discovery.Update{Kind: balance.ListCached, List: next.cfg.InitialList})
 	if !closed(next, "s-0") || !closed(next, "s-1") {
 		t.Error("the next process forgot the operators' words")
 	}
@@ -86,7 +86,7 @@
 func TestDrainsAndColdServersAreTakenOver(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	n := New(cfg)
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
 	started := time.Now().Add(-time.Second).UnixMilli()
 	n.takeNews(discovery.Update{Kind: balance.ListChanges, List: discovery.List{Generation: 8, Instances: []discovery.Entry{
 		{InstanceID: "s-0", HostPort: "127.0.0.1:2", Lifecycle: "draining"},
@@ -95,7 +95,7 @@
 	s.Version, s.Node = handoff.FormatVersion, cfg.Name
 	next := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"))
 	next.TakeOver(s, &fakeKeeper{})
-	next.takeNews(discovery.Update{Kind: balance.ListCached, List: next.cfg.Known})
+	next.takeNews(discovery.Update{Kind: balance.ListCached, List: next.cfg.InitialList})
 	if b := next.servers[next.ids["s-0"]]; !b.Closed() {
 		t.Error("the drain was forgotten")
 	}
@@ -112,7 +112,7 @@
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		cfg := testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 		n := New(cfg)
-		n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.Known})
+		n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
 		for _, out := range []bool{true, false} {
 			if err := hear(n, "s-0", out); err != nil {
 				t.Fatal(err)
@@ -123,7 +123,7 @@
 		next := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"))
 		next.origin += step
 		next.TakeOver(s, &fakeKeeper{})
-		next.takeNews(discovery.Update{Kind: balance.ListCached, List: next.cfg.Known})
+		next.takeNews(discovery.Update{Kind: balance.ListCached, List: next.cfg.InitialList})
 		_, servers := next.module.Learned()
 		if got := servers[next.ids["s-0"]]; !got.WarmingUp || (next.now()-got.WarmupStartedAt).Abs() > time.Second {
 			t.Errorf("the clock stepped by %v: cold %v since %v", step, got.WarmingUp, next.now()-got.WarmupStartedAt)
@@ -137,7 +137,7 @@
 	k := &fakeKeeper{}
 	n.TakeOver(nil, k)
 	ctx, stop := context.WithCancel(context.Background())
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
 	go n.loop(ctx)
 	if err := n.Maintain(ctx, "s-0", true); err != nil || k.kept == nil || len(k.kept.Maintenance) != 1 {
 		t.Errorf("it said yes (%v) with %+v kept", err, k.kept)
@@ -170,7 +170,7 @@
 	n := New(cfg)
 	k := &fakeKeeper{err: handover.ErrTakenOver, newer: &handoff.State{Maintenance: []maintenance.Record{{ID: "s-0", InMaintenance: true}}}}
 	n.TakeOver(nil, k)
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
 	turns := 0
 	for ; turns < 10; turns++ { // the loop and the goroutine that keeps, by turns
 		select {
--- a/internal/node/checks.go
+++ b/internal/node/checks.go
@@ -16,10 +16,10 @@
 // lastLook tells whether an attempt may be written, just before its first byte.
 func (n *Node) lastLook(ctx context.Context, a *attempt) guard.WithholdReason {
 	r := a.request
-	look := guard.Attempt{Now: time.Now(), Deadline: r.Deadline, DedupWindowEnd: a.latest, RequestDone: r.isOver() || r.Left != nil && r.Left(),
+	look := guard.Attempt{Now: time.Now(), Deadline: r.Deadline, DedupWindowEnd: a.latest, RequestDone: r.isOver() || r.ClientGone != nil && r.ClientGone(),
 		Cancelled: ctx.Err() != nil, ServerUnavailable: a.server.Closed(), ProcessPaused: n.fleet != nil && n.fleet.stoodStill(n.now())}
 	why := look.CheckWrite()
-	if why == guard.Permitted && r.Rest != nil && r.spent.Swap(true) { // guards against a second reader of what can be read once
+	if why == guard.Permitted && r.BodyStream != nil && r.spent.Swap(true) { // guards against a second reader of what can be read once
 		look.BodyConsumed = true
 		why = look.CheckWrite()
 	}
@@ -34,7 +34,7 @@
 	if over := r.over.Load(); over != nil {
 		w.Over = over.at
 	}
-	if r.Rest != nil { // its last byte is written long after its first one, and its time counts from then on
+	if r.BodyStream != nil { // its last byte is written long after its first one, and its time counts from then on
 		w.Over, w.ServerClosed, w.Told = time.Time{}, time.Time{}, 0
 	}
 	n.checker.Wrote(w)
@@ -58,14 +58,14 @@
 
 // checkRefusal gives the answer that a request may have: one that may have run and that a
 // client must not repeat is failed and not refused.
-func (n *Node) checkRefusal(r *Request, answer Answer) Answer {
+func (n *Node) checkRefusal(r *Request, answer Response) Response {
 	if figures.OutcomeOf(answer.Status) != figures.Throttled || n.repeats[r.Class].MayRefuse() {
 		return answer
 	}
 	for _, a := range r.attempts {
 		if a.mayRun {
 			n.checker.Broken(invariant.RefusedUnsafely, string(r.ID), "refused although attempt %d at %s may have run", a.number, a.server.Name)
-			return Answer{Status: http.StatusBadGateway, Why: answer.Why}
+			return Response{Status: http.StatusBadGateway, Reason: answer.Reason}
 		}
 	}
 	return answer
--- a/internal/node/checks_test.go
+++ b/internal/node/checks_test.go
@@ -56,10 +56,10 @@
 		if c.refusal {
 			want = http.StatusBadGateway
 		}
-		if got := n.checkRefusal(r, Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedShed}); got.Status != want || got.Why != figures.TurnedShed {
+		if got := n.checkRefusal(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedShed}); got.Status != want || got.Reason != figures.TurnedShed {
 			t.Errorf("%+v: answered %+v", c, got)
 		}
-		if got := n.checkRefusal(r, Answer{Status: http.StatusBadGateway}); got.Status != http.StatusBadGateway {
+		if got := n.checkRefusal(r, Response{Status: http.StatusBadGateway}); got.Status != http.StatusBadGateway {
 			t.Errorf("%+v: a failure became %+v", c, got)
 		}
 		counted := n.figures.InvariantsBroken.Of(int(invariant.RepeatedUnsafely)) == 1 == c.repeat &&
@@ -75,21 +75,21 @@
 func TestWhatIsReadAfterTheIntakeIsRefusedAtOnce(t *testing.T) {
 	n := testNode(t)
 	told := time.Now()
-	n.SetSchedule(guard.ShutdownSchedule{AcceptUntil: time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 4 * time.Second})
+	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 4 * time.Second})
 	early := &Request{ReadAt: told.Add(time.Hour)}
-	n.Take(early)
+	n.Submit(early)
 	if len(n.events) != 1 {
 		t.Error("a process that was not told to end does not take a request")
 	}
 	n.life.end(told)
 	n.life.end(told.Add(time.Hour)) // the first word counts
-	n.Take(&Request{ReadAt: told.Add(2*time.Second - 1)})
+	n.Submit(&Request{ReadAt: told.Add(2*time.Second - 1)})
 	if len(n.events) != 2 {
 		t.Error("what was read before the end of the intake is not taken")
 	}
 	select {
-	case a := <-n.Take(&Request{ReadAt: told.Add(2 * time.Second)}):
-		if a.Status != http.StatusServiceUnavailable || a.HoldOff <= 0 || a.Why != figures.TurnedEnding {
+	case a := <-n.Submit(&Request{ReadAt: told.Add(2 * time.Second)}):
+		if a.Status != http.StatusServiceUnavailable || a.RetryAfter <= 0 || a.Reason != figures.TurnedEnding {
 			t.Errorf("answered %+v", a)
 		}
 	default:
@@ -104,10 +104,10 @@
 // up: else its attempt would never end.
 func TestAnAnswerThatNobodyTakesIsGivenUp(t *testing.T) {
 	n := testNode(t)
-	r := &Request{RequestArrived: balance.RequestArrived{ID: "r", Class: "clip"}, answer: make(chan Answer, 1)}
+	r := &Request{RequestArrived: balance.RequestArrived{ID: "r", Class: "clip"}, answer: make(chan Response, 1)}
 	var ended error
 	stream := backend.NewStream(nil, func(err error) { ended = err })
-	if !n.finish(r, Answer{Status: http.StatusOK, Rest: stream}) {
+	if !n.finish(r, Response{Status: http.StatusOK, BodyStream: stream}) {
 		t.Fatal("it has an answer already")
 	}
 	n.Abandon(r)
@@ -119,7 +119,7 @@
 // An attempt at a server that the node does not know ends all the same, as one that never ran.
 func TestAnAttemptAtAnUnknownServerEnds(t *testing.T) {
 	n := testNode(t)
-	r := &Request{RequestArrived: balance.RequestArrived{ID: "r", Class: "order"}, answer: make(chan Answer, 1)}
+	r := &Request{RequestArrived: balance.RequestArrived{ID: "r", Class: "order"}, answer: make(chan Response, 1)}
 	n.requests[r.ID] = r
 	n.send(balance.Send{Sending: &balance.Sending{ID: "r", Server: 99}})
 	select {
@@ -141,7 +141,7 @@
 func TestTheLastLookSeesAClientThatHasGone(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
 	for _, left := range []bool{false, true} {
-		r := &Request{Deadline: time.Now().Add(time.Minute), Left: func() bool { return left }}
+		r := &Request{Deadline: time.Now().Add(time.Minute), ClientGone: func() bool { return left }}
 		want := map[bool]guard.WithholdReason{false: guard.Permitted, true: guard.WithheldRequestDone}[left]
 		if why := n.lastLook(context.Background(), &attempt{request: r, server: &backend.Server{}}); why != want {
 			t.Errorf("left %v: %v", left, why)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -25,17 +25,17 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name, Listen, Discovery string
-	Console                 string // where operators call; empty: nowhere
-	Seed                    int64
-	Cores                   float64
-	MemoryMB, Sockets       int
-	PeerListen, PeersAll    string
-	Peers                   []string // by node number, this node's own among them
-	Known                   discovery.List
-	Settings                balance.Settings
-	Fleet                   *Fleet // nil: the node neither tells nor asks others what it acts on
-	settingsDigest          uint16
+	Name, Listen, Discovery   string
+	Console                   string // where operators call; empty: nowhere
+	Seed                      int64
+	Cores                     float64
+	MemoryMB, Sockets         int
+	PeerListen, PeerBroadcast string
+	Peers                     []string // by node number, this node's own among them
+	InitialList               discovery.List
+	Settings                  balance.Settings
+	Fleet                     *FleetConfig // nil: the node neither tells nor asks others what it acts on
+	settingsDigest            uint16
 }
 
 // ConfigError is what is wrong with a configuration, on one line.
@@ -124,7 +124,7 @@
 	}
 	c := &Config{Name: in.Name, Listen: in.Listen, Console: in.Console, Discovery: in.Discovery, Seed: int64(seed),
 		Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
-		PeerListen: in.PeerListen, PeersAll: in.PeersAll, Peers: in.Peers}
+		PeerListen: in.PeerListen, PeerBroadcast: in.PeersAll, Peers: in.Peers}
 	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil && (a.addr != "" || a.field != "console") {
 			return nil, fault(a.field, "%q is no address; write host:port", a.addr)
@@ -140,7 +140,7 @@
 		return nil, fault("limits.sockets", "%d; write at least %d", c.Sockets, leastSockets)
 	}
 	if len(in.Known) > 0 {
-		if c.Known, err = discovery.ParseList(in.Known); err != nil {
+		if c.InitialList, err = discovery.ParseList(in.Known); err != nil {
 			return nil, fault("known", "%v; write a list in discovery's form, or leave it out", err)
 		}
 	}
@@ -162,10 +162,10 @@
 	return c, nil
 }
 
-// Accepts tells whether another configuration is this node's own: one of another node or
+// CheckReload tells whether another configuration is this node's own: one of another node or
 // deployment names servers of somebody else. Limits and costs may differ; they are taken at
 // a start. Its errors are of type *ConfigError.
-func (c *Config) Accepts(other *Config) error {
+func (c *Config) CheckReload(other *Config) error {
 	for _, f := range []struct{ field, have, want string }{
 		{"name", other.Name, c.Name}, {"listen", other.Listen, c.Listen},
 		{"settings.zone", other.Settings.Zone, c.Settings.Zone},
@@ -203,6 +203,6 @@
 func (c *Config) BackendSockets() int { return (c.Sockets - c.reserved()) * 3 / 8 }
 func (c *Config) ClientSockets() int  { return c.Sockets - c.reserved() - c.BackendSockets() }
 
-// BodyRoom is how many bytes clients' long bodies may take, all together,
+// BodyBudget is how many bytes clients' long bodies may take, all together,
 // beyond what each request may hold.
-func (c *Config) BodyRoom() int64 { return int64(c.MemoryMB) << 20 / bodyPart }
+func (c *Config) BodyBudget() int64 { return int64(c.MemoryMB) << 20 / bodyPart }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -23,12 +23,12 @@
 	"ivylock/maintenance"
 )
 
-// Fleet switches on that a node tells the others what it acts on, and keeps up
+// FleetConfig switches on that a node tells the others what it acts on, and keeps up
 // with them (docs/audit.md).
-type Fleet struct {
-	Member      member.Config // but for what the configuration says; Peers where there are ranges
-	RecordFile  string        // takes the record; empty: the console alone tells it
-	RecordEvery time.Duration // how often
+type FleetConfig struct {
+	Member         member.Config // but for what the configuration says; Peers where there are ranges
+	RecordFile     string        // takes the record; empty: the console alone tells it
+	RecordInterval time.Duration // how often
 }
 
 const (
@@ -42,7 +42,7 @@
 // fleet is the node's side of package member: it carries out what that decides. All
 // but what is atomic is the loop's.
 type fleet struct {
-	cfg     *Fleet
+	cfg     *FleetConfig
 	member  *member.Member
 	agent   *follow.Agent // the member's
 	waiting []*Request    // that came while the node waits to hear whether what it believes still holds
@@ -106,9 +106,9 @@
 	return now-balance.Time(f.turnAt.Load()) > f.cfg.Member.Follow.PauseThreshold
 }
 
-// Late is how long a request that is read now may have waited unread, as the whole
+// PauseDelay is how long a request that is read now may have waited unread, as the whole
 // process stood still: its time counts from its client's sending.
-func (n *Node) Late() time.Duration {
+func (n *Node) PauseDelay() time.Duration {
 	f := n.fleet
 	if f == nil {
 		return 0
@@ -135,7 +135,7 @@
 		n.fleet.gap.Store(int64(gap))
 		n.fleet.wokeAt.Store(int64(now))
 		for _, r := range n.requests {
-			if time.Until(r.Deadline) <= 0 && n.finish(r, Answer{Status: http.StatusBadGateway, Why: figures.TurnedDeadline}) {
+			if time.Until(r.Deadline) <= 0 && n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedDeadline}) {
 				n.handle(balance.RequestAbandoned{ID: r.ID})
 				n.forgetRequest(r)
 			}
@@ -253,9 +253,9 @@
 		return true
 	}
 	f.agent.Recorder().CountStaleRefusal()
-	a := Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedStale}
+	a := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale}
 	if n.cfg.Settings.RetryAfterSupported {
-		a.HoldOff = min(closedHoldOff, n.cfg.Settings.MaxRetryAfter)
+		a.RetryAfter = min(closedHoldOff, n.cfg.Settings.MaxRetryAfter)
 	}
 	n.finish(r, a)
 	return false
@@ -278,7 +278,7 @@
 		case holds && time.Until(r.Deadline) > spareTime:
 			f.waiting = append(f.waiting, r)
 		case holds || end || time.Until(r.Deadline) <= 0:
-			n.finish(r, Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedStale})
+			n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale})
 		default:
 			n.takeRequest(r)
 		}
@@ -363,7 +363,7 @@
 
 // recordAll writes the record to the operator's file, until the loop has ended.
 func (n *Node) recordAll() {
-	every := time.NewTicker(n.fleet.cfg.RecordEvery)
+	every := time.NewTicker(n.fleet.cfg.RecordInterval)
 	defer every.Stop()
 	failed := false
 	for {
@@ -372,7 +372,7 @@
 		case <-n.done:
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), n.fleet.cfg.RecordEvery)
+		ctx, cancel := context.WithTimeout(context.Background(), n.fleet.cfg.RecordInterval)
 		r, err := n.record(ctx)
 		cancel()
 		if err == nil {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -13,9 +13,9 @@
 func TestADiskThatStandsStillDoesNotKeepANodeFromEnding(t *testing.T) {
 	c := testConfig(t, "127.0.0.1:1")
 	c.Settings.MayMessage = true
-	c.PeerListen, c.Peers, c.PeersAll = "127.0.0.1:0", []string{"127.0.0.1:1"}, "127.0.0.1:2"
+	c.PeerListen, c.Peers, c.PeerBroadcast = "127.0.0.1:0", []string{"127.0.0.1:1"}, "127.0.0.1:2"
 	var switched operator.Fleet
-	c.Fleet = &Fleet{Member: switched.Member(), RecordFile: "record", RecordEvery: time.Hour}
+	c.Fleet = &FleetConfig{Member: switched.Member(), RecordFile: "record", RecordInterval: time.Hour}
 	n := New(c)
 	hangs := make(chan bool)
 	defer close(hangs)
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -46,19 +46,19 @@
 // at gives the time of a step of the schedule. The process has been told to end.
 func (l *lifecycle) at(step time.Duration) time.Time { return l.told.Load().Add(step) }
 
-// SetSchedule changes what the node does at which time after it is told to end. It
+// SetShutdownSchedule changes what the node does at which time after it is told to end. It
 // comes before Run. The schedule that the settings give is right for the platform.
-func (n *Node) SetSchedule(s guard.ShutdownSchedule) { n.life.schedule = s }
+func (n *Node) SetShutdownSchedule(s guard.ShutdownSchedule) { n.life.schedule = s }
 
-// Schedule is what the node does at which time after it is told to end.
-func (n *Node) Schedule() guard.ShutdownSchedule { return n.life.schedule }
+// ShutdownSchedule is what the node does at which time after it is told to end.
+func (n *Node) ShutdownSchedule() guard.ShutdownSchedule { return n.life.schedule }
 
-// Phase is how far the process has come.
-func (n *Node) Phase() guard.Phase { return n.life.phase() }
+// ShutdownPhase is how far the process has come.
+func (n *Node) ShutdownPhase() guard.Phase { return n.life.phase() }
 
-// TimeOf gives the time of a step of the schedule, once the process has been told to
+// ShutdownStepTime gives the time of a step of the schedule, once the process has been told to
 // end.
-func (n *Node) TimeOf(step time.Duration) time.Time { return n.life.at(step) }
+func (n *Node) ShutdownStepTime(step time.Duration) time.Time { return n.life.at(step) }
 
-// MayTake tells whether a request may be served whose last byte was read at a time.
-func (n *Node) MayTake(read time.Time) bool { return n.life.mayTake(read) }
+// MayServe tells whether a request may be served whose last byte was read at a time.
+func (n *Node) MayServe(read time.Time) bool { return n.life.mayTake(read) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 	repeats  map[string]guard.RetryRules // by class
 	byHand   *maintenance.Table
 	starts   membership.StartTimes // of servers
-	keeper   Keeper                // nil: nobody takes over
+	keeper   StateStore            // nil: nobody takes over
 	keep     chan *handoff.State   // the newest that is to be kept
 	keepAt   time.Time             // of the last one
 	keptMu   sync.Mutex            // held while a state is written
@@ -141,7 +141,7 @@
 		log.Printf("%s takes datagrams on %s", n.cfg.Name, n.peers.conn.LocalAddr())
 		go n.peers.receive(n.post, n.fleet != nil)
 	}
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.Known}) // before the first word of an operator
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList}) // before the first word of an operator
 	n.discover(n.cfg.Discovery, membership.InitialState{Generation: n.list.Generation(), HaveList: true, Stagger: true})
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	go n.loop(loopCtx)
@@ -179,7 +179,7 @@
 // Reload takes what may change while the node serves: discovery's address. A configuration
 // that is not this node's changes nothing and is counted.
 func (n *Node) Reload(cfg *Config) error {
-	if err := n.cfg.Accepts(cfg); err != nil {
+	if err := n.cfg.CheckReload(cfg); err != nil {
 		n.figures.ReloadsRefused.Add(1)
 		return err
 	}
@@ -299,7 +299,7 @@
 	n.fleetRelease(true)
 	for _, r := range n.requests {
 		n.handle(balance.FinalAnswerDue{ID: r.ID})
-		if n.finish(r, Answer{Status: http.StatusBadGateway, Why: figures.TurnedEnding}) { // the module no longer knew it
+		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedEnding}) { // the module no longer knew it
 			n.forgetRequest(r)
 		}
 	}
@@ -311,13 +311,13 @@
 	}
 	switch {
 	case n.requests[r.ID] != nil:
-		n.finish(r, Answer{Status: http.StatusConflict, Why: figures.TurnedDuplicate}) // the one that has the id is not touched
+		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.TurnedDuplicate}) // the one that has the id is not touched
 		return
 	case n.closed:
-		n.finish(r, Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedEnding})
+		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding})
 		return
 	case len(n.requests) >= min(n.cfg.Settings.MaxOpenRequests, n.cfg.ClientSockets()):
-		n.finish(r, Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedFull}) // as the settings say: before it reaches the module
+		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedFull}) // as the settings say: before it reaches the module
 		return
 	}
 	if n.fleet != nil {
@@ -327,17 +327,17 @@
 		n.fleet.member.CountRequest(r.Tenant)
 	}
 	n.requests[r.ID] = r
-	r.ClientTimeout, r.BodyPending = time.Until(r.Deadline), r.Rest != nil
+	r.ClientTimeout, r.BodyPending = time.Until(r.Deadline), r.BodyStream != nil
 	n.handle(&r.RequestArrived)
 }
 
 // finish gives the final answer unless there has been one.
-func (n *Node) finish(r *Request, a Answer) bool {
+func (n *Node) finish(r *Request, a Response) bool {
 	if !r.end(true) {
 		return false
 	}
 	if a.Status != http.StatusOK {
-		n.figures.RequestsTurned.Add(int(a.Why))
+		n.figures.RequestsTurned.Add(int(a.Reason))
 	}
 	r.answer <- a
 	return true
@@ -357,9 +357,9 @@
 		case balance.Send:
 			n.send(a)
 		case balance.Refuse:
-			n.giveAnswer(a.ID, Answer{Status: http.StatusServiceUnavailable, HoldOff: a.RetryAfter, Why: figures.Turned(a.Cause)})
+			n.giveAnswer(a.ID, Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Reason: figures.Turned(a.Cause)})
 		case balance.Fail:
-			n.giveAnswer(a.ID, Answer{Status: http.StatusBadGateway, Why: figures.Turned(a.Cause)})
+			n.giveAnswer(a.ID, Response{Status: http.StatusBadGateway, Reason: figures.Turned(a.Cause)})
 		case balance.CancelAttempt:
 			if r := n.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 				r.attempts[a.Attempt].cancel()
@@ -387,7 +387,7 @@
 }
 
 // giveAnswer carries out a final answer of the module.
-func (n *Node) giveAnswer(id balance.RequestID, a Answer) {
+func (n *Node) giveAnswer(id balance.RequestID, a Response) {
 	if r := n.requests[id]; r != nil {
 		n.finish(r, n.checkRefusal(r, a))
 		n.forgetRequest(r)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -123,7 +123,7 @@
 
 func TestDrainingBackendsGetNothingNew(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	draining := discovery.List{Generation: 8, Instances: []discovery.Entry{{InstanceID: "s-0", HostPort: "127.0.0.1:2", Lifecycle: "draining"},
 		{InstanceID: "s-1", Lifecycle: "removed"}}}
 	n.takeNews(discovery.Update{Kind: balance.ListChanges, List: draining})
@@ -166,7 +166,7 @@
 	if n.servers[old.ID] != old {
 		t.Fatal("forgotten with an attempt out")
 	}
-	r := &Request{RequestArrived: balance.RequestArrived{ID: "r"}, answer: make(chan Answer, 1), out: 1}
+	r := &Request{RequestArrived: balance.RequestArrived{ID: "r"}, answer: make(chan Response, 1), out: 1}
 	n.attemptEnded(attemptDone{attempt: &attempt{request: r, server: old}, Result: backend.Result{Code: balance.Reset}})
 	if len(n.servers) != 1 || len(n.ids) != 1 || n.pool.Servers() != 1 {
 		t.Errorf("after the last outcome: %d servers, %d names, %d in the pool", len(n.servers), len(n.ids), n.pool.Servers())
@@ -185,7 +185,7 @@
 	peer, stranger := socket(), socket()
 	c := testConfig(t, "127.0.0.1:1")
 	c.Settings.MayMessage = true
-	c.PeerListen, c.Peers, c.PeersAll = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}, peer.LocalAddr().String()
+	c.PeerListen, c.Peers, c.PeerBroadcast = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}, peer.LocalAddr().String()
 	count := figures.New(nil)
 	p, err := openPeers(c, count)
 	if err != nil {
@@ -222,7 +222,7 @@
 // may still bring.
 func TestNewsOfAnAddressThatWasLeftIsIgnored(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	n.changeDiscovery("127.0.0.1:4")
 	old := n.source
 	n.changeDiscovery("127.0.0.1:3")
@@ -237,10 +237,10 @@
 func TestARequestWhoseClientWentWhileItWaitedIsNotSent(t *testing.T) {
 	server := nodetest.NewHeldListener(t)
 	n := New(testConfig(t, nodetest.ClosedAddr(t), server.Addr().String()))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	for _, leaves := range []bool{false, true} {
 		r := &Request{RequestArrived: balance.RequestArrived{ID: "r", Class: "clip"}, Method: "GET", URI: "/clip/a", Deadline: time.Now().Add(time.Minute)}
-		n.Take(r) // the loop does not run: both wait in its queue
+		n.Submit(r) // the loop does not run: both wait in its queue
 		if leaves {
 			n.Abandon(r)
 		}
@@ -263,14 +263,14 @@
 // Discovery answers with broken-off and unreadable lists: the last good one holds, and each is counted.
 func TestTheLastGoodListHolds(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.Known})
+	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	version := n.list.Generation()
 	for _, why := range []discovery.Failure{discovery.Truncated, discovery.Unreadable, discovery.Unreadable, discovery.Unanswered} {
 		n.takeNews(discovery.Update{Kind: balance.ListFailed, Failure: why, Source: nil})
 		n.handle(balance.TimerFired{})
 	}
 	n.takeNews(discovery.Update{Kind: balance.ListChanges, List: discovery.List{Generation: version, Skipped: 3}})
-	for name, b := range map[string]*backend.Server{"first": n.servers[n.ids[n.cfg.Known.Instances[0].InstanceID]], "second": n.servers[n.ids[n.cfg.Known.Instances[1].InstanceID]]} {
+	for name, b := range map[string]*backend.Server{"first": n.servers[n.ids[n.cfg.InitialList.Instances[0].InstanceID]], "second": n.servers[n.ids[n.cfg.InitialList.Instances[1].InstanceID]]} {
 		if b == nil || b.Closed() || b.Gone {
 			t.Errorf("the %s server is not used any more: %+v", name, b)
 		}
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -45,8 +45,8 @@
 // Figures gives the figures as text.
 func (n *Node) Figures() []byte { return n.figures.Text() }
 
-// Count gives the figures themselves, for fronts.
-func (n *Node) Count() *figures.Set { return n.figures }
+// Metrics gives the figures themselves, for fronts.
+func (n *Node) Metrics() *figures.Set { return n.figures }
 
 // History gives the latest events, for fronts to add theirs.
 func (n *Node) History() *eventlog.Log { return n.history }
@@ -54,8 +54,8 @@
 // Events words the latest events, those of one request if it is named.
 func (n *Node) Events(request string) []byte { return n.history.Text(request) }
 
-// Backends gives the pool of connections to servers.
-func (n *Node) Backends() *backend.Pool { return n.pool }
+// BackendPool gives the pool of connections to servers.
+func (n *Node) BackendPool() *backend.Pool { return n.pool }
 
 // Maintain takes a server out of use by hand, or uses it again. Once it has
 // returned nothing new is written to one that was taken out, and the process
@@ -63,7 +63,7 @@
 // that wait.
 func (n *Node) Maintain(ctx context.Context, id string, out bool) error {
 	if n.keeper != nil {
-		if err := n.keeper.Speaks(); err != nil {
+		if err := n.keeper.CheckOwner(); err != nil {
 			return err
 		}
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -47,7 +47,7 @@
 	if c.Fleet != nil {
 		p.ranges, p.open = c.Fleet.Member.AllowedPrefixes, len(c.Fleet.Member.AllowedPrefixes) > 0
 	}
-	for i, addr := range append(c.Peers[:len(c.Peers):len(c.Peers)], c.PeersAll) {
+	for i, addr := range append(c.Peers[:len(c.Peers):len(c.Peers)], c.PeerBroadcast) {
 		a, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
 			return nil, fmt.Errorf("peer %q: %w", addr, err)
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -46,7 +46,7 @@
 	defer peer.Close()
 	c := testConfig(t, "127.0.0.1:1")
 	c.Settings.MayMessage = true
-	c.PeerListen, c.Peers, c.PeersAll = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}, peer.LocalAddr().String()
+	c.PeerListen, c.Peers, c.PeerBroadcast = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}, peer.LocalAddr().String()
 	count := figures.New(nil)
 	p, err := openPeers(c, count)
 	if err != nil {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -18,11 +18,11 @@
 	balance.RequestArrived
 	Method, URI, Key string // as they go on to a server; Key is the Idempotency-Key
 	Body             []byte
-	Rest             Rest // of a body that is not held: nil if Body is all
+	BodyStream       BodyStream // of a body that is not held: nil if Body is all
 	Deadline         time.Time
 	ReadAt           time.Time              // when its last byte was read, or, of a body that is not held, its head's
-	Left             func() bool            // whether its client has gone, looked at just now; nil: not known
-	answer           chan Answer            // holds the one final answer
+	ClientGone       func() bool            // whether its client has gone, looked at just now; nil: not known
+	answer           chan Response          // holds the one final answer
 	over             atomic.Pointer[ending] // nothing more goes out; nil: it is open
 	attempts         []*attempt             // the loop's
 	out              int                    // the loop's
@@ -43,26 +43,26 @@
 // isOver tells whether nothing more may go out for the request.
 func (r *Request) isOver() bool { return r.over.Load() != nil }
 
-// Rest is what comes after the part of a body that is held. It can be read
+// BodyStream is what comes after the part of a body that is held. It can be read
 // once, so an attempt that has begun to read it is the request's last.
-type Rest interface {
+type BodyStream interface {
 	io.Reader
 	// Length is that of the whole body; -1: not known before it ends.
 	Length() int64
-	// Patience is how long the client waits from the last byte on.
-	Patience() time.Duration
+	// Timeout is how long the client waits from the last byte on.
+	Timeout() time.Duration
 	// Deadline is when the client stops waiting: its time counts from the last
 	// byte. It is called once that has been read.
 	Deadline() time.Time
 }
 
-// Answer is the final answer to a client.
-type Answer struct {
-	Status  int // of HTTP: 200 served, 429 and 503 refused, any other failed
-	Body    []byte
-	Rest    *backend.Stream // of a 200 that is passed on in pieces: nil if Body is all
-	HoldOff time.Duration   // how long a refused client should wait; 0: no advice
-	Why     figures.Turned  // of any other status than 200: why no server's answer is passed on
+// Response is the final answer to a client.
+type Response struct {
+	Status     int // of HTTP: 200 served, 429 and 503 refused, any other failed
+	Body       []byte
+	BodyStream *backend.Stream // of a 200 that is passed on in pieces: nil if Body is all
+	RetryAfter time.Duration   // how long a refused client should wait; 0: no advice
+	Reason     figures.Turned  // of any other status than 200: why no server's answer is passed on
 }
 
 // Front takes requests from clients and hands them to a node.
@@ -82,24 +82,24 @@
 // refuses: another node may take it at once.
 const endingHoldOff = 50 * time.Millisecond
 
-// Take hands a request to the node. Exactly one final answer comes on the
+// Submit hands a request to the node. Exactly one final answer comes on the
 // channel, unless the request is abandoned or the node has ended (Done). One that
 // comes too late for a process that was told to end is refused at once.
-func (n *Node) Take(r *Request) <-chan Answer {
-	r.answer = make(chan Answer, 1)
+func (n *Node) Submit(r *Request) <-chan Response {
+	r.answer = make(chan Response, 1)
 	if !n.life.mayTake(r.ReadAt) {
-		n.finish(r, n.EndingAnswer())
+		n.finish(r, n.ShutdownResponse())
 		return r.answer
 	}
 	n.post(r)
 	return r.answer
 }
 
-// EndingAnswer refuses what comes too late for a process that ends.
-func (n *Node) EndingAnswer() Answer {
-	a := Answer{Status: http.StatusServiceUnavailable, Why: figures.TurnedEnding}
+// ShutdownResponse refuses what comes too late for a process that ends.
+func (n *Node) ShutdownResponse() Response {
+	a := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding}
 	if n.cfg.Settings.RetryAfterSupported {
-		a.HoldOff = min(endingHoldOff, n.cfg.Settings.MaxRetryAfter)
+		a.RetryAfter = min(endingHoldOff, n.cfg.Settings.MaxRetryAfter)
 	}
 	return a
 }
@@ -108,8 +108,8 @@
 // that came just before is nobody's; what it passes on is given up.
 func (n *Node) Abandon(r *Request) {
 	if !r.end(false) && r.over.Load().answered { // its answer is there, or will be at once
-		if a := <-r.answer; a.Rest != nil {
-			a.Rest.Done(backend.ErrUnread)
+		if a := <-r.answer; a.BodyStream != nil {
+			a.BodyStream.Done(backend.ErrUnread)
 		}
 	}
 	n.post(clientGone{r})
--- a/internal/node/words_test.go
+++ b/internal/node/words_test.go
@@ -96,7 +96,7 @@
 	start := func(self int) *Node {
 		c := testConfig(t, nodetest.ClosedAddr(t), servers...)
 		c.Settings.Nodes, c.Settings.Self, c.Settings.MayMessage = 30, self, true
-		c.PeerListen, c.Peers, c.PeersAll = addrs[self], addrs, addrs[29]
+		c.PeerListen, c.Peers, c.PeerBroadcast = addrs[self], addrs, addrs[29]
 		n := New(c)
 		var err error
 		if n.peers, err = openPeers(c, n.figures); err != nil {
@@ -104,7 +104,7 @@
 		}
 		t.Cleanup(func() { n.peers.conn.Close() })
 		go n.peers.receive(n.post, false)
-		n.takeNews(discovery.Update{Kind: balance.ListCached, List: c.Known})
+		n.takeNews(discovery.Update{Kind: balance.ListCached, List: c.InitialList})
 		return n
 	}
 	return start(0), start(1)
