--- a/membership/caller.go
+++ b/membership/caller.go
@@ -1,8 +1,7 @@
-// Package membership decides how a node knows which servers there are: when discovery is
-// called, how long a call may wait, when it is doubted, given up or made again (Caller),
-// and what of the words of several sources holds (List). It does no I/O, reads no clock
-// and starts no goroutine: events in, actions out. docs/membership.md has its states on a
-// page.
+// Package membership maintains a node's view of the list of servers: when service discovery is
+// polled, how long a poll may wait, when it is hedged, canceled or retried (Poller), and how the
+// updates of several sources are merged (List). It does no I/O, reads no clock and starts no
+// goroutine: events go in, actions come out. docs/membership.md describes its states.
 package membership
 
 import (
@@ -13,99 +12,103 @@
 	"time"
 )
 
-// Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
-// What the protocol and standing pages bound. A change counts as told 6 s after discovery
-// had it and could be reached, whatever failed: a call that fails is made again 3 s after
-// it was made at the latest, and has 2.2 s to come back.
+// Bounds set by the protocol. A node counts as notified of a change 6 s after discovery had it and
+// was reachable, whatever failed in between: a failed call is retried at most 3 s after it was
+// started, and may take 2.2 s.
 const (
-	// NotifiedAfter is the time after which a change counts as told, whatever failed.
+	// NotifiedAfter is the time after which a node counts as notified of a change, whatever failed.
 	NotifiedAfter = 6 * time.Second
-	// CallTimeout is what a call has beyond its hold.
+	// CallTimeout is how long a call may take beyond its poll wait.
 	CallTimeout = 2200 * time.Millisecond
-	// queueTime is what a call has at a discovery that turns others away, or that did not answer the
-	// call before in its time: it is in a queue there, whose length the settings don't say (2 and 3 s
-	// have been seen), and whoever leaves it has to begin at its end, while discovery works for the call
-	// that nobody waits for any more. If it is silent after all, the next call still comes back before
-	// what it missed counts as told.
-	queueTime = NotifiedAfter - CallTimeout
-
-	backoffFirst = 200 * time.Millisecond // mean wait after a first failure; doubles
-	backoffMost  = 3 * time.Second        // the longest wait from a call that failed to the next one, with its jitter
-	nodeTurn     = 25 * time.Millisecond  // what a node adds to it: all together call 40 times a second
-	turnedAtOnce = 200 * time.Millisecond // a call that is turned away sooner found discovery full, one that is later found it slow
-
-	// DefaultPollWait is how long a call may wait for news, at most: one call more costs nothing.
+	// queuedCallTimeout replaces CallTimeout where discovery is overloaded or did not answer the
+	// previous call in time. The call is probably queued there, and canceling it would lose its
+	// place while discovery still does the work for it. If discovery turns out to be silent, the
+	// next call still completes before a missed change counts as notified.
+	queuedCallTimeout = NotifiedAfter - CallTimeout
+
+	initialBackoff = 200 * time.Millisecond // mean delay after the first failure; doubles
+	maxBackoff     = 3 * time.Second        // longest delay between a failed call and its retry, including jitter
+	perNodeDelay   = 25 * time.Millisecond  // added per node: all nodes together make 40 calls a second
+	// A call rejected sooner than this found discovery overloaded; one rejected later found it
+	// slow.
+	immediateRejection = 200 * time.Millisecond
+
+	// DefaultPollWait is the longest time that a long poll waits for an update.
 	DefaultPollWait = 10 * time.Second
-	// ShortPollWait is the hold up to which a silent call ends, and is made again, before what
-	// it missed counts as told; a crowded discovery is not asked twice there.
+	// ShortPollWait is the longest poll wait for which an unanswered call times out and is retried
+	// before a missed change counts as notified. Up to it, polls are not hedged.
 	ShortPollWait = 3 * time.Second
-	leastHold     = 0.6                   // of the hold, at least: nodes whose watches fall silent together do not call together
-	pause         = 20 * time.Millisecond // between calls of a watch, which ends after 200 ms without one
-
-	pushedHold  = time.Second            // where calls cost nothing
-	pushedDoubt = 150 * time.Millisecond // after its hold a call to an agent on the own machine, which answers at once, has fallen silent
-	pushedAgain = 100 * time.Millisecond // between calls to an agent that is silent: well under the grace for drains
-	pushedTime  = 500 * time.Millisecond // beyond its hold such a call is given up
+	// Lower bound as a fraction of the poll wait: keeps nodes whose watches stall at the same time
+	// from calling at the same time.
+	minPollWaitFraction = 0.6
+	pollPause           = 20 * time.Millisecond // discovery ends a watch after 200 ms without a call
+
+	localPollWait    = time.Second            // calls to a local agent are cheap
+	localHedgeDelay  = 150 * time.Millisecond // beyond the poll wait; the local agent normally answers at once
+	localRetryDelay  = 100 * time.Millisecond // between calls to an unresponsive agent
+	localCallTimeout = 500 * time.Millisecond // beyond the poll wait
 )
 
-// doubts are how long after its hold a call is doubted, and another one is made beside it:
-// what a watch that has fallen silent missed counts as told 2 s after the hold.
-var doubts = []time.Duration{400 * time.Millisecond, 1100 * time.Millisecond}
+// hedgeDelays are how long after its poll wait an unanswered call is hedged: a change that a
+// stalled watch missed counts as notified 2 s after the poll wait.
+var hedgeDelays = []time.Duration{400 * time.Millisecond, 1100 * time.Millisecond}
 
-// Settings of a Caller.
+// Settings configure a Poller.
 type Settings struct {
-	// Pushed: the list is pushed to an agent on the own machine. Calls cost nothing, and
-	// what the agent has counts as told, watch or none.
+	// Pushed: the list is pushed to an agent on this machine. Calls are cheap, and what the agent
+	// has counts as notified, with or without a watch.
 	Pushed bool
-	// Stream: one call brings all that comes until it fails, as on the simulator's wire.
+	// Stream: one call delivers all updates until it fails, as in the simulator's protocol.
 	Stream bool
-	// DefaultPollWait is how long a call may wait, at most; 0: the constant Hold.
+	// PollWait is the longest time that a long poll may wait; 0: DefaultPollWait.
 	PollWait time.Duration
-	// AskWithin is the settings' ask_within; 0: not known.
+	// ListPollInterval is the setting ask_within; 0: unknown.
 	AskWithin time.Duration
-	// Nodes is how many equal nodes call the same discovery, at least 1.
+	// Nodes is the number of equal nodes that call the same discovery, at least 1.
 	Nodes float64
 	Seed  int64
 }
 
-// CallID names a call of a Caller.
+// CallID identifies a call of a Poller.
 type CallID uint64
 
-// FailureReason says why a call brought no list.
+// FailureReason is why a call returned no list.
 type FailureReason int
 
 const (
-	// Unanswered: it could not be made, broke off or brought what is no list.
+	// Unanswered: the call could not be made, was interrupted or returned something that is not a
+	// list.
 	Unanswered FailureReason = iota
-	// Rejected: discovery answered that it takes no more calls, or with another error.
+	// Rejected: discovery answered that it accepts no more calls, or with another error.
 	Rejected
 )
 
-// Event is something that happened.
+// Event is an input of a Poller.
 type Event interface{ event() }
 
-// Events.
+// Events of a Poller.
 type (
-	// Ticked comes at Next, or later.
+	// Ticked is due at Next.
 	Ticked struct{}
-	// Answered is a call's list.
+	// Answered reports a list returned by a call.
 	Answered struct {
 		Call       CallID
 		Full       bool
 		Generation uint64
 	}
-	// Failed is a call that brought none.
+	// Failed reports a call that returned no list.
 	Failed struct {
 		Call   CallID
 		Reason FailureReason
 	}
-	// RestartRequested has a new watch begun at once: what the running one would bring is doubted.
+	// RestartRequested starts a new watch at once: the result of the current one is no longer
+	// trusted.
 	RestartRequested struct{}
-	// HedgeRequested has a call made beside the watch's, which may have fallen silent.
+	// HedgeRequested makes a second call beside the watch's, which may have stalled.
 	HedgeRequested struct{}
-	// NodesChanged says how many equal nodes call the same discovery by now.
+	// NodesChanged reports the current number of equal nodes that call the same discovery.
 	NodesChanged struct{ Nodes float64 }
 )
 
@@ -116,24 +119,24 @@
 func (HedgeRequested) event()   {}
 func (NodesChanged) event()     {}
 
-// Action is something the caller is to do.
+// Action is an instruction to the owner of a Poller.
 type Action interface{ action() }
 
-// Actions.
+// Actions of a Poller.
 type (
-	// Call asks discovery for what is newer than a generation, and waits so long for it;
-	// or for the whole list. It has Limit, all in all.
+	// Call requests the changes after generation From, waiting up to PollWait for one, or the full
+	// list. Timeout bounds the whole call.
 	Call struct {
 		ID                CallID
 		From              uint64
 		Full              bool
 		PollWait, Timeout time.Duration
 	}
-	// Cancel gives a call up; what it brings is ignored.
+	// Cancel cancels a call; its result is ignored.
 	Cancel struct{ ID CallID }
-	// Accept says that an answer holds: what it brought is the list by now.
+	// Accept says that an answer is valid: its content updates the list.
 	Accept struct{ Call CallID }
-	// WatchLost says that the watch brought nothing any more, or did not come about.
+	// WatchLost says that the watch failed or could not be established.
 	WatchLost struct{ Reason FailureReason }
 )
 
@@ -142,245 +145,244 @@
 func (Accept) action()    {}
 func (WatchLost) action() {}
 
-// call is one that is out.
+// call is a call in progress.
 type call struct {
 	Call
-	at    Time
-	aside bool // made beside one that is doubted: its failure tells nothing
-	doubt int  // how many were made beside it
+	startedAt  Time
+	isHedge    bool // made beside a call that may have stalled: its failure is ignored
+	hedgeCount int  // number of hedges made for this call
 }
 
 // Poller decides when one source of the list is called. It is not safe for concurrent use.
 type Poller struct {
-	set        Settings
-	rng        *rand.Rand
-	now        Time
-	out        []Action
-	calls      []*call // in the order in which they were made
-	last       CallID
-	generation uint64
-	known      bool // there is a list that changes may be of
-	held       bool // the watch stands: an answer has come since it began
-	next       Time // of the next call, where none is out
-	wait       time.Duration
-	crowded    bool // calls are turned away, the first of them at once
-	slow       bool // the latest call had no answer in its time, though its connection came up
+	settings    Settings
+	rng         *rand.Rand
+	now         Time
+	actions     []Action
+	calls       []*call // in progress, in the order in which they were made
+	lastID      CallID
+	generation  uint64
+	haveList    bool // there is a list to which changes can be applied
+	established bool // the watch has been answered since it began
+	nextAt      Time // time of the next call while none is in progress
+	delay       time.Duration
+	overloaded  bool // calls are being rejected, the first one immediately
+	slow        bool // the latest call connected but was not answered in time
 }
 
-// InitialState is how a Caller begins.
+// InitialState is what a Poller starts from.
 type InitialState struct {
-	Generation uint64 // of the list that is known
-	HaveList   bool   // there is one; else the first call is for the whole list
-	Stagger    bool   // many nodes may start together: the first call is not made at once
+	Generation uint64 // of the cached list
+	HaveList   bool   // there is a cached list; otherwise the first call requests the full list
+	Stagger    bool   // delay the first call, as many nodes may start together
 }
 
-// NewPoller makes the caller of a source.
-func NewPoller(set Settings, from InitialState, now Time) *Poller {
-	set.PollWait = cmp.Or(set.PollWait, DefaultPollWait)
-	if set.Pushed {
-		set.PollWait = min(set.PollWait, pushedHold)
+// NewPoller returns the poller of one source.
+func NewPoller(settings Settings, initial InitialState, now Time) *Poller {
+	settings.PollWait = cmp.Or(settings.PollWait, DefaultPollWait)
+	if settings.Pushed {
+		settings.PollWait = min(settings.PollWait, localPollWait)
 	}
-	set.Nodes = max(1, set.Nodes)
-	c := &Poller{set: set, rng: rand.New(rand.NewPCG(uint64(set.Seed), 0x6d656d62)), now: now, generation: from.Generation,
-		known: from.HaveList && !set.Pushed, wait: backoffFirst, next: now}
-	if from.Stagger && !set.Pushed {
-		c.next += c.jitter(backoffFirst)
+	settings.Nodes = max(1, settings.Nodes)
+	p := &Poller{settings: settings, rng: rand.New(rand.NewPCG(uint64(settings.Seed), 0x6d656d62)), now: now, generation: initial.Generation,
+		haveList: initial.HaveList && !settings.Pushed, delay: initialBackoff, nextAt: now}
+	if initial.Stagger && !settings.Pushed {
+		p.nextAt += p.jitter(initialBackoff)
 	}
-	return c
+	return p
 }
 
-// WatchEstablished tells whether the watch stands.
-func (c *Poller) WatchEstablished() bool { return c.held }
+// WatchEstablished reports whether the watch has been answered since it began.
+func (p *Poller) WatchEstablished() bool { return p.established }
 
-// Next is when the next Ticked is due.
-func (c *Poller) Next() Time {
-	if len(c.calls) == 0 {
-		return c.next
+// Next returns when the next Ticked is due.
+func (p *Poller) Next() Time {
+	if len(p.calls) == 0 {
+		return p.nextAt
 	}
-	next := Time(math.MaxInt64)
-	for _, x := range c.calls {
-		next = min(next, x.at+x.Timeout)
+	nextAt := Time(math.MaxInt64)
+	for _, x := range p.calls {
+		nextAt = min(nextAt, x.startedAt+x.Timeout)
 	}
-	return min(next, c.doubtAt())
+	return min(nextAt, p.hedgeAt())
 }
 
-// Handle takes an event and returns what is to be done, in order. The slice is reused by
-// the next call.
-func (c *Poller) Handle(now Time, e Event) []Action {
-	c.now, c.out = max(now, c.now), c.out[:0]
+// Handle processes an event and returns the resulting actions in order. The slice is reused by the
+// next call.
+func (p *Poller) Handle(now Time, e Event) []Action {
+	p.now, p.actions = max(now, p.now), p.actions[:0]
 	switch e := e.(type) {
 	case Ticked:
-		c.tick()
+		p.handleTick()
 	case Answered:
-		c.answered(e)
+		p.handleAnswer(e)
 	case Failed:
-		if i := c.find(e.Call); i >= 0 {
-			c.failed(i, e.Reason)
+		if i := p.indexOf(e.Call); i >= 0 {
+			p.handleFailure(i, e.Reason)
 		}
 	case RestartRequested:
-		c.drop()
-		c.held, c.next = false, c.now
-		c.tick()
+		p.cancelCalls()
+		p.established, p.nextAt = false, p.now
+		p.handleTick()
 	case HedgeRequested:
-		if len(c.calls) == 1 && c.calls[0].PollWait > 0 { // else one is out already that is answered at once
-			c.call(0, false, true)
+		// Without a poll wait the call in progress is already answered at once.
+		if len(p.calls) == 1 && p.calls[0].PollWait > 0 {
+			p.call(0, false, true)
 		}
 	case NodesChanged:
-		c.set.Nodes = max(1, e.Nodes)
+		p.settings.Nodes = max(1, e.Nodes)
 	}
-	return c.out
+	return p.actions
 }
 
-func (c *Poller) do(a Action) { c.out = append(c.out, a) }
+func (p *Poller) emit(a Action) { p.actions = append(p.actions, a) }
 
-func (c *Poller) find(id CallID) int {
-	return slices.IndexFunc(c.calls, func(x *call) bool { return x.ID == id })
+func (p *Poller) indexOf(id CallID) int {
+	return slices.IndexFunc(p.calls, func(x *call) bool { return x.ID == id })
 }
 
-// jitter draws from half to one and a half of a time.
-func (c *Poller) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + c.rng.Float64()))
+// jitter draws uniformly from 0.5 to 1.5 times a duration.
+func (p *Poller) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.5 + p.rng.Float64()))
 }
 
-// drop gives up all calls that are out.
-func (c *Poller) drop() {
-	for _, x := range c.calls {
-		c.do(Cancel{x.ID})
+// cancelCalls cancels all calls in progress.
+func (p *Poller) cancelCalls() {
+	for _, x := range p.calls {
+		p.emit(Cancel{x.ID})
 	}
-	c.calls = c.calls[:0]
+	p.calls = p.calls[:0]
 }
 
-// call makes a call.
-func (c *Poller) call(hold time.Duration, whole, aside bool) {
-	c.last++
-	limit := hold + CallTimeout
+func (p *Poller) call(pollWait time.Duration, full, isHedge bool) {
+	p.lastID++
+	timeout := pollWait + CallTimeout
 	switch {
-	case c.set.Pushed:
-		limit = hold + pushedTime
-	case c.crowded || c.slow:
-		limit = hold + queueTime
+	case p.settings.Pushed:
+		timeout = pollWait + localCallTimeout
+	case p.overloaded || p.slow:
+		timeout = pollWait + queuedCallTimeout
 	}
-	x := &call{Call: Call{ID: c.last, From: c.generation, Full: whole || !c.known, PollWait: hold, Timeout: limit}, at: c.now, aside: aside}
-	c.calls = append(c.calls, x)
-	c.do(x.Call)
+	x := &call{Call: Call{ID: p.lastID, From: p.generation, Full: full || !p.haveList, PollWait: pollWait, Timeout: timeout}, startedAt: p.now, isHedge: isHedge}
+	p.calls = append(p.calls, x)
+	p.emit(x.Call)
 }
 
-// doubtAt is when the calls that are out are doubted next.
-func (c *Poller) doubtAt() Time {
+// hedgeAt returns when the next hedge is due.
+func (p *Poller) hedgeAt() Time {
 	const never = Time(math.MaxInt64)
-	first, last := c.calls[0], c.calls[len(c.calls)-1]
+	first, last := p.calls[0], p.calls[len(p.calls)-1]
 	switch {
-	case c.set.Stream:
+	case p.settings.Stream:
 		return never
-	case c.set.Pushed && last == first && !first.aside:
-		return first.at + first.PollWait + pushedDoubt
-	case c.set.Pushed: // as long as the agent is silent, one call after the other
-		return last.at + pushedAgain
-	case first.aside || first.PollWait == 0 || c.set.PollWait <= ShortPollWait || first.doubt == len(doubts):
+	case p.settings.Pushed && last == first && !first.isHedge:
+		return first.startedAt + first.PollWait + localHedgeDelay
+	case p.settings.Pushed: // while the agent is unresponsive, one call after the other
+		return last.startedAt + localRetryDelay
+	case first.isHedge || first.PollWait == 0 || p.settings.PollWait <= ShortPollWait || first.hedgeCount == len(hedgeDelays):
 		return never
 	}
-	return first.at + first.PollWait + doubts[first.doubt]
+	return first.startedAt + first.PollWait + hedgeDelays[first.hedgeCount]
 }
 
-func (c *Poller) tick() {
-	for _, x := range slices.Clone(c.calls) {
-		if i := c.find(x.ID); i >= 0 && !c.set.Stream && c.now >= x.at+x.Timeout {
-			c.do(Cancel{x.ID})
-			c.failed(i, Unanswered)
+func (p *Poller) handleTick() {
+	for _, x := range slices.Clone(p.calls) {
+		if i := p.indexOf(x.ID); i >= 0 && !p.settings.Stream && p.now >= x.startedAt+x.Timeout {
+			p.emit(Cancel{x.ID})
+			p.handleFailure(i, Unanswered)
 		}
 	}
-	if len(c.calls) == 0 {
-		if c.now < c.next {
+	if len(p.calls) == 0 {
+		if p.now < p.nextAt {
 			return
 		}
-		hold := time.Duration(0) // whether the watch stands is to be known at once
-		if c.held {
-			hold = c.nextHold()
+		pollWait := time.Duration(0) // an immediate answer shows whether the watch works
+		if p.established {
+			pollWait = p.nextPollWait()
 		}
-		c.call(hold, false, false)
+		p.call(pollWait, false, false)
 		return
 	}
-	first := c.calls[0]
-	if c.now >= c.doubtAt() {
-		first.doubt++
-		c.call(0, false, true)
+	first := p.calls[0]
+	if p.now >= p.hedgeAt() {
+		first.hedgeCount++
+		p.call(0, false, true)
 	}
-	if c.set.Stream && !c.held && c.set.AskWithin > 0 && c.now-first.at >= c.set.AskWithin/4 {
-		c.drop()
-		c.call(0, false, false)
+	if p.settings.Stream && !p.established && p.settings.AskWithin > 0 && p.now-first.startedAt >= p.settings.AskWithin/4 {
+		p.cancelCalls()
+		p.call(0, false, false)
 	}
 }
 
-// nextHold is how long the next call of the watch may wait.
-func (c *Poller) nextHold() time.Duration {
-	if c.set.PollWait <= ShortPollWait {
-		return c.set.PollWait
+// nextPollWait returns the poll wait of the watch's next call.
+func (p *Poller) nextPollWait() time.Duration {
+	if p.settings.PollWait <= ShortPollWait {
+		return p.settings.PollWait
 	}
-	return time.Duration(float64(c.set.PollWait) * (leastHold + (1-leastHold)*c.rng.Float64()))
+	return time.Duration(float64(p.settings.PollWait) * (minPollWaitFraction + (1-minPollWaitFraction)*p.rng.Float64()))
 }
 
-func (c *Poller) answered(e Answered) {
-	i := c.find(e.Call)
+func (p *Poller) handleAnswer(e Answered) {
+	i := p.indexOf(e.Call)
 	if i < 0 {
-		return // it was given up: what it has may be older than what holds
+		return // it was canceled: its answer may be older than the current list
 	}
-	switch x := c.calls[i]; {
+	switch x := p.calls[i]; {
 	case !e.Full && x.Full:
-		c.failed(i, Unanswered)
+		p.handleFailure(i, Unanswered)
 		return
-	case !e.Full && e.Generation < x.From && !c.set.Stream:
-		// Changes of an earlier generation are of a service that began anew: they would
-		// leave in use what is gone. A whole list costs discovery many times as much, so it
-		// is asked for in no other case: 300 nodes that did at once kept one another from
-		// theirs.
-		c.drop()
-		c.call(0, true, false)
+	case !e.Full && e.Generation < x.From && !p.settings.Stream:
+		// Changes of an earlier generation come from a discovery that has restarted: applying them
+		// would keep removed servers in use. A full list costs discovery many times as much, so it
+		// is requested in no other case.
+		p.cancelCalls()
+		p.call(0, true, false)
 		return
 	}
-	if !c.set.Stream {
-		c.calls = slices.Delete(c.calls, i, i+1)
-		c.drop()
+	if !p.settings.Stream {
+		p.calls = slices.Delete(p.calls, i, i+1)
+		p.cancelCalls()
 	}
-	c.generation, c.known, c.held, c.crowded, c.slow, c.wait, c.next = e.Generation, true, true, false, false, backoffFirst, c.now+pause
-	c.do(Accept{e.Call})
+	p.generation, p.haveList, p.established, p.overloaded, p.slow, p.delay, p.nextAt = e.Generation, true, true, false, false, initialBackoff, p.now+pollPause
+	p.emit(Accept{e.Call})
 }
 
-// failed takes that a call brought nothing. One that was made beside another tells nothing
-// by that; to an agent on the own machine those beside it go on.
-func (c *Poller) failed(i int, why FailureReason) {
-	x := c.calls[i]
-	c.calls = slices.Delete(c.calls, i, i+1)
-	if x.aside && (c.set.Pushed || len(c.calls) > 0) {
-		if len(c.calls) == 0 {
-			c.next = max(c.now, x.at+pushedAgain)
+// handleFailure ends a call that failed. The failure of a hedge is ignored while another call is in
+// progress; to a local agent the other calls continue.
+func (p *Poller) handleFailure(i int, reason FailureReason) {
+	ended := p.calls[i]
+	p.calls = slices.Delete(p.calls, i, i+1)
+	if ended.isHedge && (p.settings.Pushed || len(p.calls) > 0) {
+		if len(p.calls) == 0 {
+			p.nextAt = max(p.now, ended.startedAt+localRetryDelay)
 		}
 		return
 	}
-	asked := !c.held
-	if c.held = false; c.set.Pushed { // calls cost nothing, and what the agent has counts as told
-		c.next = max(c.now, x.at+pushedAgain)
+	establishing := !p.established
+	if p.established = false; p.settings.Pushed { // calls are cheap, and what the agent has counts as notified
+		p.nextAt = max(p.now, ended.startedAt+localRetryDelay)
 	} else {
-		c.drop()
-		c.backOff(x, asked, why)
+		p.cancelCalls()
+		p.scheduleRetry(ended, establishing, reason)
 	}
-	c.do(WatchLost{why})
+	p.emit(WatchLost{reason})
 }
 
-// backOff says when a failed call is made again: soon enough for what it brings to come
-// within the time after which it counts as told; one that nobody answered has waited
-// already. Where calls are turned away time after time those of all nodes are more than
-// discovery takes, and it would give all up: each has its turn then.
-func (c *Poller) backOff(x *call, asked bool, why FailureReason) {
-	turn, from := time.Duration(c.set.Nodes*float64(nodeTurn)), c.now
-	wait := c.jitter(min(max(c.wait, turn), backoffMost*2/3))
-	switch away := c.crowded; {
-	case asked && why == Rejected && (away || c.now-x.at < turnedAtOnce):
-		if c.crowded = true; away {
-			wait = max(wait, c.jitter(turn))
+// scheduleRetry sets the time of the next call after a failure: early enough for its answer to
+// arrive within NotifiedAfter. An unanswered call has already waited. While calls keep being
+// rejected, all nodes together exceed the capacity of discovery, and the retries are spread over
+// the nodes.
+func (p *Poller) scheduleRetry(ended *call, establishing bool, reason FailureReason) {
+	spread, base := time.Duration(p.settings.Nodes*float64(perNodeDelay)), p.now
+	delay := p.jitter(min(max(p.delay, spread), maxBackoff*2/3))
+	switch wasOverloaded := p.overloaded; {
+	case establishing && reason == Rejected && (wasOverloaded || p.now-ended.startedAt < immediateRejection):
+		if p.overloaded = true; wasOverloaded {
+			delay = max(delay, p.jitter(spread))
 		}
-	case asked && why != Rejected:
-		from, c.crowded, c.slow = x.at, false, c.now >= x.at+x.Timeout
+	case establishing && reason != Rejected:
+		base, p.overloaded, p.slow = ended.startedAt, false, p.now >= ended.startedAt+ended.Timeout
 	}
-	c.next = max(c.now, from+wait)
-	c.wait = min(2*c.wait, max(backoffFirst, c.set.AskWithin/4))
+	p.nextAt = max(p.now, base+delay)
+	p.delay = min(2*p.delay, max(initialBackoff, p.settings.AskWithin/4))
 }
--- a/membership/changes.go
+++ b/membership/changes.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Change is the latest that a source said of a server: it left, or it was restarted.
+// Change is the latest change of a server reported by a source: it left or was restarted.
 type Change struct {
 	Name       string
 	Generation uint64
-	StartedAt  Time // of the new process, as the source told it, Unix time; 0: the server left
+	StartedAt  Time // of the new process, by its source's clock, Unix time; 0: the server left
 }
 
-// keptChanges is how many changes are remembered for neighbours; those that need more have missed so much
-// that their own source has to tell them.
-const keptChanges = 64
+// maxKeptChanges bounds the changes recorded for peers; a peer that needs older ones has missed so
+// much that it needs a list from its own source.
+const maxKeptChanges = 64
 
-// changes are remembered changes, the latest last, one a server.
+// changes is a log with the latest change of each server, oldest first.
 type changes []Change
 
-func (c *changes) note(latest Change) {
+func (c *changes) record(latest Change) {
 	*c = slices.DeleteFunc(*c, func(x Change) bool { return x.Name == latest.Name })
 	*c = append(*c, latest)
-	if over := len(*c) - keptChanges; over > 0 {
+	if over := len(*c) - maxKeptChanges; over > 0 {
 		*c = slices.Delete(*c, 0, over)
 	}
 }
--- a/membership/datagrams.go
+++ b/membership/datagrams.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Nodes tell one another of changes of the list in datagrams of 256 bytes at most, in network order. The
-// first byte names the form.
+// Nodes notify each other of list changes in datagrams of at most 256 bytes, in network byte order.
+// The first byte identifies the format.
 const (
-	formLeft     = 0xB3 // servers that leave: a key of four bytes each
-	formQuestion = 0xB4 // what came after this generation (eight bytes)?
-	formStarted  = 0xB5 // servers that were restarted: a key, and the start in Unix ms (eight bytes), each
+	formatDepartures = 0xB3 // departing servers: a 4-byte key each
+	formatQuery      = 0xB4 // request for the changes after a generation (8 bytes)
+	formatRestarts   = 0xB5 // restarted servers: a key and the start time in Unix ms (8 bytes) each
 
 	maxDatagram = 256
 	keySize     = 4
-	startSize   = keySize + 8
+	restartSize = keySize + 8
 
-	// MaxDepartures is how many servers that leave one datagram holds.
+	// MaxDepartures is the number of departures that fit into one datagram.
 	MaxDepartures = (maxDatagram - 1) / keySize
-	// MaxRestarts is how many restarts one datagram holds.
-	MaxRestarts = (maxDatagram - 1) / startSize
+	// MaxRestarts is the number of restarts that fit into one datagram.
+	MaxRestarts = (maxDatagram - 1) / restartSize
 )
 
-var errForm = errors.New("membership: a datagram that no node sends")
+var errMalformed = errors.New("membership: malformed datagram")
 
-// Datagram is one of Left, Question and Started.
+// Datagram is one of Departures, ChangesQuery and Restarts.
 type Datagram interface{ datagram() }
 
-// The datagrams.
+// Formats of datagrams.
 type (
-	// Departures has the keys of servers that leave.
+	// Departures contains the keys of departing servers.
 	Departures []uint32
-	// ChangesQuery asks for what came after a generation.
+	// ChangesQuery requests the changes after a generation.
 	ChangesQuery struct{ Generation uint64 }
-	// Restart is a server that was restarted.
+	// Restart is the restart of one server.
 	Restart struct {
 		Key       uint32
-		StartedAt Time // as the source told it, Unix time, in whole ms
+		StartedAt Time // by its source's clock, Unix time, in whole ms
 	}
-	// StartedAt are servers that were restarted.
+	// Restarts contains restarted servers.
 	Restarts []Restart
 )
 
@@ -47,64 +47,64 @@
 func (ChangesQuery) datagram() {}
 func (Restarts) datagram()     {}
 
-// IsDatagram tells whether a datagram is one of this package's.
+// IsDatagram reports whether data has the format byte of one of this package's datagrams.
 func IsDatagram(data []byte) bool {
-	return len(data) > 0 && data[0] >= formLeft && data[0] <= formStarted
+	return len(data) > 0 && data[0] >= formatDepartures && data[0] <= formatRestarts
 }
 
-// Encode gives a datagram's bytes. What is over MaxDepartures or MaxRestarts is left out.
+// Encode encodes a datagram. Entries beyond MaxDepartures or MaxRestarts are dropped.
 func Encode(d Datagram) []byte {
 	switch d := d.(type) {
 	case ChangesQuery:
-		return binary.BigEndian.AppendUint64([]byte{formQuestion}, d.Generation)
+		return binary.BigEndian.AppendUint64([]byte{formatQuery}, d.Generation)
 	case Restarts:
-		out := []byte{formStarted}
+		encoded := []byte{formatRestarts}
 		for _, r := range d[:min(len(d), MaxRestarts)] {
-			out = binary.BigEndian.AppendUint32(out, r.Key)
-			out = binary.BigEndian.AppendUint64(out, uint64(r.StartedAt/time.Millisecond))
+			encoded = binary.BigEndian.AppendUint32(encoded, r.Key)
+			encoded = binary.BigEndian.AppendUint64(encoded, uint64(r.StartedAt/time.Millisecond))
 		}
-		return out
+		return encoded
 	case Departures:
-		out := []byte{formLeft}
+		encoded := []byte{formatDepartures}
 		for _, key := range d[:min(len(d), MaxDepartures)] {
-			out = binary.BigEndian.AppendUint32(out, key)
+			encoded = binary.BigEndian.AppendUint32(encoded, key)
 		}
-		return out
+		return encoded
 	}
 	return nil
 }
 
-// maxStart is the latest start that is read, in ms: the year 2200.
-const maxStart = 7258118400000
+// maxStartMillis is the latest accepted start time: the year 2200, in Unix ms.
+const maxStartMillis = 7258118400000
 
-// Decode reads a datagram; one that no node sends is an error.
+// Decode decodes a datagram and rejects anything that Encode does not produce.
 func Decode(data []byte) (Datagram, error) {
 	if !IsDatagram(data) || len(data) > maxDatagram {
-		return nil, errForm
+		return nil, errMalformed
 	}
-	form, body := data[0], data[1:]
+	format, body := data[0], data[1:]
 	switch {
-	case form == formQuestion && len(body) == 8:
+	case format == formatQuery && len(body) == 8:
 		return ChangesQuery{binary.BigEndian.Uint64(body)}, nil
-	case form == formLeft && len(body) > 0 && len(body)%keySize == 0:
-		var left Departures
+	case format == formatDepartures && len(body) > 0 && len(body)%keySize == 0:
+		var departures Departures
 		for ; len(body) > 0; body = body[keySize:] {
-			left = append(left, binary.BigEndian.Uint32(body))
+			departures = append(departures, binary.BigEndian.Uint32(body))
 		}
-		return left, nil
-	case form == formStarted && len(body) > 0 && len(body)%startSize == 0:
-		return decodeStarted(body)
+		return departures, nil
+	case format == formatRestarts && len(body) > 0 && len(body)%restartSize == 0:
+		return decodeRestarts(body)
 	}
-	return nil, errForm
+	return nil, errMalformed
 }
 
-func decodeStarted(body []byte) (started Restarts, err error) {
-	for ; len(body) > 0; body = body[startSize:] {
+func decodeRestarts(body []byte) (restarts Restarts, err error) {
+	for ; len(body) > 0; body = body[restartSize:] {
 		ms := binary.BigEndian.Uint64(body[keySize:])
-		if ms == 0 || ms > maxStart {
-			return nil, errForm
+		if ms == 0 || ms > maxStartMillis {
+			return nil, errMalformed
 		}
-		started = append(started, Restart{Key: binary.BigEndian.Uint32(body), StartedAt: Time(ms) * time.Millisecond})
+		restarts = append(restarts, Restart{Key: binary.BigEndian.Uint32(body), StartedAt: Time(ms) * time.Millisecond})
 	}
-	return started, nil
+	return restarts, nil
 }
--- a/membership/list.go
+++ b/membership/list.go
@@ -7,88 +7,91 @@
 	"time"
 )
 
-// State is what a source says of a server.
+// State is the state of a server according to a source.
 type State int
 
 const (
-	// Up servers take requests.
+	// Up servers accept requests.
 	Up State = iota
-	// Draining ones finish what they have.
+	// Draining servers only finish the requests they have.
 	Draining
-	// Removed ones are not on the list any more.
+	// Removed servers are no longer on the list.
 	Removed
 )
 
-// UpdateKind is the form of what a source says.
+// UpdateKind is the form of an update.
 type UpdateKind int
 
 const (
-	// Changes name the servers that changed.
+	// Changes contain only the servers that changed.
 	Changes UpdateKind = iota
-	// Full lists leave out what is gone.
+	// Full lists replace the previous list.
 	Full
-	// HaveList is a whole list that was held before: the configuration's, or that of the
-	// process before this one.
+	// Cached is a full list from the configuration or from the previous process of the node.
 	Cached
 )
 
-// Entry is a server as a source lists it; Payload is the caller's.
+// Entry is a server as listed by a source; Payload belongs to the caller.
 type Entry[P any] struct {
 	Name      string
 	State     State
-	StartedAt Time // its process's start as the source tells it, Unix time; 0: not told
+	StartedAt Time // start of its process by its source, Unix time; 0: unknown
 	Payload   P
 }
 
 const (
-	// catchUp is how long after its own source was heard again a node tells others what it
-	// hears of servers that leave: who was turned away meanwhile may be waiting still.
-	catchUp = 15 * time.Second
-	// leastLeft is the part of the servers that are up by the own source which words of
-	// neighbours leave in use: a neighbour that is wrong takes no more than the rest.
-	leastLeft = 0.25
-	// confirmIn is how long the own source, if it is heard, has to say what a neighbour did
-	// before it is doubted; from giveUpIn on the neighbour's word holds.
-	confirmIn = 500 * time.Millisecond
-	giveUpIn  = 1200 * time.Millisecond
+	// announcePeriod is how long after its source is reachable again a node notifies its peers of
+	// servers that leave: peers whose calls were rejected may still be waiting.
+	announcePeriod = 15 * time.Second
+	// minInUseFraction is the fraction of the servers listed as up that peer reports never exclude:
+	// limits the damage of a faulty peer.
+	minInUseFraction = 0.25
+	// confirmWithin is how long a reachable source may take to confirm a peer report before it is
+	// checked; after acceptPeersAfter the report is applied anyway.
+	confirmWithin    = 500 * time.Millisecond
+	acceptPeersAfter = 1200 * time.Millisecond
 
 	never = Time(math.MaxInt64)
 )
 
-// List is what holds of the words of a node's sources: the configuration, its own source
-// (discovery, at one address after the other), another process of the same node, and
-// neighbours that were told of servers which leave. It is not safe for concurrent use.
+// List merges the updates of a node's sources: the configuration, discovery (at successive
+// addresses), another process of the same node, and peers that were notified of departing servers.
+// It is not safe for concurrent use.
 type List[P any] struct {
-	entries    map[string]Entry[P]
-	generation uint64
-	toldAt     Time            // when the own source told it; 0: it did not yet
-	lost       bool            // the own source is not heard
-	caughtUp   Time            // until when what leaves is told to neighbours
-	words      map[string]Time // servers left out by neighbours' words: until when; never: until the own source is heard
-	starts     map[string]Time // later starts that neighbours told, as their source told them
+	entries       map[string]Entry[P]
+	generation    uint64
+	receivedAt    Time // time of the last update from the node's own source; 0: none yet
+	sourceLost    bool // the node's own source is unreachable
+	announceUntil Time // until then peers are notified of departures
+	// Servers excluded by peer reports, and until when; never: until the node's own source is heard
+	// again.
+	exclusions map[string]Time
+	peerStarts map[string]Time // later start times reported by peers, by their source's clock
 	changes    changes
-	unsaid     map[string]Time // what neighbours said and the own source, which is heard, did not yet: since when
-	doubted    bool            // it has been doubted for that
+	// Peer reports that the reachable source has not confirmed yet, by the time of their receipt.
+	unconfirmed    map[string]Time
+	checkRequested bool // a check of the source was requested for them
 }
 
-// NewList makes a list of nothing.
+// NewList returns an empty list.
 func NewList[P any]() *List[P] {
-	return &List[P]{entries: map[string]Entry[P]{}, words: map[string]Time{}, starts: map[string]Time{}, unsaid: map[string]Time{}}
+	return &List[P]{entries: map[string]Entry[P]{}, exclusions: map[string]Time{}, peerStarts: map[string]Time{}, unconfirmed: map[string]Time{}}
 }
 
-// Generation is that of what holds.
+// Generation returns the generation of the current list.
 func (l *List[P]) Generation() uint64 { return l.generation }
 
-// ReceivedAt is when the own source told what holds; 0: it did not yet.
-func (l *List[P]) ReceivedAt() Time { return l.toldAt }
+// ReceivedAt returns when the node's own source sent the current list; 0: not yet.
+func (l *List[P]) ReceivedAt() Time { return l.receivedAt }
 
-// Entries gives what the sources list, without neighbours' words. It is not to be changed.
+// Entries returns the servers as listed by the sources, without the effect of peer reports. The
+// caller must not modify it.
 func (l *List[P]) Entries() map[string]Entry[P] { return l.entries }
 
-// Accept takes what a source says. left names the servers that neighbours are to be told of:
-// they were up and are not any more.
-func (l *List[P]) Apply(now Time, kind UpdateKind, generation uint64, entries []Entry[P]) (left []string) {
-	before := map[string]Time{} // of those that are up: their starts
+// Apply applies an update of a source. departed names the servers that were up and no longer are,
+// if peers are to be notified of them.
+func (l *List[P]) Apply(now Time, kind UpdateKind, generation uint64, entries []Entry[P]) (departed []string) {
+	before := map[string]Time{} // start times of the servers that are up
 	for name, e := range l.entries {
 		if e.State == Up {
 			before[name] = e.StartedAt
@@ -104,156 +107,155 @@
 			l.entries[e.Name] = e
 		}
 	}
-	l.generation, l.doubted = generation, false
-	clear(l.words) // what it says is later
-	clear(l.starts)
-	clear(l.unsaid)
+	l.generation, l.checkRequested = generation, false
+	clear(l.exclusions) // the update supersedes peer reports
+	clear(l.peerStarts)
+	clear(l.unconfirmed)
 	if kind == Cached {
 		return nil
 	}
-	left = l.noteChanges(before)
-	if l.toldAt = now; l.lost {
-		l.lost, l.caughtUp = false, now+catchUp
+	departed = l.recordChanges(before)
+	if l.receivedAt = now; l.sourceLost {
+		l.sourceLost, l.announceUntil = false, now+announcePeriod
 	}
-	if now >= l.caughtUp {
+	if now >= l.announceUntil {
 		return nil
 	}
-	return left
+	return departed
 }
 
-// noteChanges remembers for neighbours what differs from the servers that were up before, and gives the
-// names of those that are not up any more.
-func (l *List[P]) noteChanges(before map[string]Time) (left []string) {
+// recordChanges records for peers what differs from the servers that were up before, and returns
+// the names of those that no longer are.
+func (l *List[P]) recordChanges(before map[string]Time) (departed []string) {
 	for name := range before {
 		if e, listed := l.entries[name]; !listed || e.State != Up {
-			left = append(left, name)
+			departed = append(departed, name)
 		}
 	}
-	slices.Sort(left)
-	for _, name := range left {
-		l.changes.note(Change{Name: name, Generation: l.generation})
+	slices.Sort(departed)
+	for _, name := range departed {
+		l.changes.record(Change{Name: name, Generation: l.generation})
 	}
 	if len(before) == 0 {
-		return left // all are new
+		return departed // all servers are new
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.entries)) {
 		e := l.entries[name]
-		if was, known := before[name]; e.State == Up && e.StartedAt != 0 && (!known || e.StartedAt > was) {
-			l.changes.note(Change{Name: name, Generation: l.generation, StartedAt: e.StartedAt})
+		if previous, known := before[name]; e.State == Up && e.StartedAt != 0 && (!known || e.StartedAt > previous) {
+			l.changes.record(Change{Name: name, Generation: l.generation, StartedAt: e.StartedAt})
 		}
 	}
-	return left
+	return departed
 }
 
-// ChangesSince gives what the own source has said after a generation of servers that left or were restarted, as
-// far as it is remembered; the latest of each server.
+// ChangesSince returns the departures and restarts that the source reported after a generation, as
+// far as they are still recorded: the latest of each server.
 func (l *List[P]) ChangesSince(generation uint64) []Change { return l.changes.since(generation) }
 
-// ApplySiblingList takes a list that another process of the same node was told; handoff.IsNewerList
-// tells whether it goes before what holds.
-func (l *List[P]) ApplySiblingList(generation uint64, toldAt Time, entries []Entry[P]) {
-	l.Apply(toldAt, Cached, generation, entries)
-	l.toldAt = toldAt
+// ApplySiblingList applies a list received from another process of the same node;
+// handoff.IsNewerList tells whether it supersedes the current one.
+func (l *List[P]) ApplySiblingList(generation uint64, receivedAt Time, entries []Entry[P]) {
+	l.Apply(receivedAt, Cached, generation, entries)
+	l.receivedAt = receivedAt
 }
 
-// MarkSourceLost takes that the own source is not heard.
-func (l *List[P]) MarkSourceLost() { l.lost = true }
+// MarkSourceLost records that the node's own source is unreachable.
+func (l *List[P]) MarkSourceLost() { l.sourceLost = true }
 
-// WatchLost tells whether the own source is not heard.
-func (l *List[P]) SourceLost() bool { return l.lost }
+// SourceLost reports whether the node's own source is unreachable.
+func (l *List[P]) SourceLost() bool { return l.sourceLost }
 
-// ResetSource takes that the own source is at another address: generations begin anew.
-func (l *List[P]) ResetSource() { l.generation, l.lost, l.changes = 0, true, nil }
+// ResetSource records that the source moved to another address: generations start over.
+func (l *List[P]) ResetSource() { l.generation, l.sourceLost, l.changes = 0, true, nil }
 
-// ApplyPeerDepartures takes a neighbour's word that servers leave. It holds at once while the own source
-// is not heard, else if that does not say something soon, and until it does. It tells
-// whether that changes anything now.
+// ApplyPeerDepartures applies a peer report that servers leave: at once while the own source is
+// lost, otherwise only if the source does not confirm it in time, and until its next update. It
+// reports whether anything changed now.
 func (l *List[P]) ApplyPeerDepartures(now Time, names []string) (changed bool) {
-	if l.lost {
-		return l.leave(names, never)
+	if l.sourceLost {
+		return l.exclude(names, never)
 	}
 	for _, name := range names {
-		if e, listed := l.entries[name]; listed && e.State == Up && !l.ExcludedByPeers(name) && l.unsaid[name] == 0 {
-			l.unsaid[name] = max(1, now)
+		if e, listed := l.entries[name]; listed && e.State == Up && !l.ExcludedByPeers(name) && l.unconfirmed[name] == 0 {
+			l.unconfirmed[name] = max(1, now)
 		}
 	}
 	return false
 }
 
-// ApplyPeerRestarts takes a neighbour's word that servers were restarted, while the own source is not heard. Such
-// a server was gone, which this process was not told, and is back, which counts as told after Told at the
-// latest: until then it is left out, and after it it is used as one that started then. It tells whether that
-// changes anything now.
+// ApplyPeerRestarts applies a peer report that servers were restarted, while the own source is
+// lost. Such a server is excluded for NotifiedAfter, the latest time at which its return counts as
+// notified, and is then used with the reported start time. It reports whether anything changed now.
 func (l *List[P]) ApplyPeerRestarts(now Time, restarted []Change) (changed bool) {
-	if !l.lost {
+	if !l.sourceLost {
 		return false
 	}
 	for _, c := range restarted {
 		e, listed := l.entries[c.Name]
-		if !listed || e.State != Up || c.StartedAt <= max(e.StartedAt, l.starts[c.Name]) || e.StartedAt == 0 {
+		if !listed || e.State != Up || c.StartedAt <= max(e.StartedAt, l.peerStarts[c.Name]) || e.StartedAt == 0 {
 			continue
 		}
-		l.starts[c.Name], changed = c.StartedAt, true
-		l.leave([]string{c.Name}, now+NotifiedAfter)
+		l.peerStarts[c.Name], changed = c.StartedAt, true
+		l.exclude([]string{c.Name}, now+NotifiedAfter)
 	}
 	return changed
 }
 
-// StartedAt is the start of a server as a neighbour told it; 0: no neighbour told of a later one than the own
-// source.
-func (l *List[P]) PeerReportedStart(name string) Time { return l.starts[name] }
+// PeerReportedStart returns the start time of a server as reported by a peer; 0: no peer reported a
+// later one than the own source.
+func (l *List[P]) PeerReportedStart(name string) Time { return l.peerStarts[name] }
 
-// ReviewPeerReports is to be called now and then: doubt tells that the own source, which should have
-// said by now what a neighbour did, is to be asked; changed that the word holds now.
-func (l *List[P]) ReviewPeerReports(now Time) (doubt, changed bool) {
+// ReviewPeerReports is to be called periodically. check asks for a call to the own source, which
+// should have confirmed a peer report by now; changed reports that exclusions changed.
+func (l *List[P]) ReviewPeerReports(now Time) (check, changed bool) {
 	var names []string
-	for name, since := range l.unsaid {
-		if now-since >= confirmIn && !l.doubted {
-			doubt, l.doubted = true, true
+	for name, since := range l.unconfirmed {
+		if now-since >= confirmWithin && !l.checkRequested {
+			check, l.checkRequested = true, true
 		}
-		if now-since >= giveUpIn {
+		if now-since >= acceptPeersAfter {
 			names = append(names, name)
-			delete(l.unsaid, name)
+			delete(l.unconfirmed, name)
 		}
 	}
 	slices.Sort(names)
-	changed = l.leave(names, never)
-	for name, until := range l.words {
+	changed = l.exclude(names, never)
+	for name, until := range l.exclusions {
 		if now >= until {
-			delete(l.words, name)
+			delete(l.exclusions, name)
 			changed = true
 		}
 	}
-	return doubt, changed
+	return check, changed
 }
 
-// leave has words of neighbours hold for a time, as far as they leave enough servers in use.
-func (l *List[P]) leave(names []string, until Time) (changed bool) {
-	up, out := 0, 0
+// exclude applies peer reports until a time, as far as enough servers stay in use.
+func (l *List[P]) exclude(names []string, until Time) (changed bool) {
+	up, excluded := 0, 0
 	for name, e := range l.entries {
 		if e.State == Up {
 			if up++; l.ExcludedByPeers(name) {
-				out++
+				excluded++
 			}
 		}
 	}
-	most := up - int(math.Ceil(leastLeft*float64(up)))
+	limit := up - int(math.Ceil(minInUseFraction*float64(up)))
 	for _, name := range names {
 		e, listed := l.entries[name]
 		switch {
 		case !listed || e.State != Up:
 		case l.ExcludedByPeers(name):
-			l.words[name] = max(l.words[name], until)
-		case out < most:
-			l.words[name], changed = until, true
-			out++
+			l.exclusions[name] = max(l.exclusions[name], until)
+		case excluded < limit:
+			l.exclusions[name], changed = until, true
+			excluded++
 		}
 	}
 	return changed
 }
 
-// PeerReports is how many servers are left out, or have other starts, by neighbours' words.
-func (l *List[P]) PeerReports() int { return max(len(l.words), len(l.starts)) }
+// PeerReports returns how many servers are excluded or have a different start time by peer reports.
+func (l *List[P]) PeerReports() int { return max(len(l.exclusions), len(l.peerStarts)) }
 
-// ExcludedByPeers tells whether a server is not to be used by a neighbour's word.
-func (l *List[P]) ExcludedByPeers(name string) bool { return l.words[name] != 0 }
+// ExcludedByPeers reports whether a peer report excludes a server from use.
+func (l *List[P]) ExcludedByPeers(name string) bool { return l.exclusions[name] != 0 }
--- a/membership/starts.go
+++ b/membership/starts.go
@@ -3,88 +3,89 @@
 import "time"
 
 const (
-	// clockNoise is by how much a wall clock differs from the process's own time
-	// with no step: it is slewed, and read a moment later.
-	clockNoise = 250 * time.Millisecond
-	// sourceNoise is the same of the time that a source words in whole seconds, and
-	// that is on its way for as long as a call may take.
-	sourceNoise = 5 * time.Second
-	// keptStarts is how many starts of one server are remembered: a list that is
-	// behind tells older ones again.
-	keptStarts = 4
+	// clockTolerance is how far a wall clock may differ from the process clock without a step: it
+	// is slewed, and the two are not read at the same instant.
+	clockTolerance = 250 * time.Millisecond
+	// sourceTolerance is the same for a source's clock, which has whole seconds and the delay of a
+	// call.
+	sourceTolerance = 5 * time.Second
+	// maxKeptStarts is the number of start times kept per server: an outdated list may report older
+	// ones again.
+	maxKeptStarts = 4
 )
 
-// Clocks are what a process knows of the time when it hears of a start. The wall clocks,
-// its own as well as others', may step; its own time does not.
+// Clocks are readings of the clocks at the time when a start is reported. Wall clocks, the local
+// one and those of others, may step; the process clock does not.
 type Clocks struct {
-	Process Time // the process's own: it runs evenly, from the wall clock's time at the process's start
-	Wall    Time // the wall clock's, Unix time
-	Source  Time // the source's wall clock, Unix time; 0: not known
+	Process Time // monotonic, set from the wall clock at the start of the process
+	Wall    Time // local wall clock, Unix time
+	Source  Time // the source's wall clock, Unix time; 0: unknown
 }
 
-// StartTimes give the starts of servers, which a source tells in Unix time, in the process's
-// own time. Where the clocks agree that is the same. Where one of them has stepped, a
-// server counts as started as late as any of them allows: one that is taken for warm
-// while it is cold is pushed over, one that is taken for cold only gets less for a while.
-// The zero value is ready; it is not safe for concurrent use.
+// StartTimes converts start times of servers, which a source reports in Unix time, to the process
+// clock. While the clocks agree the two are the same. After a clock step the latest time that any
+// clock allows is used: a cold server taken for a warm one is overloaded, while a warm one taken
+// for a cold one only receives less traffic for a while. The zero value is ready to use; it is not
+// safe for concurrent use.
 type StartTimes struct {
-	servers map[string][]start // the latest one last
+	servers map[string][]startRecord // latest last
 }
 
-// start is a start as it was told, and what it was taken for.
-type start struct{ told, at Time }
+// startRecord is a start time as reported and by the process clock.
+type startRecord struct{ reported, resolved Time }
 
-// Resolve gives when a server started, in the process's own time; 0, long ago, if that is
-// told. confirmed is when the list was last told before this, with no newer start of
-// this server; 0: never.
-func (s *StartTimes) Resolve(name string, told, confirmed Time, c Clocks) Time {
-	known := s.servers[name]
-	for _, k := range known {
-		if k.told == told {
-			return k.at
+// Resolve returns when a server started by the process clock; 0 (long ago) if 0 was reported.
+// lastConfirmed is when the previous list was received that had no newer start of this server; 0:
+// never.
+func (s *StartTimes) Resolve(name string, reported, lastConfirmed Time, clocks Clocks) Time {
+	history := s.servers[name]
+	for _, record := range history {
+		if record.reported == reported {
+			return record.resolved
 		}
 	}
-	if told == 0 {
-		s.remember(name, start{})
+	if reported == 0 {
+		s.add(name, startRecord{})
 		return 0
 	}
-	at := told
-	if age, agree := c.age(told); !agree {
-		at = c.Process - max(0, age)
+	resolved := reported
+	if age, agree := clocks.age(reported); !agree {
+		resolved = clocks.Process - max(0, age)
 	}
-	if n := len(known); n > 0 {
-		latest := known[n-1]
-		if told < latest.told || at < confirmed-NotifiedAfter { // it was restarted after that, whatever its clock says
-			at = max(at, confirmed)
+	if n := len(history); n > 0 {
+		latest := history[n-1]
+		// The server restarted after lastConfirmed, whatever its clock says.
+		if reported < latest.reported || resolved < lastConfirmed-NotifiedAfter {
+			resolved = max(resolved, lastConfirmed)
 		}
-		at = max(at, latest.at+1) // later than the start before
+		resolved = max(resolved, latest.resolved+1) // later than the previous start
 	}
-	s.remember(name, start{told, at})
-	return at
+	s.add(name, startRecord{reported, resolved})
+	return resolved
 }
 
-// remember keeps a start as the latest one of a server.
-func (s *StartTimes) remember(name string, latest start) {
+// add records a start time as the latest one of a server.
+func (s *StartTimes) add(name string, latest startRecord) {
 	if s.servers == nil {
-		s.servers = map[string][]start{}
+		s.servers = map[string][]startRecord{}
 	}
-	known := append(s.servers[name], latest)
-	s.servers[name] = known[max(0, len(known)-keptStarts):]
+	history := append(s.servers[name], latest)
+	s.servers[name] = history[max(0, len(history)-maxKeptStarts):]
 }
 
-// age is the least time since a start by any clock, and whether they agree.
-func (c Clocks) age(told Time) (age time.Duration, agree bool) {
-	age, agree = c.Process-told, true
-	if (c.Wall - c.Process).Abs() > clockNoise {
-		age, agree = min(age, c.Wall-told), false
+// age returns the shortest time since a start by any clock, and whether the clocks agree.
+func (c Clocks) age(reported Time) (age time.Duration, agree bool) {
+	age, agree = c.Process-reported, true
+	if (c.Wall - c.Process).Abs() > clockTolerance {
+		age, agree = min(age, c.Wall-reported), false
 	}
-	if c.Source != 0 && (c.Source-c.Process).Abs() > sourceNoise {
-		age, agree = min(age, c.Source-told), false
+	if c.Source != 0 && (c.Source-c.Process).Abs() > sourceTolerance {
+		age, agree = min(age, c.Source-reported), false
 	}
-	return age, agree && age >= -sourceNoise
+	return age, agree && age >= -sourceTolerance
 }
 
-// RemoveUnlisted forgets the servers that are not listed any more.
+// RemoveUnlisted drops the servers that are not on the list any more.
 func (s *StartTimes) RemoveUnlisted(listed func(name string) bool) {
 	for name := range s.servers {
 		if !listed(name) {
