--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -1,8 +1,7 @@
-// Package maintenance decides what operators' words on single servers mean:
-// which ones are out of use by hand, and from when on one that comes back
-// counts as cold. It does no I/O and reads no clock. The list of servers goes
-// through it on its way to the decision module (package balance), which so
-// sees a server that is out by hand as one that drains.
+// Package maintenance keeps track of servers that operators took out of service by hand, and
+// decides from when a server that returns counts as cold. It does no I/O and reads no clock. Each
+// list entry passes through Apply on its way to the decision module (package balance), to which a
+// server in maintenance appears as draining.
 package maintenance
 
 import (
@@ -12,30 +11,30 @@
 	"ivylock/balance"
 )
 
-// MaxTrackedIDs bounds the ids that the table remembers: those on the list, those
-// out by hand, and others that were on the list before.
+// MaxTrackedIDs bounds the number of ids in the table: those on the list, those in maintenance, and
+// others that were on the list before.
 const MaxTrackedIDs = 16384
 
-// ErrUnknown says that no server ever had the id, as far as this node knows.
+// ErrUnknown is returned for an id that no server has had, as far as this node knows.
 var ErrUnknown = errors.New("no such backend")
 
-// Record is what is kept of a server that was taken out by hand. Times are
-// the decision module's, in Unix time.
+// Record is the maintenance state of one server. Times are those of the decision module, in Unix
+// time.
 type Record struct {
 	ID            string       `json:"id"`
-	InMaintenance bool         `json:"out"`               // out now
-	EnteredAt     balance.Time `json:"entered"`           // the last word to take it out that changed something
-	ExitedAt      balance.Time `json:"exited,omitempty"`  // the word to use it again; 0 while it is out
-	StartedAt     balance.Time `json:"started,omitempty"` // the start that the list told at the word out
+	InMaintenance bool         `json:"out"`               // currently
+	EnteredAt     balance.Time `json:"entered"`           // the last request that took it out of service
+	ExitedAt      balance.Time `json:"exited,omitempty"`  // the request that returned it to service; 0 while it is out
+	StartedAt     balance.Time `json:"started,omitempty"` // the start time on the list when it was taken out
 }
 
-// Table holds all records. It is not safe for concurrent use.
+// Table holds the maintenance records. It is not safe for concurrent use.
 type Table struct {
 	records map[string]*Record
-	known   map[string]bool // by id: on the list now
+	known   map[string]bool // all tracked ids, and whether they are on the list now
 }
 
-// New makes a table, with the records of an earlier process if there are any.
+// New returns a table with the records of an earlier process, if any.
 func New(records []Record) *Table {
 	t := &Table{records: map[string]*Record{}, known: map[string]bool{}}
 	for _, r := range records {
@@ -47,19 +46,19 @@
 	return t
 }
 
-// SetListed tells that an id is on the list, or has left it.
-func (t *Table) SetListed(id string, on bool) {
+// SetListed records that an id is on the list, or has left it.
+func (t *Table) SetListed(id string, listed bool) {
 	if _, known := t.known[id]; !known && len(t.known) >= MaxTrackedIDs {
-		t.makeRoom()
+		t.evictOne()
 	}
-	t.known[id] = on
+	t.known[id] = listed
 }
 
-// makeRoom forgets an id that is neither on the list nor out: guards against
+// evictOne drops an id that is neither on the list nor in maintenance: guards against unbounded
 // growth where servers are replaced for months.
-func (t *Table) makeRoom() {
-	for id, on := range t.known {
-		if r := t.records[id]; !on && (r == nil || !r.InMaintenance) {
+func (t *Table) evictOne() {
+	for id, listed := range t.known {
+		if r := t.records[id]; !listed && (r == nil || !r.InMaintenance) {
 			delete(t.known, id)
 			delete(t.records, id)
 			return
@@ -67,19 +66,19 @@
 	}
 }
 
-// Enter takes a server out. A second word changes nothing. The error is
-// ErrUnknown for an id that no server has had.
-func (t *Table) Enter(id string, now, started balance.Time) error {
+// Enter takes a server out of service. Repeating it changes nothing. The error is ErrUnknown for an
+// id that no server has had.
+func (t *Table) Enter(id string, now, startedAt balance.Time) error {
 	if _, known := t.known[id]; !known {
 		return ErrUnknown
 	}
 	if r := t.records[id]; r == nil || !r.InMaintenance {
-		t.records[id] = &Record{ID: id, InMaintenance: true, EnteredAt: now, StartedAt: started}
+		t.records[id] = &Record{ID: id, InMaintenance: true, EnteredAt: now, StartedAt: startedAt}
 	}
 	return nil
 }
 
-// Exit uses a server again, however often it was taken out.
+// Exit returns a server to service, however often it was taken out.
 func (t *Table) Exit(id string, now balance.Time) error {
 	if _, known := t.known[id]; !known {
 		return ErrUnknown
@@ -90,17 +89,16 @@
 	return nil
 }
 
-// InMaintenance tells whether a server is out by hand.
+// InMaintenance reports whether a server is in maintenance.
 func (t *Table) InMaintenance(id string) bool {
 	r := t.records[id]
 	return r != nil && r.InMaintenance
 }
 
-// Apply gives what the decision module is to see of a list entry. A server
-// that is out drains, whatever the list says. One that came back is cold: it
-// was restarted meanwhile, at a time that the list tells late or never, so
-// until the list tells a start during that time the word to use it again
-// counts as its start.
+// Apply returns a list entry as the decision module is to see it. A server in maintenance is
+// draining, whatever the list says. One that returned counts as cold: it was restarted meanwhile,
+// and the list may report that late or never. Until the list reports a start after the beginning of
+// the maintenance, the end of the maintenance counts as the start.
 func (t *Table) Apply(id string, e balance.Server) balance.Server {
 	r := t.records[id]
 	switch {
@@ -115,23 +113,23 @@
 	return e
 }
 
-// PruneRecords drops the record of a server that is back in use for longer than it
-// can be cold.
-func (t *Table) PruneRecords(now, coldTime balance.Time) {
+// PruneRecords drops the records of servers that have been back in service for longer than they can
+// be cold.
+func (t *Table) PruneRecords(now, warmupTime balance.Time) {
 	for id, r := range t.records {
-		if !r.InMaintenance && now-r.ExitedAt > 2*coldTime {
+		if !r.InMaintenance && now-r.ExitedAt > 2*warmupTime {
 			delete(t.records, id)
 		}
 	}
 }
 
-// Records gives what a next process must know, in the order of their ids.
+// Records returns the records for the next process, sorted by id.
 func (t *Table) Records() []Record {
-	out := make([]Record, 0, len(t.records))
+	sorted := make([]Record, 0, len(t.records))
 	for _, r := range t.records {
-		out = append(out, *r)
+		sorted = append(sorted, *r)
 	}
-	slices.SortFunc(out, func(a, b Record) int {
+	slices.SortFunc(sorted, func(a, b Record) int {
 		switch {
 		case a.ID < b.ID:
 			return -1
@@ -140,5 +138,5 @@
 		}
 		return 0
 	})
-	return out
+	return sorted
 }
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -9,104 +9,103 @@
 	"ivylock/balance"
 )
 
-const s = time.Second
+const second = time.Second
 
-func TestTwoWordsOutTakeOneWordBack(t *testing.T) {
-	tab := New(nil)
-	if err := tab.Enter("a", s, 0); !errors.Is(err, ErrUnknown) {
-		t.Fatalf("an id that nobody has: %v", err)
+func TestOneExitEndsRepeatedEnters(t *testing.T) {
+	table := New(nil)
+	if err := table.Enter("a", second, 0); !errors.Is(err, ErrUnknown) {
+		t.Fatalf("enter, unknown id: %v", err)
 	}
-	if err := tab.Exit("a", s); !errors.Is(err, ErrUnknown) {
-		t.Fatalf("back, an id that nobody has: %v", err)
+	if err := table.Exit("a", second); !errors.Is(err, ErrUnknown) {
+		t.Fatalf("exit, unknown id: %v", err)
 	}
-	tab.SetListed("a", true)
-	for _, at := range []balance.Time{s, 2 * s} {
-		if err := tab.Enter("a", at, 0); err != nil || !tab.InMaintenance("a") {
+	table.SetListed("a", true)
+	for _, at := range []balance.Time{second, 2 * second} {
+		if err := table.Enter("a", at, 0); err != nil || !table.InMaintenance("a") {
 			t.Fatalf("enter: %v", err)
 		}
 	}
-	if r := tab.Records(); len(r) != 1 || r[0].EnteredAt != s {
-		t.Errorf("the second word changed the record: %+v", r)
+	if r := table.Records(); len(r) != 1 || r[0].EnteredAt != second {
+		t.Errorf("the second enter changed the record: %+v", r)
 	}
 	for range 2 {
-		if err := tab.Exit("a", 3*s); err != nil || tab.InMaintenance("a") {
+		if err := table.Exit("a", 3*second); err != nil || table.InMaintenance("a") {
 			t.Fatalf("exit: %v", err)
 		}
 	}
 }
 
-func TestWhatTheModuleSees(t *testing.T) {
+func TestApplyToListEntries(t *testing.T) {
 	ready := func(start balance.Time) balance.Server { return balance.Server{State: balance.Ready, StartedAt: start} }
-	for _, c := range []struct {
-		name  string
-		r     Record
-		in    balance.Server
-		state balance.ServerState
-		start balance.Time
+	for _, test := range []struct {
+		name   string
+		record Record
+		entry  balance.Server
+		state  balance.ServerState
+		start  balance.Time
 	}{
-		{"out, listed as up", Record{InMaintenance: true, EnteredAt: 5 * s}, ready(0), balance.Draining, 0},
-		{"out, restarted and listed as up", Record{InMaintenance: true, EnteredAt: 5 * s}, ready(7 * s), balance.Draining, 7 * s},
-		{"out and gone", Record{InMaintenance: true, EnteredAt: 5 * s}, balance.Server{State: balance.Removed}, balance.Removed, 0},
-		{"back, no start told", Record{EnteredAt: 5 * s, ExitedAt: 9 * s}, ready(0), balance.Ready, 9 * s},
-		{"back, only the old start told", Record{EnteredAt: 5 * s, ExitedAt: 9 * s, StartedAt: 4 * s}, ready(4 * s), balance.Ready, 9 * s},
-		{"back, the restart told", Record{EnteredAt: 5 * s, ExitedAt: 9 * s, StartedAt: 4 * s}, ready(7 * s), balance.Ready, 7 * s},
-		{"back, and restarted again", Record{EnteredAt: 5 * s, ExitedAt: 9 * s}, ready(12 * s), balance.Ready, 12 * s},
-		{"back, but drains by the list", Record{EnteredAt: 5 * s, ExitedAt: 9 * s}, balance.Server{State: balance.Draining}, balance.Draining, 9 * s},
+		{"out, listed as up", Record{InMaintenance: true, EnteredAt: 5 * second}, ready(0), balance.Draining, 0},
+		{"out, restarted and listed as up", Record{InMaintenance: true, EnteredAt: 5 * second}, ready(7 * second), balance.Draining, 7 * second},
+		{"out and gone", Record{InMaintenance: true, EnteredAt: 5 * second}, balance.Server{State: balance.Removed}, balance.Removed, 0},
+		{"back, no start reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, ready(0), balance.Ready, 9 * second},
+		{"back, only the old start reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second, StartedAt: 4 * second}, ready(4 * second), balance.Ready, 9 * second},
+		{"back, the restart reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second, StartedAt: 4 * second}, ready(7 * second), balance.Ready, 7 * second},
+		{"back, and restarted again", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, ready(12 * second), balance.Ready, 12 * second},
+		{"back, but drains by the list", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, balance.Server{State: balance.Draining}, balance.Draining, 9 * second},
 	} {
-		c.r.ID = "a"
-		got := New([]Record{c.r}).Apply("a", c.in)
-		if got.State != c.state || got.StartedAt != c.start {
-			t.Errorf("%s: state %d, start %v", c.name, got.State, got.StartedAt)
+		test.record.ID = "a"
+		got := New([]Record{test.record}).Apply("a", test.entry)
+		if got.State != test.state || got.StartedAt != test.start {
+			t.Errorf("%s: state %d, start %v", test.name, got.State, got.StartedAt)
 		}
 	}
-	if got := New(nil).Apply("a", ready(3*s)); got.StartedAt != 3*s || got.State != balance.Ready {
-		t.Errorf("a server that nobody touched: %+v", got)
+	if got := New(nil).Apply("a", ready(3*second)); got.StartedAt != 3*second || got.State != balance.Ready {
+		t.Errorf("a server that was never in maintenance: %+v", got)
 	}
 }
 
-// A server that leaves the list and comes back is still out, and what a next
-// process gets says the same.
-func TestOutHoldsOverTheListAndAnUpgrade(t *testing.T) {
-	tab := New(nil)
-	tab.SetListed("a", true)
-	tab.SetListed("b", true)
-	tab.SetListed("b", false)
-	if err := tab.Enter("b", s, 0); err != nil {
-		t.Fatalf("enter during its absence: %v", err)
+// A server that leaves the list and returns stays in maintenance, also in the next process.
+func TestMaintenanceSurvivesListChangesAndRestart(t *testing.T) {
+	table := New(nil)
+	table.SetListed("a", true)
+	table.SetListed("b", true)
+	table.SetListed("b", false)
+	if err := table.Enter("b", second, 0); err != nil {
+		t.Fatalf("enter while not listed: %v", err)
 	}
-	tab.Enter("a", 2*s, 0)
-	tab.SetListed("a", false)
-	tab.SetListed("a", true)
-	next := New(tab.Records())
-	if !tab.InMaintenance("a") || !next.InMaintenance("a") || !next.InMaintenance("b") {
-		t.Fatal("a word was lost")
+	table.Enter("a", 2*second, 0)
+	table.SetListed("a", false)
+	table.SetListed("a", true)
+	next := New(table.Records())
+	if !table.InMaintenance("a") || !next.InMaintenance("a") || !next.InMaintenance("b") {
+		t.Fatal("a maintenance record was lost")
 	}
-	if err := next.Exit("b", 3*s); err != nil {
-		t.Errorf("exit at the next process: %v", err)
+	if err := next.Exit("b", 3*second); err != nil {
+		t.Errorf("exit in the next process: %v", err)
 	}
 }
 
-// Guards against growth where servers are replaced for months, and against a
-// word that is forgotten for it.
-func TestTheTableIsBounded(t *testing.T) {
-	tab := New(nil)
-	tab.SetListed("kept", true)
-	tab.Enter("kept", s, 0)
-	tab.SetListed("kept", false)
+// Guards against unbounded growth where servers are replaced for months, and against losing a
+// server in maintenance to it.
+func TestTableSizeIsBounded(t *testing.T) {
+	table := New(nil)
+	table.SetListed("kept", true)
+	table.Enter("kept", second, 0)
+	table.SetListed("kept", false)
 	for i := range 2 * MaxTrackedIDs {
 		id := fmt.Sprint("s", i)
-		tab.SetListed(id, true)
-		tab.SetListed(id, false)
+		table.SetListed(id, true)
+		table.SetListed(id, false)
 	}
-	if len(tab.known) > MaxTrackedIDs || !tab.InMaintenance("kept") {
-		t.Errorf("%d ids, kept out: %v", len(tab.known), tab.InMaintenance("kept"))
+	if len(table.known) > MaxTrackedIDs || !table.InMaintenance("kept") {
+		t.Errorf("%d ids, still in maintenance: %v", len(table.known), table.InMaintenance("kept"))
 	}
-	tab.Exit("kept", 2*s)
-	tab.PruneRecords(2*s+time.Millisecond, s)
-	if len(tab.Records()) != 1 {
-		t.Error("forgotten while it may be cold")
+	table.Exit("kept", 2*second)
+	table.PruneRecords(2*second+time.Millisecond, second)
+	if len(table.Records()) != 1 {
+		t.Error("dropped while the server may be cold")
 	}
-	if tab.PruneRecords(5*s, s); len(tab.Records()) != 0 {
-		t.Error("kept for good")
+	if table.PruneRecords(5*second, second); len(table.Records()) != 0 {
+		t.Error("never dropped")
 	}
 }
