--- a/handoff/handoff.go
+++ b/handoff/handoff.go
@@ -1,7 +1,7 @@
-// Package handoff decides how two processes of one node share what is one
-// node's: who speaks for the operators' words, what the next process takes
-// over, and how many connections each may hold while both run. It does no I/O
-// and reads no clock; internal/handover does what it says with files.
+// Package handoff decides how the processes of one node share its state: which process owns the
+// operators' requests, what the next process takes over, and how many connections each may hold
+// while both run. It does no I/O and reads no clock; internal/handover carries out its decisions
+// with files.
 package handoff
 
 import (
@@ -13,18 +13,18 @@
 	"ivylock/maintenance"
 )
 
-// FormatVersion is the form of State that this build writes and reads.
+// FormatVersion is the version of State's format that this build writes and reads.
 const FormatVersion = 1
 
-// MaxMeasurementAge is how old what a process has measured may be for the next one to
-// build on it. Older, only the list and the operators' words are taken over.
+// MaxMeasurementAge is the age up to which the next process uses the measurements of a state. From
+// an older state it takes only the list and the maintenance records.
 const MaxMeasurementAge = 5 * time.Second
 
-// clockNoise is how far ahead of a new process's clock a fresh state may be: the clock was
+// clockTolerance is how far a fresh state may be ahead of the reader's clock, which may have been
 // slewed.
-const clockNoise = 100 * time.Millisecond
+const clockTolerance = 100 * time.Millisecond
 
-// Entry is a server as discovery told it last.
+// Entry is a server as last listed by discovery.
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -36,27 +36,27 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// ServerMeasurements is what a process measured of one server, by discovery's name: the
-// module's numbers differ from process to process.
+// ServerMeasurements are the measurements of one server, by its name in discovery: the numeric ids
+// of the decision module differ between processes.
 type ServerMeasurements struct {
 	InstanceID string `json:"instanceId"`
 	balance.LearnedServer
 }
 
-// State is what a process tells the one that takes over from it.
+// State is what a process hands to the one that takes over.
 type State struct {
 	Version        int                  `json:"version"`
-	Epoch          uint64               `json:"epoch"` // counts owners: the highest one speaks for the node
-	Owner          int                  `json:"owner"` // the process that wrote it
+	Epoch          uint64               `json:"epoch"` // counts owners: the highest one owns the node
+	Owner          int                  `json:"owner"` // the process that wrote the state
 	Node           string               `json:"node"`
 	WrittenAt      balance.Time         `json:"at"` // Unix time
 	Generation     uint64               `json:"generation"`
-	ListReceivedAt balance.Time         `json:"listAt,omitempty"` // when discovery told it
+	ListReceivedAt balance.Time         `json:"listAt,omitempty"` // when discovery sent it
 	List           []Entry              `json:"list"`
 	Maintenance    []maintenance.Record `json:"maintenance"`
 	Fleet          balance.LearnedFleet `json:"fleet"`
 	Servers        []ServerMeasurements `json:"servers"`
-	// Record is what the process has acted on; nil where it keeps no record.
+	// Record is the version record of the process; nil if it keeps none.
 	Record *version.Record `json:"record,omitempty"`
 }
 
@@ -64,18 +64,18 @@
 type Ownership int
 
 const (
-	// Keep: the state is this process's own, or there is none; it may write.
+	// KeepOwnership: the state is this process's own, or there is none; it may write.
 	KeepOwnership Ownership = iota
-	// Yield: a newer process owns it and runs. This one writes no more and
-	// sends operators there.
+	// Yield: a newer process owns the state and is running. This one stops writing and refers
+	// operators to the owner.
 	Yield
-	// Reclaim: a newer process owned it and is dead. This one takes over the
-	// operators' words that it finds there, and owns it again.
+	// Reclaim: a newer process owned the state and has died. This one takes over the maintenance
+	// records found there and becomes the owner again.
 	Reclaim
 )
 
-// DecideOwnership tells a process with an epoch of its own what it may do with a state
-// that it finds, nil if there is none that can be read.
+// DecideOwnership returns what a process with the given epoch may do with the state that it finds;
+// nil: no readable state.
 func DecideOwnership(found *State, epoch uint64, ownerRuns bool) Ownership {
 	switch {
 	case found == nil || found.Epoch <= epoch:
@@ -86,60 +86,57 @@
 	return Reclaim
 }
 
-// UsableParts tells a new process called node, at a time, what of a state is for it:
-// nothing of another node's, or in a form that it does not know, and nothing
-// measured of one that is old.
-func UsableParts(found *State, node string, now balance.Time) (words, measured bool) {
+// UsableParts returns which parts of a state a new process of a node may use: none of another
+// node's state or of an unknown format, and no measurements of an old state.
+func UsableParts(found *State, node string, now balance.Time) (records, measurements bool) {
 	if found == nil || found.Version != FormatVersion || found.Node != node {
 		return false, false
 	}
 	return true, found.isFresh(now)
 }
 
-// isFresh tells whether a state was written a moment ago, by a clock that agrees with the
-// reader's. The age of one from the future is not known: the clock was set back.
+// isFresh reports whether the state was written recently by a clock that agrees with the reader's.
+// A state from the future has an unknown age: the clock was set back.
 func (s *State) isFresh(now balance.Time) bool {
 	age := now - s.WrittenAt
-	return age >= -clockNoise && age <= MaxMeasurementAge
+	return age >= -clockTolerance && age <= MaxMeasurementAge
 }
 
-// MaintenanceRecords gives the operators' words of a state in the time of the process that takes over. How
-// long ago a state was written that is not fresh is not known, as either clock may have stepped:
-// it counts as written now, so that a server which was taken back into use before it is colder,
-// and not warmer, than it is.
+// MaintenanceRecords returns the maintenance records of a state in the time of the reader. The age
+// of a state that is not fresh is unknown, as either clock may have stepped: it counts as written
+// now, so that a server that returned to service counts as colder than it is rather than warmer.
 func MaintenanceRecords(found *State, now balance.Time) []maintenance.Record {
-	words := slices.Clone(found.Maintenance)
+	records := slices.Clone(found.Maintenance)
 	if found.isFresh(now) {
-		return words
+		return records
 	}
 	step := now - found.WrittenAt
-	for i := range words {
-		w := &words[i]
-		w.EnteredAt += step
-		if !w.InMaintenance {
-			w.ExitedAt += step
+	for i := range records {
+		record := &records[i]
+		record.EnteredAt += step
+		if !record.InMaintenance {
+			record.ExitedAt += step
 		}
 	}
-	return words
+	return records
 }
 
-// IsNewerList tells a process whether a list that another process of its node was
-// told goes before its own. Both must hold, the later time and the higher
-// version: the time alone would bring back what an old answer left out, the
-// version alone what a discovery that began anew has dropped.
+// IsNewerList reports whether a list received by another process of the node supersedes a process's
+// own. It must be both received later and of a higher generation: the time alone would bring back
+// servers from an outdated answer, the generation alone those that a restarted discovery has
+// dropped.
 func IsNewerList(own, other State) bool {
 	return other.ListReceivedAt > own.ListReceivedAt && other.Generation > own.Generation
 }
 
-// ConnectionLimit gives how many connections a process may hold of a node's full number
-// while others run that hold so many. leastPart of the full number is always
-// its own: a process that has just come must be able to begin, and one that
-// ends has that much less by the time it is told.
-func ConnectionLimit(full, others int, alone bool) int {
+// ConnectionLimit returns how many of a node's connections a process may hold while the others hold
+// some. At least a quarter is always its own: a new process must be able to begin, and an ending
+// one releases that much by the time it is notified.
+func ConnectionLimit(total, others int, alone bool) int {
 	if alone {
-		return full
+		return total
 	}
-	return max(full/leastPart, min(full-full/leastPart, full-others))
+	return max(total/minPartDivisor, min(total-total/minPartDivisor, total-others))
 }
 
-const leastPart = 4
+const minPartDivisor = 4
--- a/handoff/handoff_test.go
+++ b/handoff/handoff_test.go
@@ -7,9 +7,9 @@
 	"ivylock/maintenance"
 )
 
-func TestJudge(t *testing.T) {
+func TestDecideOwnership(t *testing.T) {
 	at := func(epoch uint64) *State { return &State{Version: FormatVersion, Epoch: epoch} }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		found *State
 		runs  bool
@@ -21,51 +21,51 @@
 		{"a newer one's that runs", at(4), true, Yield},
 		{"a newer one's that died", at(4), false, Reclaim},
 	} {
-		if got := DecideOwnership(c.found, 3, c.runs); got != c.want {
-			t.Errorf("%s: %d", c.name, got)
+		if got := DecideOwnership(test.found, 3, test.runs); got != test.want {
+			t.Errorf("%s: %d", test.name, got)
 		}
 	}
 }
 
-func TestTakes(t *testing.T) {
+func TestUsableParts(t *testing.T) {
 	s := &State{Version: FormatVersion, Node: "n0", WrittenAt: 100 * time.Second}
-	for _, c := range []struct {
-		name            string
-		s               *State
-		node            string
-		now             time.Duration
-		words, measured bool
+	for _, test := range []struct {
+		name                  string
+		s                     *State
+		node                  string
+		now                   time.Duration
+		records, measurements bool
 	}{
 		{"fresh", s, "n0", 101 * time.Second, true, true},
 		{"of a clock that was set back an hour", s, "n0", 100*time.Second - time.Hour, true, false},
-		{"of a clock that was slewed", s, "n0", 100*time.Second - clockNoise/2, true, true},
+		{"of a clock that was slewed", s, "n0", 100*time.Second - clockTolerance/2, true, true},
 		{"old", s, "n0", 200 * time.Second, true, false},
 		{"another node's", s, "n1", 101 * time.Second, false, false},
 		{"of a later form", &State{Version: FormatVersion + 1, Node: "n0"}, "n0", 0, false, false},
 		{"none", nil, "n0", 0, false, false},
 	} {
-		if words, measured := UsableParts(c.s, c.node, c.now); words != c.words || measured != c.measured {
-			t.Errorf("%s: %v, %v", c.name, words, measured)
+		if records, measurements := UsableParts(test.s, test.node, test.now); records != test.records || measurements != test.measurements {
+			t.Errorf("%s: %v, %v", test.name, records, measurements)
 		}
 	}
 }
 
-// A server that was taken back into use two seconds before a state was written has been in use
-// for two seconds at least, and for no longer than is certain, whichever way the clock stepped
-// before the next process read it.
-func TestWordsKeepTheirAgeThroughAStepOfTheClock(t *testing.T) {
+// A server that returned to service two seconds before the state was written counts as returned at
+// least two seconds ago, and no longer than is certain, whichever way the clock stepped before the
+// next process read the state.
+func TestMaintenanceRecordsKeepTheirAgeOverClockSteps(t *testing.T) {
 	const written = time.Hour * 1000
 	s := &State{WrittenAt: written, Maintenance: []maintenance.Record{
 		{ID: "back", EnteredAt: written - time.Minute, ExitedAt: written - 2*time.Second, StartedAt: written - time.Hour},
 		{ID: "out", InMaintenance: true, EnteredAt: written - time.Minute}}}
 	for now, age := range map[time.Duration]time.Duration{written + time.Second: 3 * time.Second, written: 2 * time.Second,
 		written + time.Hour: 2 * time.Second, written - time.Hour: 2 * time.Second, written + time.Minute: 2 * time.Second} {
-		words := MaintenanceRecords(s, now)
-		if got := now - words[0].ExitedAt; got != age {
+		records := MaintenanceRecords(s, now)
+		if got := now - records[0].ExitedAt; got != age {
 			t.Errorf("read %v after it was written: back for %v, want %v", now-written, got, age)
 		}
-		if words[0].EnteredAt >= words[0].ExitedAt || words[0].StartedAt != s.Maintenance[0].StartedAt || !words[1].InMaintenance || words[1].ExitedAt != 0 {
-			t.Errorf("read %v after it was written: %+v", now-written, words)
+		if records[0].EnteredAt >= records[0].ExitedAt || records[0].StartedAt != s.Maintenance[0].StartedAt || !records[1].InMaintenance || records[1].ExitedAt != 0 {
+			t.Errorf("read %v after it was written: %+v", now-written, records)
 		}
 	}
 	if s.Maintenance[0].ExitedAt != written-2*time.Second {
@@ -73,40 +73,40 @@
 	}
 }
 
-// Two processes that know one another's numbers never hold more than the whole.
-func TestSharesStayWithinTheWhole(t *testing.T) {
-	for full := 8; full < 400; full += 7 {
-		if ConnectionLimit(full, 0, true) != full {
-			t.Fatalf("alone: %d of %d", ConnectionLimit(full, 0, true), full)
+// Two processes that know each other's counts never hold more than the total.
+func TestConnectionLimitsStayWithinTotal(t *testing.T) {
+	for total := 8; total < 400; total += 7 {
+		if ConnectionLimit(total, 0, true) != total {
+			t.Fatalf("alone: %d of %d", ConnectionLimit(total, 0, true), total)
 		}
-		for held := 0; held <= full; held++ {
-			mine := ConnectionLimit(full, held, false)
-			if mine < full/4 {
-				t.Fatalf("%d of %d is too little to begin with", mine, full)
+		for held := 0; held <= total; held++ {
+			own := ConnectionLimit(total, held, false)
+			if own < total/4 {
+				t.Fatalf("%d of %d is too little for a new process", own, total)
 			}
-			if held <= ConnectionLimit(full, 0, false) && held+mine > full {
-				t.Fatalf("%d held by another and %d here are over %d", held, mine, full)
+			if held <= ConnectionLimit(total, 0, false) && held+own > total {
+				t.Fatalf("%d held by another and %d here are over %d", held, own, total)
 			}
 		}
 	}
 }
 
-// A list goes before another only if it is both later and of a higher version.
-func TestWhichListGoesFirst(t *testing.T) {
+// A list supersedes another only if it is both later and of a higher generation.
+func TestIsNewerList(t *testing.T) {
 	own := State{Generation: 9, ListReceivedAt: 100}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		other State
 		want  bool
 	}{
 		{State{Generation: 10, ListReceivedAt: 101}, true},
-		{State{Generation: 10, ListReceivedAt: 99}, false},  // an old one of a discovery that has begun anew since
-		{State{Generation: 10, ListReceivedAt: 100}, false}, // the same word
-		{State{Generation: 8, ListReceivedAt: 101}, false},  // an answer that was overtaken
+		{State{Generation: 10, ListReceivedAt: 99}, false},  // from before a restart of discovery
+		{State{Generation: 10, ListReceivedAt: 100}, false}, // the same list
+		{State{Generation: 8, ListReceivedAt: 101}, false},  // an outdated answer
 		{State{Generation: 9, ListReceivedAt: 200}, false},
-		{State{Generation: 10}, false}, // never told
+		{State{Generation: 10}, false}, // never received
 	} {
-		if got := IsNewerList(own, c.other); got != c.want {
-			t.Errorf("%d at %d: %v", c.other.Generation, c.other.ListReceivedAt, got)
+		if got := IsNewerList(own, test.other); got != test.want {
+			t.Errorf("%d at %d: %v", test.other.Generation, test.other.ListReceivedAt, got)
 		}
 	}
 }
