--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,93 +13,93 @@
 	"ivylock/membership"
 )
 
-// Update is what a call to discovery brought; a Kind of ListFailed says that it
-// brought nothing.
+// Update is the outcome of a call to discovery; a Kind of ListFailed means that it returned no
+// list.
 type Update struct {
 	Kind    balance.ListKind
-	Failure Failure // of ListFailed
+	Failure Failure // if Kind is ListFailed
 	List    List
 	Source  *Client // nil: from the configuration
 }
 
-// Client keeps one source of the list: it carries out what a membership.Poller wants, on
-// a goroutine of its own, and hands what holds to post, in order.
+// Client polls one source of the list: it carries out the actions of a membership.Poller on its own
+// goroutine and passes accepted updates to publish in order.
 type Client struct {
-	base   string
-	client *http.Client
-	post   func(Update)
-	ctx    context.Context // of all calls
-	end    context.CancelFunc
-	start  time.Time
-	caller *membership.Poller // run's
-	calls  map[membership.CallID]context.CancelFunc
-	came   chan came
-	poke   chan struct{} // something is wanted
+	baseURL    string
+	httpClient *http.Client
+	publish    func(Update)
+	ctx        context.Context // parent of all calls
+	cancelAll  context.CancelFunc
+	start      time.Time
+	poller     *membership.Poller // used by run only
+	cancelCall map[membership.CallID]context.CancelFunc
+	callResult chan callResult
+	wake       chan struct{} // signals that pending is not empty
 
-	mu    sync.Mutex
-	wants []membership.Event // that the goroutine has not seen yet; a later one of a kind replaces an earlier one
+	mu      sync.Mutex
+	pending []membership.Event // not yet handled by run; a later event replaces an earlier one of the same type
 }
 
-// came is what a call brought.
-type came struct {
-	id   membership.CallID
-	list List
-	why  Failure
+// callResult is the outcome of a call.
+type callResult struct {
+	id      membership.CallID
+	list    List
+	failure Failure
 }
 
-// New makes a client for discovery at an address, and calls it from then on.
-func New(addr string, set membership.Settings, from membership.InitialState, post func(Update)) *Client {
-	d := newClient(addr, set, from, post)
+// New returns a client for discovery at an address and starts polling.
+func New(addr string, settings membership.Settings, initial membership.InitialState, publish func(Update)) *Client {
+	d := newClient(addr, settings, initial, publish)
 	go d.run()
 	return d
 }
 
-func newClient(addr string, set membership.Settings, from membership.InitialState, post func(Update)) *Client {
-	ctx, end := context.WithCancel(context.Background())
-	return &Client{base: "http://" + addr + "/discovery/hosts", post: post, ctx: ctx, end: end, start: time.Now(),
-		client: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}},
-		caller: membership.NewPoller(set, from, 0), calls: map[membership.CallID]context.CancelFunc{}, came: make(chan came), poke: make(chan struct{}, 1)}
+func newClient(addr string, settings membership.Settings, initial membership.InitialState, publish func(Update)) *Client {
+	ctx, cancelAll := context.WithCancel(context.Background())
+	return &Client{baseURL: "http://" + addr + "/discovery/hosts", publish: publish, ctx: ctx, cancelAll: cancelAll, start: time.Now(),
+		httpClient: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}},
+		poller:     membership.NewPoller(settings, initial, 0), cancelCall: map[membership.CallID]context.CancelFunc{}, callResult: make(chan callResult), wake: make(chan struct{}, 1)}
 }
 
-// RestartWatch has a new watch begun at once: what the running one would bring is doubted.
-func (d *Client) RestartWatch() { d.want(membership.RestartRequested{}) }
+// RestartWatch starts a new watch at once: the result of the current one is no longer trusted.
+func (d *Client) RestartWatch() { d.enqueue(membership.RestartRequested{}) }
 
-// HedgeWatch has the service asked beside the watch, which may have fallen silent.
-func (d *Client) HedgeWatch() { d.want(membership.HedgeRequested{}) }
+// HedgeWatch makes a second call beside the watch, which may have stalled.
+func (d *Client) HedgeWatch() { d.enqueue(membership.HedgeRequested{}) }
 
-// SetNodes says how many equal nodes call the same discovery by now.
-func (d *Client) SetNodes(nodes float64) { d.want(membership.NodesChanged{Nodes: nodes}) }
+// SetNodes sets the current number of equal nodes that call the same discovery.
+func (d *Client) SetNodes(nodes float64) { d.enqueue(membership.NodesChanged{Nodes: nodes}) }
 
-// want never waits: the goroutine may be waiting for whoever calls.
-func (d *Client) want(e membership.Event) {
+// enqueue never blocks: run may be waiting for the goroutine that calls it.
+func (d *Client) enqueue(e membership.Event) {
 	d.mu.Lock()
-	d.wants = append(slices.DeleteFunc(d.wants, func(x membership.Event) bool { return reflect.TypeOf(x) == reflect.TypeOf(e) }), e)
+	d.pending = append(slices.DeleteFunc(d.pending, func(x membership.Event) bool { return reflect.TypeOf(x) == reflect.TypeOf(e) }), e)
 	d.mu.Unlock()
 	select {
-	case d.poke <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Close ends all calls and gives up their connections. What is on its way to post may
-// still come.
+// Close cancels all calls and closes their connections. Updates already on their way may still be
+// published.
 func (d *Client) Close() {
-	d.end()
-	d.client.CloseIdleConnections()
+	d.cancelAll()
+	d.httpClient.CloseIdleConnections()
 }
 
 func (d *Client) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(time.Until(d.start.Add(d.caller.Next())))
+		timer.Reset(time.Until(d.start.Add(d.poller.Next())))
 		select {
 		case <-d.ctx.Done():
 			return
 		case <-timer.C:
-			d.handle(membership.Ticked{}, came{})
-		case a := <-d.came:
-			switch a.why {
+			d.handle(membership.Ticked{}, callResult{})
+		case a := <-d.callResult:
+			switch a.failure {
 			case NoFailure:
 				d.handle(membership.Answered{Call: a.id, Full: a.list.Full, Generation: a.list.Generation}, a)
 			case Rejected:
@@ -107,53 +107,54 @@
 			default:
 				d.handle(membership.Failed{Call: a.id, Reason: membership.Unanswered}, a)
 			}
-		case <-d.poke:
+		case <-d.wake:
 			d.mu.Lock()
-			wants := d.wants
-			d.wants = nil
+			pending := d.pending
+			d.pending = nil
 			d.mu.Unlock()
-			for _, e := range wants {
-				d.handle(e, came{})
+			for _, e := range pending {
+				d.handle(e, callResult{})
 			}
 		}
 	}
 }
 
-// handle tells the caller, with what a call brought, and carries out what it wants.
-func (d *Client) handle(e membership.Event, with came) {
-	for _, a := range d.caller.Handle(time.Since(d.start), e) {
+// handle passes an event to the poller, with the result of a call if there is one, and carries out
+// the resulting actions.
+func (d *Client) handle(e membership.Event, result callResult) {
+	for _, a := range d.poller.Handle(time.Since(d.start), e) {
 		switch a := a.(type) {
 		case membership.Call:
 			ctx, cancel := context.WithTimeout(d.ctx, a.Timeout)
-			d.calls[a.ID] = cancel
+			d.cancelCall[a.ID] = cancel
 			go func() {
 				defer cancel()
-				list, why := d.call(ctx, a)
+				list, failure := d.call(ctx, a)
 				select {
-				case d.came <- came{a.ID, list, why}:
+				case d.callResult <- callResult{a.ID, list, failure}:
 				case <-d.ctx.Done():
 				}
 			}()
 		case membership.Cancel:
-			d.calls[a.ID]()
-			delete(d.calls, a.ID)
+			d.cancelCall[a.ID]()
+			delete(d.cancelCall, a.ID)
 		case membership.Accept:
-			delete(d.calls, a.Call)
+			delete(d.cancelCall, a.Call)
 			kind := balance.ListChanges
-			if with.list.Full {
+			if result.list.Full {
 				kind = balance.ListFull
 			}
-			d.post(Update{Kind: kind, List: with.list, Source: d})
+			d.publish(Update{Kind: kind, List: result.list, Source: d})
 		case membership.WatchLost:
-			why := with.why
+			failure := result.failure
 			switch e.(type) {
-			case membership.Answered: // it was no whole list where one was asked for
-				why = Unreadable
+			case membership.Answered: // it was not the full list that was requested
+				failure = Unreadable
 			case membership.Ticked:
-				why = Unanswered // within its limit
+				failure = Unanswered // timed out
 			}
-			d.post(Update{Kind: balance.ListFailed, Failure: why, Source: d})
+			d.publish(Update{Kind: balance.ListFailed, Failure: failure, Source: d})
 		}
 	}
-	delete(d.calls, with.id)
+	delete(d.cancelCall, result.id)
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,5 @@
-// Package discovery calls the platform's discovery for the list of servers, as the
-// protocol page says, and reads what it answers. When it is called, and which answer
-// holds, package membership decides.
+// Package discovery requests the list of servers from the platform's discovery and decodes its
+// answers. Package membership decides when it is called and which answers are valid.
 package discovery
 
 import (
@@ -19,11 +18,13 @@
 )
 
 const (
-	dialTimeout  = time.Second // for a connection: one that was begun while discovery was cut off may come up seconds after its return
+	// Bounds connecting: a connection attempt begun while discovery was unreachable may complete
+	// only seconds after its return.
+	dialTimeout  = time.Second
 	maxListBytes = 4 << 20
 )
 
-// Entry is a backend in discovery's form.
+// Entry is a server in discovery's format.
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -35,38 +36,39 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// List is an answer of discovery: the whole list (Reset) or what changed.
+// List is an answer of discovery: the full list (Full) or the changes.
 type List struct {
 	Generation uint64
 	Full       bool
 	Instances  []Entry
-	Skipped    int // entries that could not be read
-	// Date is discovery's own time when it answered (HTTP's Date, whole seconds);
-	// zero if it told none.
+	Skipped    int // entries that could not be decoded
+	// Date is discovery's clock at the time of the answer (HTTP's Date, whole seconds); zero if
+	// unknown.
 	Date time.Time
 }
 
-// LifecycleStates are discovery's words for what the decision module knows.
+// LifecycleStates maps discovery's lifecycle values to the states of the decision module.
 var LifecycleStates = map[string]balance.ServerState{
 	"up": balance.Ready, "draining": balance.Draining, "removed": balance.Removed,
 }
 
-// ParseList reads an answer of discovery. It skips malformed entries; a list without its frame is an error.
+// ParseList decodes an answer of discovery. It skips malformed entries; a list without generation
+// or instances is an error.
 func ParseList(raw []byte) (List, error) {
-	var in struct {
+	var message struct {
 		Generation *uint64            `json:"generation"`
 		Reset      bool               `json:"reset"`
 		Instances  *[]json.RawMessage `json:"instances"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return List{}, err
 	}
-	if in.Generation == nil || in.Instances == nil {
-		// Guards against an empty object that would empty the fleet.
+	if message.Generation == nil || message.Instances == nil {
+		// Guards against an empty object that would remove all servers.
 		return List{}, errors.New("generation or instances are missing")
 	}
-	l := List{Generation: *in.Generation, Full: in.Reset}
-	for _, raw := range *in.Instances {
+	l := List{Generation: *message.Generation, Full: message.Reset}
+	for _, raw := range *message.Instances {
 		if e, ok := parseEntry(raw); ok {
 			l.Instances = append(l.Instances, e)
 		} else {
@@ -76,9 +78,9 @@
 	return l, nil
 }
 
-// parseEntry reads an entry. A server that is up needs all of it; that one drains or is
-// gone counts whatever else is wrong with its entry: guards against sending to a server
-// that was announced as leaving.
+// parseEntry decodes an entry. An entry of a server that is up must be complete; one of a draining
+// or removed server counts despite other errors: guards against sending requests to a server that
+// was announced as leaving.
 func parseEntry(raw []byte) (e Entry, ok bool) {
 	err := json.Unmarshal(raw, &e)
 	state, known := LifecycleStates[e.Lifecycle]
@@ -95,34 +97,33 @@
 	return e, err == nil
 }
 
-// Failure says why a call to discovery brought no list.
+// Failure is why a call to discovery returned no list.
 type Failure int
 
 const (
-	// NoFailure: it brought one.
+	// NoFailure: the call returned a list.
 	NoFailure Failure = iota
-	// Unanswered: it could not be called or did not answer.
+	// Unanswered: discovery could not be reached or did not answer.
 	Unanswered
-	// Rejected: it answered that it takes no more calls, or with another error.
+	// Rejected: discovery answered that it accepts no more calls, or with another error.
 	Rejected
-	// Truncated: its answer broke off.
+	// Truncated: the answer was cut short.
 	Truncated
-	// Unreadable: its answer was whole and is no list.
+	// Unreadable: the answer was complete but is not a list.
 	Unreadable
 	NumFailures
 )
 
-// call makes one call.
-func (d *Client) call(ctx context.Context, c membership.Call) (List, Failure) {
+func (d *Client) call(ctx context.Context, poll membership.Call) (List, Failure) {
 	query := ""
-	if !c.Full {
-		query = "?" + url.Values{"from": {strconv.FormatUint(c.From, 10)}, "hold_ms": {strconv.FormatInt(c.PollWait.Milliseconds(), 10)}}.Encode()
+	if !poll.Full {
+		query = "?" + url.Values{"from": {strconv.FormatUint(poll.From, 10)}, "hold_ms": {strconv.FormatInt(poll.PollWait.Milliseconds(), 10)}}.Encode()
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.base+query, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.baseURL+query, nil)
 	if err != nil {
 		return List{}, Unanswered
 	}
-	resp, err := d.client.Do(req)
+	resp, err := d.httpClient.Do(req)
 	if err != nil {
 		return List{}, Unanswered
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,8 +17,8 @@
 	"ivylock/membership"
 )
 
-// known begins with a list of a generation.
-func known(generation uint64) membership.InitialState {
+// withCachedList starts from a cached list of a generation.
+func withCachedList(generation uint64) membership.InitialState {
 	return membership.InitialState{Generation: generation, HaveList: true}
 }
 
@@ -37,24 +37,25 @@
 	}
 }
 
-// Whatever discovery answers in place of a list is told for what it is, and nothing of it is taken for one.
-func TestAnswersThatAreNoListsAreToldApart(t *testing.T) {
+// Every kind of invalid answer is reported as its kind of failure, and none of it is used as a
+// list.
+func TestFailureKindsOfCalls(t *testing.T) {
 	const list = `{"generation":3,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`
-	answer := func(status, length int, body string) string {
+	response := func(status, length int, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d Said\r\nContent-Length: %d\r\n\r\n%s", status, length, body)
 	}
-	for name, c := range map[string]struct {
-		say  string
+	for name, test := range map[string]struct {
+		raw  string
 		want Failure
 	}{
-		"a list":           {answer(200, len(list), list), NoFailure},
-		"broken off":       {answer(200, len(list), list[:len(list)/2]), Truncated},
-		"broken in a head": {"HTTP/1.1 200 Sa", Unanswered},
+		"a list":           {response(200, len(list), list), NoFailure},
+		"truncated":        {response(200, len(list), list[:len(list)/2]), Truncated},
+		"truncated header": {"HTTP/1.1 200 Sa", Unanswered},
 		"chunks end":       {"HTTP/1.1 200 Said\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n" + list[:20], Truncated},
-		"no JSON":          {answer(200, 4, "\x00\xff{]"), Unreadable},
-		"half a list":      {answer(200, len(list)/2, list[:len(list)/2]), Unreadable},
-		"no frame":         {answer(200, 2, "{}"), Unreadable},
-		"turned away":      {answer(503, len(list), list), Rejected},
+		"no JSON":          {response(200, 4, "\x00\xff{]"), Unreadable},
+		"half a list":      {response(200, len(list)/2, list[:len(list)/2]), Unreadable},
+		"no fields":        {response(200, 2, "{}"), Unreadable},
+		"rejected":         {response(503, len(list), list), Rejected},
 		"no HTTP":          {"hello\r\n\r\n", Unanswered},
 		"nothing":          {"", Unanswered},
 	} {
@@ -62,23 +63,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go http.Serve(l, hijacker(c.say))
-		heard := make(chan Update, 4)
-		d := New(l.Addr().String(), membership.Settings{}, known(0), func(n Update) { heard <- n })
+		go http.Serve(l, hijacker(test.raw))
+		updates := make(chan Update, 4)
+		d := New(l.Addr().String(), membership.Settings{}, withCachedList(0), func(n Update) { updates <- n })
 		select {
-		case n := <-heard:
-			if n.Failure != c.want || (n.Kind == balance.ListFailed) != (c.want != NoFailure) || (len(n.List.Instances) > 0) != (c.want == NoFailure) {
+		case n := <-updates:
+			if n.Failure != test.want || (n.Kind == balance.ListFailed) != (test.want != NoFailure) || (len(n.List.Instances) > 0) != (test.want == NoFailure) {
 				t.Errorf("%s: %+v", name, n)
 			}
 		case <-time.After(20 * time.Second):
-			t.Errorf("%s: nothing was told", name)
+			t.Errorf("%s: no update", name)
 		}
 		d.Close()
 		l.Close()
 	}
 }
 
-// hijacker answers with these bytes and closes.
+// hijacker responds with these bytes and closes the connection.
 type hijacker string
 
 func (h hijacker) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
@@ -88,20 +89,20 @@
 	}
 }
 
-// A watch that falls silent under a held call is found out within 1 s of the hold, well before what it misses counts as
-// told, and what comes meanwhile is not lost. One that was turned away is not asked beside itself.
-func TestASilentWatchIsFoundOut(t *testing.T) {
-	var calls, away atomic.Int64
+// A watch that stalls during a long poll is detected well before what it misses counts as notified.
+// After a rejection the watch is not hedged.
+func TestStalledWatchIsDetected(t *testing.T) {
+	var calls, overloaded atomic.Int64
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
 		n := calls.Add(1)
 		hold := r.URL.Query().Get("hold_ms")
 		switch {
-		case away.Load() == 1:
+		case overloaded.Load() == 1:
 			http.Error(w, "crowded", http.StatusServiceUnavailable)
 		case n == 1:
 			fmt.Fprint(w, `{"generation":3,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`)
-		case hold != "0": // nothing ever comes back
+		case hold != "0": // never answered
 			<-r.Context().Done()
 		default:
 			fmt.Fprint(w, `{"generation":4,"reset":false,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`)
@@ -109,68 +110,69 @@
 	})
 	server := httptest.NewServer(mux)
 	defer server.Close()
-	heard := make(chan Update, 16)
-	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{PollWait: membership.ShortPollWait + 200*time.Millisecond}, known(0), func(n Update) { heard <- n })
+	updates := make(chan Update, 16)
+	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{PollWait: membership.ShortPollWait + 200*time.Millisecond}, withCachedList(0), func(n Update) { updates <- n })
 	defer d.Close()
-	if n := <-heard; n.List.Generation != 3 {
+	if n := <-updates; n.List.Generation != 3 {
 		t.Fatalf("%+v", n)
 	}
-	from := time.Now()
-	n := <-heard
-	if took := time.Since(from); n.List.Generation != 4 || took < 1900*time.Millisecond || took > 5*time.Second {
+	began := time.Now()
+	n := <-updates
+	if took := time.Since(began); n.List.Generation != 4 || took < 1900*time.Millisecond || took > 5*time.Second {
 		t.Errorf("after %v: %+v", took, n)
 	}
-	away.Store(1)
+	overloaded.Store(1)
 	before := calls.Load()
 	for n.Kind != balance.ListFailed {
-		n = <-heard
+		n = <-updates
 	}
 	if n.Failure != Rejected || calls.Load() > before+2 {
 		t.Errorf("%+v after %d calls", n, calls.Load()-before)
 	}
 }
 
-// Calls that never came up while discovery was cut off hold up none that is made once it
-// can be reached again, although what they began still knocks at long intervals.
-func TestConnectionsThatNeverCameUpHoldUpNoLaterCall(t *testing.T) {
+// Connection attempts begun while discovery was unreachable do not delay later calls, although the
+// kernel still retries them at long intervals.
+func TestPendingConnectionsDoNotDelayLaterCalls(t *testing.T) {
 	held := nodetest.NewHeldListener(t)
-	d := newClient(held.Addr().String(), membership.Settings{}, known(0), nil)
+	d := newClient(held.Addr().String(), membership.Settings{}, withCachedList(0), nil)
 	defer d.Close()
-	ask := func() (List, Failure) {
+	poll := func() (List, Failure) {
 		ctx, cancel := context.WithTimeout(d.ctx, membership.CallTimeout)
 		defer cancel()
 		return d.call(ctx, membership.Call{Full: true})
 	}
-	from := time.Now()
-	var all sync.WaitGroup
+	began := time.Now()
+	var group sync.WaitGroup
 	for range 4 {
-		all.Go(func() {
-			if l, why := ask(); why != Unanswered {
-				t.Errorf("%v, %+v", why, l)
+		group.Go(func() {
+			if l, failure := poll(); failure != Unanswered {
+				t.Errorf("%v, %+v", failure, l)
 			}
 		})
 	}
-	all.Wait()
-	time.Sleep(time.Until(from.Add(3200 * time.Millisecond))) // the kernel has knocked at 3 s, and does not before 4 s
+	group.Wait()
+	// The kernel has retried the connections at 3 s and does not retry before 4 s.
+	time.Sleep(time.Until(began.Add(3200 * time.Millisecond)))
 	held.LetGo(t)
 	go http.Serve(held, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"generation":3,"reset":true,"instances":[]}`)
 	}))
-	from = time.Now()
-	if l, why := ask(); why != NoFailure || l.Generation != 3 || time.Since(from) > 600*time.Millisecond {
-		t.Errorf("once it can be reached, after %v: %v, %+v", time.Since(from), why, l)
+	began = time.Now()
+	if l, failure := poll(); failure != NoFailure || l.Generation != 3 || time.Since(began) > 600*time.Millisecond {
+		t.Errorf("once discovery is reachable, after %v: %v, %+v", time.Since(began), failure, l)
 	}
 }
 
-// Changes of an earlier version than the last one are of a service that began anew: they
-// would leave in use what is gone, so the whole list is asked for.
-func TestAfterChangesOfAnEarlierVersionTheWholeListIsAsked(t *testing.T) {
-	var asked []string
+// Changes of an earlier generation come from a restarted discovery: applying them would keep
+// removed servers in use, so the full list is requested.
+func TestFullListIsRequestedAfterEarlierGeneration(t *testing.T) {
+	var requested []string
 	var mu sync.Mutex
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		asked = append(asked, r.URL.Query().Get("from"))
+		requested = append(requested, r.URL.Query().Get("from"))
 		switch {
 		case r.URL.RawQuery == "":
 			fmt.Fprint(w, `{"generation":2,"reset":true,"instances":[{"instanceId":"b","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`)
@@ -181,24 +183,24 @@
 		}
 	}))
 	defer server.Close()
-	heard := make(chan Update, 16)
-	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, known(40), func(n Update) { heard <- n })
+	updates := make(chan Update, 16)
+	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(40), func(n Update) { updates <- n })
 	defer d.Close()
-	if n := <-heard; n.Kind != balance.ListFull || len(n.List.Instances) != 1 {
+	if n := <-updates; n.Kind != balance.ListFull || len(n.List.Instances) != 1 {
 		t.Errorf("%+v", n)
 	}
-	if n := <-heard; n.Kind != balance.ListFailed {
+	if n := <-updates; n.Kind != balance.ListFailed {
 		t.Errorf("%+v", n)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if got := strings.Join(asked, " "); got != "40  2" {
-		t.Errorf("asked from %q", got)
+	if got := strings.Join(requested, " "); got != "40  2" {
+		t.Errorf("requested from %q", got)
 	}
 }
 
-// That a server leaves is read whatever else is wrong with its entry.
-func TestLeavingIsReadFromMalformedEntries(t *testing.T) {
+// A draining server's entry is accepted whatever else is wrong with it.
+func TestDrainingIsReadFromMalformedEntries(t *testing.T) {
 	l, err := ParseList([]byte(`{"generation":3,"reset":false,"instances":[
 		{"instanceId":"a","lifecycle":"draining","hostPort":7,"weight":"x"},{"instanceId":"b","lifecycle":"draining"},
 		{"instanceId":"c","lifecycle":"up","hostPort":"127.0.0.1"},{"instanceId":"d","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}]}`))
@@ -207,9 +209,9 @@
 	}
 }
 
-// What a watch that was ended had on its way comes after the next one's answer: it is older, and would put a server back
-// into use that drains.
-func TestAnswersOfAWatchThatEndedAreIgnored(t *testing.T) {
+// An answer of a canceled watch that arrives after the next watch's answer is outdated: it would
+// put a draining server back into use.
+func TestAnswersOfCanceledWatchAreIgnored(t *testing.T) {
 	list := func(generation int, lifecycle string) string {
 		return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":%q}]}`, generation, lifecycle)
 	}
@@ -228,29 +230,28 @@
 		}
 	}))
 	defer server.Close()
-	heard := make(chan Update, 16)
-	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, known(7), func(n Update) { heard <- n })
+	updates := make(chan Update, 16)
+	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(7), func(n Update) { updates <- n })
 	<-first
 	d.RestartWatch()
-	if n := <-heard; n.List.Generation != 9 {
+	if n := <-updates; n.List.Generation != 9 {
 		t.Errorf("%+v", n)
 	}
 	close(release)
-	d.RestartWatch() // one more answer behind it, to be sure that it has come
-	if n := <-heard; n.List.Generation != 9 {
+	d.RestartWatch() // forces one more answer after the late one
+	if n := <-updates; n.List.Generation != 9 {
 		t.Errorf("%+v", n)
 	}
 	d.Close()
 	select {
-	case n := <-heard:
+	case n := <-updates:
 		t.Errorf("%+v", n)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-// The time that discovery words in an answer comes with the list; one that it does not word, or
-// words badly, is none.
-func TestDiscoverysOwnTimeIsTold(t *testing.T) {
+// The Date header of an answer is passed on with the list; a missing or malformed one is zero.
+func TestDateHeaderOfAnswerIsReported(t *testing.T) {
 	for date, want := range map[string]time.Time{"Wed, 02 Dec 2026 12:00:00 GMT": time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC), "noon": {}, "": {}} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header()["Date"] = nil
@@ -259,20 +260,20 @@
 			}
 			fmt.Fprint(w, `{"generation":9,"reset":true,"instances":[]}`)
 		}))
-		heard := make(chan Update, 100)
-		d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, known(0), func(n Update) {
+		updates := make(chan Update, 100)
+		d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(0), func(n Update) {
 			select {
-			case heard <- n:
+			case updates <- n:
 			default:
 			}
 		})
 		select {
-		case n := <-heard:
+		case n := <-updates:
 			if n.Kind == balance.ListFailed || !n.List.Date.Equal(want) {
 				t.Errorf("%q: %+v", date, n)
 			}
 		case <-time.After(nodetest.Patience):
-			t.Errorf("%q: nothing came", date)
+			t.Errorf("%q: no update", date)
 		}
 		d.Close()
 		server.Close()
