--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -20,99 +20,100 @@
 )
 
 const (
-	stateName = "ivylock.state"
-	newsName  = "ivylock.news" // the list as a process that no longer speaks for the node was told it
-	lockName  = "ivylock.lock"
-	runPrefix = "ivylock-" // and the process's id
-	runSuffix = ".run"
-	maxRuns   = 64 // files of processes that are looked at
+	stateName   = "ivylock.state"
+	listName    = "ivylock.news" // the list as received by a process that no longer owns the node's state
+	lockName    = "ivylock.lock"
+	runPrefix   = "ivylock-" // followed by the process's id
+	runSuffix   = ".run"
+	maxRunFiles = 64 // limit of process files examined
 
-	exchangeEvery = 50 * time.Millisecond
+	exchangeInterval = 50 * time.Millisecond
 
-	lockTime  = time.Second          // for a process that holds the lock to give it back
-	lockPause = 2 * time.Millisecond // between two tries
+	lockTimeout       = time.Second          // for waiting until another process releases the lock
+	lockRetryInterval = 2 * time.Millisecond // between two attempts
 )
 
-// errLocked says that another process has held the lock for too long: it stands still, or
-// its disk does.
+// errLocked means that another process has held the lock for too long: it is paused, or its disk is
+// blocked.
 var errLocked = errors.New("handover: another process holds the lock")
 
-// ErrTakenOver says that a newer process speaks for the node.
+// ErrTakenOver means that a newer process owns the node's state.
 var ErrTakenOver = errors.New("a newer process has taken over; its console knows")
 
-// Usage is what a process holds of what is one node's.
+// Usage is the number of connections that a process holds.
 type Usage struct{ Clients, Backends int }
 
-// SharedDir are what the processes of one node share in a folder: the state, a
-// lock round each change of it, and for each process a file that it keeps
-// locked while it lives and that tells what it holds.
+// SharedDir is the directory shared by the processes of one node. It contains the state, a lock
+// that serializes its updates, and one file per process, which the process keeps locked while it is
+// alive and in which it reports its usage.
 type SharedDir struct {
 	dir, node string
-	id        int      // of this process, drawn at its start: numbers of processes differ by who looks
-	run       *os.File // locked by this process for its life
+	id        int      // of this process, random: process numbers depend on the PID namespace
+	runFile   *os.File // locked while this process is alive
 	mu        sync.Mutex
-	epoch     uint64                 // of this process's ownership; 0: none yet
-	seen      map[string]os.FileInfo // the files that News has read, by name
+	epoch     uint64                 // of this process's ownership; 0: never owned
+	lastRead  map[string]os.FileInfo // the files last read by PollNewer, by name
 
-	saidMu sync.Mutex // not the other one, which is held while a disk takes its time
-	said   told       // by this process in its own file
+	// Separate from mu, which is held during slow disk operations.
+	reportMu  sync.Mutex
+	ownReport processReport // in this process's own file
 }
 
-// Open joins the processes of a node that share a folder.
+// Open registers a new process of a node in the node's directory.
 func Open(dir, node string) (*SharedDir, error) {
-	for range maxRuns {
+	for range maxRunFiles {
 		id := rand.IntN(math.MaxInt32) + 1
-		run, err := os.OpenFile(filepath.Join(dir, runPrefix+strconv.Itoa(id)+runSuffix), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
+		runFile, err := os.OpenFile(filepath.Join(dir, runPrefix+strconv.Itoa(id)+runSuffix), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 		if errors.Is(err, os.ErrExist) {
 			continue
 		}
 		if err != nil {
 			return nil, fmt.Errorf("handover: %w", err)
 		}
-		if err := syscall.Flock(int(run.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
-			// Guards against one who took the file for a dead process's before it was locked.
-			if _, err := os.Stat(run.Name()); err == nil {
-				return &SharedDir{dir: dir, node: node, id: id, run: run, seen: map[string]os.FileInfo{}}, nil
+		if err := syscall.Flock(int(runFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
+			// Guards against a process that removed the file as a dead process's before it was
+			// locked.
+			if _, err := os.Stat(runFile.Name()); err == nil {
+				return &SharedDir{dir: dir, node: node, id: id, runFile: runFile, lastRead: map[string]os.FileInfo{}}, nil
 			}
 		}
-		run.Close()
+		runFile.Close()
 	}
-	return nil, fmt.Errorf("handover: no file of its own in %s", dir)
+	return nil, fmt.Errorf("handover: cannot create a process file in %s", dir)
 }
 
-// Close leaves the others.
-func (f *SharedDir) Close() error {
-	os.Remove(f.run.Name())
-	return f.run.Close()
+// Close unregisters the process.
+func (d *SharedDir) Close() error {
+	os.Remove(d.runFile.Name())
+	return d.runFile.Close()
 }
 
-// lock keeps other processes from the state until the returned call. It waits for a
-// bounded time: guards against a process that never starts, or never ends, because
-// another one stands still while it holds the lock.
-func (f *SharedDir) lock() (unlock func(), err error) {
-	l, err := os.OpenFile(filepath.Join(f.dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+// lock excludes other processes from the state until unlock is called. The wait is bounded: guards
+// against hanging at startup or shutdown because another process is paused while it holds the lock.
+func (d *SharedDir) lock() (unlock func(), err error) {
+	lockFile, err := os.OpenFile(filepath.Join(d.dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	for end := time.Now().Add(lockTime); ; time.Sleep(lockPause) {
-		err := syscall.Flock(int(l.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
+		err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
-			return func() { l.Close() }, nil
+			return func() { lockFile.Close() }, nil
 		}
 		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) {
-			l.Close()
+			lockFile.Close()
 			return nil, fmt.Errorf("handover: %w", err)
 		}
-		if time.Now().After(end) {
-			l.Close()
+		if time.Now().After(deadline) {
+			lockFile.Close()
 			return nil, errLocked
 		}
 	}
 }
 
-// read gives a state, nil if there is none.
-func (f *SharedDir) read(name string) (*handoff.State, error) {
-	file, err := os.Open(filepath.Join(f.dir, name))
+// read returns a state, nil if there is none.
+func (d *SharedDir) read(name string) (*handoff.State, error) {
+	file, err := os.Open(filepath.Join(d.dir, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -127,116 +128,115 @@
 	return Decode(raw)
 }
 
-// write puts the state in place whole: a reader sees the old one or the new one.
-func (f *SharedDir) write(name string, s *handoff.State) error {
-	s.Version, s.Epoch, s.Owner, s.Node = handoff.FormatVersion, f.epoch, f.id, f.node
+// write replaces a state atomically: a reader sees the old one or the new one.
+func (d *SharedDir) write(name string, s *handoff.State) error {
+	s.Version, s.Epoch, s.Owner, s.Node = handoff.FormatVersion, d.epoch, d.id, d.node
 	raw, err := Encode(s)
 	if err != nil {
 		return err
 	}
-	if err := durable.Write(filepath.Join(f.dir, name), raw); err != nil {
+	if err := durable.Write(filepath.Join(d.dir, name), raw); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
 }
 
-// TakeOwnership makes this process the one that speaks for the node, and gives the
-// state that it takes over, nil if there is none. What can't be read is told
-// in why and is a clean start.
-func (f *SharedDir) TakeOwnership() (found *handoff.State, why error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	unlock, err := f.lock()
+// TakeOwnership makes this process the owner of the node's state and returns the state found, nil
+// if there is none. If the state could not be read or replaced, failure says why; without a
+// readable state the process starts from nothing.
+func (d *SharedDir) TakeOwnership() (found *handoff.State, failure error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	unlock, err := d.lock()
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	// Nobody writes now: what is left of a write was a process's that died.
-	for _, name := range []string{stateName, newsName} {
-		if left, err := filepath.Glob(filepath.Join(f.dir, name+".*")); err == nil {
-			for _, name := range left {
+	// Nobody else writes now: temporary files are left over from processes that died.
+	for _, name := range []string{stateName, listName} {
+		if leftovers, err := filepath.Glob(filepath.Join(d.dir, name+".*")); err == nil {
+			for _, name := range leftovers {
 				os.Remove(name)
 			}
 		}
 	}
-	found, why = f.read(stateName)
-	f.epoch = f.latestEpoch() + 1 // where the state can't be read the processes that run tell theirs
+	found, failure = d.read(stateName)
+	d.epoch = d.highestEpoch() + 1 // if the state is unreadable, running processes still report their epochs
 	if found != nil {
-		f.epoch = max(f.epoch, found.Epoch+1)
+		d.epoch = max(d.epoch, found.Epoch+1)
 	}
-	f.say(func(t *told) { t.epoch = f.epoch })
-	next := handoff.State{}
+	d.updateReport(func(report *processReport) { report.epoch = d.epoch })
+	updated := handoff.State{}
 	if found != nil {
-		next = *found
+		updated = *found
 	}
-	if err := f.write(stateName, &next); err != nil && why == nil {
-		why = err
+	if err := d.write(stateName, &updated); err != nil && failure == nil {
+		failure = err
 	}
-	return found, why
+	return found, failure
 }
 
-// Store writes the state. If a newer process has owned it only the list is
-// written, as news for that one, and newer is what that one left: the
-// operators' words in it hold. If that process runs, the error is ErrTakenOver;
-// else this one speaks for the node again, and what it stores next is written.
-func (f *SharedDir) Store(s *handoff.State) (newer *handoff.State, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	unlock, err := f.lock()
+// Store writes the state. If a newer process has taken ownership, only the list is written, for
+// PollNewer of that process, and newer is the state that it left, whose maintenance records are
+// authoritative. If that process is running, the error is ErrTakenOver; otherwise this process
+// becomes the owner again, and its next state is written.
+func (d *SharedDir) Store(s *handoff.State) (newer *handoff.State, err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	unlock, err := d.lock()
 	if err != nil {
 		return nil, err
 	}
 	defer unlock()
-	found, _ := f.read(stateName) // one that can't be read is replaced
-	switch handoff.DecideOwnership(found, f.epoch, found != nil && f.runs(found.Owner)) {
+	found, _ := d.read(stateName) // an unreadable state is replaced
+	switch handoff.DecideOwnership(found, d.epoch, found != nil && d.isRunning(found.Owner)) {
 	case handoff.Yield:
 		if handoff.IsNewerList(*found, *s) {
-			err = f.write(newsName, &handoff.State{WrittenAt: s.WrittenAt, Generation: s.Generation, ListReceivedAt: s.ListReceivedAt, List: s.List})
+			err = d.write(listName, &handoff.State{WrittenAt: s.WrittenAt, Generation: s.Generation, ListReceivedAt: s.ListReceivedAt, List: s.List})
 		}
 		return found, errors.Join(ErrTakenOver, err)
 	case handoff.Reclaim:
-		f.epoch = found.Epoch + 1
-		f.say(func(t *told) { t.epoch = f.epoch })
+		d.epoch = found.Epoch + 1
+		d.updateReport(func(report *processReport) { report.epoch = d.epoch })
 		return found, nil
 	}
-	return nil, f.write(stateName, s)
+	return nil, d.write(stateName, s)
 }
 
-// PollNewer gives what another process of the node has written since the last call:
-// the state of a newer one, or the list that an older one was told. It is nil
-// if there is nothing new that can be read.
-func (f *SharedDir) PollNewer() (newest *handoff.State) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, name := range []string{stateName, newsName} {
-		info, err := os.Stat(filepath.Join(f.dir, name))
-		if err != nil || f.seen[name] != nil && os.SameFile(info, f.seen[name]) && info.ModTime().Equal(f.seen[name].ModTime()) {
-			continue // each write is a new file
+// PollNewer returns what another process of the node has written since the last call: the state of
+// a newer process, or the list received by an older one. It returns nil if there is nothing new
+// that is readable.
+func (d *SharedDir) PollNewer() (newest *handoff.State) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, name := range []string{stateName, listName} {
+		info, err := os.Stat(filepath.Join(d.dir, name))
+		if err != nil || d.lastRead[name] != nil && os.SameFile(info, d.lastRead[name]) && info.ModTime().Equal(d.lastRead[name].ModTime()) {
+			continue // each write creates a new file
 		}
-		f.seen[name] = info
-		s, err := f.read(name)
-		if err == nil && s != nil && s.Owner != f.id && s.Node == f.node && (newest == nil || handoff.IsNewerList(*newest, *s)) {
+		d.lastRead[name] = info
+		s, err := d.read(name)
+		if err == nil && s != nil && s.Owner != d.id && s.Node == d.node && (newest == nil || handoff.IsNewerList(*newest, *s)) {
 			newest = s
 		}
 	}
 	return newest
 }
 
-// CheckOwner tells whether this process speaks for the node; if not the error is
-// ErrTakenOver.
-func (f *SharedDir) CheckOwner() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	found, _ := f.read(stateName)
-	if handoff.DecideOwnership(found, f.epoch, found != nil && f.runs(found.Owner)) == handoff.Yield {
+// CheckOwner returns ErrTakenOver if a newer process owns the node's state and is running.
+func (d *SharedDir) CheckOwner() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	found, _ := d.read(stateName)
+	if handoff.DecideOwnership(found, d.epoch, found != nil && d.isRunning(found.Owner)) == handoff.Yield {
 		return ErrTakenOver
 	}
 	return nil
 }
 
-// runs tells whether a process holds its file.
-func (f *SharedDir) runs(id int) bool {
-	file, err := os.Open(filepath.Join(f.dir, runPrefix+strconv.Itoa(id)+runSuffix))
+// isRunning reports whether a process holds the lock on its file.
+func (d *SharedDir) isRunning(id int) bool {
+	file, err := os.Open(filepath.Join(d.dir, runPrefix+strconv.Itoa(id)+runSuffix))
 	if err != nil {
 		return false
 	}
@@ -244,12 +244,12 @@
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-// ExchangeUsage tells the others what this process holds, and gives what those
-// that run hold together, and whether there are none.
-func (f *SharedDir) ExchangeUsage(own Usage) (others Usage, alone bool) {
-	f.say(func(t *told) { t.Usage = own })
+// ExchangeUsage reports this process's usage to the others, and returns the total usage of the
+// others that are running, and whether there are none.
+func (d *SharedDir) ExchangeUsage(own Usage) (others Usage, alone bool) {
+	d.updateReport(func(report *processReport) { report.Usage = own })
 	alone = true
-	for _, r := range f.others() {
+	for _, r := range d.others() {
 		alone = false
 		others.Clients += max(0, r.Clients)
 		others.Backends += max(0, r.Backends)
@@ -257,64 +257,64 @@
 	return others, alone
 }
 
-// told is what a process says in its own file.
-type told struct {
+// processReport is the content of a process's file.
+type processReport struct {
 	Usage
 	epoch uint64
 }
 
-const toldForm = "%10d %10d %20d\n"
+const reportFormat = "%10d %10d %20d\n"
 
-// say changes what this process says, and writes it.
-func (f *SharedDir) say(change func(*told)) {
-	f.saidMu.Lock()
-	defer f.saidMu.Unlock()
-	change(&f.said)
-	f.run.WriteAt(fmt.Appendf(nil, toldForm, f.said.Clients, f.said.Backends, f.said.epoch), 0)
+// updateReport changes and writes this process's report.
+func (d *SharedDir) updateReport(change func(*processReport)) {
+	d.reportMu.Lock()
+	defer d.reportMu.Unlock()
+	change(&d.ownReport)
+	d.runFile.WriteAt(fmt.Appendf(nil, reportFormat, d.ownReport.Clients, d.ownReport.Backends, d.ownReport.epoch), 0)
 }
 
-// others gives what each other process that runs says, and removes the files of dead ones.
-func (f *SharedDir) others() (all []told) {
-	names, err := filepath.Glob(filepath.Join(f.dir, runPrefix+"*"+runSuffix))
+// others returns the reports of the other running processes, and removes the files of dead ones.
+func (d *SharedDir) others() (reports []processReport) {
+	names, err := filepath.Glob(filepath.Join(d.dir, runPrefix+"*"+runSuffix))
 	if err != nil {
 		return nil
 	}
-	for _, name := range names[:min(len(names), maxRuns)] {
-		number := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(name), runPrefix), runSuffix)
-		id, err := strconv.Atoi(number)
-		if err != nil || id == f.id {
+	for _, name := range names[:min(len(names), maxRunFiles)] {
+		idText := strings.TrimSuffix(strings.TrimPrefix(filepath.Base(name), runPrefix), runSuffix)
+		id, err := strconv.Atoi(idText)
+		if err != nil || id == d.id {
 			continue
 		}
-		if !f.runs(id) {
+		if !d.isRunning(id) {
 			os.Remove(name) // its process is dead
 			continue
 		}
-		var t told
+		var report processReport
 		if raw, err := os.ReadFile(name); err == nil {
-			fmt.Sscan(string(raw), &t.Clients, &t.Backends, &t.epoch)
+			fmt.Sscan(string(raw), &report.Clients, &report.Backends, &report.epoch)
 		}
-		all = append(all, t)
+		reports = append(reports, report)
 	}
-	return all
+	return reports
 }
 
-// latestEpoch is the highest one of the other processes that run.
-func (f *SharedDir) latestEpoch() (latest uint64) {
-	for _, t := range f.others() {
-		latest = max(latest, t.epoch)
+// highestEpoch returns the highest epoch of the other running processes.
+func (d *SharedDir) highestEpoch() (highest uint64) {
+	for _, report := range d.others() {
+		highest = max(highest, report.epoch)
 	}
-	return latest
+	return highest
 }
 
-// RunUsageExchange exchanges usage until ctx ends: held tells what this process holds,
-// set takes how much of the node's full it may hold from now on.
-func (f *SharedDir) RunUsageExchange(ctx context.Context, full Usage, held func() Usage, set func(most Usage, alone bool)) {
-	tick := time.NewTicker(exchangeEvery)
+// RunUsageExchange exchanges usage until ctx ends: current returns this process's usage, apply
+// receives its limit of the node's total.
+func (d *SharedDir) RunUsageExchange(ctx context.Context, total Usage, current func() Usage, apply func(limit Usage, alone bool)) {
+	tick := time.NewTicker(exchangeInterval)
 	defer tick.Stop()
 	for {
-		others, alone := f.ExchangeUsage(held())
-		set(Usage{Clients: handoff.ConnectionLimit(full.Clients, others.Clients, alone),
-			Backends: handoff.ConnectionLimit(full.Backends, others.Backends, alone)}, alone)
+		others, alone := d.ExchangeUsage(current())
+		apply(Usage{Clients: handoff.ConnectionLimit(total.Clients, others.Clients, alone),
+			Backends: handoff.ConnectionLimit(total.Backends, others.Backends, alone)}, alone)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -1,5 +1,5 @@
-// Package handover lets a new process take over from one that serves: the
-// listener that the platform holds for both.
+// Package handover lets a new process of a node take over from a running one: through the listening
+// socket that the platform holds for both and through a shared directory.
 package handover
 
 import (
@@ -9,13 +9,12 @@
 	"strconv"
 )
 
-// InheritedFDEnv is the variable that names the descriptor of the clients'
-// listening socket, where the platform holds it.
+// InheritedFDEnv is the environment variable with the descriptor of the listening socket for
+// clients, if the platform holds it.
 const InheritedFDEnv = "PROXY_INHERITED_FD"
 
-// Listen gives the clients' listener: the inherited one if fd names one, else
-// a new one at addr. Closing it leaves the platform's socket as it is, with
-// the connections that wait there.
+// Listen returns the listener for clients: the inherited one if fd is set, otherwise a new one at
+// addr. Closing it leaves the platform's socket open, with the connections waiting there.
 func Listen(addr, fd string) (l net.Listener, inherited bool, err error) {
 	if fd == "" {
 		l, err = net.Listen("tcp", addr)
@@ -23,13 +22,13 @@
 	}
 	n, err := strconv.ParseUint(fd, 10, 16)
 	if err != nil {
-		return nil, false, fmt.Errorf("%s: %q is no descriptor", InheritedFDEnv, fd)
+		return nil, false, fmt.Errorf("%s: %q is not a file descriptor", InheritedFDEnv, fd)
 	}
 	f := os.NewFile(uintptr(n), "clients")
 	if f == nil {
-		return nil, false, fmt.Errorf("%s: %d is no descriptor", InheritedFDEnv, n)
+		return nil, false, fmt.Errorf("%s: %d is not a file descriptor", InheritedFDEnv, n)
 	}
-	defer f.Close() // FileListener has its own
+	defer f.Close() // FileListener duplicates the descriptor
 	if l, err = net.FileListener(f); err != nil {
 		return nil, false, fmt.Errorf("%s: descriptor %d: %w", InheritedFDEnv, n, err)
 	}
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -11,15 +11,15 @@
 	"ivylock/handoff"
 )
 
-// MaxStateBytes bounds a state's text: a list of some 20,000 servers.
+// MaxStateBytes bounds the encoded state: a list of some 20,000 servers.
 const MaxStateBytes = 8 << 20
 
 const magic = "ivylock-state"
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode gives a state's text: a line with the form's version, the length and
-// the checksum (CRC-32C) of what follows, and that in JSON.
+// Encode encodes a state: a header line with the format version and the length and checksum
+// (CRC-32C) of the body, then the body in JSON.
 func Encode(s *handoff.State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -28,12 +28,12 @@
 	if len(body) > MaxStateBytes {
 		return nil, fmt.Errorf("state: %d bytes are over the bound of %d", len(body), MaxStateBytes)
 	}
-	head := fmt.Sprintf("%s %d %d %08x\n", magic, handoff.FormatVersion, len(body), crc32.Checksum(body, castagnoli))
-	return append([]byte(head), body...), nil
+	header := fmt.Sprintf("%s %d %d %08x\n", magic, handoff.FormatVersion, len(body), crc32.Checksum(body, castagnoli))
+	return append([]byte(header), body...), nil
 }
 
-// Decode reads a state's text. It believes nothing that is cut short, changed,
-// too long or of another form.
+// Decode decodes a state. It rejects one that is truncated, modified, too long or of another format
+// version.
 func Decode(raw []byte) (*handoff.State, error) {
 	line, body, whole := bytes.Cut(raw, []byte{'\n'})
 	if !whole || len(line) > 64 {
