--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings object that a deployment gives each node: once, for
-// the node's configuration and for the simulator's wire alike, into the decision module's
-// form. docs/settings.md has a row for each field. It does no I/O.
+// Package settings decodes the settings object that a deployment gives each node into the form of
+// the decision module, both for the node's configuration and for the simulator's protocol.
+// docs/settings.md describes each field. It does no I/O.
 package settings
 
 import (
@@ -17,10 +17,10 @@
 	"ivylock/guard"
 )
 
-// Error is what is wrong with settings, on one line.
+// Error describes an error in the settings on one line.
 type Error struct {
-	Field string // its place in the object; empty: the whole of it
-	Text  string // what is wrong and the fix
+	Field string // path of the field in the object; empty: the object itself
+	Text  string // the error and how to fix it
 }
 
 func (e *Error) Error() string {
@@ -30,54 +30,53 @@
 	return e.Field + ": " + e.Text
 }
 
-func fault(field, format string, args ...any) *Error {
+func newError(field, format string, args ...any) *Error {
 	return &Error{Field: field, Text: strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", " ")}
 }
 
-// Numbers as the object has them. A duration may be written as any number; the unit is in
-// its name.
+// Durations in the object; the unit is in the name of the field. Any JSON number is accepted.
 type (
 	nanos  float64
 	micros float64
 )
 
-// most is the longest time that is told from a longer one: what is above counts as it.
-const most = 100 * 365 * 24 * time.Hour
+// maxDuration is the longest duration; longer ones are reduced to it.
+const maxDuration = 100 * 365 * 24 * time.Hour
 
 func (n nanos) time() time.Duration {
-	return time.Duration(math.Min(float64(n), float64(most)))
+	return time.Duration(math.Min(float64(n), float64(maxDuration)))
 }
 
 func (m micros) time() time.Duration { return nanos(m * 1000).time() }
 
-// count is a whole number, which may be written as 2e4; what no machine counts to is cut.
-type count float64
+// wholeNumber may be written as 2e4; values above the largest int32 are reduced to it.
+type wholeNumber float64
 
-func (c count) int() int { return int(math.Min(float64(c), math.MaxInt32)) }
+func (c wholeNumber) int() int { return int(math.Min(float64(c), math.MaxInt32)) }
 
-// form is the object. Fields that it does not have are passed over: deployments have more
-// than these.
-type form struct {
+// rawSettings is the settings object. Unknown fields are ignored, as deployments have more than
+// these.
+type rawSettings struct {
 	Accounts []struct {
 		Name     string  `json:"name"`
 		Quota    float64 `json:"quota_per_s"`
 		Fraction float64 `json:"fraction"`
 	} `json:"accounts"`
-	Balancers count `json:"balancers"`
+	Balancers wholeNumber `json:"balancers"`
 	Caps      struct {
-		Cancel         bool   `json:"cancel"`
-		ConnIdle       nanos  `json:"conn_idle_ns"`
-		ConnectTimeout nanos  `json:"connect_timeout_ns"`
-		CPUPerRequest  micros `json:"cpu_us_per_request"`
-		CPUPerSecond   micros `json:"cpu_us_per_s"`
-		MaxAttempts    count  `json:"max_attempts"`
-		MaxRetryAfter  nanos  `json:"max_retry_after_ns"`
-		MayDuplicate   bool   `json:"may_duplicate"`
-		MostHeld       count  `json:"most_held"`
-		Multiplex      count  `json:"multiplex"`
-		Peers          bool   `json:"peers"`
-		Probes         bool   `json:"probes"`
-		RetryAfter     bool   `json:"retry_after"`
+		Cancel         bool        `json:"cancel"`
+		ConnIdle       nanos       `json:"conn_idle_ns"`
+		ConnectTimeout nanos       `json:"connect_timeout_ns"`
+		CPUPerRequest  micros      `json:"cpu_us_per_request"`
+		CPUPerSecond   micros      `json:"cpu_us_per_s"`
+		MaxAttempts    wholeNumber `json:"max_attempts"`
+		MaxRetryAfter  nanos       `json:"max_retry_after_ns"`
+		MayDuplicate   bool        `json:"may_duplicate"`
+		MostHeld       wholeNumber `json:"most_held"`
+		Multiplex      wholeNumber `json:"multiplex"`
+		Peers          bool        `json:"peers"`
+		Probes         bool        `json:"probes"`
+		RetryAfter     bool        `json:"retry_after"`
 	} `json:"caps"`
 	Charges struct {
 		Connection float64 `json:"connection"`
@@ -131,84 +130,84 @@
 		Fields []string `json:"fields"`
 		How    string   `json:"how"`
 	} `json:"report"`
-	Slot      count `json:"slot_no"`
+	Slot      wholeNumber `json:"slot_no"`
 	Specifics struct {
 		PassesDeadline bool `json:"passes_deadline"`
 		WarmKeys       bool `json:"warm_keys"`
 	} `json:"specifics"`
-	Tick       nanos    `json:"tick_ns"`
-	Tier       count    `json:"tier"`
-	Tiers      []string `json:"tiers"`
-	WeightKind string   `json:"weight_kind"`
-	WorthBy    string   `json:"worth_by"`
-	Zone       string   `json:"zone"`
+	Tick       nanos       `json:"tick_ns"`
+	Tier       wholeNumber `json:"tier"`
+	Tiers      []string    `json:"tiers"`
+	WeightKind string      `json:"weight_kind"`
+	WorthBy    string      `json:"worth_by"`
+	Zone       string      `json:"zone"`
 }
 
-// The words that the object may hold; a word that is not here is an error where a rule
-// rests on it, else the neutral one.
+// Values of enumerated fields. An unknown value is an error if a rule depends on it; otherwise a
+// neutral default is used.
 var (
-	effects    = map[string]balance.Effect{"retryable": balance.Safe, "dedup": balance.Keyed, "fragile": balance.Unsafe}
-	scopes     = map[string]balance.Scope{"cell": balance.ScopeCell, "zone": balance.ScopeZone, "all": balance.ScopeAll}
-	reportVias = map[string]balance.ReportSource{"none": balance.NoReports, "probe": balance.ReportsFromProbes, "answers": balance.ReportsFromAnswers}
-	modes      = map[string]bool{"on_request": true, "pushed": false} // whether the list is asked for
-	sizes      = []string{"nominal", "rough", "live"}
+	effects          = map[string]balance.Effect{"retryable": balance.Safe, "dedup": balance.Keyed, "fragile": balance.Unsafe}
+	keyScopes        = map[string]balance.Scope{"cell": balance.ScopeCell, "zone": balance.ScopeZone, "all": balance.ScopeAll}
+	reportSources    = map[string]balance.ReportSource{"none": balance.NoReports, "probe": balance.ReportsFromProbes, "answers": balance.ReportsFromAnswers}
+	membershipModes  = map[string]bool{"on_request": true, "pushed": false} // whether the list must be requested
+	knownWeightKinds = []string{"nominal", "rough", "live"}
 )
 
-// Decode reads the object. Its errors are of type *Error.
+// Decode decodes the object. Its errors are of type *Error.
 func Decode(raw json.RawMessage) (balance.Settings, error) {
-	var f form
-	if err := json.Unmarshal(raw, &f); err != nil {
-		return balance.Settings{}, explain(raw, err)
+	var obj rawSettings
+	if err := json.Unmarshal(raw, &obj); err != nil {
+		return balance.Settings{}, explainJSONError(raw, err)
 	}
-	if e := negative(reflect.ValueOf(f), ""); e != nil {
+	if e := findNegative(reflect.ValueOf(obj), ""); e != nil {
 		return balance.Settings{}, e
 	}
-	s := balance.Settings{Nodes: max(1, f.Balancers.int(), f.Slot.int()+1), Self: f.Slot.int(), Zone: f.Zone, Zones: f.Domains, Kinds: f.Kinds,
-		MaxAttempts: f.Caps.MaxAttempts.int(), MayOverlap: f.Caps.MayDuplicate, MayCancel: f.Caps.Cancel,
-		MayProbe: f.Caps.Probes, MayMessage: f.Caps.Peers, RetryAfterSupported: f.Caps.RetryAfter,
-		MaxRetryAfter: f.Caps.MaxRetryAfter.time(), RetriesMarked: f.Habits.MarksRetry,
-		ConnectTimeout: f.Caps.ConnectTimeout.time(), MinTick: f.Tick.time(),
-		ListOnDemand: modes[f.Membership], SizeKnown: slices.Contains(sizes, f.WeightKind),
-		SizeLive: f.WeightKind == "live", OverQuotaValueFactor: f.OverShare, ValuePerWork: f.WorthBy == "work",
-		ReportSource: reportVias[f.Report.How], ReportFields: f.Report.Fields,
-		AnswerGrace: f.Invariants.AnswerSlack.time(), ListPollInterval: f.Invariants.AskWithin.time(),
-		DrainGrace: f.Invariants.DrainGrace.time(), WarmupStartFraction: math.Min(1, f.Invariants.ColdFrom),
-		WarmupTime: f.Invariants.Cold.time(), OverloadFactor: f.Invariants.OverloadFactor,
-		OverloadTime: f.Invariants.TipAfter.time(), Family: f.Family, Tier: f.Tier.int(), Tiers: f.Tiers,
-		KeyLocality: f.Specifics.WarmKeys, DeadlinePropagated: f.Specifics.PassesDeadline,
-		StreamsPerConn: f.Caps.Multiplex.int(), ConnIdleTimeout: f.Caps.ConnIdle.time(), MaxOpenRequests: f.Caps.MostHeld.int(),
-		CPUPerSecond: f.Caps.CPUPerSecond.time(), CPUPerRequest: f.Caps.CPUPerRequest.time(),
-		ScoreWeights: balance.ScoreWeights{Overall: f.Goal.Whole, WorstWindow: f.Goal.WorstWindow, WorstClass: f.Goal.WorstClass,
-			WorstTenant: f.Goal.WorstTenant},
-		Penalties: balance.Penalties{Connection: f.Charges.Connection, Handshake: f.Charges.Handshake,
-			CrossZone: f.Charges.CrossZone, WastedWork: f.Charges.Waste, LateFailure: f.Charges.LateFail,
-			Probe: f.Charges.Probe, Message: f.Charges.Peer, Moves: f.Charges.Moves, Origin: f.Charges.Origin,
-			ListLines: f.Charges.Lines, Fleet: f.Charges.Fleet}}
-	for i, c := range f.Classes {
-		at := fmt.Sprintf("classes[%d]", i)
-		effect, ok := effects[c.Effect]
+	s := balance.Settings{Nodes: max(1, obj.Balancers.int(), obj.Slot.int()+1), Self: obj.Slot.int(), Zone: obj.Zone, Zones: obj.Domains, Kinds: obj.Kinds,
+		MaxAttempts: obj.Caps.MaxAttempts.int(), MayOverlap: obj.Caps.MayDuplicate, MayCancel: obj.Caps.Cancel,
+		MayProbe: obj.Caps.Probes, MayMessage: obj.Caps.Peers, RetryAfterSupported: obj.Caps.RetryAfter,
+		MaxRetryAfter: obj.Caps.MaxRetryAfter.time(), RetriesMarked: obj.Habits.MarksRetry,
+		ConnectTimeout: obj.Caps.ConnectTimeout.time(), MinTick: obj.Tick.time(),
+		ListOnDemand: membershipModes[obj.Membership], SizeKnown: slices.Contains(knownWeightKinds, obj.WeightKind),
+		SizeLive: obj.WeightKind == "live", OverQuotaValueFactor: obj.OverShare, ValuePerWork: obj.WorthBy == "work",
+		ReportSource: reportSources[obj.Report.How], ReportFields: obj.Report.Fields,
+		AnswerGrace: obj.Invariants.AnswerSlack.time(), ListPollInterval: obj.Invariants.AskWithin.time(),
+		DrainGrace: obj.Invariants.DrainGrace.time(), WarmupStartFraction: math.Min(1, obj.Invariants.ColdFrom),
+		WarmupTime: obj.Invariants.Cold.time(), OverloadFactor: obj.Invariants.OverloadFactor,
+		OverloadTime: obj.Invariants.TipAfter.time(), Family: obj.Family, Tier: obj.Tier.int(), Tiers: obj.Tiers,
+		KeyLocality: obj.Specifics.WarmKeys, DeadlinePropagated: obj.Specifics.PassesDeadline,
+		StreamsPerConn: obj.Caps.Multiplex.int(), ConnIdleTimeout: obj.Caps.ConnIdle.time(), MaxOpenRequests: obj.Caps.MostHeld.int(),
+		CPUPerSecond: obj.Caps.CPUPerSecond.time(), CPUPerRequest: obj.Caps.CPUPerRequest.time(),
+		ScoreWeights: balance.ScoreWeights{Overall: obj.Goal.Whole, WorstWindow: obj.Goal.WorstWindow, WorstClass: obj.Goal.WorstClass,
+			WorstTenant: obj.Goal.WorstTenant},
+		Penalties: balance.Penalties{Connection: obj.Charges.Connection, Handshake: obj.Charges.Handshake,
+			CrossZone: obj.Charges.CrossZone, WastedWork: obj.Charges.Waste, LateFailure: obj.Charges.LateFail,
+			Probe: obj.Charges.Probe, Message: obj.Charges.Peer, Moves: obj.Charges.Moves, Origin: obj.Charges.Origin,
+			ListLines: obj.Charges.Lines, Fleet: obj.Charges.Fleet}}
+	for i, class := range obj.Classes {
+		path := fmt.Sprintf("classes[%d]", i)
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return balance.Settings{}, fault(at+".effect", "%q of class %q; write retryable, dedup or fragile", c.Effect, c.Name)
+			return balance.Settings{}, newError(path+".effect", "%q of class %q; write retryable, dedup or fragile", class.Effect, class.Name)
 		}
-		scope, ok := scopes[c.KeyScope]
+		scope, ok := keyScopes[class.KeyScope]
 		if !ok && effect == balance.Keyed {
-			return balance.Settings{}, fault(at+".key_scope", "%q of class %q; write all, zone or cell", c.KeyScope, c.Name)
+			return balance.Settings{}, newError(path+".key_scope", "%q of class %q; write all, zone or cell", class.KeyScope, class.Name)
 		}
-		if slices.ContainsFunc(s.Classes, func(o balance.Class) bool { return o.Name == c.Name }) {
-			return balance.Settings{}, fault(at+".name", "%q stands twice; give each class a name of its own", c.Name)
+		if slices.ContainsFunc(s.Classes, func(other balance.Class) bool { return other.Name == class.Name }) {
+			return balance.Settings{}, newError(path+".name", "%q is used twice; give each class its own name", class.Name)
 		}
-		s.Classes = append(s.Classes, balance.Class{Name: c.Name, Value: c.Importance, TargetLatency: c.Aim.time(),
-			TargetWorkFactor: c.AimStretch, Deadline: c.GiveUp.time(), LateValueFraction: c.LateWorth, Effect: effect,
-			KeyScope: scope, DedupWindow: c.Dedup.time(), Streamed: c.Streamed})
+		s.Classes = append(s.Classes, balance.Class{Name: class.Name, Value: class.Importance, TargetLatency: class.Aim.time(),
+			TargetWorkFactor: class.AimStretch, Deadline: class.GiveUp.time(), LateValueFraction: class.LateWorth, Effect: effect,
+			KeyScope: scope, DedupWindow: class.Dedup.time(), Streamed: class.Streamed})
 	}
-	for _, t := range f.Accounts {
-		s.Tenants = append(s.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
+	for _, account := range obj.Accounts {
+		s.Tenants = append(s.Tenants, balance.Tenant{Name: account.Name, Quota: account.Quota, Share: account.Fraction})
 	}
 	return s, nil
 }
 
-// DecodeForNode reads the object for a real node, which needs some of it: what the simulator may
-// leave out. Its errors are of type *Error.
+// DecodeForNode decodes the object for a real node, which requires fields that the simulator may
+// omit. Its errors are of type *Error.
 func DecodeForNode(raw json.RawMessage) (balance.Settings, error) {
 	s, err := Decode(raw)
 	if err != nil {
@@ -220,66 +219,67 @@
 	}{{"classes", int64(len(s.Classes))}, {"caps.connect_timeout_ns", int64(s.ConnectTimeout)}, {"caps.conn_idle_ns", int64(s.ConnIdleTimeout)},
 		{"caps.max_attempts", int64(s.MaxAttempts)}, {"caps.most_held", int64(s.MaxOpenRequests)}} {
 		if f.have <= 0 {
-			return s, fault(f.field, "missing or not above 0; write one that is")
+			return s, newError(f.field, "missing or not above 0; write a value above 0")
 		}
 	}
 	var mode struct {
 		Membership string `json:"membership_mode"`
 	}
 	if err := json.Unmarshal(raw, &mode); err != nil {
-		return s, explain(raw, err)
+		return s, explainJSONError(raw, err)
 	}
-	if _, known := modes[mode.Membership]; !known { // a wrong guess breaks the rule on drains
-		return s, fault("membership_mode", "%q; write on_request or pushed", mode.Membership)
+	// A wrong default would violate the drain rule.
+	if _, known := membershipModes[mode.Membership]; !known {
+		return s, newError("membership_mode", "%q; write on_request or pushed", mode.Membership)
 	}
-	s.MaxProcessPause = guard.MaxProcessPause // the simulator writes in the moment of the choice
+	s.MaxProcessPause = guard.MaxProcessPause // the simulator writes at the moment of the decision
 	return s, nil
 }
 
-// explain words an error of encoding/json with its place.
-func explain(raw []byte, err error) *Error {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+// explainJSONError adds the location to an error of encoding/json.
+func explainJSONError(raw []byte, err error) *Error {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
-		before := raw[:min(int(syntax.Offset), len(raw))]
-		return fault("", "line %d: %v; write valid JSON", 1+strings.Count(string(before), "\n"), err)
-	case errors.As(err, &kind):
-		word := "a number"
-		switch kind.Type.Kind() {
+	case errors.As(err, &syntaxErr):
+		before := raw[:min(int(syntaxErr.Offset), len(raw))]
+		return newError("", "line %d: %v; write valid JSON", 1+strings.Count(string(before), "\n"), err)
+	case errors.As(err, &typeErr):
+		expected := "a number"
+		switch typeErr.Type.Kind() {
 		case reflect.String:
-			word = "a text"
+			expected = "a string"
 		case reflect.Bool:
-			word = "true or false"
+			expected = "true or false"
 		case reflect.Struct:
-			word = "an object"
+			expected = "an object"
 		case reflect.Slice:
-			word = "an array"
+			expected = "an array"
 		}
-		return fault(kind.Field, "is a JSON %s; write %s", kind.Value, word)
+		return newError(typeErr.Field, "is a JSON %s; write %s", typeErr.Value, expected)
 	}
-	return fault("", "%v; correct it", err)
+	return newError("", "%v; correct it", err)
 }
 
-// negative finds a number under 0: there is no use for one anywhere.
-func negative(v reflect.Value, at string) *Error {
+// findNegative returns an error for the first negative number: none is valid anywhere.
+func findNegative(v reflect.Value, path string) *Error {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			name := v.Type().Field(i).Tag.Get("json")
-			if e := negative(v.Field(i), strings.Trim(at+"."+name, ".")); e != nil {
+			if e := findNegative(v.Field(i), strings.Trim(path+"."+name, ".")); e != nil {
 				return e
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			if e := negative(v.Index(i), fmt.Sprintf("%s[%d]", at, i)); e != nil {
+			if e := findNegative(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); e != nil {
 				return e
 			}
 		}
 	case reflect.Float64:
 		if v.Float() < 0 {
-			return fault(at, "%v; write a number of at least 0", v.Float())
+			return newError(path, "%v; write a number of at least 0", v.Float())
 		}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,30 +23,30 @@
 	"ivylock/balance"
 )
 
-const good = `{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],"balancers":3,"caps":{"cancel":true,
+const validSettings = `{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],"balancers":3,"caps":{"cancel":true,
 "connect_timeout_ns":250000000,"cpu_us_per_s":15000,"most_held":9,"conn_idle_ns":5,"max_attempts":4},
 "classes":[{"aim_ns":600000000,"dedup_window_ns":8,"effect":"dedup","give_up_ns":1200000000,"importance":12.0,
 "key_scope":"cell","name":"x"}],"membership_mode":"on_request","slot_no":2,"invariants":{"cold_from":0.3}}`
 
-// leaves lists the fields of the object: classes[].aim_ns and the like.
-func leaves(t reflect.Type, at string) (out []string) {
+// fieldPaths lists the fields of the object, such as classes[].aim_ns.
+func fieldPaths(t reflect.Type, at string) (out []string) {
 	switch t.Kind() {
 	case reflect.Struct:
 		for i := range t.NumField() {
-			out = append(out, leaves(t.Field(i).Type, strings.Trim(at+"."+t.Field(i).Tag.Get("json"), "."))...)
+			out = append(out, fieldPaths(t.Field(i).Type, strings.Trim(at+"."+t.Field(i).Tag.Get("json"), "."))...)
 		}
 		return out
 	case reflect.Slice:
 		if t.Elem().Kind() == reflect.Struct {
-			return leaves(t.Elem(), at+"[]")
+			return fieldPaths(t.Elem(), at+"[]")
 		}
 	}
 	return []string{at}
 }
 
-// rows reads the table of docs/settings.md: the first two columns of each row that begins
-// with a field.
-func rows(t *testing.T) map[string]string {
+// documentedFields reads the table of docs/settings.md: the first two columns of each row that
+// begins with a field.
+func documentedFields(t *testing.T) map[string]string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "..", "docs", "settings.md"))
 	if err != nil {
@@ -64,42 +64,41 @@
 	return out
 }
 
-// Each field of the object, and of the configuration round it, has its row, and no row is
-// of a field that there is not.
-func TestEachFieldHasItsRow(t *testing.T) {
-	rows, want := rows(t), leaves(reflect.TypeFor[form](), "")
+// Guards against undocumented fields, and against documented ones that do not exist.
+func TestEveryFieldIsDocumented(t *testing.T) {
+	documentedFields, want := documentedFields(t), fieldPaths(reflect.TypeFor[rawSettings](), "")
 	for _, f := range want {
-		if _, has := rows[f]; !has {
+		if _, has := documentedFields[f]; !has {
 			t.Errorf("docs/settings.md has no row for %s", f)
 		}
 	}
-	for f := range rows {
+	for f := range documentedFields {
 		if !slices.Contains(want, f) && !strings.HasPrefix(f, "config.") {
 			t.Errorf("docs/settings.md has a row for %s, which nothing decodes", f)
 		}
 	}
 }
 
-// decoders are what fills the settings in; that a field is read there shows nothing.
-var decoders = []string{"ivylock/internal/settings"}
+// decoderPackages write the settings: reading a field there does not count as use.
+var decoderPackages = []string{"ivylock/internal/settings"}
 
-// A field that is decoded and that nothing reads is an error, unless the table says "not
-// read" and why.
-func TestEachFieldIsReadOrTheTableSaysWhyNot(t *testing.T) {
-	read, rows := fieldsRead(t), rows(t)
+// Guards against a field that is decoded but read by nothing, unless the table says "not read" and
+// why.
+func TestUnreadFieldsAreDocumented(t *testing.T) {
+	read, documentedFields := fieldsRead(t), documentedFields(t)
 	base := decodeMap(t, nil)
-	for _, f := range leaves(reflect.TypeFor[form](), "") {
+	for _, field := range fieldPaths(reflect.TypeFor[rawSettings](), "") {
 		var to []string
 		for _, v := range []any{1e9, 0.5, 0, true, false, "x", "work", "live", "answers", "pushed", "fragile", "zone", []any{"x"}, 3} {
-			to = append(to, differ(reflect.ValueOf(base), reflect.ValueOf(decodeMap(t, func(all map[string]any) { set(all, strings.Split(f, "."), v) })), "Settings")...)
+			to = append(to, differingFields(reflect.ValueOf(base), reflect.ValueOf(decodeMap(t, func(all map[string]any) { setPath(all, strings.Split(field, "."), v) })), "Settings")...)
 		}
 		if len(to) == 0 {
-			t.Errorf("%s decodes to nothing", f)
+			t.Errorf("%s decodes to nothing", field)
 			continue
 		}
 		used := slices.ContainsFunc(to, func(x string) bool { return read[x] })
-		if says := strings.Contains(rows[f], "not read:"); used == says {
-			t.Errorf("%s (%s): read by a decision or the node: %v; the table says \"not read\": %v", f, to, used, says)
+		if documented := strings.Contains(documentedFields[field], "not read:"); used == documented {
+			t.Errorf("%s (%s): read by a decision or the node: %v; the table says \"not read\": %v", field, to, used, documented)
 		}
 	}
 }
@@ -107,7 +106,7 @@
 func decodeMap(t *testing.T, change func(map[string]any)) balance.Settings {
 	t.Helper()
 	var all map[string]any
-	if err := json.Unmarshal([]byte(good), &all); err != nil {
+	if err := json.Unmarshal([]byte(validSettings), &all); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
@@ -118,39 +117,39 @@
 		t.Fatal(err)
 	}
 	s, err := Decode(raw)
-	if err != nil { // of another type: the object as it was
+	if err != nil { // wrong type: use the original object
 		return decodeMap(t, nil)
 	}
 	return s
 }
 
-func set(at map[string]any, path []string, v any) {
+func setPath(at map[string]any, path []string, v any) {
 	key, list := strings.CutSuffix(path[0], "[]")
 	if len(path) == 1 {
 		at[key] = v
 		return
 	}
 	if list {
-		set(at[key].([]any)[0].(map[string]any), path[1:], v)
+		setPath(at[key].([]any)[0].(map[string]any), path[1:], v)
 		return
 	}
 	if _, is := at[key].(map[string]any); !is {
 		at[key] = map[string]any{}
 	}
-	set(at[key].(map[string]any), path[1:], v)
+	setPath(at[key].(map[string]any), path[1:], v)
 }
 
-// differ lists the fields in which two values differ, as Type.Field.
-func differ(a, b reflect.Value, name string) (out []string) {
+// differingFields lists the fields in which two values differ, as Type.Field.
+func differingFields(a, b reflect.Value, name string) (out []string) {
 	switch {
 	case reflect.DeepEqual(a.Interface(), b.Interface()):
 	case a.Kind() == reflect.Struct:
 		for i := range a.NumField() {
-			out = append(out, differ(a.Field(i), b.Field(i), a.Type().Name()+"."+a.Type().Field(i).Name)...)
+			out = append(out, differingFields(a.Field(i), b.Field(i), a.Type().Name()+"."+a.Type().Field(i).Name)...)
 		}
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct && a.Len() == b.Len():
 		for i := range a.Len() {
-			out = append(out, differ(a.Index(i), b.Index(i), name)...)
+			out = append(out, differingFields(a.Index(i), b.Index(i), name)...)
 		}
 	default:
 		out = []string{name}
@@ -158,8 +157,8 @@
 	return out
 }
 
-// fieldsRead lists the fields of the settings' types that some package of the node or of
-// its decisions reads, as Type.Field.
+// fieldsRead lists the fields of the settings' types that a package of the node or of its decisions
+// reads, as Type.Field.
 func fieldsRead(t *testing.T) map[string]bool {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-export", "-deps", "-f", "{{.ImportPath}}\t{{.Export}}\t{{.Dir}}\t{{join .GoFiles \" \"}}", "../../cmd/ivylock", "../../cmd/benchlink").Output()
@@ -170,7 +169,7 @@
 	for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
 		f := strings.Split(line, "\t")
 		exports[f[0]] = f[1]
-		if strings.HasPrefix(f[0], "ivylock/") && !slices.Contains(decoders, f[0]) {
+		if strings.HasPrefix(f[0], "ivylock/") && !slices.Contains(decoderPackages, f[0]) {
 			for _, name := range strings.Fields(f[3]) {
 				sources[f[0]] = append(sources[f[0]], filepath.Join(f[2], name))
 			}
@@ -205,15 +204,15 @@
 		}
 		for x, s := range info.Selections {
 			if v, is := s.Obj().(*types.Var); is && v.IsField() && v.Pkg() != nil && v.Pkg().Path() == "ivylock/balance" && !written[x] {
-				read[owner(s)+"."+v.Name()] = true
+				read[ownerType(s)+"."+v.Name()] = true
 			}
 		}
 	}
 	return read
 }
 
-// owner names the type that a selected field is one of.
-func owner(s *types.Selection) string {
+// ownerType returns the name of the type that declares a selected field.
+func ownerType(s *types.Selection) string {
 	at := s.Recv()
 	for _, i := range s.Index() {
 		if p, is := at.(*types.Pointer); is {
@@ -234,12 +233,12 @@
 	return ""
 }
 
-// What the object holds that has no meaning is one line with its place and the fix.
-func TestFaultsAreNamed(t *testing.T) {
-	if _, err := DecodeForNode([]byte(good)); err != nil {
+// An invalid value is reported on one line with its field and a fix.
+func TestErrorsNameField(t *testing.T) {
+	if _, err := DecodeForNode([]byte(validSettings)); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct{ from, to, field string }{
+	for name, test := range map[string]struct{ from, to, field string }{
 		"text for a number":   {`"balancers":3`, `"balancers":"3"`, "balancers"},
 		"array for an object": {`"caps":{`, `"caps":[1],"c":{`, "caps"},
 		"no time-out":         {`"connect_timeout_ns":250000000`, `"connect_timeout_ns":0`, "caps.connect_timeout_ns"},
@@ -258,27 +257,26 @@
 		"holds nothing":       {`"most_held":9`, `"most_held":0`, "caps.most_held"},
 		"no JSON":             {`"balancers":3`, `"balancers":`, ""},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
-		if text == good {
+		text := strings.Replace(validSettings, test.from, test.to, 1)
+		if text == validSettings {
 			t.Fatalf("%s: nothing was changed", name)
 		}
 		_, err := DecodeForNode([]byte(text))
 		var e *Error
-		if !errors.As(err, &e) || e.Field != c.field || strings.Contains(err.Error(), "\n") || e.Text == "" {
-			t.Errorf("%s: want one line that names %q: %v", name, c.field, err)
+		if !errors.As(err, &e) || e.Field != test.field || strings.Contains(err.Error(), "\n") || e.Text == "" {
+			t.Errorf("%s: want one line that names %q: %v", name, test.field, err)
 		}
 	}
 }
 
-// Edges that have a meaning keep it: what is absent, 0, huge, written as a broken number or
-// in words that are not known.
-func TestEdges(t *testing.T) {
-	for _, c := range []struct {
+// Absent, zero and huge values, fractions and unknown words keep their documented meaning.
+func TestEdgeCases(t *testing.T) {
+	for _, test := range []struct {
 		path string
 		v    any
 		want func(balance.Settings) bool
 	}{
-		{"balancers", 0, func(s balance.Settings) bool { return s.Nodes == 3 }}, // its own number counts
+		{"balancers", 0, func(s balance.Settings) bool { return s.Nodes == 3 }}, // at least slot_no+1
 		{"balancers", 2, func(s balance.Settings) bool { return s.Nodes == 3 && s.Self == 2 }},
 		{"caps.most_held", 1e30, func(s balance.Settings) bool { return s.MaxOpenRequests == 1<<31-1 }},
 		{"caps.most_held", json.RawMessage("2e4"), func(s balance.Settings) bool { return s.MaxOpenRequests == 20000 }},
@@ -293,15 +291,15 @@
 		{"membership_mode", "pushed", func(s balance.Settings) bool { return !s.ListOnDemand }},
 		{"key_of_tomorrow", []any{1}, func(s balance.Settings) bool { return s.Nodes == 3 }},
 	} {
-		s := decodeMap(t, func(all map[string]any) { set(all, strings.Split(c.path, "."), c.v) })
-		if !c.want(s) {
-			t.Errorf("%s = %v: %+v", c.path, fmt.Sprint(c.v), s)
+		s := decodeMap(t, func(all map[string]any) { setPath(all, strings.Split(test.path, "."), test.v) })
+		if !test.want(s) {
+			t.Errorf("%s = %v: %+v", test.path, fmt.Sprint(test.v), s)
 		}
 	}
 }
 
-func FuzzNode(f *testing.F) {
-	f.Add([]byte(good))
+func FuzzDecodeForNode(f *testing.F) {
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := DecodeForNode(raw)
 		var e *Error
