--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -57,25 +57,25 @@
 // A reachable source that does not confirm a peer report is checked once; then the report applies
 // until the source's next update. Any update in between supersedes the report.
 func TestUnconfirmedPeerDeparture(t *testing.T) {
-	for _, confirms := range []bool{false, true} {
+	for _, updates := range []bool{false, true} {
 		l := NewList[int]()
 		l.Apply(0, Full, 3, upEntries(serverNames(8)...))
 		l.ApplyPeerDepartures(time.Second, []string{"s1"})
 		checks := 0
 		for now := time.Second; now < 4*time.Second; now += 100 * time.Millisecond {
-			if confirms && now == 1400*time.Millisecond {
+			if updates && now == 1400*time.Millisecond {
 				l.Apply(now, Changes, 4, nil)
 			}
 			check, changed := l.ReviewPeerReports(now)
 			if check {
 				checks++
 			}
-			if holds := !confirms && now >= time.Second+acceptPeersAfter; l.ExcludedByPeers("s1") != holds || changed != (holds && now == time.Second+acceptPeersAfter) {
-				t.Fatalf("confirms %v: excluded %v, changed %v at %v", confirms, l.ExcludedByPeers("s1"), changed, now)
+			if holds := !updates && now >= time.Second+acceptPeersAfter; l.ExcludedByPeers("s1") != holds || changed != (holds && now == time.Second+acceptPeersAfter) {
+				t.Fatalf("updates %v: excluded %v, changed %v at %v", updates, l.ExcludedByPeers("s1"), changed, now)
 			}
 		}
-		if confirms == (checks > 0) || checks > 1 {
-			t.Errorf("confirms %v: %d checks", confirms, checks)
+		if updates == (checks > 0) || checks > 1 {
+			t.Errorf("updates %v: %d checks", updates, checks)
 		}
 		if l.Apply(5*time.Second, Changes, 5, nil); l.PeerReports() > 0 {
 			t.Error("the peer report outlasts an update of the own source")
@@ -108,11 +108,11 @@
 		t.Error("not applied exactly once")
 	}
 	for _, test := range []struct {
-		name    string
-		out     bool
-		started Time
+		name     string
+		excluded bool
+		started  Time
 	}{{"s0", true, later}, {"s1", false, 0}, {"s2", false, 0}, {"s3", false, 0}} { // s2: its older start is unknown
-		if receiver.ExcludedByPeers(test.name) != test.out || receiver.PeerReportedStart(test.name) != test.started {
+		if receiver.ExcludedByPeers(test.name) != test.excluded || receiver.PeerReportedStart(test.name) != test.started {
 			t.Errorf("%s is excluded: %v, started %v", test.name, receiver.ExcludedByPeers(test.name), receiver.PeerReportedStart(test.name))
 		}
 	}
