--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -44,14 +44,14 @@
 		state  balance.ServerState
 		start  balance.Time
 	}{
-		{"out, listed as up", Record{InMaintenance: true, EnteredAt: 5 * second}, ready(0), balance.Draining, 0},
-		{"out, restarted and listed as up", Record{InMaintenance: true, EnteredAt: 5 * second}, ready(7 * second), balance.Draining, 7 * second},
-		{"out and gone", Record{InMaintenance: true, EnteredAt: 5 * second}, balance.Server{State: balance.Removed}, balance.Removed, 0},
-		{"back, no start reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, ready(0), balance.Ready, 9 * second},
-		{"back, only the old start reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second, StartedAt: 4 * second}, ready(4 * second), balance.Ready, 9 * second},
-		{"back, the restart reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second, StartedAt: 4 * second}, ready(7 * second), balance.Ready, 7 * second},
-		{"back, and restarted again", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, ready(12 * second), balance.Ready, 12 * second},
-		{"back, but drains by the list", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, balance.Server{State: balance.Draining}, balance.Draining, 9 * second},
+		{"in maintenance, listed as up", Record{InMaintenance: true, EnteredAt: 5 * second}, ready(0), balance.Draining, 0},
+		{"in maintenance, restarted and listed as up", Record{InMaintenance: true, EnteredAt: 5 * second}, ready(7 * second), balance.Draining, 7 * second},
+		{"in maintenance, removed from the list", Record{InMaintenance: true, EnteredAt: 5 * second}, balance.Server{State: balance.Removed}, balance.Removed, 0},
+		{"returned, no start reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, ready(0), balance.Ready, 9 * second},
+		{"returned, only the old start reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second, StartedAt: 4 * second}, ready(4 * second), balance.Ready, 9 * second},
+		{"returned, the restart reported", Record{EnteredAt: 5 * second, ExitedAt: 9 * second, StartedAt: 4 * second}, ready(7 * second), balance.Ready, 7 * second},
+		{"returned, restarted again", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, ready(12 * second), balance.Ready, 12 * second},
+		{"returned, listed as draining", Record{EnteredAt: 5 * second, ExitedAt: 9 * second}, balance.Server{State: balance.Draining}, balance.Draining, 9 * second},
 	} {
 		test.record.ID = "a"
 		got := New([]Record{test.record}).Apply("a", test.entry)
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against unbounded growth where servers are replaced for months, and against losing a
-// server in maintenance to it.
+// Guards against unbounded growth where servers are replaced for months, and against evicting a
+// server in maintenance.
 func TestTableSizeIsBounded(t *testing.T) {
 	table := New(nil)
 	table.SetListed("kept", true)
