--- a/handoff/handoff_test.go
+++ b/handoff/handoff_test.go
@@ -15,11 +15,11 @@
 		runs  bool
 		want  Ownership
 	}{
-		{"nothing there", nil, false, KeepOwnership},
-		{"its own", at(3), true, KeepOwnership},
-		{"an older one's", at(2), true, KeepOwnership},
-		{"a newer one's that runs", at(4), true, Yield},
-		{"a newer one's that died", at(4), false, Reclaim},
+		{"no state", nil, false, KeepOwnership},
+		{"own state", at(3), true, KeepOwnership},
+		{"state of an older process", at(2), true, KeepOwnership},
+		{"state of a newer, running process", at(4), true, Yield},
+		{"state of a newer, dead process", at(4), false, Reclaim},
 	} {
 		if got := DecideOwnership(test.found, 3, test.runs); got != test.want {
 			t.Errorf("%s: %d", test.name, got)
@@ -37,11 +37,11 @@
 		records, measurements bool
 	}{
 		{"fresh", s, "n0", 101 * time.Second, true, true},
-		{"of a clock that was set back an hour", s, "n0", 100*time.Second - time.Hour, true, false},
-		{"of a clock that was slewed", s, "n0", 100*time.Second - clockTolerance/2, true, true},
+		{"clock set back by an hour", s, "n0", 100*time.Second - time.Hour, true, false},
+		{"clock slewed", s, "n0", 100*time.Second - clockTolerance/2, true, true},
 		{"old", s, "n0", 200 * time.Second, true, false},
-		{"another node's", s, "n1", 101 * time.Second, false, false},
-		{"of a later form", &State{Version: FormatVersion + 1, Node: "n0"}, "n0", 0, false, false},
+		{"of another node", s, "n1", 101 * time.Second, false, false},
+		{"of a later format", &State{Version: FormatVersion + 1, Node: "n0"}, "n0", 0, false, false},
 		{"none", nil, "n0", 0, false, false},
 	} {
 		if records, measurements := UsableParts(test.s, test.node, test.now); records != test.records || measurements != test.measurements {
@@ -62,7 +62,7 @@
 		written + time.Hour: 2 * time.Second, written - time.Hour: 2 * time.Second, written + time.Minute: 2 * time.Second} {
 		records := MaintenanceRecords(s, now)
 		if got := now - records[0].ExitedAt; got != age {
-			t.Errorf("read %v after it was written: back for %v, want %v", now-written, got, age)
+			t.Errorf("read %v after it was written: in service for %v, want %v", now-written, got, age)
 		}
 		if records[0].EnteredAt >= records[0].ExitedAt || records[0].StartedAt != s.Maintenance[0].StartedAt || !records[1].InMaintenance || records[1].ExitedAt != 0 {
 			t.Errorf("read %v after it was written: %+v", now-written, records)
