--- a/internal/handover/files_test.go
+++ b/internal/handover/files_test.go
@@ -34,14 +34,14 @@
 	}
 	for i := range raw {
 		if _, err := Decode(raw[:i]); err == nil {
-			t.Fatalf("cut at byte %d it was read", i)
+			t.Fatalf("truncated at byte %d it was accepted", i)
 		}
 		bad := append([]byte(nil), raw...)
 		if bad[i] ^= 1; bad[i]|0x20 == raw[i]|0x20 && i < len(raw) && bad[i] != raw[i] {
 			continue // differs only in the case of the checksum's hex digits
 		}
 		if got, err := Decode(bad); err == nil && !reflect.DeepEqual(got, exampleState()) {
-			t.Fatalf("with byte %d changed it was read as %+v", i, got)
+			t.Fatalf("modified at byte %d it was accepted as %+v", i, got)
 		}
 	}
 }
@@ -112,8 +112,8 @@
 }
 
 func TestUnreadableStateIsCleanStart(t *testing.T) {
-	for name, text := range map[string]string{"torn": "ivylock-state 1 100 00000000\n{", "empty": "", "foreign": "hello\nworld",
-		"of a later form": "ivylock-state 9 2 00000000\n{}"} {
+	for name, text := range map[string]string{"truncated": "ivylock-state 1 100 00000000\n{", "empty": "", "foreign": "hello\nworld",
+		"of a later format": "ivylock-state 9 2 00000000\n{}"} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, stateName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
