--- a/fleet/roster/api.go
+++ b/fleet/roster/api.go
@@ -1,9 +1,9 @@
-// Package roster decides who is in a fleet: alive, suspected, gone, or back under a
-// new life. It is SWIM (Das, Gupta and Motivala, 2002) with suspicion and
-// incarnations, and with Lifeguard's awareness of one's own slowness (Dadgar,
-// Phillips and Currey, 2018), in datagrams of 256 bytes, without a connection, at a
-// number of datagrams a second that does not grow with the fleet. It does no I/O,
-// reads no clock and starts no goroutine. docs/members.md has the protocol on a page.
+// Package roster implements membership and failure detection for a fleet: which processes
+// are alive, suspected, gone, or restarted under a later incarnation. The protocol is SWIM
+// (Das, Gupta and Motivala, 2002) with its suspicion mechanism, and Lifeguard's local
+// health awareness (Dadgar, Phillips and Currey, 2018). It uses UDP datagrams of at most
+// 256 bytes at a rate that does not grow with the fleet. The package does no I/O, reads no
+// clock and starts no goroutine. docs/members.md describes the protocol.
 package roster
 
 import (
@@ -14,70 +14,70 @@
 // Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
-// ID names a process, and its successor after a restart.
+// ID identifies a process and its successors after restarts.
 type ID uint32
 
-// Refutations tells apart the processes that have a name in turn: the later one has the
+// Incarnation distinguishes successive processes with the same ID: a later process has the
 // higher number, such as its start in Unix seconds.
 type Incarnation uint32
 
-// Status is what a process is taken for.
+// Status is the state of a member as seen by this process.
 type Status uint8
 
 const (
-	// Alive: it has answered, or others say so.
+	// Alive means that the member, or another process on its behalf, has answered.
 	Alive Status = iota
-	// Suspect: it did not answer, and has not been heard to refute it.
+	// Suspect means that the member did not answer probes and has not refuted the suspicion.
 	Suspect
-	// Gone: it has not refuted a suspicion in time.
+	// Gone means that a suspicion was not refuted in time.
 	Gone
-	// Left: it said that it ends.
+	// Left means that the member announced its shutdown.
 	Left
-	statuses
+	statusCount
 )
 
 func (s Status) String() string { return [...]string{"alive", "suspect", "gone", "left"}[min(s, Left)] }
 
-// Settings of a roster, the same at all processes.
+// Settings configure a roster. They must be the same at all processes.
 type Settings struct {
-	ProbePeriod            time.Duration  // one probe in each
-	ProbeTimeout           time.Duration  // of a probe, before others are asked to probe too
-	IndirectProbes         int            // that are asked
-	SuspicionMultiplier    float64        // least time of a suspicion, in periods times log10 of the fleet
-	SuspicionMaxMultiplier float64        // multiple of that, where one own probe failed; twice that, where none was made
-	MaxAwareness           int            // most that own slowness counts
-	RetransmitMultiplier   float64        // times log10 of the fleet that an update is told
-	BytesPerSecond         float64        // a second that news may cost; beyond it probes go out with what they need alone
-	ForgetAfter            time.Duration  // after which one that is gone is forgotten
-	AllowedPrefixes        []netip.Prefix // addresses beside the seeds' that are heard; none: members' alone
-	MaxMembers             int            // most that are kept
-	IDLimit                ID             // IDs are lower; one that is not is nobody's
+	ProbePeriod            time.Duration  // one probe is started in each period
+	ProbeTimeout           time.Duration  // of a probe, until indirect probes are requested
+	IndirectProbes         int            // members asked to probe on this process's behalf
+	SuspicionMultiplier    float64        // minimum suspicion time, in periods times log10 of the fleet size
+	SuspicionMaxMultiplier float64        // of the minimum, with one failed own probe; doubled with none
+	MaxAwareness           int            // upper bound of the local health score
+	RetransmitMultiplier   float64        // transmissions of an update, times log10 of the fleet size
+	BytesPerSecond         float64        // gossip budget; beyond it datagrams carry few updates
+	ForgetAfter            time.Duration  // time until a gone member is removed
+	AllowedPrefixes        []netip.Prefix // accepted senders beside members and seeds
+	MaxMembers             int            // known members, at most
+	IDLimit                ID             // exclusive upper bound of valid IDs
 }
 
-// Defaults are the settings of docs/members.md.
+// Defaults returns the settings described in docs/members.md.
 func Defaults() Settings {
 	return Settings{ProbePeriod: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3, SuspicionMultiplier: 4, SuspicionMaxMultiplier: 4, MaxAwareness: 8,
 		RetransmitMultiplier: 4, BytesPerSecond: 1200, ForgetAfter: 10 * time.Minute, MaxMembers: 4096, IDLimit: 4096}
 }
 
-// Event is something that happened.
+// Event is an input to Handle.
 type Event interface{ event() }
 
 // Events.
 type (
-	// LastHeard is a datagram of package roster's.
+	// DatagramReceived is a datagram for which IsMessage is true.
 	DatagramReceived struct {
 		From netip.AddrPort
 		Data []byte
 	}
-	// PeerActive says that a member has said anything at all: no probe is needed to know
-	// that it lives.
+	// PeerActive reports that any message of a member was received, which makes a probe of
+	// it unnecessary.
 	PeerActive struct{ ID ID }
-	// Tick comes every tenth of a period, or more often.
+	// Tick must be delivered ten times per period or more often.
 	Tick struct{}
-	// Resumed says that this process stood still.
+	// Resumed reports that this process was paused.
 	Resumed struct{ Gap time.Duration }
-	// Leaving says that this process is about to end in order.
+	// Leaving reports that this process is about to shut down in order.
 	Leaving struct{}
 )
 
@@ -87,17 +87,17 @@
 func (Resumed) event()          {}
 func (Leaving) event()          {}
 
-// Action is something the caller is to do.
+// Action is an instruction to the caller.
 type Action interface{ action() }
 
 // Actions.
 type (
-	// Send sends a datagram.
+	// Send asks the caller to send a datagram.
 	Send struct {
 		To   netip.AddrPort
 		Data []byte
 	}
-	// StatusChanged says that a member is taken for something else now.
+	// StatusChanged reports a member's new status.
 	StatusChanged struct {
 		ID          ID
 		Status      Status
@@ -108,39 +108,39 @@
 func (Send) action()          {}
 func (StatusChanged) action() {}
 
-// Member is one process as this one sees it.
+// Member is the state of a process as seen by this one.
 type Member struct {
 	ID          ID
 	Addr        netip.AddrPort
 	Status      Status
 	Incarnation Incarnation
-	Refutations uint16
-	LastHeard   Time // last word of its own; 0: never
-	StatusSince Time // of its status
+	Refutations uint16 // suspicions refuted; with Incarnation it forms SWIM's incarnation number
+	LastHeard   Time   // last time the member was heard from; 0: never
+	StatusSince Time
 }
 
-// Counts are a roster's figures since its start.
+// Counts are counters since the roster's start.
 type Counts struct {
-	Probes, ProbesSkipped uint64 // probes sent; turns in which none was needed, as the member had been heard
+	Probes, ProbesSkipped uint64 // probes sent; turns skipped because the member was heard from recently
 	Datagrams             uint64
 	Bytes                 uint64
-	Suspicions            uint64 // of its own
+	Suspicions            uint64 // raised by this process
 	Refuted               uint64 // suspicions of this process that it refuted
-	UnknownSenders        uint64 // datagrams from addresses that are not heard
+	UnknownSenders        uint64 // datagrams from senders that are not accepted
 	Malformed             uint64
-	Stale                 uint64 // of a former life
-	IncarnationsRaised    uint64 // times that this process took a later life, as a former one of it was known
-	MembersRejected       uint64 // members that there was no room for
+	Stale                 uint64 // datagrams of a former incarnation
+	IncarnationsRaised    uint64 // changes to a later incarnation after meeting a former one of its own
+	MembersRejected       uint64 // members not added because of MaxMembers
 }
 
-// NumberedAddr is the address that stands for a process where the configuration numbers
-// all of them: each process reaches the others at addresses of its own. It is no
-// address of the network.
+// NumberedAddr returns a placeholder address for a process in a configuration that numbers
+// all processes and where each process reaches the others at different addresses. It is
+// never used on the network.
 func NumberedAddr(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{0, 0, byte(number >> 8), byte(number)}), 1)
 }
 
-// NumberOf is the number that such an address stands for; false: it is none.
+// NumberOf returns the number of an address made by NumberedAddr, and whether it is one.
 func NumberOf(a netip.AddrPort) (int, bool) {
 	if !a.Addr().Is4() || a.Port() != 1 {
 		return 0, false
@@ -149,7 +149,7 @@
 	return int(ip[2])<<8 | int(ip[3]), ip[0] == 0 && ip[1] == 0
 }
 
-// Addr is where a member is reached; false: it is not known.
+// Addr returns a member's address and whether it is known.
 func (r *Roster) Addr(id ID) (netip.AddrPort, bool) {
 	if m := r.members[id]; m != nil {
 		return m.Addr, true
@@ -157,16 +157,16 @@
 	return netip.AddrPort{}, false
 }
 
-// IDAt is who has an address; false: nobody that is known.
+// IDAt returns the ID of the member with an address and whether there is one.
 func (r *Roster) IDAt(a netip.AddrPort) (ID, bool) {
 	id, known := r.byAddr[a]
 	return id, known
 }
 
-// IsMessage tells whether a datagram is one of this package's.
-func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == form }
+// IsMessage reports whether a datagram belongs to this package.
+func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == formatByte }
 
-// IsGone tells whether a process is taken for gone, or has left.
+// IsGone reports whether a member is gone or has left.
 func (r *Roster) IsGone(id ID) bool {
 	m := r.members[id]
 	return m != nil && (m.Status == Gone || m.Status == Left)
--- a/fleet/roster/message.go
+++ b/fleet/roster/message.go
@@ -6,20 +6,19 @@
 	"net/netip"
 )
 
-// MaxDatagram is the most that a datagram holds, bytes.
+// MaxDatagram is the maximum size of a datagram in bytes.
 const MaxDatagram = 256
 
-// The form: a byte that names it; what it is; a number that its answer repeats; the
-// sender's name, life and incarnation, and the digest of its view; for what is asked or done on behalf of
-// another, that one's name and address; then what the sender knows of members, the
-// latest first: status, name, life, incarnation, address. All in network order;
-// addresses are of IPv4.
+// Wire format, in network byte order: format byte; message kind; sequence number, which the
+// answer repeats; the sender's ID, incarnation, refutation count and view digest; ID and
+// IPv4 address of the target of an indirect probe; then member updates, those sent least
+// often first: status, ID, incarnation, refutation count, address.
 const (
-	form   = 0xF2
-	head   = 1 + 1 + 4 + 4 + 4 + 2 + 4 + 4 + 6
-	update = 1 + 4 + 4 + 2 + 6
-	// MaxUpdates is how many a datagram holds.
-	MaxUpdates = (MaxDatagram - head) / update
+	formatByte = 0xF2
+	headerSize = 1 + 1 + 4 + 4 + 4 + 2 + 4 + 4 + 6
+	updateSize = 1 + 4 + 4 + 2 + 6
+	// MaxUpdates is the number of member updates that fit in a datagram.
+	MaxUpdates = (MaxDatagram - headerSize) / updateSize
 )
 
 type kind uint8
@@ -27,34 +26,34 @@
 const (
 	ping kind = iota
 	ack
-	pingFor // probe that one, and tell me
-	nack    // it has not answered me either, and I am here
-	page    // members alone, as the views differ
-	kinds
+	pingRequest // asks the receiver to probe the target
+	nack        // the target has not answered the receiver of a pingRequest either
+	stateSync   // member updates alone, sent when views differ
+	kindCount
 )
 
 type message struct {
 	kind        kind
 	seq         uint32
 	id          ID
-	life        Incarnation
-	incarnation uint16
+	incarnation Incarnation
+	refutations uint16
 	digest      uint32
 	target      ID
-	at          netip.AddrPort
-	updates     []said
+	targetAddr  netip.AddrPort
+	updates     []update
 }
 
-// said is what is told of a member.
-type said struct {
+// update is a member's state on the wire.
+type update struct {
 	status      Status
 	id          ID
-	life        Incarnation
-	incarnation uint16
+	incarnation Incarnation
+	refutations uint16
 	addr        netip.AddrPort
 }
 
-var errForm = errors.New("roster: a datagram that is in no known form")
+var errMalformed = errors.New("roster: malformed datagram")
 
 func appendAddr(to []byte, a netip.AddrPort) []byte {
 	ip := [4]byte{}
@@ -69,32 +68,32 @@
 }
 
 func (m *message) append(to []byte) []byte {
-	to = binary.BigEndian.AppendUint32(append(to, form, byte(m.kind)), m.seq)
+	to = binary.BigEndian.AppendUint32(append(to, formatByte, byte(m.kind)), m.seq)
 	to = binary.BigEndian.AppendUint32(to, uint32(m.id))
-	to = binary.BigEndian.AppendUint32(to, uint32(m.life))
-	to = binary.BigEndian.AppendUint16(to, m.incarnation)
+	to = binary.BigEndian.AppendUint32(to, uint32(m.incarnation))
+	to = binary.BigEndian.AppendUint16(to, m.refutations)
 	to = binary.BigEndian.AppendUint32(to, m.digest)
-	to = appendAddr(binary.BigEndian.AppendUint32(to, uint32(m.target)), m.at)
+	to = appendAddr(binary.BigEndian.AppendUint32(to, uint32(m.target)), m.targetAddr)
 	for _, u := range m.updates {
 		to = binary.BigEndian.AppendUint32(append(to, byte(u.status)), uint32(u.id))
-		to = binary.BigEndian.AppendUint32(to, uint32(u.life))
-		to = appendAddr(binary.BigEndian.AppendUint16(to, u.incarnation), u.addr)
+		to = binary.BigEndian.AppendUint32(to, uint32(u.incarnation))
+		to = appendAddr(binary.BigEndian.AppendUint16(to, u.refutations), u.addr)
 	}
 	return to
 }
 
 func parse(b []byte) (message, error) {
 	var m message
-	if len(b) < head || len(b) > MaxDatagram || b[0] != form || b[1] >= byte(kinds) || (len(b)-head)%update != 0 {
-		return m, errForm
+	if len(b) < headerSize || len(b) > MaxDatagram || b[0] != formatByte || b[1] >= byte(kindCount) || (len(b)-headerSize)%updateSize != 0 {
+		return m, errMalformed
 	}
-	m = message{kind: kind(b[1]), seq: binary.BigEndian.Uint32(b[2:]), id: ID(binary.BigEndian.Uint32(b[6:])), life: Incarnation(binary.BigEndian.Uint32(b[10:])),
-		incarnation: binary.BigEndian.Uint16(b[14:]), digest: binary.BigEndian.Uint32(b[16:]), target: ID(binary.BigEndian.Uint32(b[20:])), at: readAddr(b[24:])}
-	for b = b[head:]; len(b) > 0; b = b[update:] {
-		u := said{status: Status(b[0]), id: ID(binary.BigEndian.Uint32(b[1:])), life: Incarnation(binary.BigEndian.Uint32(b[5:])),
-			incarnation: binary.BigEndian.Uint16(b[9:]), addr: readAddr(b[11:])}
-		if u.status >= statuses {
-			return m, errForm
+	m = message{kind: kind(b[1]), seq: binary.BigEndian.Uint32(b[2:]), id: ID(binary.BigEndian.Uint32(b[6:])), incarnation: Incarnation(binary.BigEndian.Uint32(b[10:])),
+		refutations: binary.BigEndian.Uint16(b[14:]), digest: binary.BigEndian.Uint32(b[16:]), target: ID(binary.BigEndian.Uint32(b[20:])), targetAddr: readAddr(b[24:])}
+	for b = b[headerSize:]; len(b) > 0; b = b[updateSize:] {
+		u := update{status: Status(b[0]), id: ID(binary.BigEndian.Uint32(b[1:])), incarnation: Incarnation(binary.BigEndian.Uint32(b[5:])),
+			refutations: binary.BigEndian.Uint16(b[9:]), addr: readAddr(b[11:])}
+		if u.status >= statusCount {
+			return m, errMalformed
 		}
 		m.updates = append(m.updates, u)
 	}
--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -9,127 +9,142 @@
 	"time"
 )
 
+// Tuning constants. Fractions are of 1; rates are per period.
 const (
-	pagesEvery     = 24.0            // members that are told in a period, about
-	suspectsAtOnce = 4               // that are probed in a period beside the round's
-	mostPings      = 3               // of a member by one probe
-	probesAtOnce   = 4               // of the round that are out, where they are not answered
-	ahead          = 6               // of the round's order that the next is chosen of
-	tellOf         = 2               // members that are told of an own suspicion at once
-	enough         = 3               // own probes that must have failed for a suspicion to end soon
-	suspectsFirst  = 60.0            // processes that look at a suspect in a period, about
-	seedsAgain     = 0.1             // part of the periods in which a seed that was never met is asked, where others are known
-	purseLasts     = 10.0            // seconds of the budget that may be spent at once
-	debtLasts      = 3.0             // seconds of it that are owed at most: a flood that is answered is not paid for after it
-	fewUpdates     = 2               // in a datagram where the budget is spent
-	pagesAtOnce    = 2               // datagrams of a view, a tick
-	mostRelays     = 256             // probes on behalf of others that are out at once
-	settle         = 5 * time.Second // after which one that is gone is not counted as of the fleet, where most are there
+	// Members sent per period by full-state synchronization, on average.
+	syncMembersPerPeriod = 24.0
+	// Probes of suspects started per period, beside the regular probe.
+	maxSuspectProbes = 4
+	maxPingsPerProbe = 3
+	// Concurrent regular probes, as long as earlier ones are not answered.
+	maxUnansweredProbes = 4
+	// Members at the head of the probe order from which the next target is chosen.
+	probeLookahead = 6
+	// Members notified at once of a suspicion raised by this process.
+	suspicionFanout = 2
+	// Failed own probes after which the minimum suspicion time applies.
+	failuresForShortTimeout = 3
+	// Processes that probe a suspect per period, on average.
+	suspectProbersPerPeriod = 60.0
+	// Probability per period of pinging a seed that never answered, if others are known.
+	seedRetryProbability = 0.1
+	// Seconds of the byte budget that may be spent in a burst.
+	burstSeconds = 10.0
+	// Seconds of the byte budget that may be overdrawn, so that answers to a flood of
+	// datagrams do not suppress updates for long afterwards.
+	maxDebtSeconds = 3.0
+	// Updates per datagram while the budget is overdrawn.
+	updatesOverBudget    = 2
+	syncDatagramsPerTick = 2
+	// Concurrent indirect probes on behalf of other processes.
+	maxRelays = 256
+	// Time until a gone member stops counting for the majority, if this process has one.
+	goneExclusionDelay = 5 * time.Second
 )
 
 type member struct {
 	Member
-	told      int // times that its present status has been told
-	suspectAt Time
-	fails     int  // own probes of it that failed, since it was heard
-	spoke     Time // when a datagram of this package's came of this very life
-	toldOf    Time // when it was told last what it is taken for here
-	direct    Time // when this process heard it itself
-	counted   bool // one of the last agreed fleet
+	transmits         int // datagrams that carried the present status
+	suspectedAt       Time
+	failedProbes      int  // consecutive own probes without an answer
+	lastDatagram      Time // last datagram of this package from this incarnation
+	lastNotified      Time // last time it was notified of its status or incarnation as known here
+	lastDirect        Time // last time this process itself heard from it
+	countsForMajority bool // it belongs to the last agreed fleet
 }
 
-// probe is one that is out.
+// probe is a probe that is waiting for an answer.
 type probe struct {
-	of    ID
-	seq   uint32
-	sent  Time
-	pings int  // that it was sent
-	asked bool // helpers have been asked
-	round bool // it is the one of the round
-	nacks int  // of helpers
+	memberID ID
+	seq      uint32
+	sent     Time
+	pings    int  // sent so far
+	indirect bool // indirect probes have been requested
+	inRound  bool // the regular probe of a period, not one of a suspect
+	nacks    int  // received from indirect probers
 }
 
-// relay is a probe on behalf of another.
+// relay is an indirect probe on behalf of another process.
 type relay struct {
-	seq  uint32 // the other's
-	to   netip.AddrPort
-	sent Time
-	of   ID
-	done bool
+	seq      uint32 // the requester's
+	to       netip.AddrPort
+	sent     Time
+	memberID ID
+	nackSent bool
 }
 
 // Roster is one process's view of the fleet. It is not safe for concurrent use.
 type Roster struct {
-	set     Settings
-	self    Member
-	rng     *rand.Rand
-	now     Time
-	out     []Action
-	members map[ID]*member
-	byAddr  map[netip.AddrPort]ID
-	seeds   []netip.AddrPort
-	turn    []ID              // whom to probe next
-	probes  map[uint32]*probe // that are out: one of the round, and those of suspects
-	relays  map[uint32]*relay
-	seq     uint32
-	next    Time // beginning of the next period
-	aware   int
-	heard   Time // last word of anybody
-	ended   bool
-	counts  Counts
-
-	purse     float64 // bytes that may be spent on news; under 0: only what a datagram needs is said
-	pages     []ID    // that are still to be told to pagesTo
-	pagesTo   netip.AddrPort
-	nextPages Time
-}
-
-// New makes the roster of a process that has started with a life. Seeds are the
-// addresses of some others, two at least; who has one of them is heard before it is a
-// member.
-func New(set Settings, self Member, seeds []netip.AddrPort, now Time, seed int64) *Roster {
-	r := &Roster{set: set, self: self, rng: rand.New(rand.NewPCG(uint64(seed), 0x726f73)), now: now, members: map[ID]*member{},
-		byAddr: map[netip.AddrPort]ID{}, relays: map[uint32]*relay{}, probes: map[uint32]*probe{}, seeds: slices.Clone(seeds), purse: purseLasts * set.BytesPerSecond}
+	settings   Settings
+	self       Member
+	rng        *rand.Rand
+	now        Time
+	actions    []Action
+	members    map[ID]*member
+	byAddr     map[netip.AddrPort]ID
+	seeds      []netip.AddrPort
+	probeOrder []ID              // targets left in the current round
+	probes     map[uint32]*probe // by sequence number
+	relays     map[uint32]*relay // by own sequence number
+	seq        uint32
+	nextPeriod Time
+	awareness  int  // Lifeguard's local health score; 0: healthy
+	lastHeard  Time // from any member
+	leaving    bool
+	counts     Counts
+
+	byteBudget  float64 // bytes available for updates; negative: datagrams carry few
+	syncPending []ID    // members still to be sent to syncTo
+	syncTo      netip.AddrPort
+	nextSync    Time
+}
+
+// New creates the roster of a process that has just started. Seeds are the addresses of at
+// least two other processes; their datagrams are accepted before they are members.
+func New(settings Settings, self Member, seeds []netip.AddrPort, now Time, seed int64) *Roster {
+	r := &Roster{settings: settings, self: self, rng: rand.New(rand.NewPCG(uint64(seed), 0x726f73)), now: now, members: map[ID]*member{},
+		byAddr: map[netip.AddrPort]ID{}, relays: map[uint32]*relay{}, probes: map[uint32]*probe{}, seeds: slices.Clone(seeds), byteBudget: burstSeconds * settings.BytesPerSecond}
 	r.self.Status = Alive
-	r.next = now + Time(r.rng.Float64()*float64(set.ProbePeriod))
+	r.nextPeriod = now + Time(r.rng.Float64()*float64(settings.ProbePeriod))
 	return r
 }
 
-// Counts gives the figures.
+// Counts returns the counters.
 func (r *Roster) Counts() Counts { return r.counts }
 
-// Handle takes an event and returns what is to be done, in order. The slice is
-// reused by the next call.
+// Handle processes an event and returns the resulting actions in order. The slice is reused
+// by the next call.
 func (r *Roster) Handle(now Time, e Event) []Action {
-	r.purse = min(purseLasts*r.set.BytesPerSecond, r.purse+r.set.BytesPerSecond*max(0, now-r.now).Seconds())
-	r.now, r.out = max(now, r.now), r.out[:0]
+	r.byteBudget = min(burstSeconds*r.settings.BytesPerSecond, r.byteBudget+r.settings.BytesPerSecond*max(0, now-r.now).Seconds())
+	r.now, r.actions = max(now, r.now), r.actions[:0]
 	switch e := e.(type) {
 	case DatagramReceived:
-		r.hear(e)
+		r.handleDatagram(e)
 	case PeerActive:
 		switch m := r.members[e.ID]; {
 		case m == nil || m.Status == Left:
 		case m.Status != Gone:
-			r.lives(m)
-		case r.now-m.toldOf >= r.set.ProbePeriod: // a split has healed: it is told what it is taken for, and refutes it
-			m.toldOf = r.now
-			r.look(m, false)
+			r.markHeard(m)
+		// The partition may have healed: a probe tells the member its status here, and it refutes.
+		case r.now-m.lastNotified >= r.settings.ProbePeriod:
+			m.lastNotified = r.now
+			r.startProbe(m, false)
 		}
 	case Tick:
 		r.tick()
 	case Resumed:
-		r.woke(e)
+		r.handleResumed(e)
 	case Leaving:
-		r.ended = true
+		r.leaving = true
 		r.self.Status, r.self.Refutations = Left, r.self.Refutations+1
-		for _, m := range r.some(2*r.set.IndirectProbes, func(m *member) bool { return m.Status == Alive }) {
+		for _, m := range r.randomMembers(2*r.settings.IndirectProbes, func(m *member) bool { return m.Status == Alive }) {
 			r.send(m.Addr, message{kind: ping, target: m.ID})
 		}
 	}
-	return r.out
+	return r.actions
 }
 
-// MaxMembers lists all that are known, this one among them, by name.
+// Members returns all known members including this process, sorted by ID.
 func (r *Roster) Members() []Member {
 	out := []Member{r.self}
 	out[0].LastHeard = r.now
@@ -140,8 +155,8 @@
 	return out
 }
 
-// AliveCount is how many are taken for alive or suspected, this one among them: a
-// suspicion may be wrong.
+// AliveCount returns the number of members that are alive or suspected, including this
+// process.
 func (r *Roster) AliveCount() int {
 	n := 1
 	for _, m := range r.members {
@@ -152,12 +167,12 @@
 	return n
 }
 
-// HasMajority tells whether most of the last agreed fleet are heard by this process or
-// by those it hears: suspects do not count.
+// HasMajority reports whether more than half of the last agreed fleet is alive, not counting
+// suspects.
 func (r *Roster) HasMajority() bool {
 	all, here := 1, 1
 	for _, m := range r.members {
-		if m.counted {
+		if m.countsForMajority {
 			all++
 			if m.Status == Alive {
 				here++
@@ -167,7 +182,7 @@
 	return 2*here > all
 }
 
-// Digest is the same at processes with the same view of who lives.
+// Digest returns a hash of the live members, equal at processes with equal views.
 func (r *Roster) Digest() uint32 {
 	d := uint32(r.self.ID)*2654435761 + uint32(r.self.Incarnation)*40503
 	for _, m := range r.members {
@@ -178,102 +193,103 @@
 	return d
 }
 
-// send tells a process something, with as many updates as there is room for: those
-// that have been told least often first.
+// send queues a message with as many member updates as fit, those transmitted least often
+// first.
 func (r *Roster) send(to netip.AddrPort, m message) {
-	m.id, m.life, m.incarnation, m.digest = r.self.ID, r.self.Incarnation, r.self.Refutations, r.Digest()
-	if r.ended {
-		m.updates = append(m.updates, said{Left, r.self.ID, r.self.Incarnation, r.self.Refutations, r.self.Addr})
+	m.id, m.incarnation, m.refutations, m.digest = r.self.ID, r.self.Incarnation, r.self.Refutations, r.Digest()
+	if r.leaving {
+		m.updates = append(m.updates, update{Left, r.self.ID, r.self.Incarnation, r.self.Refutations, r.self.Addr})
 	}
-	limit := int(math.Ceil(r.set.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
-	var news []*member
+	limit := int(math.Ceil(r.settings.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
+	var pending []*member
 	for _, x := range r.members {
-		if x.told < limit && x.Addr != to {
-			news = append(news, x)
+		if x.transmits < limit && x.Addr != to {
+			pending = append(pending, x)
 		}
 	}
-	slices.SortFunc(news, func(a, b *member) int { return cmp.Or(cmp.Compare(a.told, b.told), cmp.Compare(a.ID, b.ID)) })
-	if x := r.members[r.byAddr[to]]; x != nil && x.Status != Alive { // it must hear of a suspicion at once, to refute it
-		m.updates = append(m.updates, x.said())
+	slices.SortFunc(pending, func(a, b *member) int { return cmp.Or(cmp.Compare(a.transmits, b.transmits), cmp.Compare(a.ID, b.ID)) })
+	// A suspected receiver is always sent its own status, so that it can refute.
+	if x := r.members[r.byAddr[to]]; x != nil && x.Status != Alive {
+		m.updates = append(m.updates, x.update())
 	}
 	room := MaxUpdates
-	if r.purse < 0 {
-		room = fewUpdates
+	if r.byteBudget < 0 {
+		room = updatesOverBudget
 	}
-	for _, x := range news[:max(0, min(len(news), room-len(m.updates)))] {
-		x.told++
-		m.updates = append(m.updates, x.said())
+	for _, x := range pending[:max(0, min(len(pending), room-len(m.updates)))] {
+		x.transmits++
+		m.updates = append(m.updates, x.update())
 	}
 	data := m.append(make([]byte, 0, MaxDatagram))
 	r.counts.Datagrams++
 	r.counts.Bytes += uint64(len(data))
-	r.purse = max(-debtLasts*r.set.BytesPerSecond, r.purse-float64(len(data)))
-	r.out = append(r.out, Send{to, data})
+	r.byteBudget = max(-maxDebtSeconds*r.settings.BytesPerSecond, r.byteBudget-float64(len(data)))
+	r.actions = append(r.actions, Send{to, data})
 }
 
-func (m *member) said() said { return said{m.Status, m.ID, m.Incarnation, m.Refutations, m.Addr} }
+func (m *member) update() update { return update{m.Status, m.ID, m.Incarnation, m.Refutations, m.Addr} }
 
-// hears tells whether datagrams of an address are taken.
-func (r *Roster) hears(from netip.AddrPort) bool {
+// accepts reports whether datagrams from an address are processed.
+func (r *Roster) accepts(from netip.AddrPort) bool {
 	if _, known := r.byAddr[from]; known || slices.Contains(r.seeds, from) {
 		return true
 	}
-	return slices.ContainsFunc(r.set.AllowedPrefixes, func(p netip.Prefix) bool { return p.Contains(from.Addr()) })
+	return slices.ContainsFunc(r.settings.AllowedPrefixes, func(p netip.Prefix) bool { return p.Contains(from.Addr()) })
 }
 
-func (r *Roster) hear(e DatagramReceived) {
+func (r *Roster) handleDatagram(e DatagramReceived) {
 	m, err := parse(e.Data)
 	if err != nil {
 		r.counts.Malformed++
 		return
 	}
-	if !r.hears(e.From) {
+	if !r.accepts(e.From) {
 		r.counts.UnknownSenders++
 		return
 	}
-	if m.id == r.self.ID || r.ended {
+	if m.id == r.self.ID || r.leaving {
 		return
 	}
-	if m.id >= r.set.IDLimit {
+	if m.id >= r.settings.IDLimit {
 		r.counts.UnknownSenders++
 		return
 	}
 	from := r.members[m.id]
 	switch {
-	case from != nil && (m.life < from.Incarnation || m.life == from.Incarnation && from.Status == Left):
+	case from != nil && (m.incarnation < from.Incarnation || m.incarnation == from.Incarnation && from.Status == Left):
 		r.counts.Stale++
-		r.tellLife(from, e.From)
+		r.sendKnownIncarnation(from, e.From)
 		return
-	case from != nil && from.Addr != e.From && m.life == from.Incarnation:
-		r.counts.UnknownSenders++ // somebody else's name
+	case from != nil && from.Addr != e.From && m.incarnation == from.Incarnation:
+		r.counts.UnknownSenders++ // another process's ID
 		return
 	}
-	if from = r.take(said{Alive, m.id, m.life, m.incarnation, e.From}, m.id, true); from == nil {
+	if from = r.applyUpdate(update{Alive, m.id, m.incarnation, m.refutations, e.From}, m.id, true); from == nil {
 		return
 	}
 	for _, u := range m.updates {
 		if u.id == r.self.ID {
 			r.refute(u)
 		} else {
-			r.take(u, m.id, false)
+			r.applyUpdate(u, m.id, false)
 		}
 	}
 	if from.Status == Left {
 		return
 	}
-	from.spoke = r.now
-	r.lives(from)
-	r.compare(from, m.digest)
+	from.lastDatagram = r.now
+	r.markHeard(from)
+	r.syncIfDiffers(from, m.digest)
 	switch m.kind {
 	case ping:
 		r.send(e.From, message{kind: ack, seq: m.seq})
 	case ack:
-		r.acked(m.seq, m.id)
-	case pingFor:
-		if len(r.relays) < mostRelays && m.target != r.self.ID {
+		r.handleAck(m.seq, m.id)
+	case pingRequest:
+		if len(r.relays) < maxRelays && m.target != r.self.ID {
 			r.seq++
-			r.relays[r.seq] = &relay{seq: m.seq, to: e.From, sent: r.now, of: m.target}
-			r.send(m.at, message{kind: ping, seq: r.seq, target: m.target})
+			r.relays[r.seq] = &relay{seq: m.seq, to: e.From, sent: r.now, memberID: m.target}
+			r.send(m.targetAddr, message{kind: ping, seq: r.seq, target: m.target})
 		}
 	case nack:
 		if p := r.probes[m.seq]; p != nil {
@@ -282,215 +298,220 @@
 	}
 }
 
-// tellLife tells a process that speaks under a life that is over here which one is
-// known: one whose clock was set back before it started, or that started anew within a
-// second, takes a later life then. Not while that other life is heard: then it is a
-// former one's datagram that was late.
-func (r *Roster) tellLife(m *member, to netip.AddrPort) {
-	if r.now-m.spoke < r.set.ProbePeriod || r.now-m.toldOf < r.set.ProbePeriod {
+// sendKnownIncarnation notifies a process that uses an outdated incarnation of the one known
+// here, so that it takes a later one. This happens after a restart with a clock that was set
+// back, or within the same second. Nothing is sent while the known incarnation is active,
+// since the datagram is then a late one of its predecessor.
+func (r *Roster) sendKnownIncarnation(m *member, to netip.AddrPort) {
+	if r.now-m.lastDatagram < r.settings.ProbePeriod || r.now-m.lastNotified < r.settings.ProbePeriod {
 		return
 	}
-	m.toldOf = r.now
-	r.send(to, message{kind: page, updates: []said{m.said()}})
+	m.lastNotified = r.now
+	r.send(to, message{kind: stateSync, updates: []update{m.update()}})
 }
 
-// compare tells another process all members if its view differs: at most every other
-// period, more rarely in a large fleet, so that the bytes a second do not grow with it,
-// and in turns of a few datagrams.
-func (r *Roster) compare(m *member, digest uint32) {
-	if digest == r.Digest() || r.now < r.nextPages || len(r.pages) > 0 {
+// syncIfDiffers starts sending all members to a process whose view differs, at most every
+// other period and less often in a large fleet, so that the bandwidth does not grow with it.
+func (r *Roster) syncIfDiffers(m *member, digest uint32) {
+	if digest == r.Digest() || r.now < r.nextSync || len(r.syncPending) > 0 {
 		return
 	}
-	r.nextPages, r.pagesTo = r.now+Time(max(2, float64(len(r.members))/pagesEvery)*float64(r.set.ProbePeriod)), m.Addr
-	for _, id := range r.ids() {
+	r.nextSync, r.syncTo = r.now+Time(max(2, float64(len(r.members))/syncMembersPerPeriod)*float64(r.settings.ProbePeriod)), m.Addr
+	for _, id := range r.sortedIDs() {
 		if id != m.ID {
-			r.pages = append(r.pages, id)
+			r.syncPending = append(r.syncPending, id)
 		}
 	}
-	r.turnPage()
+	r.continueSync()
 }
 
-// turnPage sends the next datagrams of a view.
-func (r *Roster) turnPage() {
-	for range pagesAtOnce {
-		if len(r.pages) == 0 || r.purse < 0 {
+// continueSync sends the next datagrams of a full-state synchronization.
+func (r *Roster) continueSync() {
+	for range syncDatagramsPerTick {
+		if len(r.syncPending) == 0 || r.byteBudget < 0 {
 			return
 		}
-		n := min(len(r.pages), MaxUpdates-1) // one is left for what the receiver must know of itself
-		m := message{kind: page}
-		for _, id := range r.pages[:n] {
+		n := min(len(r.syncPending), MaxUpdates-1) // one update is reserved for the receiver's own status
+		m := message{kind: stateSync}
+		for _, id := range r.syncPending[:n] {
 			if x := r.members[id]; x != nil {
-				m.updates = append(m.updates, x.said())
+				m.updates = append(m.updates, x.update())
 			}
 		}
-		r.pages = r.pages[n:]
-		r.send(r.pagesTo, m)
+		r.syncPending = r.syncPending[n:]
+		r.send(r.syncTo, m)
 	}
 }
 
-// lives takes that a member was heard by this process itself: a suspicion is over here.
-func (r *Roster) lives(m *member) {
-	r.heard = r.now
-	m.LastHeard, m.direct, m.fails = r.now, r.now, 0
+// markHeard records that this process itself heard from a member, which ends a suspicion.
+func (r *Roster) markHeard(m *member) {
+	r.lastHeard = r.now
+	m.LastHeard, m.lastDirect, m.failedProbes = r.now, r.now, 0
 	if m.Status == Suspect {
-		r.become(m, Alive)
+		r.setStatus(m, Alive)
 	}
 }
 
-func (r *Roster) acked(seq uint32, by ID) {
+func (r *Roster) handleAck(seq uint32, from ID) {
 	if p := r.probes[seq]; p != nil {
 		delete(r.probes, seq)
-		if p.round {
-			r.aware = max(0, r.aware-1)
+		if p.inRound {
+			r.awareness = max(0, r.awareness-1)
 		}
-		if by != p.of { // through a helper
-			if m := r.members[p.of]; m != nil {
-				r.lives(m)
+		if from != p.memberID { // answered through an indirect prober
+			if m := r.members[p.memberID]; m != nil {
+				r.markHeard(m)
 			}
 		}
 		return
 	}
-	if x := r.relays[seq]; x != nil && x.of == by {
+	if x := r.relays[seq]; x != nil && x.memberID == from {
 		delete(r.relays, seq)
 		r.send(x.to, message{kind: ack, seq: x.seq})
 	}
 }
 
-// take takes what is said of a member: what is of a later life, or of a later
-// incarnation, or worse news of the same one. direct is whether it says so itself.
-func (r *Roster) take(u said, by ID, direct bool) *member {
-	m := r.members[u.id]
+// applyUpdate applies an update of a member: one of a later incarnation, of a later
+// refutation count, or a worse status with the same numbers. fromSelf tells that the member
+// sent it itself. The result is nil if the member is not known and is not added.
+func (r *Roster) applyUpdate(reported update, reporter ID, fromSelf bool) *member {
+	m := r.members[reported.id]
 	if m == nil {
-		if u.id >= r.set.IDLimit {
+		if reported.id >= r.settings.IDLimit {
 			return nil
 		}
-		if !direct && (u.status == Gone || u.status == Left) {
+		if !fromSelf && (reported.status == Gone || reported.status == Left) {
 			return nil
 		}
-		if len(r.members) >= r.set.MaxMembers {
+		if len(r.members) >= r.settings.MaxMembers {
 			r.counts.MembersRejected++
 			return nil
 		}
-		m = &member{Member: Member{ID: u.id, Addr: u.addr, Incarnation: u.life, Refutations: u.incarnation, StatusSince: r.now}, counted: true}
-		r.members[u.id], r.byAddr[u.addr] = m, u.id
-		r.turn = append(r.turn, u.id)
-		r.become(m, Alive)
-		if u.status != Suspect {
+		m = &member{Member: Member{ID: reported.id, Addr: reported.addr, Incarnation: reported.incarnation, Refutations: reported.refutations, StatusSince: r.now}, countsForMajority: true}
+		r.members[reported.id], r.byAddr[reported.addr] = m, reported.id
+		r.probeOrder = append(r.probeOrder, reported.id)
+		r.setStatus(m, Alive)
+		if reported.status != Suspect {
 			return m
 		}
 	}
 	switch {
-	case u.life < m.Incarnation, u.life == m.Incarnation && int16(u.incarnation-m.Refutations) < 0:
+	case reported.incarnation < m.Incarnation, reported.incarnation == m.Incarnation && int16(reported.refutations-m.Refutations) < 0:
 		return m
-	case u.life > m.Incarnation:
-		if u.status != Alive && !direct || !direct && m.spoke > 0 && r.now-m.spoke < r.set.ProbePeriod {
-			return m // a new life tells of itself; nobody takes the name of one that is heard now
+	// A new incarnation must announce itself, and can't displace one heard from just now.
+	case reported.incarnation > m.Incarnation:
+		if reported.status != Alive && !fromSelf || !fromSelf && m.lastDatagram > 0 && r.now-m.lastDatagram < r.settings.ProbePeriod {
+			return m
 		}
 		delete(r.byAddr, m.Addr)
-		m.Incarnation, m.Refutations, m.Addr, m.fails, m.counted = u.life, u.incarnation, u.addr, 0, true
-		r.byAddr[u.addr] = u.id
-		r.become(m, Alive)
-	case u.status == Alive:
-		if newer := int16(u.incarnation-m.Refutations) > 0; newer && m.Status != Left {
-			m.Refutations, m.fails = u.incarnation, 0
+		m.Incarnation, m.Refutations, m.Addr, m.failedProbes, m.countsForMajority = reported.incarnation, reported.refutations, reported.addr, 0, true
+		r.byAddr[reported.addr] = reported.id
+		r.setStatus(m, Alive)
+	case reported.status == Alive:
+		if newer := int16(reported.refutations-m.Refutations) > 0; newer && m.Status != Left {
+			m.Refutations, m.failedProbes = reported.refutations, 0
 			if m.Status != Alive {
-				r.become(m, Alive)
+				r.setStatus(m, Alive)
 			} else {
-				m.told = 0
+				m.transmits = 0
 			}
 		}
-	case u.status == Left && m.Status != Left:
-		m.Refutations = u.incarnation
-		if direct || by == u.id || m.direct == 0 || r.now-m.direct > r.set.ProbePeriod {
-			m.counted = false
-			r.become(m, Left)
+	case reported.status == Left && m.Status != Left:
+		m.Refutations = reported.refutations
+		if fromSelf || reporter == reported.id || m.lastDirect == 0 || r.now-m.lastDirect > r.settings.ProbePeriod {
+			m.countsForMajority = false
+			r.setStatus(m, Left)
 		}
-	case m.Status == Alive: // suspected or gone, says another: nobody is buried by that alone
-		if m.direct > 0 && r.now-m.direct < r.set.ProbePeriod {
-			return m // it has just been heard here
+	// A peer report that the member is suspected or gone makes it suspect here, never gone.
+	case m.Status == Alive:
+		if m.lastDirect > 0 && r.now-m.lastDirect < r.settings.ProbePeriod {
+			return m // heard from within a period
 		}
-		m.Refutations = u.incarnation
-		r.become(m, Suspect)
+		m.Refutations = reported.refutations
+		r.setStatus(m, Suspect)
 	}
 	return m
 }
 
-// become changes a member's status, which is news.
-func (r *Roster) become(m *member, to Status) {
-	m.told, m.Status, m.StatusSince = 0, to, r.now
+// setStatus changes a member's status and marks it for dissemination.
+func (r *Roster) setStatus(m *member, to Status) {
+	m.transmits, m.Status, m.StatusSince = 0, to, r.now
 	if to == Suspect {
-		m.suspectAt = r.now
+		m.suspectedAt = r.now
 	}
-	r.out = append(r.out, StatusChanged{m.ID, to, m.Incarnation})
+	r.actions = append(r.actions, StatusChanged{m.ID, to, m.Incarnation})
 }
 
-// refute answers a suspicion of this process itself.
-func (r *Roster) refute(u said) {
-	if newer := int32(uint32(u.life) - uint32(r.self.Incarnation)); newer > 0 || newer == 0 && u.status == Left {
-		r.self.Incarnation, r.self.Refutations = u.life+1, 0 // a former life of this process, by a clock that has been set back since
+// refute answers a suspicion of this process, or a claim that it has left.
+func (r *Roster) refute(reported update) {
+	if newer := int32(uint32(reported.incarnation) - uint32(r.self.Incarnation)); newer > 0 || newer == 0 && reported.status == Left {
+		// A former incarnation started with a clock that has been set back since.
+		r.self.Incarnation, r.self.Refutations = reported.incarnation+1, 0
 		r.counts.IncarnationsRaised++
 		return
 	}
-	if u.status == Alive || u.life != r.self.Incarnation || int16(u.incarnation-r.self.Refutations) < 0 {
+	if reported.status == Alive || reported.incarnation != r.self.Incarnation || int16(reported.refutations-r.self.Refutations) < 0 {
 		return
 	}
-	r.self.Refutations = u.incarnation + 1
+	r.self.Refutations = reported.refutations + 1
 	r.counts.Refuted++
-	r.aware = min(r.set.MaxAwareness, r.aware+1) // it was too slow to answer
-	for _, m := range r.some(r.set.IndirectProbes, func(m *member) bool { return m.Status == Alive }) {
+	r.awareness = min(r.settings.MaxAwareness, r.awareness+1) // this process was too slow to answer
+	for _, m := range r.randomMembers(r.settings.IndirectProbes, func(m *member) bool { return m.Status == Alive }) {
 		r.send(m.Addr, message{kind: ping, target: m.ID})
 	}
 }
 
-// slow is what own slowness stretches times by.
-func (r *Roster) slow(d time.Duration) time.Duration { return d * time.Duration(1+r.aware) }
+// scaleByAwareness extends a timeout by the local health score.
+func (r *Roster) scaleByAwareness(d time.Duration) time.Duration {
+	return d * time.Duration(1+r.awareness)
+}
 
 func (r *Roster) tick() {
-	if r.ended {
+	if r.leaving {
 		return
 	}
-	for _, seq := range r.outstanding() {
-		r.insist(r.probes[seq])
+	for _, seq := range r.sortedProbes() {
+		r.retryProbe(r.probes[seq])
 	}
-	r.turnPage()
+	r.continueSync()
 	for seq, x := range r.relays {
 		switch age := r.now - x.sent; {
-		case age > 4*r.set.ProbePeriod:
+		case age > 4*r.settings.ProbePeriod:
 			delete(r.relays, seq)
-		case age > r.set.ProbeTimeout && !x.done:
-			x.done = true
+		case age > r.settings.ProbeTimeout && !x.nackSent:
+			x.nackSent = true
 			r.send(x.to, message{kind: nack, seq: x.seq})
 		}
 	}
-	if r.now >= r.next {
-		r.period()
+	if r.now >= r.nextPeriod {
+		r.startPeriod()
 	}
-	r.decide()
+	r.expireMembers()
 }
 
-// insist asks again for an ack that is late: the member itself, so that one lost datagram
-// is no doubt, and, once, others who may reach it.
-func (r *Roster) insist(p *probe) {
-	m := r.members[p.of]
-	if m == nil || p.pings >= mostPings || r.now-p.sent < time.Duration(p.pings)*r.slow(r.set.ProbeTimeout) {
+// retryProbe repeats a ping whose ack is late, and once requests indirect probes, so that a
+// single lost datagram raises no suspicion.
+func (r *Roster) retryProbe(p *probe) {
+	m := r.members[p.memberID]
+	if m == nil || p.pings >= maxPingsPerProbe || r.now-p.sent < time.Duration(p.pings)*r.scaleByAwareness(r.settings.ProbeTimeout) {
 		return
 	}
 	p.pings++
-	r.send(m.Addr, message{kind: ping, seq: p.seq, target: p.of})
-	if p.asked {
+	r.send(m.Addr, message{kind: ping, seq: p.seq, target: p.memberID})
+	if p.indirect {
 		return
 	}
-	p.asked = true
-	if p.round { // where many are dead at once the next is not waited for
-		r.next = r.now
+	p.indirect = true
+	if p.inRound { // start the next probe without waiting for the period's end
+		r.nextPeriod = r.now
 	}
-	for _, h := range r.some(r.set.IndirectProbes, func(x *member) bool { return x.Status == Alive && x.ID != p.of }) {
-		r.send(h.Addr, message{kind: pingFor, seq: p.seq, target: p.of, at: m.Addr})
+	for _, h := range r.randomMembers(r.settings.IndirectProbes, func(x *member) bool { return x.Status == Alive && x.ID != p.memberID }) {
+		r.send(h.Addr, message{kind: pingRequest, seq: p.seq, target: p.memberID, targetAddr: m.Addr})
 	}
 }
 
-// outstanding lists the probes that are out, in a fixed order.
-func (r *Roster) outstanding() []uint32 {
+// sortedProbes returns the sequence numbers of the pending probes in ascending order.
+func (r *Roster) sortedProbes() []uint32 {
 	out := make([]uint32, 0, len(r.probes))
 	for seq := range r.probes {
 		out = append(out, seq)
@@ -499,108 +520,109 @@
 	return out
 }
 
-// period ends the probes that have not been answered, and begins the next.
-func (r *Roster) period() {
-	news := 0
-	for _, seq := range r.outstanding() {
+// startPeriod ends expired probes and starts those of the next period.
+func (r *Roster) startPeriod() {
+	newSuspects := 0
+	for _, seq := range r.sortedProbes() {
 		p := r.probes[seq]
-		if r.now-p.sent < r.slow(r.set.ProbePeriod) { // slow itself: it gives more time
+		if r.now-p.sent < r.scaleByAwareness(r.settings.ProbePeriod) {
 			continue
 		}
 		delete(r.probes, seq)
-		// IndirectProbes that answered say that it is not this process, as does whoever was heard
-		// meanwhile: where most are dead no helper answers.
-		if p.round && p.nacks == 0 && r.heard <= p.sent {
-			r.aware = min(r.set.MaxAwareness, r.aware+1)
+		// Nacks, or anything heard since the probe was sent, show that this process is not the
+		// slow one.
+		if p.inRound && p.nacks == 0 && r.lastHeard <= p.sent {
+			r.awareness = min(r.settings.MaxAwareness, r.awareness+1)
 		}
-		if m := r.members[p.of]; m != nil && m.direct <= p.sent && (m.Status == Alive || m.Status == Suspect) {
-			if m.fails++; m.Status == Alive {
+		if m := r.members[p.memberID]; m != nil && m.lastDirect <= p.sent && (m.Status == Alive || m.Status == Suspect) {
+			if m.failedProbes++; m.Status == Alive {
 				r.counts.Suspicions++
-				r.become(m, Suspect)
-				news++
+				r.setStatus(m, Suspect)
+				newSuspects++
 			}
 		}
 	}
-	if news > 0 { // those that were heard just now are told: what goes to the dead is lost
-		for _, m := range r.some(tellOf, func(m *member) bool { return m.Status == Alive && r.now-m.direct < 2*r.set.ProbePeriod }) {
+	// Members heard from recently are notified; datagrams to dead ones would be lost.
+	if newSuspects > 0 {
+		for _, m := range r.randomMembers(suspicionFanout, func(m *member) bool { return m.Status == Alive && r.now-m.lastDirect < 2*r.settings.ProbePeriod }) {
 			r.send(m.Addr, message{kind: ping, target: m.ID})
 		}
 	}
-	r.next = r.now + r.set.ProbePeriod
-	// It is alone, or has not met all whom it was told of: processes that began in islands
-	// would else never hear of one another.
+	r.nextPeriod = r.now + r.settings.ProbePeriod
+	// Processes that know only part of the seeds keep pinging the others, so that groups that
+	// formed separately find each other.
 	few := len(r.members) < len(r.seeds) || r.AliveCount() == 1
 	for _, a := range r.seeds {
-		if _, known := r.byAddr[a]; !known && a != r.self.Addr && (few || r.rng.Float64() < seedsAgain) {
+		if _, known := r.byAddr[a]; !known && a != r.self.Addr && (few || r.rng.Float64() < seedRetryProbability) {
 			r.send(a, message{kind: ping})
 		}
 	}
-	for _, m := range r.some(suspectsAtOnce, func(m *member) bool { return m.Status == Suspect && !r.asked(m.ID) }) {
-		if r.rng.Float64() < suspectsFirst/float64(len(r.members)) { // each is to see for itself; not all at once
-			r.look(m, false)
+	for _, m := range r.randomMembers(maxSuspectProbes, func(m *member) bool { return m.Status == Suspect && !r.isProbed(m.ID) }) {
+		if r.rng.Float64() < suspectProbersPerPeriod/float64(len(r.members)) { // limits how many members probe it in a period
+			r.startProbe(m, false)
 		}
 	}
-	if r.rounds() {
+	if r.roundBusy() {
 		return
 	}
-	for range len(r.turn) + 1 {
-		if len(r.turn) == 0 {
-			r.round()
-			if len(r.turn) == 0 {
+	for range len(r.probeOrder) + 1 {
+		if len(r.probeOrder) == 0 {
+			r.shuffleProbeOrder()
+			if len(r.probeOrder) == 0 {
 				return
 			}
 		}
-		m := r.members[r.silent()]
-		if m == nil || m.Status == Left || m.Status == Gone && r.rng.Float64() > 0.1 { // one that is gone is tried now and then: a split may have healed
+		m := r.members[r.nextProbeTarget()]
+		// Gone members are probed occasionally, since a partition may have healed.
+		if m == nil || m.Status == Left || m.Status == Gone && r.rng.Float64() > 0.1 {
 			continue
 		}
-		if m.direct > 0 && r.now-m.direct < r.set.ProbePeriod && m.Status == Alive && len(r.news()) == 0 {
+		if m.lastDirect > 0 && r.now-m.lastDirect < r.settings.ProbePeriod && m.Status == Alive && len(r.pendingUpdates()) == 0 {
 			r.counts.ProbesSkipped++
 			return
 		}
-		r.look(m, true)
+		r.startProbe(m, true)
 		return
 	}
 }
 
-// silent takes the next to be probed off the turn: of the first few the one that was heard
-// longest ago.
-func (r *Roster) silent() ID {
+// nextProbeTarget removes the next target from the probe order: among the first few, the
+// one not heard from for the longest time.
+func (r *Roster) nextProbeTarget() ID {
 	best, since := 0, Time(math.MaxInt64)
-	for i, id := range r.turn[:min(ahead, len(r.turn))] {
-		if m := r.members[id]; m != nil && m.Status == Alive && m.direct < since {
-			best, since = i, m.direct
+	for i, id := range r.probeOrder[:min(probeLookahead, len(r.probeOrder))] {
+		if m := r.members[id]; m != nil && m.Status == Alive && m.lastDirect < since {
+			best, since = i, m.lastDirect
 		}
 	}
-	id := r.turn[best]
-	r.turn = slices.Delete(r.turn, best, best+1)
+	id := r.probeOrder[best]
+	r.probeOrder = slices.Delete(r.probeOrder, best, best+1)
 	return id
 }
 
-// look probes a member.
-func (r *Roster) look(m *member, round bool) {
+func (r *Roster) startProbe(m *member, inRound bool) {
 	r.seq++
-	r.probes[r.seq] = &probe{of: m.ID, seq: r.seq, sent: r.now, pings: 1, round: round}
+	r.probes[r.seq] = &probe{memberID: m.ID, seq: r.seq, sent: r.now, pings: 1, inRound: inRound}
 	r.counts.Probes++
 	r.send(m.Addr, message{kind: ping, seq: r.seq, target: m.ID})
 }
 
-// asked tells whether a member is being probed; rounds whether no further probe of the
-// round is to begin.
-func (r *Roster) asked(id ID) bool {
+// isProbed reports whether a probe of a member is pending.
+func (r *Roster) isProbed(id ID) bool {
 	for _, p := range r.probes {
-		if p.of == id {
+		if p.memberID == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Roster) rounds() bool {
+// roundBusy reports whether the pending regular probes rule out another one.
+func (r *Roster) roundBusy() bool {
 	n := 0
 	for _, p := range r.probes {
-		if p.round {
-			if n++; !p.asked || n >= probesAtOnce {
+		if p.inRound {
+			if n++; !p.indirect || n >= maxUnansweredProbes {
 				return true
 			}
 		}
@@ -608,58 +630,58 @@
 	return false
 }
 
-// news lists members of whom there is something left to tell.
-func (r *Roster) news() []ID {
-	limit := int(math.Ceil(r.set.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
+// pendingUpdates returns the members whose status is still to be disseminated.
+func (r *Roster) pendingUpdates() []ID {
+	limit := int(math.Ceil(r.settings.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
 	var out []ID
 	for id, m := range r.members {
-		if m.told < limit {
+		if m.transmits < limit {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// round puts all members in a new random order: each is probed once a round.
-func (r *Roster) round() {
+// shuffleProbeOrder starts a round, in which each member is probed once in random order.
+func (r *Roster) shuffleProbeOrder() {
 	for id := range r.members {
-		r.turn = append(r.turn, id)
+		r.probeOrder = append(r.probeOrder, id)
 	}
-	slices.Sort(r.turn)
-	r.rng.Shuffle(len(r.turn), func(i, j int) { r.turn[i], r.turn[j] = r.turn[j], r.turn[i] })
+	slices.Sort(r.probeOrder)
+	r.rng.Shuffle(len(r.probeOrder), func(i, j int) { r.probeOrder[i], r.probeOrder[j] = r.probeOrder[j], r.probeOrder[i] })
 }
 
-// over tells whether a suspicion has lasted long enough: the less time, the more this
-// process has seen of it itself.
-func (r *Roster) over(m *member) bool {
-	least := r.set.SuspicionMultiplier * math.Max(1, math.Log10(float64(len(r.members)+1))) * float64(r.set.ProbePeriod)
-	age := float64(r.now-max(m.suspectAt, m.direct)) / float64(1+r.aware/2)
+// suspicionExpired reports whether a suspicion has lasted long enough to declare the member
+// gone. The time shortens with the number of this process's own failed probes.
+func (r *Roster) suspicionExpired(m *member) bool {
+	least := r.settings.SuspicionMultiplier * math.Max(1, math.Log10(float64(len(r.members)+1))) * float64(r.settings.ProbePeriod)
+	age := float64(r.now-max(m.suspectedAt, m.lastDirect)) / float64(1+r.awareness/2)
 	switch {
-	case m.fails >= enough:
+	case m.failedProbes >= failuresForShortTimeout:
 		return age >= least
-	case m.fails > 0:
-		return age >= least*r.set.SuspicionMaxMultiplier
+	case m.failedProbes > 0:
+		return age >= least*r.settings.SuspicionMaxMultiplier
 	}
-	return age >= 2*least*r.set.SuspicionMaxMultiplier
+	return age >= 2*least*r.settings.SuspicionMaxMultiplier
 }
 
-// decide ends suspicions that were not refuted, and forgets who is gone for long.
-func (r *Roster) decide() {
-	for _, id := range r.ids() {
+// expireMembers declares members gone whose suspicion expired, and removes old ones.
+func (r *Roster) expireMembers() {
+	for _, id := range r.sortedIDs() {
 		m := r.members[id]
 		switch {
-		case m.Status == Suspect && r.over(m):
-			r.become(m, Gone)
-		case m.Status == Gone && m.counted && r.now-m.StatusSince > settle && r.HasMajority():
-			m.counted = false
-		case (m.Status == Gone || m.Status == Left) && !m.counted && r.now-m.StatusSince > r.set.ForgetAfter:
+		case m.Status == Suspect && r.suspicionExpired(m):
+			r.setStatus(m, Gone)
+		case m.Status == Gone && m.countsForMajority && r.now-m.StatusSince > goneExclusionDelay && r.HasMajority():
+			m.countsForMajority = false
+		case (m.Status == Gone || m.Status == Left) && !m.countsForMajority && r.now-m.StatusSince > r.settings.ForgetAfter:
 			delete(r.members, id)
 			delete(r.byAddr, m.Addr)
 		}
 	}
 }
 
-func (r *Roster) ids() []ID {
+func (r *Roster) sortedIDs() []ID {
 	out := make([]ID, 0, len(r.members))
 	for id := range r.members {
 		out = append(out, id)
@@ -668,11 +690,11 @@
 	return out
 }
 
-// some draws members that fit.
-func (r *Roster) some(n int, fits func(*member) bool) []*member {
+// randomMembers returns up to n randomly chosen members that match.
+func (r *Roster) randomMembers(n int, match func(*member) bool) []*member {
 	var all []*member
-	for _, id := range r.ids() {
-		if m := r.members[id]; fits(m) {
+	for _, id := range r.sortedIDs() {
+		if m := r.members[id]; match(m) {
 			all = append(all, m)
 		}
 	}
@@ -680,17 +702,18 @@
 	return all[:min(n, len(all))]
 }
 
-// woke takes that this process stood still: the silence that it sees is its own.
-func (r *Roster) woke(e Resumed) {
-	r.aware = min(r.set.MaxAwareness, r.aware+2)
+// handleResumed accounts for a pause of this process: the silence during it says nothing
+// about the members.
+func (r *Roster) handleResumed(e Resumed) {
+	r.awareness = min(r.settings.MaxAwareness, r.awareness+2)
 	clear(r.probes)
 	for _, m := range r.members {
 		if m.Status == Suspect {
-			m.suspectAt = r.now
+			m.suspectedAt = r.now
 		}
-		if m.direct > 0 {
-			m.direct += e.Gap
+		if m.lastDirect > 0 {
+			m.lastDirect += e.Gap
 		}
 	}
-	r.next = r.now
+	r.nextPeriod = r.now
 }
--- a/fleet/roster/roster_test.go
+++ b/fleet/roster/roster_test.go
@@ -14,41 +14,41 @@
 	"pgregory.net/rapid"
 )
 
-// sim is a fleet of rosters under virtual time.
+// sim runs a fleet of rosters in virtual time.
 type sim struct {
-	rng     *rand.Rand
-	now     Time
-	seq     int
-	queue   plans
-	nodes   []*Roster
-	at      map[netip.AddrPort]int
-	life    []int // counts processes
-	up      []bool
-	asleep  []Time
-	ticked  []Time
-	lost    func(from, to int) float64
-	delay   func() time.Duration
-	doubled float64
-	doubts  int        // times that a process that was up was suspected by one
-	gone    map[ID]int // times that a process that was up was taken for gone
-	learnt  map[ID][]Time
-	slowed  []bool
+	rng             *rand.Rand
+	now             Time
+	seq             int
+	queue           timerQueue
+	nodes           []*Roster
+	nodeByAddr      map[netip.AddrPort]int
+	incarnation     []int // number of starts
+	up              []bool
+	pausedUntil     []Time
+	lastTick        []Time
+	lossRate        func(from, to int) float64
+	delay           func() time.Duration
+	duplicateRate   float64
+	falseSuspicions int           // suspicions of processes that are up
+	falseGone       map[ID]int    // times that a process that is up was declared gone
+	goneLearnedAt   map[ID][]Time // when others declared a dead process gone
+	starved         []bool
 }
 
-type plan struct {
+type timer struct {
 	at  Time
 	seq int
 	do  func()
 }
-type plans []plan
+type timerQueue []timer
 
-func (p plans) Len() int { return len(p) }
-func (p plans) Less(i, j int) bool {
+func (p timerQueue) Len() int { return len(p) }
+func (p timerQueue) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
-func (p plans) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *plans) Push(x any)   { *p = append(*p, x.(plan)) }
-func (p *plans) Pop() any {
+func (p timerQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p *timerQueue) Push(x any)   { *p = append(*p, x.(timer)) }
+func (p *timerQueue) Pop() any {
 	n := len(*p) - 1
 	x := (*p)[n]
 	*p = (*p)[:n]
@@ -60,8 +60,8 @@
 }
 
 func newSim(n int, seed uint64) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, at: map[netip.AddrPort]int{}, gone: map[ID]int{}, learnt: map[ID][]Time{}}
-	s.lost = func(int, int) float64 { return 0 }
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, nodeByAddr: map[netip.AddrPort]int{}, falseGone: map[ID]int{}, goneLearnedAt: map[ID][]Time{}}
+	s.lossRate = func(int, int) float64 { return 0 }
 	s.delay = func() time.Duration { return time.Duration(2+s.rng.IntN(6)) * time.Millisecond }
 	for range n {
 		s.join()
@@ -69,18 +69,18 @@
 	return s
 }
 
-// join starts one more process, which knows two others.
+// join starts another process with two seeds.
 func (s *sim) join() int {
 	i := len(s.nodes)
-	s.nodes, s.life, s.up = append(s.nodes, nil), append(s.life, 0), append(s.up, false)
-	s.asleep, s.ticked, s.slowed = append(s.asleep, 0), append(s.ticked, 0), append(s.slowed, false)
-	s.at[addr(i)] = i
+	s.nodes, s.incarnation, s.up = append(s.nodes, nil), append(s.incarnation, 0), append(s.up, false)
+	s.pausedUntil, s.lastTick, s.starved = append(s.pausedUntil, 0), append(s.lastTick, 0), append(s.starved, false)
+	s.nodeByAddr[addr(i)] = i
 	s.start(i)
 	return i
 }
 
 func (s *sim) start(i int) {
-	s.life[i]++
+	s.incarnation[i]++
 	s.up[i] = true
 	set := Defaults()
 	set.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("127.1.0.0/16")}
@@ -90,16 +90,16 @@
 			seeds = append(seeds, addr(k))
 		}
 	}
-	s.nodes[i] = New(set, Member{ID: ID(i + 1), Addr: addr(i), Incarnation: Incarnation(1000 + s.life[i])}, seeds, s.now, int64(i)*1000+int64(s.life[i]))
-	s.ticked[i] = s.now
-	s.tick(i, s.life[i])
+	s.nodes[i] = New(set, Member{ID: ID(i + 1), Addr: addr(i), Incarnation: Incarnation(1000 + s.incarnation[i])}, seeds, s.now, int64(i)*1000+int64(s.incarnation[i]))
+	s.lastTick[i] = s.now
+	s.tick(i, s.incarnation[i])
 }
 
-func (s *sim) kill(i int) { s.up[i] = false; s.life[i] += 0 }
+func (s *sim) kill(i int) { s.up[i] = false; s.incarnation[i] += 0 }
 
-func (s *sim) plan(d time.Duration, do func()) {
+func (s *sim) timer(d time.Duration, do func()) {
 	s.seq++
-	heap.Push(&s.queue, plan{s.now + d, s.seq, do})
+	heap.Push(&s.queue, timer{s.now + d, s.seq, do})
 }
 
 func (s *sim) run(d time.Duration) {
@@ -108,46 +108,46 @@
 			s.now = end
 			return
 		}
-		p := heap.Pop(&s.queue).(plan)
+		p := heap.Pop(&s.queue).(timer)
 		s.now = p.at
 		p.do()
 	}
 }
 
-func (s *sim) tick(i, life int) {
-	if s.life[i] != life || !s.up[i] {
+func (s *sim) tick(i, incarnation int) {
+	if s.incarnation[i] != incarnation || !s.up[i] {
 		return
 	}
 	next := 100 * time.Millisecond
-	if s.slowed[i] { // starved: it runs now and then
+	if s.starved[i] { // ticks at random intervals
 		next = time.Duration(s.rng.IntN(1200)) * time.Millisecond
-		s.asleep[i] = s.now + next - 1
+		s.pausedUntil[i] = s.now + next - 1
 	}
-	s.plan(next, func() { s.tick(i, life) })
-	if s.now < s.asleep[i] && !s.slowed[i] {
+	s.timer(next, func() { s.tick(i, incarnation) })
+	if s.now < s.pausedUntil[i] && !s.starved[i] {
 		return
 	}
-	if gap := s.now - s.ticked[i]; gap > 400*time.Millisecond {
-		s.do(i, Resumed{gap})
+	if gap := s.now - s.lastTick[i]; gap > 400*time.Millisecond {
+		s.inject(i, Resumed{gap})
 	}
-	s.ticked[i] = s.now
-	s.do(i, Tick{})
+	s.lastTick[i] = s.now
+	s.inject(i, Tick{})
 }
 
-func (s *sim) do(i int, e Event) {
+func (s *sim) inject(i int, e Event) {
 	for _, a := range s.nodes[i].Handle(s.now, e) {
 		switch a := a.(type) {
 		case Send:
 			s.send(i, a.To, bytes.Clone(a.Data))
 		case StatusChanged:
 			if k := int(a.ID) - 1; a.Status == Suspect && k >= 0 && k < len(s.up) && s.up[k] {
-				s.doubts++
+				s.falseSuspicions++
 			}
 			if k := int(a.ID) - 1; a.Status == Gone && k >= 0 && k < len(s.up) {
-				if s.up[k] && s.life[k] == int(a.Incarnation) {
-					s.gone[a.ID]++
+				if s.up[k] && s.incarnation[k] == int(a.Incarnation) {
+					s.falseGone[a.ID]++
 				} else {
-					s.learnt[a.ID] = append(s.learnt[a.ID], s.now)
+					s.goneLearnedAt[a.ID] = append(s.goneLearnedAt[a.ID], s.now)
 				}
 			}
 		}
@@ -155,37 +155,37 @@
 }
 
 func (s *sim) send(from int, to netip.AddrPort, data []byte) {
-	k, known := s.at[to]
+	k, known := s.nodeByAddr[to]
 	if !known || len(data) > MaxDatagram {
 		return
 	}
 	times := 1
-	if s.rng.Float64() < s.doubled {
+	if s.rng.Float64() < s.duplicateRate {
 		times = 2
 	}
 	for range times {
-		if s.rng.Float64() >= s.lost(from, k) {
-			s.plan(s.delay(), func() { s.arrive(from, k, data) })
+		if s.rng.Float64() >= s.lossRate(from, k) {
+			s.timer(s.delay(), func() { s.deliver(from, k, data) })
 		}
 	}
 }
 
-func (s *sim) arrive(from, to int, data []byte) {
+func (s *sim) deliver(from, to int, data []byte) {
 	switch {
 	case !s.up[to]:
-	case s.now < s.asleep[to]:
-		s.plan(s.asleep[to]-s.now+1, func() { s.arrive(from, to, data) })
+	case s.now < s.pausedUntil[to]:
+		s.timer(s.pausedUntil[to]-s.now+1, func() { s.deliver(from, to, data) })
 	default:
-		if gap := s.now - s.ticked[to]; gap > 400*time.Millisecond {
-			s.do(to, Resumed{gap})
-			s.ticked[to] = s.now
+		if gap := s.now - s.lastTick[to]; gap > 400*time.Millisecond {
+			s.inject(to, Resumed{gap})
+			s.lastTick[to] = s.now
 		}
-		s.do(to, DatagramReceived{addr(from), data})
+		s.inject(to, DatagramReceived{addr(from), data})
 	}
 }
 
-// agree tells whether all that are up take the same ones for alive, and those alone.
-func (s *sim) agree() bool {
+// converged reports whether all running processes agree on the live members.
+func (s *sim) converged() bool {
 	up := 0
 	for _, u := range s.up {
 		if u {
@@ -200,9 +200,9 @@
 	return true
 }
 
-func (s *sim) until(most time.Duration) time.Duration {
+func (s *sim) runUntilConverged(most time.Duration) time.Duration {
 	from := s.now
-	for !s.agree() && s.now-from < most {
+	for !s.converged() && s.now-from < most {
 		s.run(100 * time.Millisecond)
 	}
 	return s.now - from
@@ -211,9 +211,8 @@
 var large = flag.Bool("roster-large", false, "fleets of 150 to 1,000 processes too")
 var huge = flag.Bool("roster-huge", false, "1,000 processes too")
 
-// IDAt each size and loss: how soon all know all, and know of a death, what it costs, and
-// how many that live are taken for gone.
-func TestSizesAndLosses(t *testing.T) {
+// Checks join time, detection time, bandwidth and false positives by fleet size and loss.
+func TestConvergenceBySizeAndLoss(t *testing.T) {
 	sizes := []int{3, 12, 48}
 	if *large {
 		sizes = append(sizes, 150, 300)
@@ -224,49 +223,50 @@
 	for _, n := range sizes {
 		for _, loss := range []float64{0, 0.1, 0.3} {
 			s := newSim(n, uint64(n))
-			s.lost = func(int, int) float64 { return loss }
-			joined := s.until(2 * time.Minute)
-			before, doubts := s.nodes[n-1].counts, s.doubts
+			s.lossRate = func(int, int) float64 { return loss }
+			joinTime := s.runUntilConverged(2 * time.Minute)
+			before, falseSuspicions := s.nodes[n-1].counts, s.falseSuspicions
 			s.run(30 * time.Second)
-			after, wrong := s.nodes[n-1].counts, float64(s.doubts-doubts)*120/float64(n)
+			after, suspicionsPerHour := s.nodes[n-1].counts, float64(s.falseSuspicions-falseSuspicions)*120/float64(n)
 			dead := n / 2
 			s.kill(dead)
-			from := s.now
-			took := s.until(2 * time.Minute)
-			first := time.Duration(-1)
-			if l := s.learnt[ID(dead+1)]; len(l) > 0 {
-				first = l[0] - from
+			killedAt := s.now
+			detectionTime := s.runUntilConverged(2 * time.Minute)
+			firstDetection := time.Duration(-1)
+			if l := s.goneLearnedAt[ID(dead+1)]; len(l) > 0 {
+				firstDetection = l[0] - killedAt
 			}
-			t.Logf("%4d, loss %.1f: all know all after %v; death known first after %v, to all after %v; %.0f bytes and %.1f datagrams a second; %d false; a process suspects a live one %.0f times an hour", n, loss,
-				joined.Round(100*time.Millisecond), first.Round(100*time.Millisecond), took.Round(100*time.Millisecond), float64(after.Bytes-before.Bytes)/30, float64(after.Datagrams-before.Datagrams)/30, len(s.gone), wrong)
-			if len(s.gone) > 0 && (loss < 0.3 || len(s.gone) > n/50) || !s.agree() || took > 2*time.Minute || float64(after.Bytes-before.Bytes)/30 > 1800 {
-				t.Errorf("%d, loss %.1f: %v false, agree %v after %v", n, loss, s.gone, s.agree(), took)
+			t.Logf("%4d processes, loss %.1f: joined after %v; death detected first after %v, by all after %v; %.0f bytes and %.1f datagrams per second; %d live processes declared gone; %.0f false suspicions per process and hour", n, loss,
+				joinTime.Round(100*time.Millisecond), firstDetection.Round(100*time.Millisecond), detectionTime.Round(100*time.Millisecond), float64(after.Bytes-before.Bytes)/30, float64(after.Datagrams-before.Datagrams)/30, len(s.falseGone), suspicionsPerHour)
+			if len(s.falseGone) > 0 && (loss < 0.3 || len(s.falseGone) > n/50) || !s.converged() || detectionTime > 2*time.Minute || float64(after.Bytes-before.Bytes)/30 > 1800 {
+				t.Errorf("%d processes, loss %.1f: live processes declared gone: %v; views agree: %v after %v", n, loss, s.falseGone, s.converged(), detectionTime)
 			}
 		}
 	}
 }
 
-// Splits, restarts, stops, starvation and liars.
-func TestTheFleetThroughFaults(t *testing.T) {
+// Views must converge after partitions, restarts, pauses, starvation and faulty members,
+// without declaring live processes gone.
+func TestConvergenceAfterFaults(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		do   func(s *sim)
-		must func(t *testing.T, s *sim)
+		name   string
+		inject func(s *sim)
+		check  func(t *testing.T, s *sim)
 	}{
-		{"a split into 4 and 8, healed", func(s *sim) {
-			s.lost = func(a, b int) float64 { return map[bool]float64{true: 1}[(a < 4) != (b < 4)] }
+		{"partition into 4 and 8, healed", func(s *sim) {
+			s.lossRate = func(a, b int) float64 { return map[bool]float64{true: 1}[(a < 4) != (b < 4)] }
 			s.run(90 * time.Second)
 		}, func(t *testing.T, s *sim) {
 			if s.nodes[0].HasMajority() || !s.nodes[11].HasMajority() {
-				t.Error("the smaller side is the majority, or the larger is not")
+				t.Error("the smaller side has a majority, or the larger has none")
 			}
 			if s.nodes[0].AliveCount() != 4 || s.nodes[11].AliveCount() != 8 {
-				t.Errorf("%d and %d alive", s.nodes[0].AliveCount(), s.nodes[11].AliveCount())
+				t.Errorf("sides see %d and %d alive, want 4 and 8", s.nodes[0].AliveCount(), s.nodes[11].AliveCount())
 			}
-			s.gone = map[ID]int{} // of the other side: that was right as far as anybody could know
-			s.lost = func(int, int) float64 { return 0 }
+			s.falseGone = map[ID]int{} // of the other side of the partition, which is unreachable
+			s.lossRate = func(int, int) float64 { return 0 }
 		}},
-		{"seven in ten killed at once and back", func(s *sim) {
+		{"8 of 12 killed at once and restarted", func(s *sim) {
 			for i := range 8 {
 				s.kill(i)
 			}
@@ -275,61 +275,61 @@
 				s.start(i)
 			}
 		}, func(*testing.T, *sim) {}},
-		{"back under its name at once", func(s *sim) { s.kill(5); s.run(500 * time.Millisecond); s.start(5); s.run(3 * time.Second) }, func(t *testing.T, s *sim) {
+		{"quick restart under the same ID", func(s *sim) { s.kill(5); s.run(500 * time.Millisecond); s.start(5); s.run(3 * time.Second) }, func(t *testing.T, s *sim) {
 			for i := range 12 {
 				for _, m := range s.nodes[i].Members() {
 					if m.ID == 6 && (m.Incarnation != 1002 || m.Status != Alive) {
-						t.Errorf("node %d has life %d, %v", i, m.Incarnation, m.Status)
+						t.Errorf("node %d sees incarnation %d, %v, want 1002, alive", i, m.Incarnation, m.Status)
 					}
 				}
 			}
 		}},
-		{"back, its clock set back by a minute", func(s *sim) { s.kill(5); s.run(2 * time.Second); s.life[5] -= 60; s.start(5) }, func(*testing.T, *sim) {}},
-		{"ended in order and back within a second", func(s *sim) {
-			s.do(5, Leaving{})
+		{"restart with the clock set back by a minute", func(s *sim) { s.kill(5); s.run(2 * time.Second); s.incarnation[5] -= 60; s.start(5) }, func(*testing.T, *sim) {}},
+		{"orderly leave and restart within a second", func(s *sim) {
+			s.inject(5, Leaving{})
 			s.kill(5)
 			s.run(400 * time.Millisecond)
-			s.life[5]--
+			s.incarnation[5]--
 			s.start(5)
 		}, func(*testing.T, *sim) {}},
-		{"words 3 s late for a minute", func(s *sim) {
+		{"datagrams 3 s late for a minute", func(s *sim) {
 			s.delay = func() time.Duration { return time.Duration(2500+s.rng.IntN(1000)) * time.Millisecond }
 			s.run(time.Minute)
 			s.delay = func() time.Duration { return 5 * time.Millisecond }
-			s.gone = map[ID]int{} // later than any suspicion lasts: a process can't tell that from a death
+			s.falseGone = map[ID]int{} // later than any suspicion timeout, so indistinguishable from a crash
 		}, func(*testing.T, *sim) {}},
-		{"stopped for 3 s", func(s *sim) { s.asleep[3] = s.now + 3*time.Second; s.run(20 * time.Second) }, func(*testing.T, *sim) {}},
-		{"one direction only", func(s *sim) {
-			s.lost = func(a, _ int) float64 { return map[bool]float64{true: 0.5}[a == 2] }
+		{"process paused for 3 s", func(s *sim) { s.pausedUntil[3] = s.now + 3*time.Second; s.run(20 * time.Second) }, func(*testing.T, *sim) {}},
+		{"loss in one direction only", func(s *sim) {
+			s.lossRate = func(a, _ int) float64 { return map[bool]float64{true: 0.5}[a == 2] }
 			s.run(60 * time.Second)
-			s.lost = func(int, int) float64 { return 0 }
+			s.lossRate = func(int, int) float64 { return 0 }
 		}, func(*testing.T, *sim) {}},
-		{"starved of CPU", func(s *sim) { s.slowed[7] = true; s.run(90 * time.Second); s.slowed[7] = false }, func(t *testing.T, s *sim) {
-			for id := range s.gone {
+		{"starved of CPU", func(s *sim) { s.starved[7] = true; s.run(90 * time.Second); s.starved[7] = false }, func(t *testing.T, s *sim) {
+			for id := range s.falseGone {
 				if id != 8 {
-					t.Errorf("process %d, which is well, was taken for gone", id)
+					t.Errorf("healthy process %d was declared gone", id)
 				}
 			}
-			s.gone = map[ID]int{}
+			s.falseGone = map[ID]int{}
 		}},
-		{"a liar that buries all", func(s *sim) {
+		{"faulty member reports all others gone", func(s *sim) {
 			for range 200 {
 				s.run(100 * time.Millisecond)
-				m := message{kind: ping, id: 1, life: 1001, incarnation: 0}
+				m := message{kind: ping, id: 1, incarnation: 1001, refutations: 0}
 				for id := ID(2); id < 12; id++ {
-					m.updates = append(m.updates, said{Gone, id, 1001, 1000, addr(0)})
+					m.updates = append(m.updates, update{Gone, id, 1001, 1000, addr(0)})
 				}
 				for to := 1; to < 12; to++ {
-					s.arrive(0, to, m.append(nil))
+					s.deliver(0, to, m.append(nil))
 				}
 			}
 		}, func(*testing.T, *sim) {}},
-		{"a liar that claims all names", func(s *sim) {
+		{"faulty member claims all IDs", func(s *sim) {
 			for k := range 200 {
 				s.run(50 * time.Millisecond)
-				m := message{kind: ping, id: 1, life: 1001, updates: []said{{Alive, ID(2 + k%11), 1900, 1, addr(0)}, {Left, ID(2 + k%11), 1001, 9, addr(0)}}}
-				s.arrive(0, 1+k%11, m.append(nil))
-				s.arrive(0, 1+k%11, (&message{kind: ping, id: ID(2 + k%11), life: 1001}).append(nil))
+				m := message{kind: ping, id: 1, incarnation: 1001, updates: []update{{Alive, ID(2 + k%11), 1900, 1, addr(0)}, {Left, ID(2 + k%11), 1001, 9, addr(0)}}}
+				s.deliver(0, 1+k%11, m.append(nil))
+				s.deliver(0, 1+k%11, (&message{kind: ping, id: ID(2 + k%11), incarnation: 1001}).append(nil))
 			}
 		}, func(*testing.T, *sim) {}},
 		{"grown from 12 to 36, shrunk to 6", func(s *sim) {
@@ -337,15 +337,15 @@
 				s.join()
 				s.run(200 * time.Millisecond)
 			}
-			s.until(time.Minute)
+			s.runUntilConverged(time.Minute)
 			for i := 6; i < 36; i++ {
 				s.kill(i)
 			}
 		}, func(*testing.T, *sim) {}},
-		{"forged, oversized, unknown", func(s *sim) {
+		{"oversized datagrams and unknown senders", func(s *sim) {
 			for range 50 {
-				s.do(3, DatagramReceived{addr(4), make([]byte, 300)})
-				s.do(3, DatagramReceived{netip.MustParseAddrPort("127.9.9.9:1"), (&message{kind: ping, id: 99}).append(nil)})
+				s.inject(3, DatagramReceived{addr(4), make([]byte, 300)})
+				s.inject(3, DatagramReceived{netip.MustParseAddrPort("127.9.9.9:1"), (&message{kind: ping, id: 99}).append(nil)})
 			}
 		}, func(t *testing.T, s *sim) {
 			if c := s.nodes[3].Counts(); c.Malformed != 50 || c.UnknownSenders != 50 || s.nodes[3].AliveCount() != 12 {
@@ -356,30 +356,29 @@
 		t.Run(x.name, func(t *testing.T) {
 			for seed := range uint64(5) {
 				s := newSim(12, seed)
-				if s.until(time.Minute); !s.agree() {
-					t.Fatal("they do not meet")
+				if s.runUntilConverged(time.Minute); !s.converged() {
+					t.Fatal("members do not converge at the start")
 				}
-				x.do(s)
-				x.must(t, s)
-				if took := s.until(3 * time.Minute); !s.agree() {
-					t.Errorf("seed %d: no agreement after %v", seed, took)
+				x.inject(s)
+				x.check(t, s)
+				if took := s.runUntilConverged(3 * time.Minute); !s.converged() {
+					t.Errorf("seed %d: views differ after %v", seed, took)
 				}
-				if len(s.gone) > 0 {
-					t.Errorf("seed %d: taken for gone, and alive: %v", seed, s.gone)
+				if len(s.falseGone) > 0 {
+					t.Errorf("seed %d: live processes declared gone: %v", seed, s.falseGone)
 				}
 			}
 		})
 	}
 }
 
-// In any timeline of deaths, restarts and losses all agree in the end, and a datagram
-// never holds more than 256 bytes.
-func TestAllAgreeInTheEnd(t *testing.T) {
+// Views must converge after any sequence of crashes, restarts and losses.
+func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(r, "processes")
 		s := newSim(n, rapid.Uint64().Draw(r, "seed"))
 		loss := rapid.Float64Range(0, 0.4).Draw(r, "loss")
-		s.lost, s.doubled = func(int, int) float64 { return loss }, 0.2
+		s.lossRate, s.duplicateRate = func(int, int) float64 { return loss }, 0.2
 		late := rapid.IntRange(0, 250).Draw(r, "late")
 		s.delay = func() time.Duration { return time.Duration(s.rng.IntN(late+1)) * time.Millisecond }
 		for range rapid.IntRange(0, 8).Draw(r, "events") {
@@ -391,79 +390,78 @@
 				s.start(i)
 			}
 		}
-		s.lost, s.doubled = func(int, int) float64 { return 0 }, 0
-		if s.until(5 * time.Minute); !s.agree() {
-			r.Fatalf("no agreement")
+		s.lossRate, s.duplicateRate = func(int, int) float64 { return 0 }, 0
+		if s.runUntilConverged(5 * time.Minute); !s.converged() {
+			r.Fatalf("views differ after 5 minutes")
 		}
 	})
 }
 
-// Five processes begin while datagrams are lost, and the third dies at once: those that
-// knew nobody else but it are no island.
-func TestNoIslandsAreLeftFromTheStart(t *testing.T) {
+// Processes that know only a seed that died during a lossy start must still find the others.
+func TestLossyStartLeavesNoIsolatedGroups(t *testing.T) {
 	for seed := range uint64(60) {
 		s := newSim(5, seed)
-		s.lost, s.doubled = func(int, int) float64 { return 0.125 }, 0.2
+		s.lossRate, s.duplicateRate = func(int, int) float64 { return 0.125 }, 0.2
 		s.delay = func() time.Duration { return time.Duration(s.rng.IntN(1)) }
 		s.run(300 * time.Millisecond)
 		s.kill(2)
-		s.lost, s.doubled = func(int, int) float64 { return 0 }, 0
-		if s.until(2 * time.Minute); !s.agree() {
-			t.Fatalf("seed %d: no agreement", seed)
+		s.lossRate, s.duplicateRate = func(int, int) float64 { return 0 }, 0
+		if s.runUntilConverged(2 * time.Minute); !s.converged() {
+			t.Fatalf("seed %d: views differ after 2 minutes", seed)
 		}
 	}
 }
 
-// A flood of datagrams, each of which is answered, spends the budget for news far beyond what it has. A process that missed a
-// restart meanwhile hears of it soon after all the same, also where other talk spares nearly all probes.
-func TestAFloodDoesNotSpendTheBudgetOfLater(t *testing.T) {
+// Answering a flood of datagrams overdraws the byte budget; a process that missed a restart
+// meanwhile must still learn of it soon, even if other traffic replaces nearly all probes.
+func TestFloodDoesNotDelayLaterUpdates(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newSim(6, seed)
-		s.until(time.Minute)
-		flooded := s.now + 30*time.Second
-		var flood, talk func()
+		s.runUntilConverged(time.Minute)
+		floodEnd := s.now + 30*time.Second
+		var flood, traffic func()
 		flood = func() {
 			for to := range 5 {
-				s.arrive(5, to, (&message{kind: ping, id: 6, life: Incarnation(1000 + s.life[5]), target: ID(to + 1)}).append(nil))
+				s.deliver(5, to, (&message{kind: ping, id: 6, incarnation: Incarnation(1000 + s.incarnation[5]), target: ID(to + 1)}).append(nil))
 			}
-			if s.now < flooded {
-				s.plan(9*time.Millisecond, flood)
+			if s.now < floodEnd {
+				s.timer(9*time.Millisecond, flood)
 			}
 		}
-		talk = func() {
+		traffic = func() {
 			for i := range s.nodes {
 				for k := range s.nodes {
 					if i != k && s.up[i] && s.up[k] {
-						s.do(i, PeerActive{ID(k + 1)})
+						s.inject(i, PeerActive{ID(k + 1)})
 					}
 				}
 			}
-			s.plan(300*time.Millisecond, talk)
+			s.timer(300*time.Millisecond, traffic)
 		}
 		flood()
-		talk()
+		traffic()
 		s.run(5 * time.Second)
-		s.lost = func(_, to int) float64 { return map[bool]float64{true: 1}[to == 0] }
+		s.lossRate = func(_, to int) float64 { return map[bool]float64{true: 1}[to == 0] }
 		s.kill(3)
 		s.start(3)
-		s.run(flooded - s.now)
-		s.lost = func(int, int) float64 { return 0 }
-		if took := s.until(2 * time.Minute); took > 15*time.Second {
-			t.Errorf("seed %d: all agree %v after the flood", seed, took)
+		s.run(floodEnd - s.now)
+		s.lossRate = func(int, int) float64 { return 0 }
+		if took := s.runUntilConverged(2 * time.Minute); took > 15*time.Second {
+			t.Errorf("seed %d: views converged %v after the flood, want 15 s at most", seed, took)
 		}
 	}
 }
 
-func FuzzHear(f *testing.F) {
-	f.Add((&message{kind: pingFor, id: 2, life: 1, target: 3, at: addr(2), updates: []said{{Gone, 3, 1, 1, addr(2)}}}).append(nil))
+func FuzzHandleDatagram(f *testing.F) {
+	f.Add((&message{kind: pingRequest, id: 2, incarnation: 1, target: 3, targetAddr: addr(2), updates: []update{{Gone, 3, 1, 1, addr(2)}}}).append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := newSim(3, 1)
 		s.run(5 * time.Second)
-		s.do(0, DatagramReceived{addr(1), data})
+		s.inject(0, DatagramReceived{addr(1), data})
 		s.run(time.Second)
 		if m, err := parse(data); err == nil {
 			if again, err := parse(m.append(nil)); err != nil || fmt.Sprint(again) != fmt.Sprint(m) {
-				t.Errorf("what was read is not what is written: %v", err)
+				t.Errorf("re-encoded datagram differs from what was parsed: %v", err)
 			}
 		}
 	})
