--- a/fleet/shares/flows.go
+++ b/fleet/shares/flows.go
@@ -6,61 +6,60 @@
 )
 
 const (
-	flowLasts = 5 * time.Second // a process's word of its flow
-	maxFlows  = 4096
+	reportLifetime = 5 * time.Second // of a peer's load report
+	maxReports     = 4096
 )
 
-// LoadEstimator puts together what processes say of how much they have to do: the part of the
-// whole flow that is this one's. Each hears some of the others, drawn at random, so
-// the mean of those that it has heard of late stands for all. It is not safe for
-// concurrent use.
+// LoadEstimator estimates this process's fraction of the fleet's load from peers' load
+// reports. Each process receives reports of some randomly chosen peers, so their mean stands
+// for all. It is not safe for concurrent use.
 type LoadEstimator struct {
-	others map[ID]flow
+	reports map[ID]loadReport
 }
 
-type flow struct {
+type loadReport struct {
 	rate float64
 	at   Time
 }
 
-// Handle takes a process's word of its flow.
+// Report records a peer's load, in requests per second.
 func (f *LoadEstimator) Report(now Time, from ID, rate float64) {
-	if f.others == nil {
-		f.others = map[ID]flow{}
+	if f.reports == nil {
+		f.reports = map[ID]loadReport{}
 	}
-	if _, known := f.others[from]; known || len(f.others) < maxFlows {
-		f.others[from] = flow{max(0, rate), now}
+	if _, known := f.reports[from]; known || len(f.reports) < maxReports {
+		f.reports[from] = loadReport{max(0, rate), now}
 	}
 }
 
-// Fraction is the part of the whole that is the process's own with a flow, among so many
-// living processes, itself counted; an equal part where nothing flows. One teller that
-// is wrong counts for four times the median of the others at most.
-func (f *LoadEstimator) Fraction(now Time, own float64, living int) float64 {
-	if living <= 1 {
+// Fraction returns the fraction of the fleet's load that is this process's own, given its
+// load and the number of live processes including itself; an equal fraction if there is no
+// load. A single peer's report counts for at most four times the median.
+func (f *LoadEstimator) Fraction(now Time, own float64, alive int) float64 {
+	if alive <= 1 {
 		return 1
 	}
 	var rates []float64
-	for id, x := range f.others {
-		if now-x.at > flowLasts {
-			delete(f.others, id)
+	for id, x := range f.reports {
+		if now-x.at > reportLifetime {
+			delete(f.reports, id)
 			continue
 		}
 		rates = append(rates, x.rate)
 	}
 	if len(rates) == 0 {
-		return 1 / float64(living)
+		return 1 / float64(alive)
 	}
 	bound := 4 * max(median(rates), own)
 	sum := 0.0
 	for _, r := range rates {
 		sum += min(r, bound)
 	}
-	all := own + sum/float64(len(rates))*float64(living-1)
-	if all <= 0 {
-		return 1 / float64(living)
+	total := own + sum/float64(len(rates))*float64(alive-1)
+	if total <= 0 {
+		return 1 / float64(alive)
 	}
-	return own / all
+	return own / total
 }
 
 func median(xs []float64) float64 {
--- a/fleet/shares/parts.go
+++ b/fleet/shares/parts.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	quotaUnits = 1000      // of a request a second
-	workUnits  = 1_000_000 // of all that the fleet's processes do
-	needGain   = 0.2       // weight of a round's arrivals in a need
-	roundTime  = 250 * time.Millisecond
-	mostWholes = 200 // that have a number in datagrams; above them:
-	workWhole  = 250
-	seatsWhole = 251
+	quotaUnits      = 1000      // units per request per second
+	workUnits       = 1_000_000 // units of the fleet's total work
+	demandSmoothing = 0.2       // weight of a round's arrivals in the smoothed rate
+	roundInterval   = 250 * time.Millisecond
+	maxQuotas       = 200 // resource numbers in datagrams; higher ones are:
+	workNumber      = 250
+	slotsNumber     = 251
 
-	leaseSeat = 2500 * time.Millisecond
-	leaseLoan = 1250 * time.Millisecond // where bases are seats; well under theirs
-	seatFloor = 0.05                    // part that is floors, where bases are seats
+	slotLeaseTime     = 2500 * time.Millisecond
+	quotaLeaseTime    = 1250 * time.Millisecond // with slots; well below slotLeaseTime
+	slotFloorFraction = 0.05                    // fraction of the total reserved for floors, with slots
 )
 
-// Quota is one that is shared by name, such as a tenant's quota, in requests a second.
+// Quota is a rate limit shared under a name, such as a tenant's, in requests per second.
 type Quota struct {
 	Name string
 	Rate float64
@@ -30,246 +30,246 @@
 type Config struct {
 	Self         ID
 	Incarnation  uint32
-	Nodes        int     // processes that have a base by agreement; without a quorum
-	Quotas       []Quota // none: they are not shared
-	ShareWork    bool    // the part of all work is
-	Guards       []ID    // none: bases are the processes' own for ever
+	Nodes        int     // processes with an equal base; not used with guards
+	Quotas       []Quota // shared quotas; none: quotas are not shared
+	ShareWork    bool    // the fractions of the fleet's work are shared
+	Guards       []ID    // none: each process keeps its base permanently
 	Slots        int
-	MaxProcesses int // processes that have a floor, where there are guards
+	MaxProcesses int // processes that have a floor, with guards
 	Seed         int64
 }
 
-// QuorumDigest is the one that a configuration names.
+// Quorum returns the quorum that a configuration describes.
 func (c *Config) Quorum() Quorum {
-	return Quorum{Guards: c.Guards, Slots: c.Slots, MaxProcesses: c.MaxProcesses, LeaseTime: leaseSeat, MaxClockDrift: Defaults().MaxClockDrift}
+	return Quorum{Guards: c.Guards, Slots: c.Slots, MaxProcesses: c.MaxProcesses, LeaseTime: slotLeaseTime, MaxClockDrift: Defaults().MaxClockDrift}
 }
 
-// Datagram goes to a process.
+// Datagram is an encoded message for a process.
 type Datagram struct {
 	To   ID
 	Data []byte
 }
 
-// Allocation is what of the wholes is this process's by now.
+// Allocation lists the changes of what this process may use.
 type Allocation struct {
-	Quotas map[string]float64 // requests a second, by name; those that have changed
-	// EquivalentNodes is how many equal processes there would be, were each part of the fleet's
-	// work as large as this one's; 0: it has not changed.
+	// EquivalentNodes is the number of processes if each had as large a fraction of the
+	// fleet's work as this one; 0: not changed.
+	Quotas          map[string]float64 // requests per second by name; changed ones only
 	EquivalentNodes float64
 }
 
-// Fraction is what a process holds of a whole, in its unit.
+// Holding is what a process holds of a resource, in the resource's unit.
 type Holding struct {
 	Name               string
 	Base, Held, Demand float64
-	Total              float64 // the whole
+	Total              float64
 }
 
-// whole is one of them as this process shares in it.
-type whole struct {
-	name    string
-	number  uint8
-	units   float64
-	share   *Share
-	arrived float64 // since the last round
-	rate    float64 // a second, smoothed
-	told    int64
+// resource is the state of one shared resource: a quota or the fleet's work.
+type resource struct {
+	name     string
+	number   uint8
+	units    float64
+	share    *Share
+	arrivals float64 // since the last round
+	rate     float64 // smoothed, per second
+	reported int64   // allowance last returned by Allocation
 }
 
-// Allocator is all that one process shares with the others. It is not safe for concurrent
-// use.
+// Allocator shares all resources of one process with its peers. It is not safe for
+// concurrent use.
 type Allocator struct {
 	cfg          Config
-	wholes       []*whole
-	by           map[string]*whole
-	work         *whole // nil: the part of the work is not shared
-	flows        LoadEstimator
-	holder       *Holder
-	guard        *Guard
-	nextAt       Time
-	living       int
-	Unrecognized uint64 // datagrams in no known form, or of no whole that is shared here
+	resources    []*resource
+	byName       map[string]*resource
+	work         *resource // nil: not shared
+	loads        LoadEstimator
+	holder       *Holder // nil: no guards, or nothing to share
+	guard        *Guard  // nil: this process is no guard
+	nextRound    Time
+	alive        int    // live processes, including this one
+	Unrecognized uint64 // datagrams that are malformed or of an unknown resource
 }
 
-// NewAllocator makes the parts of a process that starts now. It can't know whether it had a
-// former life, so it begins as one that had.
+// NewAllocator creates the allocator of a process that has just started. Since a predecessor
+// may have left leases behind, it starts restricted to its floor.
 func NewAllocator(cfg Config, now Time) *Allocator {
-	p := &Allocator{cfg: cfg, by: map[string]*whole{}, living: max(1, cfg.Nodes)}
+	a := &Allocator{cfg: cfg, byName: map[string]*resource{}, alive: max(1, cfg.Nodes)}
 	if len(cfg.Guards) > 0 {
 		q := cfg.Quorum()
 		if len(cfg.Quotas) > 0 || cfg.ShareWork {
-			p.holder = NewHolder(q, cfg.Self, cfg.Incarnation, now, cfg.Seed)
+			a.holder = NewHolder(q, cfg.Self, cfg.Incarnation, now, cfg.Seed)
 		}
 		if slices.Contains(cfg.Guards, cfg.Self) {
-			p.guard = NewGuard(q, now)
+			a.guard = NewGuard(q, now)
 		}
 	}
-	for i, w := range cfg.Quotas[:min(len(cfg.Quotas), mostWholes)] {
-		set := Defaults()
-		set.Total, set.MinLease = int64(w.Rate*quotaUnits), quotaUnits/10
-		x := p.add(w.Name, uint8(i), quotaUnits, set, now)
-		p.by[w.Name] = x
+	for i, quota := range cfg.Quotas[:min(len(cfg.Quotas), maxQuotas)] {
+		settings := Defaults()
+		settings.Total, settings.MinLease = int64(quota.Rate*quotaUnits), quotaUnits/10
+		x := a.add(quota.Name, uint8(i), quotaUnits, settings, now)
+		a.byName[quota.Name] = x
 	}
 	if cfg.ShareWork {
-		set := Defaults()
-		set.Total, set.MinLease, set.Headroom = workUnits, workUnits/2000, 1
-		p.work = p.add("work", workWhole, workUnits, set, now)
+		settings := Defaults()
+		settings.Total, settings.MinLease, settings.Headroom = workUnits, workUnits/2000, 1
+		a.work = a.add("work", workNumber, workUnits, settings, now)
 	}
-	return p
+	return a
 }
 
-func (p *Allocator) add(name string, number uint8, units float64, set Settings, now Time) *whole {
-	w := &whole{name: name, number: number, units: units, told: -1}
-	seed := p.cfg.Seed + int64(number)
-	if p.holder != nil {
-		set.LeaseTime, set.FloorFraction = leaseLoan, seatFloor
-		w.share = NewWithSlots(set, p.holder, now, seed)
+func (a *Allocator) add(name string, number uint8, units float64, settings Settings, now Time) *resource {
+	r := &resource{name: name, number: number, units: units, reported: -1}
+	seed := a.cfg.Seed + int64(number)
+	if a.holder != nil {
+		settings.LeaseTime, settings.FloorFraction = quotaLeaseTime, slotFloorFraction
+		r.share = NewWithSlots(settings, a.holder, now, seed)
 	} else {
-		set.Nodes = max(1, p.cfg.Nodes)
-		w.share = New(set, p.cfg.Self, p.cfg.Incarnation, now, seed, false)
+		settings.Nodes = max(1, a.cfg.Nodes)
+		r.share = New(settings, a.cfg.Self, a.cfg.Incarnation, now, seed, false)
 	}
-	p.wholes = append(p.wholes, w)
-	return w
+	a.resources = append(a.resources, r)
+	return r
 }
 
-// CountRequest counts a request: a tenant's need, and of the work.
-func (p *Allocator) CountRequest(tenant string) {
-	if w := p.by[tenant]; w != nil {
-		w.arrived++
+// CountRequest counts an arriving request as demand for its tenant's quota and for work.
+func (a *Allocator) CountRequest(tenant string) {
+	if r := a.byName[tenant]; r != nil {
+		r.arrivals++
 	}
-	if p.work != nil {
-		p.work.arrived++
+	if a.work != nil {
+		a.work.arrivals++
 	}
 }
 
-// Tick comes every tenth of a second or so, and when the process has stood still. living
-// is whom it takes for alive, itself among them.
-func (p *Allocator) Tick(now Time, living []ID) (out []Datagram) {
-	p.living = max(1, len(living))
-	if p.holder != nil {
-		out = p.wrap(out, seatsWhole, p.holder.Tick(now, func(int) int { return p.spares(now) }))
+// Tick must be called about ten times a second and after a process pause. alive lists the
+// processes taken for alive, including this one.
+func (a *Allocator) Tick(now Time, alive []ID) (out []Datagram) {
+	a.alive = max(1, len(alive))
+	if a.holder != nil {
+		out = a.encodeAll(out, slotsNumber, a.holder.Tick(now, func(int) int { return a.spareSlots(now) }))
 	}
-	round := now >= p.nextAt
-	if round {
-		p.nextAt = now + roundTime
+	newRound := now >= a.nextRound
+	if newRound {
+		a.nextRound = now + roundInterval
 	}
-	others := slices.DeleteFunc(slices.Clone(living), func(id ID) bool { return id == p.cfg.Self })
-	for _, w := range p.wholes {
-		if round {
-			w.rate += needGain * (w.arrived/roundTime.Seconds() - w.rate)
-			w.arrived = 0
-			w.share.SetDemand(math.Ceil(w.rate * w.units))
-			if w == p.work {
-				w.share.SetLoad(max(w.rate, 1/w.units)) // also of one that has nothing to do
-				w.share.SetDemand(p.flows.Fraction(now, w.rate, p.living) * workUnits)
+	others := slices.DeleteFunc(slices.Clone(alive), func(id ID) bool { return id == a.cfg.Self })
+	for _, r := range a.resources {
+		if newRound {
+			r.rate += demandSmoothing * (r.arrivals/roundInterval.Seconds() - r.rate)
+			r.arrivals = 0
+			r.share.SetDemand(math.Ceil(r.rate * r.units))
+			if r == a.work {
+				r.share.SetLoad(max(r.rate, 1/r.units)) // positive also without requests, so that peers receive a report
+				r.share.SetDemand(a.loads.Fraction(now, r.rate, a.alive) * workUnits)
 			}
 		}
-		out = p.wrap(out, w.number, w.share.Tick(now, others))
+		out = a.encodeAll(out, r.number, r.share.Tick(now, others))
 	}
 	return out
 }
 
-func (p *Allocator) spares(now Time) int {
+// spareSlots returns the number of slots that no granted lease depends on.
+func (a *Allocator) spareSlots(now Time) int {
 	n := MaxSlots
-	for _, w := range p.wholes {
-		n = min(n, w.share.SpareSlots(now))
+	for _, r := range a.resources {
+		n = min(n, r.share.SpareSlots(now))
 	}
 	return n
 }
 
-// wrap words messages; what this process says to itself, as a holder to its own guard,
-// it hears at once.
-func (p *Allocator) wrap(out []Datagram, number uint8, all []Message) []Datagram {
-	for _, t := range all {
-		data := Encode(number, t.Payload)
-		if t.To == p.cfg.Self {
-			if c, is := t.Payload.(Claim); is && p.guard != nil {
-				at := p.holder.asked[c.Round%rounds]
-				if a, ok := p.guard.HandleClaim(at, t.To, c); ok {
-					p.holder.HandleReply(at, t.To, a)
+// encodeAll encodes messages. A claim to this process's own guard is handled at once.
+func (a *Allocator) encodeAll(out []Datagram, number uint8, messages []Message) []Datagram {
+	for _, message := range messages {
+		data := Encode(number, message.Payload)
+		if message.To == a.cfg.Self {
+			if c, is := message.Payload.(Claim); is && a.guard != nil {
+				at := a.holder.requestedAt[c.Round%maxPendingRounds]
+				if reply, ok := a.guard.HandleClaim(at, message.To, c); ok {
+					a.holder.HandleReply(at, message.To, reply)
 				}
 			}
 			continue
 		}
-		out = append(out, Datagram{t.To, data})
+		out = append(out, Datagram{message.To, data})
 	}
 	return out
 }
 
-// Handle takes a datagram.
-func (p *Allocator) Handle(now Time, from ID, data []byte) []Datagram {
-	number, say, err := Decode(data)
-	if err != nil || from == p.cfg.Self {
-		p.Unrecognized++
+// Handle processes a datagram and returns the datagrams to send in response.
+func (a *Allocator) Handle(now Time, from ID, data []byte) []Datagram {
+	number, payload, err := Decode(data)
+	if err != nil || from == a.cfg.Self {
+		a.Unrecognized++
 		return nil
 	}
-	switch m := say.(type) {
+	switch m := payload.(type) {
 	case Claim:
-		if p.guard != nil {
-			if a, ok := p.guard.HandleClaim(now, from, m); ok {
-				return []Datagram{{from, Encode(number, a)}}
+		if a.guard != nil {
+			if reply, ok := a.guard.HandleClaim(now, from, m); ok {
+				return []Datagram{{from, Encode(number, reply)}}
 			}
 		}
 		return nil
 	case ClaimReply:
-		if p.holder != nil {
-			p.holder.HandleReply(now, from, m)
+		if a.holder != nil {
+			a.holder.HandleReply(now, from, m)
 		}
 		return nil
 	case Offer:
-		if number == workWhole {
-			p.flows.Report(now, from, m.Load)
+		if number == workNumber {
+			a.loads.Report(now, from, m.Load)
 		}
 	}
-	i := slices.IndexFunc(p.wholes, func(w *whole) bool { return w.number == number })
+	i := slices.IndexFunc(a.resources, func(r *resource) bool { return r.number == number })
 	if i < 0 {
-		p.Unrecognized++
+		a.Unrecognized++
 		return nil
 	}
-	return p.wrap(nil, number, p.wholes[i].share.Handle(now, from, say))
+	return a.encodeAll(nil, number, a.resources[i].share.Handle(now, from, payload))
 }
 
-// Allocation tells what has changed since the last call. It is to be called before what was
-// given is used after a pause: what has run out counts no more.
-func (p *Allocator) Allocation(now Time) (g Allocation, changed bool) {
-	for _, w := range p.wholes {
-		may := w.share.Allowance(now)
-		if may == w.told {
+// Allocation returns the changes since the last call. After a process pause it must be called
+// before what was allocated is used, since leases may have expired.
+func (a *Allocator) Allocation(now Time) (allocation Allocation, changed bool) {
+	for _, r := range a.resources {
+		allowance := r.share.Allowance(now)
+		if allowance == r.reported {
 			continue
 		}
-		w.told, changed = may, true
-		if w == p.work {
-			g.EquivalentNodes = workUnits / float64(max(1, may))
+		r.reported, changed = allowance, true
+		if r == a.work {
+			allocation.EquivalentNodes = workUnits / float64(max(1, allowance))
 			continue
 		}
-		if g.Quotas == nil {
-			g.Quotas = map[string]float64{}
+		if allocation.Quotas == nil {
+			allocation.Quotas = map[string]float64{}
 		}
-		g.Quotas[w.name] = float64(may) / w.units
+		allocation.Quotas[r.name] = float64(allowance) / r.units
 	}
-	return g, changed
+	return allocation, changed
 }
 
-// HeldSlots tells what the process holds of each whole, for operators.
-func (p *Allocator) Holdings(now Time) (out []Holding) {
-	for _, w := range p.wholes {
-		name, unit, all := "quota "+w.name, w.units, float64(w.share.set.Total)
-		if w == p.work {
+// Holdings returns what the process holds of each resource, for operators.
+func (a *Allocator) Holdings(now Time) (out []Holding) {
+	for _, r := range a.resources {
+		name, unit, total := "quota "+r.name, r.units, float64(r.share.settings.Total)
+		if r == a.work {
 			name = "work"
 		}
-		out = append(out, Holding{Name: name, Base: float64(w.share.Base(now)) / unit, Held: float64(w.share.Allowance(now)) / unit,
-			Demand: w.share.need / unit, Total: all / unit})
+		out = append(out, Holding{Name: name, Base: float64(r.share.Base(now)) / unit, Held: float64(r.share.Allowance(now)) / unit,
+			Demand: r.share.demand / unit, Total: total / unit})
 	}
 	return out
 }
 
-// HasQuorum tells whether most guards answer; true where there are none.
-func (p *Allocator) HasQuorum(now Time) bool { return p.holder == nil || p.holder.HasQuorum(now) }
+// HasQuorum reports whether a majority of the guards answers; true without guards.
+func (a *Allocator) HasQuorum(now Time) bool { return a.holder == nil || a.holder.HasQuorum(now) }
 
-// Slots counts the seats that the process holds; 0 where there are no guards.
-func (p *Allocator) HeldSlots(now Time) int {
-	if p.holder == nil {
+// HeldSlots returns the number of slots that the process holds; 0 without guards.
+func (a *Allocator) HeldSlots(now Time) int {
+	if a.holder == nil {
 		return 0
 	}
-	return p.holder.HeldSlots(now)
+	return a.holder.HeldSlots(now)
 }
--- a/fleet/shares/seats.go
+++ b/fleet/shares/seats.go
@@ -9,32 +9,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxSlots is how many seats there may be, MaxHolders bounds the IDs of those who hold
-// them: a guard's answer must go into a datagram of 256 bytes. MaxGuards bounds how many
-// guards there may be.
+// Limits of a quorum. MaxSlots and MaxHolders, the bound of holders' IDs, keep a guard's reply
+// within a datagram of 256 bytes.
 const (
 	MaxSlots   = 256
 	MaxHolders = 1024
 	MaxGuards  = 15
 )
 
-// QuorumDigest is the agreement by which what dead processes had goes to living ones. The
-// part of each whole above the floors is cut into seats. A seat is held by whoever
-// has a lease of it from most of a few guards (Gray and Cheriton, 1989; Gifford,
-// 1979): two holders would need one guard that granted it to both, and a guard grants
-// a seat to one at a time, for a time that runs out at the holder first. All is in
-// memory; a guard that begins anew grants nothing until all that its former life may
-// have granted has run out. It must be the same at all processes: a claim under
-// another one is not answered.
+// Quorum describes how the shares of dead processes pass to live ones. What exceeds the
+// floors is divided into slots. A slot is held by the process with leases of it from a
+// majority of the guards (Gray and Cheriton, 1989; Gifford, 1979). A guard leases a slot to
+// one process at a time, and the lease expires at the holder first, so two processes never
+// hold the same slot. The state is kept in memory only: a restarted guard grants nothing
+// until all leases of its former incarnation have expired. The quorum must be the same at
+// all processes; claims under another one are ignored.
 type Quorum struct {
-	Guards        []ID          // an odd number, one to MaxGuards
+	Guards        []ID          // an odd number, up to MaxGuards
 	Slots         int           // 1 to MaxSlots
-	MaxProcesses  int           // processes that have a floor, and hold seats: those with a lower ID; MaxHolders at most
-	LeaseTime     time.Duration // of a seat
-	MaxClockDrift float64       // by which a clock may be fast or slow, as a part
+	MaxProcesses  int           // processes with a lower ID have a floor and hold slots; at most MaxHolders
+	LeaseTime     time.Duration // of a slot
+	MaxClockDrift float64       // as a fraction, in either direction
 }
 
-// Digest tells quorums apart.
+// Digest returns a hash that distinguishes quorums.
 func (q *Quorum) Digest() uint16 {
 	h := xxhash.New()
 	for _, x := range append([]ID{ID(q.Slots), ID(q.MaxProcesses), ID(q.LeaseTime / time.Millisecond), ID(q.MaxClockDrift * 1e6)}, q.Guards...) {
@@ -43,207 +41,217 @@
 	return uint16(h.Sum64())
 }
 
-// needs is how many guards most are.
-func (q *Quorum) needs() int { return len(q.Guards)/2 + 1 }
+// majority returns the number of guards in a majority.
+func (q *Quorum) majority() int { return len(q.Guards)/2 + 1 }
 
-// granted is how long a guard counts a lease; the holder counts Lease by its own clock
-// from when it asked.
-func (q *Quorum) granted() time.Duration {
+// guardLeaseTime returns how long a guard counts a lease. The holder counts LeaseTime from its
+// request, by its own clock.
+func (q *Quorum) guardLeaseTime() time.Duration {
 	return time.Duration(float64(q.LeaseTime) * (1 + q.MaxClockDrift) / (1 - q.MaxClockDrift))
 }
 
-// SlotSet is a set of seats.
+// SlotSet is a set of slots.
 type SlotSet [MaxSlots / 64]uint64
 
-// Has, Add and Remove are a set's.
+// Has reports whether the set contains a slot.
 func (s *SlotSet) Has(i int) bool { return s[i/64]>>(i%64)&1 != 0 }
-func (s *SlotSet) Add(i int)      { s[i/64] |= 1 << (i % 64) }
-func (s *SlotSet) Remove(i int)   { s[i/64] &^= 1 << (i % 64) }
 
-// What holders and guards say to one another.
+// Add adds a slot.
+func (s *SlotSet) Add(i int) { s[i/64] |= 1 << (i % 64) }
+
+// Remove removes a slot.
+func (s *SlotSet) Remove(i int) { s[i/64] &^= 1 << (i % 64) }
+
+// Messages between holders and guards.
 type (
-	// Claim asks a guard for leases, or for their renewal, all at once; a seat that
-	// was granted and is not named any more is given back. Rounds rise within a life.
+	// Claim asks a guard to lease slots or renew their leases. A leased slot that is not
+	// requested any more is released. Rounds increase within an incarnation.
 	Claim struct {
 		QuorumDigest uint16
 		Incarnation  uint32
 		Round        uint32
 		Requested    SlotSet
 	}
-	// ClaimReply answers a Claim: what is granted for a lease from when it was asked for;
-	// what others want of it; what nobody holds; and who has claimed within a lease.
+	// ClaimReply answers a Claim.
 	ClaimReply struct {
 		Incarnation uint32
 		Round       uint32
-		Granted     SlotSet
-		Contested   SlotSet
-		Free        SlotSet
-		Active      HolderSet
+		Granted     SlotSet   // leased, counted from the claim
+		Contested   SlotSet   // of the requested ones, those that another process claims
+		Free        SlotSet   // leased to nobody
+		Active      HolderSet // processes that claimed within a lease time
 	}
 )
 
 // HolderSet is a set of processes.
 type HolderSet [MaxHolders / 64]uint64
 
-// Has and Add are a set's.
+// Has reports whether the set contains a process.
 func (h *HolderSet) Has(id ID) bool { return id < MaxHolders && h[id/64]>>(id%64)&1 != 0 }
+
+// Add adds a process; one above MaxHolders is ignored.
 func (h *HolderSet) Add(id ID) {
 	if id < MaxHolders {
 		h[id/64] |= 1 << (id % 64)
 	}
 }
 
-// Guard grants seats. It is not safe for concurrent use.
+// Guard is a member of the quorum that leases slots. It is not safe for concurrent use.
 type Guard struct {
-	q             Quorum
-	bornAt        Time
+	quorum        Quorum
+	startedAt     Time
 	started       bool
-	seats         []seat
-	rounds        map[ID]heardClaim
-	IgnoredClaims uint64 // claims under another quorum, or older than one that was heard
+	slots         []slot
+	lastClaims    map[ID]lastClaim
+	IgnoredClaims uint64 // under another quorum, or out of order
 }
 
-type seat struct {
-	by       ID
-	life     uint32
-	until    Time
-	wantedBy ID
-	wantedAt Time // 0: nobody else asked for it
+// slot is the lease of a slot by a guard.
+type slot struct {
+	holder      ID
+	incarnation uint32
+	until       Time
+	contender   ID
+	contendedAt Time // 0: no other process claimed it
 }
 
-type heardClaim struct {
-	life, round uint32
-	at          Time
+type lastClaim struct {
+	incarnation, round uint32
+	at                 Time
 }
 
-// most is how many seats one process keeps of this guard that others want: twice its
-// equal part among those that have asked of late. Guards against one that claims all,
-// which then has three parts at most, as each guard may grant it others.
-func (g *Guard) most(now Time) int {
+// slotLimit returns how many contested slots a process may keep at this guard: twice an equal
+// share among recent claimants. A process that claims all slots is thereby limited to about
+// three shares, since each guard may grant it different slots.
+func (g *Guard) slotLimit(now Time) int {
 	n := 0
-	for id, c := range g.rounds {
+	for id, c := range g.lastClaims {
 		switch age := now - c.at; {
-		case age < g.q.LeaseTime:
+		case age < g.quorum.LeaseTime:
 			n++
-		case age > forgetAfter*g.q.granted():
-			delete(g.rounds, id)
+		case age > forgetAfterLeases*g.quorum.guardLeaseTime():
+			delete(g.lastClaims, id)
 		}
 	}
-	return 2 * ((g.q.Slots + n) / max(1, n))
+	return 2 * ((g.quorum.Slots + n) / max(1, n))
 }
 
-// forgetAfter is how many leases after its last claim a process's rounds are forgotten:
-// all that it may still have on its way is older than any lease by then.
-const forgetAfter = 20
+// forgetAfterLeases is the number of lease times after which a process's last claim is
+// forgotten; any claim still in flight is older than all leases by then.
+const forgetAfterLeases = 20
 
-// NewGuard makes a guard that starts now. It grants nothing for a lease, as it may have
-// had a former life.
-func NewGuard(q Quorum, now Time) *Guard {
-	return &Guard{q: q, bornAt: now, seats: make([]seat, q.Slots), rounds: map[ID]heardClaim{}}
+// NewGuard creates a guard that has just started. It grants nothing for a lease time, since a
+// former incarnation may have granted leases.
+func NewGuard(quorum Quorum, now Time) *Guard {
+	return &Guard{quorum: quorum, startedAt: now, slots: make([]slot, quorum.Slots), lastClaims: map[ID]lastClaim{}}
 }
 
-// maxHolders bounds the processes whose rounds a guard remembers.
-const maxHolders = 4096
+// maxClaimants bounds the processes whose last claim a guard keeps.
+const maxClaimants = 4096
 
-// Handle answers a claim. One of a later life of a process counts as another process's:
-// what the former one has runs out.
+// HandleClaim answers a claim. Leases of a process's former incarnation are not passed on to
+// the later one; they expire.
 func (g *Guard) HandleClaim(now Time, from ID, c Claim) (ClaimReply, bool) {
-	last, known := g.rounds[from]
+	last, known := g.lastClaims[from]
 	switch {
-	case c.QuorumDigest != g.q.Digest(), !known && len(g.rounds) >= maxHolders,
-		known && c.Incarnation == last.life && int32(c.Round-last.round) <= 0,
-		known && int32(c.Incarnation-last.life) < 0 && now-last.at < g.q.LeaseTime: // a former life's, or a clock was set back
+	// Another quorum, too many claimants, a round out of order, or a former incarnation (also
+	// after a clock was set back).
+	case c.QuorumDigest != g.quorum.Digest(), !known && len(g.lastClaims) >= maxClaimants,
+		known && c.Incarnation == last.incarnation && int32(c.Round-last.round) <= 0,
+		known && int32(c.Incarnation-last.incarnation) < 0 && now-last.at < g.quorum.LeaseTime:
 		g.IgnoredClaims++
 		return ClaimReply{}, false
 	}
-	g.rounds[from] = heardClaim{c.Incarnation, c.Round, now}
+	g.lastClaims[from] = lastClaim{c.Incarnation, c.Round, now}
 	out := ClaimReply{Incarnation: c.Incarnation, Round: c.Round}
-	born := now-g.bornAt >= g.q.granted()
-	most, has := g.most(now), 0
-	for id, c := range g.rounds {
-		if now-c.at < g.q.granted() {
+	mayGrant := now-g.startedAt >= g.quorum.guardLeaseTime()
+	slotLimit, grantedCount := g.slotLimit(now), 0
+	for id, c := range g.lastClaims {
+		if now-c.at < g.quorum.guardLeaseTime() {
 			out.Active.Add(id)
 		}
 	}
-	for i := range g.seats {
-		s := &g.seats[i]
+	for i := range g.slots {
+		s := &g.slots[i]
 		held := now < s.until
-		mine := held && s.by == from && s.life == c.Incarnation
-		want := c.Requested.Has(i)
+		mine := held && s.holder == from && s.incarnation == c.Incarnation
+		requested := c.Requested.Has(i)
 		switch {
-		case mine && !want: // given back: the holder has stopped using it before it said so
+		// Released: the holder stops using a slot before its claim omits it.
+		case mine && !requested:
 			s.until = 0
 			held = false
-		case want && (mine || !held) && has >= most && s.wantedBy != from && s.wantedAt > 0 && now-s.wantedAt < 2*g.q.LeaseTime: // it runs out
+		// Above the limit and contested: the lease is left to expire.
+		case requested && (mine || !held) && grantedCount >= slotLimit && s.contender != from && s.contendedAt > 0 && now-s.contendedAt < 2*g.quorum.LeaseTime:
 			out.Contested.Add(i)
-		case want && born && (mine || !held):
-			has++
-			s.by, s.life, s.until = from, c.Incarnation, now+g.q.granted()
+		case requested && mayGrant && (mine || !held):
+			grantedCount++
+			s.holder, s.incarnation, s.until = from, c.Incarnation, now+g.quorum.guardLeaseTime()
 			held = true
 			out.Granted.Add(i)
-			if s.wantedAt > 0 && now-s.wantedAt < g.q.LeaseTime && s.wantedBy != from {
+			if s.contendedAt > 0 && now-s.contendedAt < g.quorum.LeaseTime && s.contender != from {
 				out.Contested.Add(i)
 			}
-		case want && held:
-			s.wantedBy, s.wantedAt = from, now
+		case requested && held:
+			s.contender, s.contendedAt = from, now
 		}
-		if !held && born {
+		if !held && mayGrant {
 			out.Free.Add(i)
 		}
 	}
 	return out, true
 }
 
-// Holder is a process's side of the quorum. It is not safe for concurrent use.
+// Holder claims and holds slots for a process. It is not safe for concurrent use.
 type Holder struct {
-	q      Quorum
-	self   ID
-	life   uint32
-	rng    *rand.Rand
-	round  uint32
-	asked  [rounds]Time       // when, by round modulo their number
-	until  map[ID][]Time      // by guard and seat
-	sure   []Time             // until when a seat may be used, by most guards
-	answer map[ID]*ClaimReply // the newest
-	heard  map[ID]Time
-	target SlotSet
-	want   SlotSet
-	from   []uint32 // first round of those in a row, up to the last, in which a seat was asked for
-	shyOf  []Time   // until then a seat is not asked for again
-	since  []Time   // when a seat was first asked for without success; 0: it was not
-	free   []Time   // since when a seat has been free at most guards; 0: it is not
-	next   Time
-	owed   int                                        // seats that others are to have, and that are lent
-	met    Time                                       // when most guards had answered first; 0: not yet
-	view   uint64                                     // digest of those among whom seats are placed
-	rule   func(seats int, ids []ID, self ID) SlotSet // by which seats are placed
+	quorum        Quorum
+	self          ID
+	incarnation   uint32
+	rng           *rand.Rand
+	round         uint32
+	requestedAt   [maxPendingRounds]Time                     // by round modulo maxPendingRounds
+	until         map[ID][]Time                              // lease expiry by guard and slot
+	heldUntil     []Time                                     // by slot: expiry of the leases from a majority
+	replies       map[ID]*ClaimReply                         // the latest by guard
+	lastReply     map[ID]Time                                // by guard
+	assigned      SlotSet                                    // slots that placement assigns to this process
+	requested     SlotSet                                    // slots in the last claim
+	firstRound    []uint32                                   // by slot: first of the consecutive rounds requesting it
+	backoffUntil  []Time                                     // by slot: not requested until then
+	unservedSince []Time                                     // by slot: since when it is requested in vain; 0: it is not
+	freeSince     []Time                                     // by slot: since when a majority reports it free; 0: not free
+	next          Time                                       // time of the next round
+	pendingReturn int                                        // contested slots that back a granted lease
+	quorumSince   Time                                       // when a majority first replied; 0: not yet
+	viewDigest    uint64                                     // of the processes among which slots are placed
+	placement     func(slots int, ids []ID, self ID) SlotSet // assigns slots to a process
 }
 
-// NewHolder makes the holder of a process that starts now, which has nothing.
-func NewHolder(q Quorum, self ID, life uint32, now Time, seed int64) *Holder {
-	h := &Holder{q: q, self: self, life: life, rng: rand.New(rand.NewPCG(uint64(seed), 0x73656174)), until: map[ID][]Time{}, answer: map[ID]*ClaimReply{},
-		heard: map[ID]Time{}, sure: make([]Time, q.Slots), from: make([]uint32, q.Slots), shyOf: make([]Time, q.Slots), since: make([]Time, q.Slots), free: make([]Time, q.Slots), next: now, rule: placed}
-	for _, g := range q.Guards {
-		h.until[g] = make([]Time, q.Slots)
+// NewHolder creates the holder of a process that has just started and holds nothing.
+func NewHolder(quorum Quorum, self ID, incarnation uint32, now Time, seed int64) *Holder {
+	h := &Holder{quorum: quorum, self: self, incarnation: incarnation, rng: rand.New(rand.NewPCG(uint64(seed), 0x73656174)), until: map[ID][]Time{}, replies: map[ID]*ClaimReply{},
+		lastReply: map[ID]Time{}, heldUntil: make([]Time, quorum.Slots), firstRound: make([]uint32, quorum.Slots), backoffUntil: make([]Time, quorum.Slots), unservedSince: make([]Time, quorum.Slots), freeSince: make([]Time, quorum.Slots), next: now, placement: rendezvousPlacement}
+	for _, g := range quorum.Guards {
+		h.until[g] = make([]Time, quorum.Slots)
 	}
 	return h
 }
 
-// settle finds out until when a seat may be used.
-func (h *Holder) settle(i int) {
+// updateHeldUntil recomputes until when a slot may be used.
+func (h *Holder) updateHeldUntil(i int) {
 	var all [MaxGuards]Time
 	u := all[:0]
-	for _, g := range h.q.Guards {
+	for _, g := range h.quorum.Guards {
 		u = append(u, h.until[g][i])
 	}
 	slices.SortFunc(u, func(a, b Time) int { return cmp.Compare(b, a) })
-	h.sure[i] = u[h.q.needs()-1]
+	h.heldUntil[i] = u[h.quorum.majority()-1]
 }
 
-// HeldSlots counts the seats that may be used at a time.
+// HeldSlots returns the number of slots that may be used at a time.
 func (h *Holder) HeldSlots(at Time) int {
 	n := 0
-	for _, until := range h.sure {
+	for _, until := range h.heldUntil {
 		if at < until {
 			n++
 		}
@@ -251,68 +259,67 @@
 	return n
 }
 
-// HasQuorum tells whether most guards have answered within a lease.
+// HasQuorum reports whether a majority of the guards replied within a lease time.
 func (h *Holder) HasQuorum(now Time) bool {
 	n := 0
-	for _, g := range h.q.Guards {
-		if at, ok := h.heard[g]; ok && now-at < h.q.LeaseTime {
+	for _, g := range h.quorum.Guards {
+		if at, ok := h.lastReply[g]; ok && now-at < h.quorum.LeaseTime {
 			n++
 		}
 	}
-	return n >= h.q.needs()
+	return n >= h.quorum.majority()
 }
 
-// place says which seats are this process's by right, among those who claim any by the
-// word of most guards. So all place alike, and what a dead process held is placed anew
-// when its leases have run out, whoever else has noticed its death.
-func (h *Holder) place(now Time) {
-	if int(h.self) >= h.q.MaxProcesses {
+// assignSlots determines which slots this process should hold, among the processes that a
+// majority of the guards reports as claimants. The guards' reports make all processes place
+// alike, and reassign a dead process's slots when its leases have expired.
+func (h *Holder) assignSlots(now Time) {
+	if int(h.self) >= h.quorum.MaxProcesses {
 		return
 	}
-	votes, answers := map[ID]int{h.self: h.q.needs()}, 0
-	for _, g := range h.q.Guards {
-		a := h.answer[g]
-		if a == nil || now-h.heard[g] >= h.q.LeaseTime/2 {
+	votes, answers := map[ID]int{h.self: h.quorum.majority()}, 0
+	for _, g := range h.quorum.Guards {
+		a := h.replies[g]
+		if a == nil || now-h.lastReply[g] >= h.quorum.LeaseTime/2 {
 			continue
 		}
 		answers++
-		for id := range ID(min(h.q.MaxProcesses, MaxHolders)) {
+		for id := range ID(min(h.quorum.MaxProcesses, MaxHolders)) {
 			if a.Active.Has(id) {
 				votes[id]++
 			}
 		}
 	}
-	if answers < h.q.needs() {
+	if answers < h.quorum.majority() {
 		return
 	}
-	if h.met == 0 {
-		h.met = now
+	if h.quorumSince == 0 {
+		h.quorumSince = now
 	}
-	if now-h.met < h.q.LeaseTime/5 { // those that start together are to know of one another first
+	if now-h.quorumSince < h.quorum.LeaseTime/5 { // lets processes that start together appear in the replies first
 		return
 	}
-	var living []ID
+	var alive []ID
 	for id, n := range votes {
-		if n >= h.q.needs() {
-			living = append(living, id)
+		if n >= h.quorum.majority() {
+			alive = append(alive, id)
 		}
 	}
-	slices.Sort(living)
-	view := uint64(len(living))
-	for _, id := range living {
-		view = xxhash.Sum64(pair(view, uint64(id)))
+	slices.Sort(alive)
+	viewDigest := uint64(len(alive))
+	for _, id := range alive {
+		viewDigest = xxhash.Sum64(pair(viewDigest, uint64(id)))
 	}
-	if view != h.view {
-		h.view, h.target = view, h.rule(h.q.Slots, living, h.self)
+	if viewDigest != h.viewDigest {
+		h.viewDigest, h.assigned = viewDigest, h.placement(h.quorum.Slots, alive, h.self)
 	}
 }
 
-// placed gives the seats that are a process's among some: those for which it is the
-// first by rendezvous hashing. Parts are not quite even so, which loans see to; in return
-// a process that comes or goes moves its own seats alone, so that processes with views
-// that differ for a moment do not claim one another's.
-func placed(seats int, ids []ID, self ID) (out SlotSet) {
-	for i := range seats {
+// rendezvousPlacement returns the slots for which a process ranks first by rendezvous hashing.
+// Shares are slightly uneven, which quota leases make up for. In return a process that joins
+// or leaves moves only its own slots, so short differences between views cause no conflicts.
+func rendezvousPlacement(slots int, ids []ID, self ID) (out SlotSet) {
+	for i := range slots {
 		first := slices.MaxFunc(ids, func(a, b ID) int {
 			return cmp.Compare(xxhash.Sum64(pair(uint64(a), uint64(i))), xxhash.Sum64(pair(uint64(b), uint64(i))))
 		})
@@ -331,155 +338,156 @@
 	return out[:]
 }
 
-// Tick is a round: leases are renewed, what is missing is asked for, and what others
-// want and is not this process's by right is given back, as far as may says that it
-// can be spared.
+// Tick starts a round when one is due: it renews leases, claims assigned slots that are
+// missing, and releases contested slots assigned to others as far as spare allows.
 func (h *Holder) Tick(now Time, spare func(held int) int) []Message {
 	if now < h.next {
 		return nil
 	}
-	h.next = now + h.q.LeaseTime/8
-	if h.round > 0 && !h.answered() { // something was lost
-		h.next = now + h.q.LeaseTime/20
+	h.next = now + h.quorum.LeaseTime/8
+	if h.round > 0 && !h.answered() { // a datagram was lost: retried sooner
+		h.next = now + h.quorum.LeaseTime/20
 	}
-	h.look(now)
-	h.place(now)
-	held, give := 0, SlotSet{}
-	for i := range h.q.Slots {
-		if now < h.sure[i] {
+	h.updateFree(now)
+	h.assignSlots(now)
+	held, release := 0, SlotSet{}
+	for i := range h.quorum.Slots {
+		if now < h.heldUntil[i] {
 			held++
 		}
 	}
-	left := spare(held)
-	h.owed = 0
-	for i := range h.q.Slots {
+	remaining := spare(held)
+	h.pendingReturn = 0
+	for i := range h.quorum.Slots {
 		switch {
-		case now >= h.sure[i] || h.target.Has(i) || !h.wanted(i):
-		case left > 0:
-			give.Add(i)
-			left--
-		default: // lent: it is given back when that has run out
-			h.owed++
+		case now >= h.heldUntil[i] || h.assigned.Has(i) || !h.isContested(i):
+		case remaining > 0:
+			release.Add(i)
+			remaining--
+		default: // backs a granted lease: returned once that has expired
+			h.pendingReturn++
 		}
 	}
-	before := h.want
-	h.want = SlotSet{}
-	for i := range h.q.Slots {
-		until := h.sure[i]
+	before := h.requested
+	h.requested = SlotSet{}
+	for i := range h.quorum.Slots {
+		until := h.heldUntil[i]
 		switch {
-		case give.Has(i):
-			h.shyOf[i] = now + h.q.LeaseTime
+		case release.Has(i):
+			h.backoffUntil[i] = now + h.quorum.LeaseTime
 		case now < until:
-			h.want.Add(i)
-			h.since[i] = 0
-		case now < h.shyOf[i]:
-		case h.target.Has(i) || h.orphan(now, i):
-			if h.since[i] == 0 {
-				h.since[i] = now
+			h.requested.Add(i)
+			h.unservedSince[i] = 0
+		case now < h.backoffUntil[i]:
+		case h.assigned.Has(i) || h.isUnclaimed(now, i):
+			if h.unservedSince[i] == 0 {
+				h.unservedSince[i] = now
 			}
-			if now-h.since[i] > h.q.LeaseTime/4 && h.split(now, i) { // another has a part of the guards: one gives way
-				h.since[i], h.shyOf[i] = 0, now+Time(float64(h.q.LeaseTime)*(0.2+0.4*h.rng.Float64()))
+			// Split vote: another process has leases from some guards, so this one backs off.
+			if now-h.unservedSince[i] > h.quorum.LeaseTime/4 && h.isSplit(now, i) {
+				h.unservedSince[i], h.backoffUntil[i] = 0, now+Time(float64(h.quorum.LeaseTime)*(0.2+0.4*h.rng.Float64()))
 				continue
 			}
-			h.want.Add(i)
+			h.requested.Add(i)
 		default:
-			h.since[i] = 0
+			h.unservedSince[i] = 0
 		}
 	}
 	h.round++
-	h.asked[h.round%rounds] = now
-	for i := range h.q.Slots {
+	h.requestedAt[h.round%maxPendingRounds] = now
+	for i := range h.quorum.Slots {
 		switch {
-		case !h.want.Has(i): // what is not asked for is given back, and not used any more before a guard hears of it
-			for _, g := range h.q.Guards {
+		// A slot that is not claimed is released; it must be out of use before a guard is notified.
+		case !h.requested.Has(i):
+			for _, g := range h.quorum.Guards {
 				h.until[g][i] = 0
 			}
-			h.sure[i] = 0
+			h.heldUntil[i] = 0
 		case !before.Has(i):
-			h.from[i] = h.round
+			h.firstRound[i] = h.round
 		}
 	}
-	out := make([]Message, 0, len(h.q.Guards))
-	for _, g := range h.q.Guards {
-		out = append(out, Message{g, Claim{h.q.Digest(), h.life, h.round, h.want}})
+	out := make([]Message, 0, len(h.quorum.Guards))
+	for _, g := range h.quorum.Guards {
+		out = append(out, Message{g, Claim{h.quorum.Digest(), h.incarnation, h.round, h.requested}})
 	}
 	return out
 }
 
-// answered tells whether most guards have answered the last round but one or a later
-// one.
+// answered reports whether a majority of the guards replied to the last round or the one
+// before.
 func (h *Holder) answered() bool {
 	n := 0
-	for _, g := range h.q.Guards {
-		if a := h.answer[g]; a != nil && h.round-a.Round <= 1 {
+	for _, g := range h.quorum.Guards {
+		if a := h.replies[g]; a != nil && h.round-a.Round <= 1 {
 			n++
 		}
 	}
-	return n >= h.q.needs()
+	return n >= h.quorum.majority()
 }
 
-// look finds out which seats nobody holds.
-func (h *Holder) look(now Time) {
-	for i := range h.q.Slots {
+// updateFree tracks which slots a majority of the guards reports free.
+func (h *Holder) updateFree(now Time) {
+	for i := range h.quorum.Slots {
 		n := 0
-		for _, g := range h.q.Guards {
-			if a := h.answer[g]; a != nil && now-h.heard[g] < h.q.LeaseTime && a.Free.Has(i) {
+		for _, g := range h.quorum.Guards {
+			if a := h.replies[g]; a != nil && now-h.lastReply[g] < h.quorum.LeaseTime && a.Free.Has(i) {
 				n++
 			}
 		}
 		switch {
-		case n < h.q.needs():
-			h.free[i] = 0
-		case h.free[i] == 0:
-			h.free[i] = now
+		case n < h.quorum.majority():
+			h.freeSince[i] = 0
+		case h.freeSince[i] == 0:
+			h.freeSince[i] = now
 		}
 	}
 }
 
-// orphan tells whether a seat has been free for so long that whose it is by right does
-// not take it: then anybody may, a few at a time.
-func (h *Holder) orphan(now Time, i int) bool {
-	return h.free[i] > 0 && now-h.free[i] > h.q.LeaseTime && (h.since[i] > 0 || h.rng.Float64() < 0.1)
+// isUnclaimed reports whether a slot has been free for so long that any process may claim it.
+// A random choice limits how many do so at once.
+func (h *Holder) isUnclaimed(now Time, i int) bool {
+	return h.freeSince[i] > 0 && now-h.freeSince[i] > h.quorum.LeaseTime && (h.unservedSince[i] > 0 || h.rng.Float64() < 0.1)
 }
 
-// wanted tells whether most guards say that another asks for a seat.
-func (h *Holder) wanted(i int) bool {
+// isContested reports whether a majority of the guards says that another process claims a slot.
+func (h *Holder) isContested(i int) bool {
 	n := 0
-	for _, g := range h.q.Guards {
-		if a := h.answer[g]; a != nil && a.Contested.Has(i) {
+	for _, g := range h.quorum.Guards {
+		if a := h.replies[g]; a != nil && a.Contested.Has(i) {
 			n++
 		}
 	}
-	return n >= h.q.needs()
+	return n >= h.quorum.majority()
 }
 
-// split tells whether some guards have granted a seat, and too few.
-func (h *Holder) split(now Time, i int) bool {
+// isSplit reports whether some guards have leased a slot to this process, but no majority.
+func (h *Holder) isSplit(now Time, i int) bool {
 	n := 0
-	for _, g := range h.q.Guards {
+	for _, g := range h.quorum.Guards {
 		if now < h.until[g][i] {
 			n++
 		}
 	}
-	return n > 0 && n < h.q.needs()
+	return n > 0 && n < h.quorum.majority()
 }
 
-// Handle takes a guard's answer: leases count from when they were asked for.
+// HandleReply processes a guard's reply. Leases count from when they were requested.
 func (h *Holder) HandleReply(now Time, from ID, a ClaimReply) {
-	until, guard := h.until[from]
-	if !guard || a.Incarnation != h.life || h.round-a.Round >= rounds || a.Round > h.round {
+	until, isGuard := h.until[from]
+	if !isGuard || a.Incarnation != h.incarnation || h.round-a.Round >= maxPendingRounds || a.Round > h.round {
 		return
 	}
-	if old := h.answer[from]; old == nil || int32(a.Round-old.Round) >= 0 {
-		h.answer[from] = &a
+	if old := h.replies[from]; old == nil || int32(a.Round-old.Round) >= 0 {
+		h.replies[from] = &a
 	}
-	h.heard[from] = now
-	end := h.asked[a.Round%rounds] + h.q.LeaseTime
-	for i := range h.q.Slots {
-		// What was not asked for in a later round the guard may have given to another.
-		if a.Granted.Has(i) && h.want.Has(i) && int32(a.Round-h.from[i]) >= 0 {
+	h.lastReply[from] = now
+	end := h.requestedAt[a.Round%maxPendingRounds] + h.quorum.LeaseTime
+	for i := range h.quorum.Slots {
+		// A slot not requested in some later round may have been leased to another process.
+		if a.Granted.Has(i) && h.requested.Has(i) && int32(a.Round-h.firstRound[i]) >= 0 {
 			until[i] = max(until[i], end)
-			h.settle(i)
+			h.updateHeldUntil(i)
 		}
 	}
 }
--- a/fleet/shares/seats_test.go
+++ b/fleet/shares/seats_test.go
@@ -12,56 +12,52 @@
 
 var long = flag.Bool("shares-long", false, "more seeds and states")
 
-// inUse is how much of the whole is in use, where all together want more than there is.
-func (w *world) inUse() float64 {
+// fractionInUse returns the fraction of the total in use, with total demand above it.
+func (w *world) fractionInUse() float64 {
 	sum := 0.0
 	for i, n := range w.nodes {
-		if n != nil && w.now >= w.asleep[i] {
-			sum += min(w.needs[i], float64(n.Allowance(w.clock(i))))
+		if n != nil && w.now >= w.pausedUntil[i] {
+			sum += min(w.demands[i], float64(n.Allowance(w.clock(i))))
 		}
 	}
-	return sum / float64(w.set.Total)
+	return sum / float64(w.settings.Total)
 }
 
-// regain is how long after now a part of the whole is in use for good, as far as 8 s
-// tell.
-func (w *world) regain(part float64) time.Duration {
+// recoveryTime runs for 8 s and returns when the fraction in use last was too low.
+func (w *world) recoveryTime(fraction float64) time.Duration {
 	from, last := w.now, time.Duration(0)
 	for w.now-from < 8*time.Second {
-		if w.step(); w.inUse() < part {
+		if w.step(); w.fractionInUse() < fraction {
 			last = w.now - from
 		}
 	}
 	return last
 }
 
-// Nine in ten of the whole are in use within 5 s of each change, 6 s where three in ten
-// datagrams are lost: processes die, a hall
-// of them at once or seven in ten, come back, grow from 12 to 36, shrink to 6, and are
-// split; whoever asks for more than its part. Each side of a split has what its guards
-// grant and its floors. The guards are three and stand apart, as control services may.
-func TestTheWholeIsInUseAfterEachChange(t *testing.T) {
-	took := map[string][]time.Duration{}
+// After starts, crashes, partitions and changes of the fleet's size, most of the total must be
+// in use again within seconds, with external guards and up to 30% loss.
+func TestTotalIsUsedAgainAfterEachChange(t *testing.T) {
+	recoveryTimes := map[string][]time.Duration{}
 	seeds := uint64(1)
 	if *long {
 		seeds = 20
 	}
 	for seed := range seeds {
 		for _, loss := range []float64{0, 0.1, 0.3} {
-			w := newSeated(t, 39, 0, 36000, seed, 36, 37, 38)
-			w.q.MaxProcesses = 36
+			w := newSlotWorld(t, 39, 0, 36000, seed, 36, 37, 38)
+			w.quorum.MaxProcesses = 36
 			w.rng = rand.New(rand.NewPCG(seed, 99))
 			side := func(ID) int { return 0 }
-			w.lost = func(a, b ID) float64 {
+			w.lossRate = func(a, b ID) float64 {
 				if side(a) != side(b) {
 					return 1
 				}
 				return loss
 			}
-			for i := range w.needs { // four want all there is
-				w.needs[i] = 36000 / 4
+			for i := range w.demands { // four would use the whole total
+				w.demands[i] = 36000 / 4
 			}
-			w.needs[36], w.needs[37], w.needs[38] = 0, 0, 0
+			w.demands[36], w.demands[37], w.demands[38] = 0, 0, 0
 			start := func(from, to int) {
 				for i := from; i < to; i++ {
 					if w.nodes[i] == nil {
@@ -69,34 +65,34 @@
 					}
 				}
 			}
-			change := func(name string, part float64, do func()) {
+			change := func(name string, fraction float64, do func()) {
 				do()
-				d := w.regain(part)
+				d := w.recoveryTime(fraction)
 				key := fmt.Sprintf("%-22s loss %.1f", name, loss)
-				took[key] = append(took[key], d)
+				recoveryTimes[key] = append(recoveryTimes[key], d)
 			}
 			start(36, 39)
-			w.run(4 * time.Second) // guards that begin grant nothing for a lease
+			w.run(4 * time.Second) // restarted guards grant nothing for a lease time
 			change("12 start", 0.9, func() { start(0, 12) })
 			change("12 grow to 36", 0.9, func() { start(12, 36) })
-			change("a third is killed", 0.9, func() {
+			change("12 of 36 killed", 0.9, func() {
 				for i := range 12 {
 					w.kill(i)
 				}
 			})
-			change("and comes back", 0.9, func() { start(0, 12) })
-			change("seven in ten killed", 0.9, func() {
+			change("killed ones restart", 0.9, func() { start(0, 12) })
+			change("25 of 36 killed", 0.9, func() {
 				for i := range 25 {
 					w.kill(i)
 				}
 			})
-			change("and come back", 0.9, func() { start(0, 25) })
+			change("25 restart", 0.9, func() { start(0, 25) })
 			change("one guard is killed", 0.9, func() { w.kill(37) })
-			change("and comes back", 0.9, func() { start(37, 38) })
-			change("split 24 and 12", 0.9, func() {
+			change("killed ones restart", 0.9, func() { start(37, 38) })
+			change("partition 24 and 12", 0.9, func() {
 				side = func(id ID) int { return map[bool]int{true: 1}[id < 12 || id == 36] }
 			})
-			change("healed", 0.9, func() { side = func(ID) int { return 0 } })
+			change("partition healed", 0.9, func() { side = func(ID) int { return 0 } })
 			change("shrink to 6", 0.9, func() {
 				for i := 6; i < 36; i++ {
 					w.kill(i)
@@ -104,8 +100,8 @@
 			})
 		}
 	}
-	for _, key := range slices.Sorted(maps(took)) {
-		all := took[key]
+	for _, key := range slices.Sorted(keysOf(recoveryTimes)) {
+		all := recoveryTimes[key]
 		failed := 0
 		for _, d := range all {
 			if d > 5*time.Second && !strings.HasSuffix(key, "0.3") || d > 6*time.Second {
@@ -115,17 +111,16 @@
 		slices.Sort(all)
 		t.Logf("%s: p50 %v, p99 %v", key, all[len(all)/2], all[len(all)-1])
 		if failed > 0 {
-			t.Errorf("%s: %d of %d took too long, worst %v", key, failed, len(all), all[len(all)-1])
+			t.Errorf("%s: %d of %d recoveries took too long, worst %v", key, failed, len(all), all[len(all)-1])
 		}
 	}
 }
 
-// One process claims all seats, for ever, and gives nothing back: it ends with
-// three equal parts at most, and the others have the rest.
-func TestOneThatClaimsAllKeepsThreeParts(t *testing.T) {
-	w := newSeated(t, 8, 0, 6400, 3, 0, 1, 2)
-	for i := range w.needs {
-		w.needs[i] = 6400
+// A process that claims all slots and releases none must not keep more than three shares.
+func TestGreedyHolderKeepsThreeSharesAtMost(t *testing.T) {
+	w := newSlotWorld(t, 8, 0, 6400, 3, 0, 1, 2)
+	for i := range w.demands {
+		w.demands[i] = 6400
 	}
 	for _, i := range []int{0, 1, 2, 7} {
 		w.start(i, true)
@@ -138,14 +133,14 @@
 	}
 	w.run(20 * time.Second)
 	if late := w.holders[7].HeldSlots(w.clock(7)); early < 12 || late > 27 {
-		t.Errorf("it has %d seats of 64 among four, and %d among eight", early, late)
+		t.Errorf("it holds %d slots of 64 among four processes, and %d among eight", early, late)
 	}
-	if used := w.inUse(); used < 0.9 {
-		t.Errorf("%.2f of the whole is in use", used)
+	if used := w.fractionInUse(); used < 0.9 {
+		t.Errorf("%.2f of the total is in use, want 0.9", used)
 	}
 }
 
-func maps(m map[string][]time.Duration) func(func(string) bool) {
+func keysOf(m map[string][]time.Duration) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -155,17 +150,16 @@
 	}
 }
 
-// Three processes that are all guards, two seats, explored exhaustively in small: every
-// order of delivery, loss, doubling, crash, restart and passing of time, to a depth. No
-// seat is ever held by two, however their views differ.
-func TestSeatsExhaustively(t *testing.T) {
+// No slot may have two holders in any order of delivery, loss, duplication, crash, restart and
+// passing of time, explored exhaustively to a depth.
+func TestSlotLeasesExhaustively(t *testing.T) {
 	q := Quorum{Guards: []ID{0, 1, 2}, Slots: 2, MaxProcesses: 3, LeaseTime: 8}
 	type state struct {
-		now   Time
-		h     [3]*Holder
-		g     [3]*Guard
-		life  [3]uint32
-		mails []mail
+		now         Time
+		h           [3]*Holder
+		g           [3]*Guard
+		incarnation [3]uint32
+		deliveries  []delivery
 	}
 	copyOf := func(s state) state {
 		for i := range s.h {
@@ -174,92 +168,92 @@
 			}
 			h, g := *s.h[i], *s.g[i]
 			h.rng = rand.New(rand.NewPCG(1, 1))
-			h.until, h.answer, h.heard = map[ID][]Time{}, map[ID]*ClaimReply{}, map[ID]Time{}
+			h.until, h.replies, h.lastReply = map[ID][]Time{}, map[ID]*ClaimReply{}, map[ID]Time{}
 			for k, v := range s.h[i].until {
 				h.until[k] = slices.Clone(v)
 			}
-			for k, v := range s.h[i].answer {
-				h.answer[k] = v
+			for k, v := range s.h[i].replies {
+				h.replies[k] = v
 			}
-			for k, v := range s.h[i].heard {
-				h.heard[k] = v
+			for k, v := range s.h[i].lastReply {
+				h.lastReply[k] = v
 			}
-			h.sure, h.from, h.shyOf, h.since, h.free = slices.Clone(h.sure), slices.Clone(h.from), slices.Clone(h.shyOf), slices.Clone(h.since), slices.Clone(h.free)
-			g.seats, g.rounds = slices.Clone(g.seats), map[ID]heardClaim{}
-			for k, v := range s.g[i].rounds {
-				g.rounds[k] = v
+			h.heldUntil, h.firstRound, h.backoffUntil, h.unservedSince, h.freeSince = slices.Clone(h.heldUntil), slices.Clone(h.firstRound), slices.Clone(h.backoffUntil), slices.Clone(h.unservedSince), slices.Clone(h.freeSince)
+			g.slots, g.lastClaims = slices.Clone(g.slots), map[ID]lastClaim{}
+			for k, v := range s.g[i].lastClaims {
+				g.lastClaims[k] = v
 			}
 			s.h[i], s.g[i] = &h, &g
 		}
-		s.mails = slices.Clone(s.mails)
+		s.deliveries = slices.Clone(s.deliveries)
 		return s
 	}
-	name := func(s state) string {
+	fingerprint := func(s state) string {
 		var b strings.Builder
-		fmt.Fprint(&b, s.now, s.life)
+		fmt.Fprint(&b, s.now, s.incarnation)
 		for i, h := range s.h {
 			if h != nil {
-				fmt.Fprint(&b, "|", h.round, h.next, h.until, h.want, h.from, h.shyOf, h.since, h.free, s.g[i].bornAt, s.g[i].seats, s.g[i].rounds)
+				fmt.Fprint(&b, "|", h.round, h.next, h.until, h.requested, h.firstRound, h.backoffUntil, h.unservedSince, h.freeSince, s.g[i].startedAt, s.g[i].slots, s.g[i].lastClaims)
 			}
 		}
-		var mails []string
-		for _, m := range s.mails {
-			mails = append(mails, fmt.Sprint(m.from, m.to, m.say))
+		var deliveries []string
+		for _, m := range s.deliveries {
+			deliveries = append(deliveries, fmt.Sprint(m.from, m.to, m.payload))
 		}
-		slices.Sort(mails)
-		fmt.Fprint(&b, mails)
+		slices.Sort(deliveries)
+		fmt.Fprint(&b, deliveries)
 		return b.String()
 	}
 	start := func(s *state, i int) {
-		s.life[i]++
-		s.h[i], s.g[i] = NewHolder(q, ID(i), s.life[i], s.now, 1), NewGuard(q, s.now)
-		s.h[i].rule, s.h[i].target = all, all(q.Slots, nil, 0) // each takes both for its own by right
+		s.incarnation[i]++
+		s.h[i], s.g[i] = NewHolder(q, ID(i), s.incarnation[i], s.now, 1), NewGuard(q, s.now)
+		s.h[i].placement, s.h[i].assigned = allSlots, allSlots(q.Slots, nil, 0) // each claims both slots
 	}
 	first := state{now: 100}
 	for i := range 3 {
 		start(&first, i)
 	}
-	first.now += 8 // the guards grant
-	depth, most := 16, 12_000
+	first.now += 8 // the guards start granting
+	depth, maxStates := 16, 12_000
 	if *long {
-		depth, most = 30, 600_000
+		depth, maxStates = 30, 600_000
 	}
-	seen, level, holding := map[string]bool{name(first): true}, []state{first}, 0
+	seen, level, holding := map[string]bool{fingerprint(first): true}, []state{first}, 0
 	for range depth {
 		var next []state
 		add := func(s state) {
-			for seat := range q.Slots {
+			for slot := range q.Slots {
 				by := 0
 				for _, h := range s.h {
-					if h != nil && s.now < h.sure[seat] {
+					if h != nil && s.now < h.heldUntil[slot] {
 						by++
 						holding++
 					}
 				}
 				if by > 1 {
-					t.Fatalf("seat %d is held by %d: %s", seat, by, name(s))
+					t.Fatalf("slot %d is held by %d processes: %s", slot, by, fingerprint(s))
 				}
 			}
-			if k := name(s); !seen[k] && len(seen) < most && len(s.mails) < 7 {
+			if k := fingerprint(s); !seen[k] && len(seen) < maxStates && len(s.deliveries) < 7 {
 				seen[k] = true
 				next = append(next, s)
 			}
 		}
 		for _, s := range level {
-			for k := range s.mails {
+			for k := range s.deliveries {
 				for _, twice := range []bool{false, true} {
 					c := copyOf(s)
-					m := c.mails[k]
+					m := c.deliveries[k]
 					if !twice {
-						c.mails = slices.Delete(c.mails, k, k+1)
+						c.deliveries = slices.Delete(c.deliveries, k, k+1)
 					}
 					if c.h[m.to] == nil {
 						continue
 					}
-					switch x := m.say.(type) {
+					switch x := m.payload.(type) {
 					case Claim:
 						if a, ok := c.g[m.to].HandleClaim(c.now, m.from, x); ok {
-							c.mails = append(c.mails, mail{0, m.to, m.from, a})
+							c.deliveries = append(c.deliveries, delivery{0, m.to, m.from, a})
 						}
 					case ClaimReply:
 						c.h[m.to].HandleReply(c.now, m.from, x)
@@ -267,7 +261,7 @@
 					add(c)
 				}
 				c := copyOf(s)
-				c.mails = slices.Delete(c.mails, k, k+1)
+				c.deliveries = slices.Delete(c.deliveries, k, k+1)
 				add(c)
 			}
 			for i := range 3 {
@@ -278,7 +272,7 @@
 					continue
 				}
 				for _, x := range c.h[i].Tick(c.now, func(int) int { return 2 }) {
-					c.mails = append(c.mails, mail{0, ID(i), x.To, x.Payload})
+					c.deliveries = append(c.deliveries, delivery{0, ID(i), x.To, x.Payload})
 				}
 				add(c)
 				c = copyOf(s)
@@ -293,8 +287,8 @@
 		}
 		level = next
 	}
-	t.Logf("%d states, seats held in %d", len(seen), holding)
+	t.Logf("%d states, slots held in %d", len(seen), holding)
 	if len(seen) < 10_000 || holding < 1000 {
-		t.Errorf("%d states, held in %d, are too few to tell", len(seen), holding)
+		t.Errorf("only %d states explored, with slots held in %d", len(seen), holding)
 	}
 }
--- a/fleet/shares/shares_test.go
+++ b/fleet/shares/shares_test.go
@@ -11,44 +11,43 @@
 	"pgregory.net/rapid"
 )
 
-// mail is a message that is on its way.
-type mail struct {
+// delivery is a message in flight.
+type delivery struct {
 	at       time.Duration
 	from, to ID
-	say      any
+	payload  any
 }
 
-// world is a fleet of shares under virtual time, with clocks that run apart.
+// world simulates a fleet of shares in virtual time, with drifting clocks.
 type world struct {
-	t      interface{ Fatalf(string, ...any) }
-	rng    *rand.Rand
-	set    Settings
-	now    time.Duration
-	nodes  []*Share // nil: not running
-	life   []uint32
-	asleep []time.Duration
-	rate   []float64 // of clocks
-	needs  []float64
-	mails  []mail
-	lost   func(from, to ID) float64
-	late   time.Duration
-	most   int64 // that all may use, of what was seen
+	t           interface{ Fatalf(string, ...any) }
+	rng         *rand.Rand
+	settings    Settings
+	now         time.Duration
+	nodes       []*Share // nil: not running
+	incarnation []uint32
+	pausedUntil []time.Duration
+	clockRate   []float64
+	demands     []float64
+	deliveries  []delivery
+	lossRate    func(from, to ID) float64
+	maxDelay    time.Duration
+	maxSum      int64 // highest sum of allowances seen
 
-	q       *Quorum // nil: bases are the processes' own
+	quorum  *Quorum // nil: permanent bases
 	holders []*Holder
 	guards  []*Guard
 	greedy  func(i int) bool
 }
 
-// newSeated is a world with a quorum. Of its processes those run at first that are below
-// a number.
-func newSeated(t interface{ Fatalf(string, ...any) }, n, run int, whole int64, seed uint64, guards ...ID) *world {
-	w := newWorld(t, n, whole, seed)
-	w.q = &Quorum{Guards: guards, Slots: 64, MaxProcesses: 64, LeaseTime: leaseSeat, MaxClockDrift: w.set.MaxClockDrift}
+// newSlotWorld creates a world with a quorum, in which the first run processes are running.
+func newSlotWorld(t interface{ Fatalf(string, ...any) }, n, run int, total int64, seed uint64, guards ...ID) *world {
+	w := newWorld(t, n, total, seed)
+	w.quorum = &Quorum{Guards: guards, Slots: 64, MaxProcesses: 64, LeaseTime: slotLeaseTime, MaxClockDrift: w.settings.MaxClockDrift}
 	w.greedy = func(int) bool { return false }
-	w.set.LeaseTime, w.set.FloorFraction = leaseLoan, seatFloor
+	w.settings.LeaseTime, w.settings.FloorFraction = quotaLeaseTime, slotFloorFraction
 	for i := range w.nodes {
-		w.nodes[i], w.life[i] = nil, 0
+		w.nodes[i], w.incarnation[i] = nil, 0
 		if i < run {
 			w.start(i, true)
 		}
@@ -56,42 +55,41 @@
 	return w
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, n int, whole int64, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), set: Defaults(), now: time.Hour, nodes: make([]*Share, n), life: make([]uint32, n),
-		holders: make([]*Holder, n), guards: make([]*Guard, n), asleep: make([]time.Duration, n), rate: make([]float64, n), needs: make([]float64, n), late: 10 * time.Millisecond}
-	w.set.Total, w.set.Nodes = whole, n
-	w.lost = func(ID, ID) float64 { return 0 }
+func newWorld(t interface{ Fatalf(string, ...any) }, n int, total int64, seed uint64) *world {
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), settings: Defaults(), now: time.Hour, nodes: make([]*Share, n), incarnation: make([]uint32, n),
+		holders: make([]*Holder, n), guards: make([]*Guard, n), pausedUntil: make([]time.Duration, n), clockRate: make([]float64, n), demands: make([]float64, n), maxDelay: 10 * time.Millisecond}
+	w.settings.Total, w.settings.Nodes = total, n
+	w.lossRate = func(ID, ID) float64 { return 0 }
 	for i := range w.nodes {
-		w.rate[i] = 1
+		w.clockRate[i] = 1
 		w.start(i, true)
 	}
 	return w
 }
 
-func (w *world) clock(i int) Time { return time.Duration(float64(w.now) * w.rate[i]) }
+func (w *world) clock(i int) Time { return time.Duration(float64(w.now) * w.clockRate[i]) }
 
 func (w *world) start(i int, first bool) {
-	w.life[i]++
-	seed := int64(i) + int64(w.life[i])*1000
-	if w.q == nil {
-		w.nodes[i] = New(w.set, ID(i), w.life[i], w.clock(i), seed, first)
+	w.incarnation[i]++
+	seed := int64(i) + int64(w.incarnation[i])*1000
+	if w.quorum == nil {
+		w.nodes[i] = New(w.settings, ID(i), w.incarnation[i], w.clock(i), seed, first)
 	} else {
-		w.holders[i] = NewHolder(*w.q, ID(i), w.life[i], w.clock(i), seed)
-		w.nodes[i] = NewWithSlots(w.set, w.holders[i], w.clock(i), seed)
+		w.holders[i] = NewHolder(*w.quorum, ID(i), w.incarnation[i], w.clock(i), seed)
+		w.nodes[i] = NewWithSlots(w.settings, w.holders[i], w.clock(i), seed)
 		w.guards[i] = nil
-		if slices.Contains(w.q.Guards, ID(i)) {
-			w.guards[i] = NewGuard(*w.q, w.clock(i))
+		if slices.Contains(w.quorum.Guards, ID(i)) {
+			w.guards[i] = NewGuard(*w.quorum, w.clock(i))
 		}
 	}
-	w.nodes[i].SetDemand(w.needs[i])
+	w.nodes[i].SetDemand(w.demands[i])
 }
 
-// kill ends a process.
 func (w *world) kill(i int) { w.nodes[i] = nil }
 
-// hear hands a message to its receiver.
-func (w *world) hear(i int, from ID, say any) []Message {
-	switch m := say.(type) {
+// deliver passes a message to its receiver.
+func (w *world) deliver(i int, from ID, payload any) []Message {
+	switch m := payload.(type) {
 	case Claim:
 		if a, ok := w.guards[i].HandleClaim(w.clock(i), from, m); ok {
 			return []Message{{from, a}}
@@ -101,41 +99,41 @@
 		w.holders[i].HandleReply(w.clock(i), from, m)
 		return nil
 	}
-	return w.nodes[i].Handle(w.clock(i), from, say)
+	return w.nodes[i].Handle(w.clock(i), from, payload)
 }
 
-func (w *world) post(i int, out []Message) {
+func (w *world) send(i int, out []Message) {
 	for _, t := range out {
-		for range 1 + w.rng.IntN(5)/4 { // one in five comes twice
-			if ID(i) == t.To || w.rng.Float64() >= w.lost(ID(i), t.To) {
-				w.mails = append(w.mails, mail{w.now + time.Duration(w.rng.Float64()*float64(w.late)), ID(i), t.To, t.Payload})
+		for range 1 + w.rng.IntN(5)/4 { // one in five is duplicated
+			if ID(i) == t.To || w.rng.Float64() >= w.lossRate(ID(i), t.To) {
+				w.deliveries = append(w.deliveries, delivery{w.now + time.Duration(w.rng.Float64()*float64(w.maxDelay)), ID(i), t.To, t.Payload})
 			}
 		}
 	}
 }
 
-// step lets 10 ms pass; the whole is checked at each.
+// step advances the time by 10 ms and checks the invariant.
 func (w *world) step() {
 	w.now += 10 * time.Millisecond
-	keep := w.mails[:0]
-	var due []mail
-	for _, m := range w.mails {
-		if m.at <= w.now && w.now >= w.asleep[m.to] {
+	keep := w.deliveries[:0]
+	var due []delivery
+	for _, m := range w.deliveries {
+		if m.at <= w.now && w.now >= w.pausedUntil[m.to] {
 			due = append(due, m)
 		} else {
 			keep = append(keep, m)
 		}
 	}
-	w.mails = keep
+	w.deliveries = keep
 	w.check()
 	for _, m := range due {
 		if w.nodes[m.to] != nil {
-			w.post(int(m.to), w.hear(int(m.to), m.from, m.say))
+			w.send(int(m.to), w.deliver(int(m.to), m.from, m.payload))
 			w.check()
 		}
 	}
 	for i, n := range w.nodes {
-		if n == nil || w.now < w.asleep[i] {
+		if n == nil || w.now < w.pausedUntil[i] {
 			continue
 		}
 		var others []ID
@@ -144,28 +142,28 @@
 				others = append(others, ID(k))
 			}
 		}
-		if w.q != nil {
-			if w.greedy(i) { // it takes all seats for its own by right
-				w.holders[i].view, w.holders[i].rule = 0, all
-			} else if w.holders[i].view == 0 {
-				w.holders[i].rule = placed
+		if w.quorum != nil {
+			if w.greedy(i) { // placement assigns it all slots
+				w.holders[i].viewDigest, w.holders[i].placement = 0, allSlots
+			} else if w.holders[i].viewDigest == 0 {
+				w.holders[i].placement = rendezvousPlacement
 			}
-			w.post(i, w.holders[i].Tick(w.clock(i), func(int) int { return n.SpareSlots(w.clock(i)) }))
+			w.send(i, w.holders[i].Tick(w.clock(i), func(int) int { return n.SpareSlots(w.clock(i)) }))
 		}
-		w.post(i, n.Tick(w.clock(i), others))
+		w.send(i, n.Tick(w.clock(i), others))
 	}
 	w.check()
 }
 
-func all(seats int, _ []ID, _ ID) (out SlotSet) {
-	for i := range seats {
+func allSlots(slots int, _ []ID, _ ID) (out SlotSet) {
+	for i := range slots {
 		out.Add(i)
 	}
 	return out
 }
 
-// check holds the invariant: those that run, and those that stand still and would use
-// what they may the moment they go on.
+// check verifies that the allowances never exceed the total, including those of paused
+// processes, which would use them on resuming.
 func (w *world) check() {
 	sum := int64(0)
 	for i, n := range w.nodes {
@@ -173,8 +171,8 @@
 			sum += n.Allowance(w.clock(i))
 		}
 	}
-	if w.most = max(w.most, sum); sum > w.set.Total {
-		w.t.Fatalf("all together may use %d of %d", sum, w.set.Total)
+	if w.maxSum = max(w.maxSum, sum); sum > w.settings.Total {
+		w.t.Fatalf("sum of allowances %d exceeds the total %d", sum, w.settings.Total)
 	}
 }
 
@@ -184,40 +182,40 @@
 	}
 }
 
-func (w *world) need(units ...float64) {
+func (w *world) setDemands(units ...float64) {
 	for i, u := range units {
-		if w.needs[i] = u; w.nodes[i] != nil {
+		if w.demands[i] = u; w.nodes[i] != nil {
 			w.nodes[i].SetDemand(u)
 		}
 	}
 }
 
-// In every timeline the sum of what all may use stays within the whole: crashes,
-// restarts, stops, losses, splits, doubled and late messages, clocks 2% apart.
-func TestTheWholeIsNeverExceeded(t *testing.T) {
+// The sum of all allowances must not exceed the total under crashes, restarts, pauses, losses,
+// partitions, duplicated and late messages and clock drift.
+func TestTotalIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 7).Draw(r, "processes")
-		whole, seed := int64(rapid.IntRange(64, 10000).Draw(r, "whole")), rapid.Uint64().Draw(r, "seed")
-		w := newWorld(r, n, whole, seed)
+		total, seed := int64(rapid.IntRange(64, 10000).Draw(r, "whole")), rapid.Uint64().Draw(r, "seed")
+		w := newWorld(r, n, total, seed)
 		run := n
-		if seated := rapid.Bool().Draw(r, "seated"); seated {
+		if withSlots := rapid.Bool().Draw(r, "seated"); withSlots {
 			run = rapid.IntRange(1, n).Draw(r, "run")
 			guards := [][]ID{{0}, {0, 1, 2}, {0, 1, 2, 3, 4}}[rapid.IntRange(0, min(2, (n-1)/2)).Draw(r, "guards")]
-			w = newSeated(r, n, run, whole, seed, guards...)
+			w = newSlotWorld(r, n, run, total, seed, guards...)
 			greedy := rapid.IntRange(1, 3).Draw(r, "greedy")
-			w.greedy = func(i int) bool { return (int(w.now/time.Second)+i)%greedy == 0 } // whatever its view is, it is wrong
+			w.greedy = func(i int) bool { return (int(w.now/time.Second)+i)%greedy == 0 } // assigns all slots, whatever the view
 		}
-		for i := range w.rate {
-			w.rate[i] = 1 + float64(rapid.IntRange(-20, 20).Draw(r, "clock"))/1000
+		for i := range w.clockRate {
+			w.clockRate[i] = 1 + float64(rapid.IntRange(-20, 20).Draw(r, "clock"))/1000
 		}
-		for i := range run { // with their clocks
-			w.life[i] = 0
+		for i := range run { // restarted with the drifting clocks
+			w.incarnation[i] = 0
 			w.start(i, true)
 		}
-		w.late = time.Duration(rapid.SampledFrom([]int{10, 100, 600, 1500}).Draw(r, "late")) * time.Millisecond
+		w.maxDelay = time.Duration(rapid.SampledFrom([]int{10, 100, 600, 1500}).Draw(r, "late")) * time.Millisecond
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.6}).Draw(r, "loss")
 		cut := 0
-		w.lost = func(a, b ID) float64 {
+		w.lossRate = func(a, b ID) float64 {
 			if (int(a) < cut) != (int(b) < cut) {
 				return 1
 			}
@@ -232,13 +230,13 @@
 				w.kill(i)
 				w.start(i, false)
 			case 2:
-				w.asleep[i] = w.now + time.Duration(rapid.IntRange(0, 8000).Draw(r, "stop"))*time.Millisecond
+				w.pausedUntil[i] = w.now + time.Duration(rapid.IntRange(0, 8000).Draw(r, "stop"))*time.Millisecond
 			case 3:
 				cut = rapid.IntRange(0, n).Draw(r, "cut")
 			default:
-				w.needs[i] = float64(rapid.IntRange(0, int(w.set.Total)).Draw(r, "need"))
+				w.demands[i] = float64(rapid.IntRange(0, int(w.settings.Total)).Draw(r, "need"))
 				if w.nodes[i] != nil {
-					w.nodes[i].SetDemand(w.needs[i])
+					w.nodes[i].SetDemand(w.demands[i])
 				}
 			}
 			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(r, "then")) * time.Millisecond)
@@ -246,16 +244,16 @@
 	})
 }
 
-// Three processes explored exhaustively in small: every order of delivery, loss,
-// doubling, crash, restart and passing of time, to a depth.
-func TestThreeProcessesExhaustively(t *testing.T) {
-	set := Defaults()
-	set.Total, set.Nodes, set.LeaseTime, set.FloorFraction, set.MaxClockDrift = 6, 3, 8, 0.5, 0
+// The total must not be exceeded in any order of delivery, loss, duplication, crash, restart
+// and passing of time among three processes, explored exhaustively to a depth.
+func TestQuotaLeasesExhaustively(t *testing.T) {
+	settings := Defaults()
+	settings.Total, settings.Nodes, settings.LeaseTime, settings.FloorFraction, settings.MaxClockDrift = 6, 3, 8, 0.5, 0
 	type state struct {
-		now   Time
-		nodes [3]*Share
-		life  [3]uint32
-		mails []mail
+		now         Time
+		nodes       [3]*Share
+		incarnation [3]uint32
+		deliveries  []delivery
 	}
 	copyOf := func(s state) state {
 		for i, n := range s.nodes {
@@ -264,56 +262,56 @@
 			}
 			c := *n
 			c.rng = rand.New(rand.NewPCG(1, 1))
-			c.loans, c.debts, c.offers = map[loanKey]*loan{}, map[uint32]*debt{}, map[ID]offer{}
-			for k, l := range n.loans {
+			c.grantedLeases, c.borrowedLeases, c.offers = map[leaseKey]*grantedLease{}, map[uint32]*borrowedLease{}, map[ID]offer{}
+			for k, l := range n.grantedLeases {
 				x := *l
-				c.loans[k] = &x
+				c.grantedLeases[k] = &x
 			}
-			for k, d := range n.debts {
+			for k, d := range n.borrowedLeases {
 				x := *d
-				c.debts[k] = &x
+				c.borrowedLeases[k] = &x
 			}
 			for k, o := range n.offers {
 				c.offers[k] = o
 			}
 			s.nodes[i] = &c
 		}
-		s.mails = slices.Clone(s.mails)
+		s.deliveries = slices.Clone(s.deliveries)
 		return s
 	}
-	name := func(s state) string {
+	fingerprint := func(s state) string {
 		var b strings.Builder
-		fmt.Fprint(&b, s.now, s.life)
+		fmt.Fprint(&b, s.now, s.incarnation)
 		for _, n := range s.nodes {
 			if n != nil {
-				fmt.Fprint(&b, "|", n.bornTill, n.nonce, n.next)
-				for _, k := range n.nonces() {
-					fmt.Fprint(&b, k, *n.debts[k])
+				fmt.Fprint(&b, "|", n.restrictedUntil, n.nonce, n.next)
+				for _, k := range n.sortedNonces() {
+					fmt.Fprint(&b, k, *n.borrowedLeases[k])
 				}
-				var loans []string
-				for k, l := range n.loans {
-					loans = append(loans, fmt.Sprint(k, *l))
+				var grantedLeases []string
+				for k, l := range n.grantedLeases {
+					grantedLeases = append(grantedLeases, fmt.Sprint(k, *l))
 				}
-				slices.Sort(loans)
-				fmt.Fprint(&b, loans, len(n.offers))
+				slices.Sort(grantedLeases)
+				fmt.Fprint(&b, grantedLeases, len(n.offers))
 			}
 		}
-		var mails []string
-		for _, m := range s.mails {
-			mails = append(mails, fmt.Sprint(m.from, m.to, m.say))
+		var deliveries []string
+		for _, m := range s.deliveries {
+			deliveries = append(deliveries, fmt.Sprint(m.from, m.to, m.payload))
 		}
-		slices.Sort(mails)
-		fmt.Fprint(&b, mails)
+		slices.Sort(deliveries)
+		fmt.Fprint(&b, deliveries)
 		return b.String()
 	}
 	first := state{now: 100}
 	for i := range first.nodes {
-		first.nodes[i] = New(set, ID(i), 1, first.now, 1, true)
-		first.life[i] = 1
+		first.nodes[i] = New(settings, ID(i), 1, first.now, 1, true)
+		first.incarnation[i] = 1
 	}
-	first.nodes[0].SetDemand(4) // it needs more than its base of 2, the others nothing
-	seen, level := map[string]bool{name(first): true}, []state{first}
-	const depth, most = 12, 40_000
+	first.nodes[0].SetDemand(4) // twice its base of 2; the others have no demand
+	seen, level := map[string]bool{fingerprint(first): true}, []state{first}
+	const depth, maxStates = 12, 40_000
 	for range depth {
 		var next []state
 		add := func(s state) {
@@ -323,47 +321,47 @@
 					sum += n.Allowance(s.now)
 				}
 			}
-			if sum > set.Total {
-				t.Fatalf("all together may use %d of %d: %s", sum, set.Total, name(s))
+			if sum > settings.Total {
+				t.Fatalf("sum of allowances %d exceeds the total %d: %s", sum, settings.Total, fingerprint(s))
 			}
-			if k := name(s); !seen[k] && len(seen) < most && len(s.mails) < 5 {
+			if k := fingerprint(s); !seen[k] && len(seen) < maxStates && len(s.deliveries) < 5 {
 				seen[k] = true
 				next = append(next, s)
 			}
 		}
-		post := func(s *state, i int, out []Message) {
+		send := func(s *state, i int, out []Message) {
 			for _, x := range out {
-				s.mails = append(s.mails, mail{0, ID(i), x.To, x.Payload})
+				s.deliveries = append(s.deliveries, delivery{0, ID(i), x.To, x.Payload})
 			}
 		}
 		for _, s := range level {
-			for k := range s.mails {
-				for _, twice := range []bool{false, true} { // delivered; delivered and still on its way
+			for k := range s.deliveries {
+				for _, twice := range []bool{false, true} { // delivered; delivered and still in flight
 					c := copyOf(s)
-					m := c.mails[k]
+					m := c.deliveries[k]
 					if !twice {
-						c.mails = slices.Delete(c.mails, k, k+1)
+						c.deliveries = slices.Delete(c.deliveries, k, k+1)
 					}
 					if n := c.nodes[m.to]; n != nil {
-						post(&c, int(m.to), n.Handle(c.now, m.from, m.say))
+						send(&c, int(m.to), n.Handle(c.now, m.from, m.payload))
 					}
 					add(c)
 				}
 				c := copyOf(s)
-				c.mails = slices.Delete(c.mails, k, k+1) // lost
+				c.deliveries = slices.Delete(c.deliveries, k, k+1) // lost
 				add(c)
 			}
 			for i := range 3 {
 				c := copyOf(s)
 				if n := c.nodes[i]; n != nil {
-					post(&c, i, n.Tick(c.now, []ID{ID((i + 1) % 3), ID((i + 2) % 3)}))
+					send(&c, i, n.Tick(c.now, []ID{ID((i + 1) % 3), ID((i + 2) % 3)}))
 					add(c)
 					c = copyOf(s)
 					c.nodes[i] = nil
 					add(c)
 				} else {
-					c.life[i]++
-					c.nodes[i] = New(set, ID(i), c.life[i], c.now, 1, false)
+					c.incarnation[i]++
+					c.nodes[i] = New(settings, ID(i), c.incarnation[i], c.now, 1, false)
 					add(c)
 				}
 			}
@@ -377,87 +375,87 @@
 	}
 	t.Logf("%d states", len(seen))
 	if len(seen) < 10_000 {
-		t.Errorf("%d states are too few to tell", len(seen))
+		t.Errorf("only %d states explored", len(seen))
 	}
 }
 
-// Allocator follow the need, settle and do not swing, and fall back by themselves.
-func TestPartsFollowTheNeed(t *testing.T) {
+// Allowances must follow demand without oscillating, and fall back without messages.
+func TestAllowanceFollowsDemand(t *testing.T) {
 	for _, n := range []int{3, 12, 48, -3, -12, -48} {
-		seated := n < 0
+		withSlots := n < 0
 		n := max(n, -n)
 		w := newWorld(t, n, 1000*int64(n), 5)
-		if seated {
-			w = newSeated(t, n, n, 1000*int64(n), 5, 0, 1, 2)
-			w.q.MaxProcesses = n
-			w.run(4 * time.Second) // guards that begin grant nothing for a lease
+		if withSlots {
+			w = newSlotWorld(t, n, n, 1000*int64(n), 5, 0, 1, 2)
+			w.quorum.MaxProcesses = n
+			w.run(4 * time.Second) // guards that start grant nothing for a lease time
 		}
 		began := w.now
-		needs := make([]float64, n)
-		for i := range needs {
-			needs[i] = 400
+		demands := make([]float64, n)
+		for i := range demands {
+			demands[i] = 400
 		}
-		needs[0] = min(2400, 500*float64(n)) // one has six times the traffic, or nearly four
-		w.need(needs...)
+		demands[0] = min(2400, 500*float64(n)) // six times the others' demand, or nearly four
+		w.setDemands(demands...)
 		settled := time.Duration(-1)
 		low, high := int64(1<<62), int64(0)
 		for range 1500 {
 			w.step()
-			may := w.nodes[0].Allowance(w.clock(0))
-			if settled < 0 && may >= int64(needs[0]) {
+			allowance := w.nodes[0].Allowance(w.clock(0))
+			if settled < 0 && allowance >= int64(demands[0]) {
 				settled = w.now - began
 			}
 			if w.now > began+8*time.Second {
-				low, high = min(low, may), max(high, may)
+				low, high = min(low, allowance), max(high, allowance)
 			}
 		}
-		t.Logf("%d processes, seated %v: one with %.0f of %d needs %v; then between %d and %d", n, seated, needs[0], w.nodes[0].Base(w.clock(0)), settled, low, high)
-		if settled < 0 || settled > 5*time.Second || low < int64(needs[0]) || float64(high) > 1.6*needs[0] {
-			t.Errorf("%d processes: settled %v, then %d to %d of %.0f", n, settled, low, high, needs[0])
+		t.Logf("%d processes, slots %v: demand %.0f with base %d met after %v; then allowance between %d and %d", n, withSlots, demands[0], w.nodes[0].Base(w.clock(0)), settled, low, high)
+		if settled < 0 || settled > 5*time.Second || low < int64(demands[0]) || float64(high) > 1.6*demands[0] {
+			t.Errorf("%d processes: met after %v, then allowance %d to %d for demand %.0f", n, settled, low, high, demands[0])
 		}
 		for i := range w.nodes {
-			if may := w.nodes[i].Allowance(w.clock(i)); float64(may) < needs[i] {
-				t.Errorf("process %d may use %d and needs %.0f", i, may, needs[i])
+			if allowance := w.nodes[i].Allowance(w.clock(i)); float64(allowance) < demands[i] {
+				t.Errorf("process %d: allowance %d for demand %.0f", i, allowance, demands[i])
 			}
 		}
-		w.lost = func(ID, ID) float64 { return 1 } // all talk ends: all falls back
+		w.lossRate = func(ID, ID) float64 { return 1 } // no messages arrive any more
 		w.run(4 * time.Second)
 		for i, x := range w.nodes {
-			if x.Allowance(w.clock(i)) != x.Base(w.clock(i)) || seated && x.Allowance(w.clock(i)) != x.floor {
-				t.Errorf("process %d has %d without talk", i, x.Allowance(w.clock(i)))
+			if x.Allowance(w.clock(i)) != x.Base(w.clock(i)) || withSlots && x.Allowance(w.clock(i)) != x.floor {
+				t.Errorf("process %d: allowance %d without messages", i, x.Allowance(w.clock(i)))
 			}
 		}
 	}
 }
 
-// Nine in ten of the whole are in use again soon after needs change all over, and after
-// one in three was killed and came back; while they are away their bases are dark.
-func TestTheWholeIsInUseAgain(t *testing.T) {
+// Nine tenths of the demand must be met soon after it changes, and after a third of the
+// processes restarts; without a quorum their bases stay unused meanwhile.
+func TestTotalIsUsedAgainAfterRestarts(t *testing.T) {
 	w := newWorld(t, 24, 24000, 9)
-	w.lost = func(ID, ID) float64 { return 0.1 }
+	w.lossRate = func(ID, ID) float64 { return 0.1 }
 	demand := func() (used, could float64) {
 		for i, n := range w.nodes {
 			if n != nil {
-				used += min(w.needs[i], float64(n.Allowance(w.clock(i))))
-				could += w.needs[i]
+				used += min(w.demands[i], float64(n.Allowance(w.clock(i))))
+				could += w.demands[i]
 			}
 		}
 		return used, could
 	}
-	needs := make([]float64, 24)
+	demands := make([]float64, 24)
 	for round := range 4 {
 		sum := 0.0
-		for i := range needs {
-			needs[i] = 100 + 2000*w.rng.Float64()
-			sum += needs[i]
+		for i := range demands {
+			demands[i] = 100 + 2000*w.rng.Float64()
+			sum += demands[i]
 		}
-		for i := range needs {
-			needs[i] *= 0.75 * 24000 / sum // three quarters of the whole is wanted
+		for i := range demands {
+			demands[i] *= 0.75 * 24000 / sum // the demand is three quarters of the total
 		}
-		w.need(needs...)
+		w.setDemands(demands...)
 		w.run(5 * time.Second)
 		if used, could := demand(); used < 0.9*could {
-			t.Errorf("round %d: %.0f of %.0f wanted is in use after 5 s", round, used, could)
+			t.Errorf("round %d: %.0f of %.0f demanded is in use after 5 s", round, used, could)
 		}
 	}
 	for i := range 8 {
@@ -470,14 +468,14 @@
 	}
 	w.run(5 * time.Second)
 	used, could := demand()
-	t.Logf("of %.0f wanted %.0f while a third is away, %.0f 5 s after it is back", could, dark, used)
+	t.Logf("of %.0f demanded, in use: %.0f while a third is down, %.0f 5 s after its restart", could, dark, used)
 	if used < 0.9*could {
-		t.Errorf("%.0f of %.0f wanted is in use", used, could)
+		t.Errorf("%.0f of %.0f demanded is in use", used, could)
 	}
 }
 
-// What is written is what is read, and nothing else is.
-func TestMessages(t *testing.T) {
+// Messages must survive encoding and decoding; truncated ones must be rejected.
+func TestMessageRoundTrip(t *testing.T) {
 	var set SlotSet
 	for _, i := range []int{0, 63, 64, MaxSlots - 1} {
 		set.Add(i)
@@ -485,11 +483,11 @@
 	for _, m := range []any{Offer{7, 12.5}, LeaseRequest{LeaseTerms{1, 2, 3}, 4}, Grant{1, 2, 3, 4, 1500 * time.Millisecond}, LeaseReturn{1, 2},
 		Claim{9, 1, 2, set}, Claim{9, 1, 2, SlotSet{}}, ClaimReply{1, 2, set, SlotSet{}, set, HolderSet{1, 1 << 63}}, ClaimReply{}} {
 		raw := Encode(3, m)
-		if whole, back, err := Decode(raw); err != nil || whole != 3 || back != m || len(raw) > 256 {
-			t.Errorf("%+v came back as %+v, %v, of %d bytes", m, back, err, len(raw))
+		if resource, back, err := Decode(raw); err != nil || resource != 3 || back != m || len(raw) > 256 {
+			t.Errorf("%+v decoded as %+v, error %v, %d bytes", m, back, err, len(raw))
 		}
 		if _, _, err := Decode(raw[:len(raw)-1]); err == nil {
-			t.Errorf("%+v, cut short, is read", m)
+			t.Errorf("%+v: truncated datagram was decoded", m)
 		}
 	}
 }
@@ -498,31 +496,30 @@
 	f.Add(Encode(0, Offer{7, 1}))
 	f.Add(Encode(1, ClaimReply{1, 2, SlotSet{1}, SlotSet{2}, SlotSet{3}, HolderSet{4}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if whole, say, err := Decode(raw); err == nil && Encode(whole, say) == nil {
-			t.Errorf("%x is read and can't be written", raw)
+		if resource, payload, err := Decode(raw); err == nil && Encode(resource, payload) == nil {
+			t.Errorf("%x is decoded but can't be encoded", raw)
 		}
 	})
 }
 
-// A process finds its part of the fleet's flow from what it hears of some others; one
-// that claims a huge flow takes little of it.
-func TestThePartOfTheFlow(t *testing.T) {
+// The load fraction must follow peers' reports and limit the effect of an excessive one.
+func TestLoadFraction(t *testing.T) {
 	var f LoadEstimator
 	now := time.Hour
 	if p := f.Fraction(now, 10, 8); p != 1./8 {
-		t.Errorf("without a word its part is %.3f", p)
+		t.Errorf("fraction without reports is %.3f, want 1/8", p)
 	}
 	for i := range 6 {
 		f.Report(now, ID(i), 10)
 	}
 	if p := f.Fraction(now, 60, 13); p < 0.33 || p > 0.34 {
-		t.Errorf("60 of 60 and 12 times 10 is a third, not %.3f", p)
+		t.Errorf("fraction of 60 among 60 and 12 times 10 is %.3f, want a third", p)
 	}
 	f.Report(now, 6, 1e9)
 	if p := f.Fraction(now, 10, 8); p < 0.08 {
-		t.Errorf("a liar leaves it %.3f", p)
+		t.Errorf("fraction with one excessive report is %.3f, want 0.08 at least", p)
 	}
 	if p := f.Fraction(now+time.Minute, 10, 8); p != 1./8 {
-		t.Errorf("old words are worth %.3f", p)
+		t.Errorf("fraction after reports expired is %.3f, want 1/8", p)
 	}
 }
