--- a/fleet/shares/parts.go
+++ b/fleet/shares/parts.go
@@ -52,9 +52,9 @@
 
 // Allocation lists the changes of what this process may use.
 type Allocation struct {
+	Quotas map[string]float64 // requests per second by name; changed ones only
 	// EquivalentNodes is the number of processes if each had as large a fraction of the
 	// fleet's work as this one; 0: not changed.
-	Quotas          map[string]float64 // requests per second by name; changed ones only
 	EquivalentNodes float64
 }
 
