--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -144,7 +144,8 @@
 		self := roster.Member{ID: roster.ID(cfg.Self), Addr: m.ownAddr(), Incarnation: roster.Incarnation(now / time.Second)}
 		settings := roster.Defaults()
 		if settings.AllowedPrefixes = cfg.AllowedPrefixes; len(cfg.AllowedPrefixes) == 0 {
-			settings.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("0.0.0.0/16")} // the placeholder addresses of numbered processes
+			// The placeholder addresses of numbered processes.
+			settings.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("0.0.0.0/16")}
 		}
 		m.roster = roster.New(settings, self, m.seeds(), now, cfg.Seed)
 	}
@@ -475,7 +476,8 @@
 	}
 	if m.allocator != nil {
 		for _, p := range m.allocator.Holdings(now) {
-			out = append(out, Figure{"held." + figureName(p.Name), "g", int64(1000 * p.Held / max(p.Total, 1e-9))}) // in thousandths
+			// In thousandths.
+			out = append(out, Figure{"held." + figureName(p.Name), "g", int64(1000 * p.Held / max(p.Total, 1e-9))})
 		}
 		quorate := int64(0)
 		if m.allocator.HasQuorum(now) {
--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Tuning constants. Fractions are of 1; rates are per period.
+// Protocol constants.
 const (
 	// Members sent per period by full-state synchronization, on average.
 	syncMembersPerPeriod = 24.0
@@ -558,7 +558,8 @@
 		}
 	}
 	for _, m := range r.randomMembers(maxSuspectProbes, func(m *member) bool { return m.Status == Suspect && !r.isProbed(m.ID) }) {
-		if r.rng.Float64() < suspectProbersPerPeriod/float64(len(r.members)) { // limits how many members probe it in a period
+		// Limits how many members probe a suspect in a period.
+		if r.rng.Float64() < suspectProbersPerPeriod/float64(len(r.members)) {
 			r.startProbe(m, false)
 		}
 	}
--- a/fleet/shares/parts.go
+++ b/fleet/shares/parts.go
@@ -160,7 +160,8 @@
 			r.arrivals = 0
 			r.share.SetDemand(math.Ceil(r.rate * r.units))
 			if r == a.work {
-				r.share.SetLoad(max(r.rate, 1/r.units)) // positive also without requests, so that peers receive a report
+				// Positive also without requests, so that peers receive a report.
+				r.share.SetLoad(max(r.rate, 1/r.units))
 				r.share.SetDemand(a.loads.Fraction(now, r.rate, a.alive) * workUnits)
 			}
 		}
--- a/fleet/shares/seats.go
+++ b/fleet/shares/seats.go
@@ -218,8 +218,8 @@
 	requested     SlotSet                                    // slots in the last claim
 	firstRound    []uint32                                   // by slot: first of the consecutive rounds requesting it
 	backoffUntil  []Time                                     // by slot: not requested until then
-	unservedSince []Time                                     // by slot: since when it is requested in vain; 0: it is not
-	freeSince     []Time                                     // by slot: since when a majority reports it free; 0: not free
+	unservedSince []Time                                     // by slot: since when it is requested in vain, or 0
+	freeSince     []Time                                     // by slot: since when a majority reports it free, or 0
 	next          Time                                       // time of the next round
 	pendingReturn int                                        // contested slots that back a granted lease
 	quorumSince   Time                                       // when a majority first replied; 0: not yet
--- a/fleet/shares/shares_test.go
+++ b/fleet/shares/shares_test.go
@@ -37,7 +37,7 @@
 	quorum  *Quorum // nil: permanent bases
 	holders []*Holder
 	guards  []*Guard
-	greedy  func(i int) bool
+	greedy  func(i int) bool // the process claims all slots
 }
 
 // newSlotWorld creates a world with a quorum, in which the first run processes are running.
@@ -69,11 +69,11 @@
 
 func (w *world) clock(i int) Time { return time.Duration(float64(w.now) * w.clockRate[i]) }
 
-func (w *world) start(i int, first bool) {
+func (w *world) start(i int, noPredecessor bool) {
 	w.incarnation[i]++
 	seed := int64(i) + int64(w.incarnation[i])*1000
 	if w.quorum == nil {
-		w.nodes[i] = New(w.settings, ID(i), w.incarnation[i], w.clock(i), seed, first)
+		w.nodes[i] = New(w.settings, ID(i), w.incarnation[i], w.clock(i), seed, noPredecessor)
 	} else {
 		w.holders[i] = NewHolder(*w.quorum, ID(i), w.incarnation[i], w.clock(i), seed)
 		w.nodes[i] = NewWithSlots(w.settings, w.holders[i], w.clock(i), seed)
@@ -203,7 +203,8 @@
 			guards := [][]ID{{0}, {0, 1, 2}, {0, 1, 2, 3, 4}}[rapid.IntRange(0, min(2, (n-1)/2)).Draw(r, "guards")]
 			w = newSlotWorld(r, n, run, total, seed, guards...)
 			greedy := rapid.IntRange(1, 3).Draw(r, "greedy")
-			w.greedy = func(i int) bool { return (int(w.now/time.Second)+i)%greedy == 0 } // assigns all slots, whatever the view
+			// Assigns all slots, whatever the view.
+			w.greedy = func(i int) bool { return (int(w.now/time.Second)+i)%greedy == 0 }
 		}
 		for i := range w.clockRate {
 			w.clockRate[i] = 1 + float64(rapid.IntRange(-20, 20).Draw(r, "clock"))/1000
@@ -390,28 +391,28 @@
 			w.quorum.MaxProcesses = n
 			w.run(4 * time.Second) // guards that start grant nothing for a lease time
 		}
-		began := w.now
+		changedAt := w.now
 		demands := make([]float64, n)
 		for i := range demands {
 			demands[i] = 400
 		}
 		demands[0] = min(2400, 500*float64(n)) // six times the others' demand, or nearly four
 		w.setDemands(demands...)
-		settled := time.Duration(-1)
+		metAfter := time.Duration(-1)
 		low, high := int64(1<<62), int64(0)
 		for range 1500 {
 			w.step()
 			allowance := w.nodes[0].Allowance(w.clock(0))
-			if settled < 0 && allowance >= int64(demands[0]) {
-				settled = w.now - began
+			if metAfter < 0 && allowance >= int64(demands[0]) {
+				metAfter = w.now - changedAt
 			}
-			if w.now > began+8*time.Second {
+			if w.now > changedAt+8*time.Second {
 				low, high = min(low, allowance), max(high, allowance)
 			}
 		}
-		t.Logf("%d processes, slots %v: demand %.0f with base %d met after %v; then allowance between %d and %d", n, withSlots, demands[0], w.nodes[0].Base(w.clock(0)), settled, low, high)
-		if settled < 0 || settled > 5*time.Second || low < int64(demands[0]) || float64(high) > 1.6*demands[0] {
-			t.Errorf("%d processes: met after %v, then allowance %d to %d for demand %.0f", n, settled, low, high, demands[0])
+		t.Logf("%d processes, slots %v: demand %.0f with base %d met after %v; then allowance between %d and %d", n, withSlots, demands[0], w.nodes[0].Base(w.clock(0)), metAfter, low, high)
+		if metAfter < 0 || metAfter > 5*time.Second || low < int64(demands[0]) || float64(high) > 1.6*demands[0] {
+			t.Errorf("%d processes: met after %v, then allowance %d to %d for demand %.0f", n, metAfter, low, high, demands[0])
 		}
 		for i := range w.nodes {
 			if allowance := w.nodes[i].Allowance(w.clock(i)); float64(allowance) < demands[i] {
@@ -433,14 +434,14 @@
 func TestTotalIsUsedAgainAfterRestarts(t *testing.T) {
 	w := newWorld(t, 24, 24000, 9)
 	w.lossRate = func(ID, ID) float64 { return 0.1 }
-	demand := func() (used, could float64) {
+	demand := func() (used, demanded float64) {
 		for i, n := range w.nodes {
 			if n != nil {
 				used += min(w.demands[i], float64(n.Allowance(w.clock(i))))
-				could += w.demands[i]
+				demanded += w.demands[i]
 			}
 		}
-		return used, could
+		return used, demanded
 	}
 	demands := make([]float64, 24)
 	for round := range 4 {
@@ -454,23 +455,23 @@
 		}
 		w.setDemands(demands...)
 		w.run(5 * time.Second)
-		if used, could := demand(); used < 0.9*could {
-			t.Errorf("round %d: %.0f of %.0f demanded is in use after 5 s", round, used, could)
+		if used, demanded := demand(); used < 0.9*demanded {
+			t.Errorf("round %d: %.0f of %.0f demanded is in use after 5 s", round, used, demanded)
 		}
 	}
 	for i := range 8 {
 		w.kill(i)
 	}
 	w.run(5 * time.Second)
-	dark, _ := demand()
+	usedWhileDown, _ := demand()
 	for i := range 8 {
 		w.start(i, false)
 	}
 	w.run(5 * time.Second)
-	used, could := demand()
-	t.Logf("of %.0f demanded, in use: %.0f while a third is down, %.0f 5 s after its restart", could, dark, used)
-	if used < 0.9*could {
-		t.Errorf("%.0f of %.0f demanded is in use", used, could)
+	used, demanded := demand()
+	t.Logf("of %.0f demanded, in use: %.0f while a third is down, %.0f 5 s after its restart", demanded, usedWhileDown, used)
+	if used < 0.9*demanded {
+		t.Errorf("%.0f of %.0f demanded is in use", used, demanded)
 	}
 }
 
--- a/fleet/subset/groups_test.go
+++ b/fleet/subset/groups_test.go
@@ -33,13 +33,13 @@
 // Group sizes and balanced loads must stay within bounds for fleets of several sizes.
 func TestGroupBalanceBySize(t *testing.T) {
 	for _, c := range []struct{ servers, proxies, each int }{{500, 1000, 100}, {5000, 1000, 400}, {5000, 1000, 1250}} {
-		sets, want := make([]GroupSet, c.servers), make([]float64, c.servers)
+		sets, targets := make([]GroupSet, c.servers), make([]float64, c.servers)
 		n := GroupsPerServer(c.servers, c.each)
 		var size [GroupCount]float64
 		for i := range sets {
 			o := RankGroups(fmt.Sprint("pod-", i/4))
 			sets[i] = o.First(n)
-			want[i] = 1 / float64(c.servers)
+			targets[i] = 1 / float64(c.servers)
 			each(sets[i], func(g int) { size[g]++ })
 		}
 		var groupLoad [GroupCount + 1]float64
@@ -54,13 +54,13 @@
 		for i := range sets {
 			f := 0.0
 			each(sets[i], func(g int) { f += groupLoad[g] / size[g] })
-			unweighted = math.Max(unweighted, math.Abs(f/want[i]-1))
+			unweighted = math.Max(unweighted, math.Abs(f/targets[i]-1))
 		}
-		_, worst := BalanceGroups(sets, want, groupLoad)
+		_, maxError := BalanceGroups(sets, targets, groupLoad)
 		t.Logf("%d servers, %d proxies, %d servers per group: groups of %.0f to %.0f servers, %d groups per server; maximum error of a server's load %.0f%%, balanced %.1f%%",
-			c.servers, c.proxies, c.each, smallest, largest, n, 100*unweighted, 100*worst)
-		if worst > 0.02 || smallest < 0.5*float64(c.each) {
-			t.Errorf("%+v: maximum error %.3f, smallest group %.0f servers", c, worst, smallest)
+			c.servers, c.proxies, c.each, smallest, largest, n, 100*unweighted, 100*maxError)
+		if maxError > 0.02 || smallest < 0.5*float64(c.each) {
+			t.Errorf("%+v: maximum error %.3f, smallest group %.0f servers", c, maxError, smallest)
 		}
 	}
 }
@@ -78,45 +78,45 @@
 
 // Targets that no weights can reach must be reported as a large error.
 func TestBalanceReportsUnreachableTargets(t *testing.T) {
-	sets, want := make([]GroupSet, 100), make([]float64, 100)
+	sets, targets := make([]GroupSet, 100), make([]float64, 100)
 	for i := range sets {
 		o := RankGroups(fmt.Sprint(i))
-		sets[i], want[i] = o.First(4), 0.01
+		sets[i], targets[i] = o.First(4), 0.01
 	}
 	var groupLoad [GroupCount + 1]float64
 	for g := range GroupCount {
 		groupLoad[g] = 0.5 / GroupCount
 	}
 	groupLoad[3] += 0.5
-	if _, worst := BalanceGroups(sets, want, groupLoad); worst < 1 {
-		t.Errorf("maximum error %.2f, want 1 at least", worst)
+	if _, maxError := BalanceGroups(sets, targets, groupLoad); maxError < 1 {
+		t.Errorf("maximum error %.2f, want 1 at least", maxError)
 	}
 	groupLoad[3] -= 0.5
 	groupLoad[GroupCount] = 0.5 // the same load from proxies with every server
-	if _, worst := BalanceGroups(sets, want, groupLoad); worst > 0.02 {
-		t.Errorf("maximum error %.2f, want 0.02 at most", worst)
+	if _, maxError := BalanceGroups(sets, targets, groupLoad); maxError > 0.02 {
+		t.Errorf("maximum error %.2f, want 0.02 at most", maxError)
 	}
 	groupLoad = [GroupCount + 1]float64{}
 	groupLoad[1] = 1
 	for i := range sets {
 		sets[i] = 4 // no server is in group 1
 	}
-	if _, worst := BalanceGroups(sets, want, groupLoad); !math.IsInf(worst, 1) {
-		t.Errorf("load without any server: maximum error %.2f, want infinite", worst)
+	if _, maxError := BalanceGroups(sets, targets, groupLoad); !math.IsInf(maxError, 1) {
+		t.Errorf("load without any server: maximum error %.2f, want infinite", maxError)
 	}
 }
 
 func BenchmarkBalanceGroups(b *testing.B) {
-	sets, want := make([]GroupSet, 5000), make([]float64, 5000)
+	sets, targets := make([]GroupSet, 5000), make([]float64, 5000)
 	var groupLoad [GroupCount + 1]float64
 	for i := range sets {
 		o := RankGroups(fmt.Sprint("pod-", i/4))
-		sets[i], want[i] = o.First(6), 1.0/5000
+		sets[i], targets[i] = o.First(6), 1.0/5000
 	}
 	for p := range 1000 {
 		groupLoad[GroupOf(fmt.Sprint("proxy-", p))] += 0.001
 	}
 	for b.Loop() {
-		BalanceGroups(sets, want, groupLoad)
+		BalanceGroups(sets, targets, groupLoad)
 	}
 }
--- a/fleet/subset/plan_test.go
+++ b/fleet/subset/plan_test.go
@@ -31,7 +31,7 @@
 	return p.Plan(servers)
 }
 
-// edges are the pairs of server key and process that uses the server.
+// edges is a set of pairs of a server's key and a process that uses it.
 type edges map[[2]uint64]bool
 
 func (pl *Plan) edges(servers []Server) edges {
@@ -152,23 +152,23 @@
 			servers := serversOf(c[1])
 			servers[0].RelativeSize = largeSize
 			pl := plan(Settings{UsersPerServer: 9, MinServers: 4}, fleetOf(c[0]), servers)
-			flow, want, least, most := make([]float64, c[0]), make([]float64, c[1]), c[1], 0
+			processLoads, targets, least, most := make([]float64, c[0]), make([]float64, c[1]), c[1], 0
 			for i, set := range pl.sets {
-				flow[i], least, most = 1/float64(c[0]), min(least, len(set)), max(most, len(set))
+				processLoads[i], least, most = 1/float64(c[0]), min(least, len(set)), max(most, len(set))
 			}
 			equalWeightLoad, users := 0.0, [2]int{c[0], 0}
 			for s := range servers {
-				want[s] = servers[s].RelativeSize / (float64(c[1]) + largeSize - 1)
+				targets[s] = servers[s].RelativeSize / (float64(c[1]) + largeSize - 1)
 				load := 0.0
 				for _, i := range pl.users[s] {
-					load += flow[i] / float64(len(pl.sets[i]))
+					load += processLoads[i] / float64(len(pl.sets[i]))
 				}
-				equalWeightLoad, users = max(equalWeightLoad, load/want[s]), [2]int{min(users[0], len(pl.users[s])), max(users[1], len(pl.users[s]))}
+				equalWeightLoad, users = max(equalWeightLoad, load/targets[s]), [2]int{min(users[0], len(pl.users[s])), max(users[1], len(pl.users[s]))}
 			}
-			_, worst := BalanceWeights(pl.users, want, flow)
+			_, maxError := BalanceWeights(pl.users, targets, processLoads)
 			t.Logf("%d processes, %d servers, one of size %v: sets of %d to %d servers, users %v, maximum load %.2f with equal weights, %.3f balanced",
-				c[0], c[1], largeSize, least, most, users, equalWeightLoad, 1+worst)
-			if worst > 0.05 || largeSize == 1 && equalWeightLoad > 1.7 || largeSize > 1 && users[1] < min(c[0], 100) {
+				c[0], c[1], largeSize, least, most, users, equalWeightLoad, 1+maxError)
+			if maxError > 0.05 || largeSize == 1 && equalWeightLoad > 1.7 || largeSize > 1 && users[1] < min(c[0], 100) {
 				t.Error("out of bounds")
 			}
 		}
@@ -193,7 +193,8 @@
 		settings := Settings{UsersPerServer: rapid.IntRange(2, 9).Draw(t, "users")}
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		split := rapid.Bool().Draw(t, "split")
-		if split { // a side has none of the first 27 with a probability of one in a million
+		if split {
+			// With 27 ranked processes, a side has none of them with a probability of one in a million.
 			settings.UsersPerServer = 9
 		}
 		sides := make([]bool, n)
