--- a/fleet/follow/agent.go
+++ b/fleet/follow/agent.go
@@ -11,61 +11,63 @@
 )
 
 const (
-	mostHeld   = 1024 // words of neighbours that are kept
-	mostLog    = 512  // own withdrawals that can be told one by one
-	askGap     = 50 * time.Millisecond
-	askFirst   = 150 * time.Millisecond // until the same process is asked again; doubles
-	askLast    = 4 * time.Second
-	answerGap  = 100 * time.Millisecond // between two answers to one process
-	repeatIn   = 150 * time.Millisecond // after which a push goes out once more
-	hearWindow = 4 * time.Second        // in which a process counts as heard
-	doubtTime  = time.Minute            // for which a process is not believed alone that was not borne out
-	forgetTime = 30 * time.Second       // after which a silent process may come back with an older clock
-	frozenFor  = 2 * time.Second        // for which a source that was found to be silent is taken for it
-	overtake   = 2 * time.Second        // by which a datagram may be older than its sender's newest and still be a part of an answer
-	drift      = 1e-4                   // that clocks of two processes run apart at most, as a part
+	maxPending      = 1024 // peer reports
+	maxLog          = 512  // own withdrawals that can be sent one by one
+	queryInterval   = 50 * time.Millisecond
+	minQueryRetry   = 150 * time.Millisecond // until the same peer is queried again; doubles
+	maxQueryRetry   = 4 * time.Second
+	answerInterval  = 100 * time.Millisecond // between two answers to one peer
+	repeatDelay     = 150 * time.Millisecond // until a push is sent a second time
+	peerTimeout     = 4 * time.Second        // in which a peer counts as live
+	distrustTime    = time.Minute            // in which an unconfirmed reporter does not count
+	forgetAfter     = 30 * time.Second       // after which a silent peer may return with an older clock
+	staleSourceHold = 2 * time.Second        // in which a source once found stale still counts as stale
+	// A datagram may be older than its sender's newest by so much and still be part of
+	// an answer.
+	reorderWindow = 2 * time.Second
+	maxClockDrift = 1e-4 // between the clocks of two processes, as a ratio
 )
 
-// peer is what an agent knows of another process.
+// peer is the agent's state of another process.
 type peer struct {
-	heard      Time // last word; 0: never
-	sent       Time // when that was sent, by this process's clock
-	stamp      version.Timestamp
-	offset     time.Duration // least of (own clock less the stamp) so far: its clock's, and the network's least delay
-	offsetAt   Time
-	vector     version.Vector
-	acts       version.List
-	age        time.Duration // of its source's word when it was sent; negative: none
-	standing   Mode
-	askedAt    Time
-	askWait    time.Duration
-	answeredAt Time
-	doubtUntil Time
-	told       Time // when it was last told anything
-	behind     bool // it acts on what is too old
-	parts      assembly
+	heard           Time // last message; 0: never
+	sentAt          Time // when it was sent, by this process's clock
+	timestamp       version.Timestamp
+	offset          time.Duration // least difference to its timestamps: clock skew plus network delay
+	offsetAt        Time
+	vector          version.Vector
+	applied         version.List
+	age             time.Duration // of its source's last list when it was sent; negative: none
+	mode            Mode
+	queriedAt       Time
+	queryWait       time.Duration
+	answeredAt      Time
+	distrustedUntil Time
+	lastSent        Time // when anything was last sent to it
+	behind          bool // it acts on too old a list
+	parts           assembly
 }
 
 // assembly collects the parts of an answer.
 type assembly struct {
-	kind      kind
-	to, since version.List
-	total     int
-	got       uint64
-	ok        bool // all words so far could be acted on
-	keys      []version.Key
+	kind       kind
+	to, since  version.List
+	total      int
+	received   uint64
+	applicable bool // all withdrawals so far could be applied
+	keys       []version.Key
 }
 
-// held is a neighbour's word that the own source has not caught up with.
-type held struct {
-	word
-	tellers []int // that have it of their own sources; at most mostTellers
-	via     int   // who told it first
-	at      Time
-	acted   bool
+// pending is a withdrawal that peers reported and the own source has not reached yet.
+type pending struct {
+	withdrawal
+	reporters     []int // peers that have it from their own sources
+	firstReporter int   // peer that reported it first
+	receivedAt    Time
+	enforced      bool
 }
 
-const mostTellers = 4
+const maxReporters = 4
 
 type entry struct {
 	name      string
@@ -73,7 +75,7 @@
 	startedAt Time
 }
 
-// repeat is a push that goes out once more.
+// repeat is a push that is to be sent a second time.
 type repeat struct {
 	at    Time
 	since version.List
@@ -81,139 +83,139 @@
 
 // Agent decides for one process. It is not safe for concurrent use.
 type Agent struct {
-	set       Settings
-	fleet     Fleet
-	rng       *rand.Rand
-	clock     *version.HybridClock
-	rec       *version.Recorder
-	now       Time
-	out       []Action
-	vector    version.Vector
-	sum       version.RunningDigest
-	entries   map[version.Key]entry
-	up        int // entries that are
-	listed    bool
-	listAt    Time   // when the own list last changed
-	log       []word // own withdrawals since floor that stand
-	floor     version.List
-	held      map[version.Key]*held
-	acts      version.List // all withdrawals up to it are in force here
-	confirmed Time         // when the own source spoke last; 0: never
-	vouched   Time         // as of when neighbours showed that what is acted on here was current
-	peers     []peer
-	hearing   int // peers heard within hearWindow, as of the last tick
-	nextHello Time
-	nextAsk   Time
-	repeats   []repeat
-	standing  Mode
-	why       string
-	started   Time
-	wokeAt    Time
-	holdUntil Time
-	reopenAt  Time
-	frozenAt  Time // when so much of the fleet was last seen to be behind that it is the source that is
-	counts    Counts
+	settings       Settings
+	fleet          Fleet
+	rng            *rand.Rand
+	clock          *version.HybridClock
+	recorder       *version.Recorder
+	now            Time
+	actions        []Action
+	vector         version.Vector
+	digest         version.RunningDigest
+	entries        map[version.Key]entry
+	upCount        int // entries in state Up
+	listed         bool
+	listAt         Time         // when the own list last changed
+	ownLog         []withdrawal // own withdrawals since logFloor that still hold
+	logFloor       version.List
+	pending        map[version.Key]*pending
+	applied        version.List // all withdrawals up to it are in force here
+	confirmed      Time         // when the own source last answered; 0: never
+	peersConfirmed Time         // time as of which peers confirmed the state in force here
+	peers          []peer
+	livePeers      int // peers heard within peerTimeout, as of the last tick
+	nextHello      Time
+	nextQuery      Time
+	repeats        []repeat
+	mode           Mode
+	reason         string
+	started        Time
+	resumedAt      Time
+	holdUntil      Time
+	reopenAt       Time
+	sourceStaleAt  Time // when so many peers were last behind that the source counted as stale
+	counts         Counts
 }
 
-// New makes the agent of a process that starts now. Settings and build are
-// digests (version.Digest).
-func New(set Settings, f Fleet, now Time, seed int64, process string, settings, build uint16) *Agent {
+// New returns the agent of a process that starts now. The settings and the build are
+// passed as digests (version.Digest).
+func New(settings Settings, fleetView Fleet, now Time, seed int64, processName string, settingsDigest, buildDigest uint16) *Agent {
 	clock := &version.HybridClock{}
-	a := &Agent{set: set, fleet: f, rng: rand.New(rand.NewPCG(uint64(seed), 0x666f6c6c)), clock: clock, now: now, started: now,
-		rec: version.NewRecorder(process, f.Self(), now, clock), entries: map[version.Key]entry{}, held: map[version.Key]*held{}}
-	a.vector = version.Vector{Settings: settings, Build: build, Format: version.FormatVersion}
-	a.nextHello = now + Time(a.rng.Float64()*float64(set.HelloInterval))
+	a := &Agent{settings: settings, fleet: fleetView, rng: rand.New(rand.NewPCG(uint64(seed), 0x666f6c6c)), clock: clock, now: now, started: now,
+		recorder: version.NewRecorder(processName, fleetView.Self(), now, clock), entries: map[version.Key]entry{}, pending: map[version.Key]*pending{}}
+	a.vector = version.Vector{Settings: settingsDigest, Build: buildDigest, Format: version.FormatVersion}
+	a.nextHello = now + Time(a.rng.Float64()*float64(settings.HelloInterval))
 	return a
 }
 
-// Recorder is the process's record.
-func (a *Agent) Recorder() *version.Recorder { return a.rec }
+// Recorder returns the process's record.
+func (a *Agent) Recorder() *version.Recorder { return a.recorder }
 
-// Counts gives the figures.
+// Counts returns the counters.
 func (a *Agent) Counts() Counts { return a.counts }
 
-// Mode tells how the process stands and why.
-func (a *Agent) Mode() (Mode, string) { return a.standing, a.why }
+// Mode returns the mode and the reason for it.
+func (a *Agent) Mode() (Mode, string) { return a.mode, a.reason }
 
-// Vector is what the process acts on.
+// Vector returns the versions that the process acts on.
 func (a *Agent) Vector() version.Vector { return a.vector }
 
-// AppliedVersion is the version up to which all withdrawals are in force here.
-func (a *Agent) AppliedVersion() version.List { return a.acts }
+// AppliedVersion returns the version up to which all withdrawals are in force here.
+func (a *Agent) AppliedVersion() version.List { return a.applied }
 
-// Handle takes an event and returns what is to be done, in order. The slice is
-// reused by the next call.
+// Handle processes an event and returns the actions to carry out, in order. The slice
+// is reused by the next call.
 func (a *Agent) Handle(now Time, e Event) []Action {
-	a.now, a.out = max(now, a.now), a.out[:0]
+	a.now, a.actions = max(now, a.now), a.actions[:0]
 	switch e := e.(type) {
 	case ListReceived:
-		a.list(e)
+		a.handleList(e)
 	case DatagramReceived:
-		a.hear(e)
+		a.handleDatagram(e)
 	case Tick:
-		a.tick()
+		a.handleTick()
 	case Resumed:
-		a.woke(e)
+		a.handleResumed(e)
 	case MaintenanceChanged:
 		a.vector.Maintenance = e.Digest
-		a.rec.RecordVersion(a.now, a.vector)
+		a.recorder.RecordVersion(a.now, a.vector)
 	}
-	return a.out
+	return a.actions
 }
 
-func (a *Agent) do(x Action) { a.out = append(a.out, x) }
+func (a *Agent) emit(x Action) { a.actions = append(a.actions, x) }
 
-func (a *Agent) logf(format string, args ...any) { a.do(Log{fmt.Sprintf(format, args...)}) }
+func (a *Agent) logf(format string, args ...any) { a.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// list takes a word of the own source.
-func (a *Agent) list(e ListReceived) {
-	before, gen := a.vector.List, uint32(e.Generation)
-	next := version.List{Epoch: before.Epoch, Generation: gen}
-	begun := a.listed && next.CompareGeneration(before) == version.Older // discovery began anew
-	if begun {
+// handleList applies a list from the own source.
+func (a *Agent) handleList(event ListReceived) {
+	before, generation := a.vector.List, uint32(event.Generation)
+	next := version.List{Epoch: before.Epoch, Generation: generation}
+	restarted := a.listed && next.CompareGeneration(before) == version.Older // discovery restarted
+	if restarted {
 		next.Epoch++
-		a.log, a.floor = a.log[:0], next
-		a.logf("discovery began anew: generation %d after %d, epoch %d", gen, before.Generation, next.Epoch)
+		a.ownLog, a.logFloor = a.ownLog[:0], next
+		a.logf("discovery restarted: generation %d after %d, epoch %d", generation, before.Generation, next.Epoch)
 	}
-	var fresh []word
-	named := map[version.Key]bool{}
-	for _, x := range e.Entries {
+	var withdrawn []withdrawal
+	present := map[version.Key]bool{}
+	for _, x := range event.Entries {
 		k := version.KeyOf(x.Name)
-		named[k] = true
-		if w, news := a.put(k, x, next); news {
-			fresh = append(fresh, w)
+		present[k] = true
+		if w, withdraws := a.updateEntry(k, x, next); withdraws {
+			withdrawn = append(withdrawn, w)
 		}
 	}
-	if e.Kind != Delta {
+	if event.Kind != Delta {
 		for _, k := range a.keys() {
-			if x := a.entries[k]; !named[k] {
+			if x := a.entries[k]; !present[k] {
 				x.state = version.Removed
-				w, _ := a.put(k, Entry{x.name, x.state, x.startedAt}, next)
-				fresh = append(fresh, w)
+				w, _ := a.updateEntry(k, Entry{x.name, x.state, x.startedAt}, next)
+				withdrawn = append(withdrawn, w)
 			}
 		}
 	}
-	next.Digest = a.sum.Short()
+	next.Digest = a.digest.Short()
 	a.vector.List = next
 	if next != before {
 		a.listAt = a.now
 	}
-	if e.Kind != Cached {
+	if event.Kind != Cached {
 		a.confirmed = a.now
-		a.rec.RecordConfirmed(a.now)
+		a.recorder.RecordConfirmed(a.now)
 	}
 	if !a.listed {
-		a.listed, a.floor, a.acts, fresh = true, next, next, nil
+		a.listed, a.logFloor, a.applied, withdrawn = true, next, next, nil
 	}
-	a.overtaken()
-	a.rec.RecordVersion(a.now, a.vector)
-	if len(fresh) > 0 {
-		a.push(before, fresh)
+	a.dropOvertaken()
+	a.recorder.RecordVersion(a.now, a.vector)
+	if len(withdrawn) > 0 {
+		a.pushWithdrawals(before, withdrawn)
 	}
-	a.stand()
+	a.updateMode()
 }
 
-// keys lists the own list's servers in a fixed order.
+// keys returns the servers of the own list in a fixed order.
 func (a *Agent) keys() []version.Key {
 	out := make([]version.Key, 0, len(a.entries))
 	for k := range a.entries {
@@ -223,196 +225,199 @@
 	return out
 }
 
-// put takes an entry of the own list; news is whether it takes away work that the
-// list gave before.
-func (a *Agent) put(k version.Key, x Entry, at version.List) (w word, news bool) {
-	old, known := a.entries[k]
+// updateEntry applies an entry of the own list and reports whether it withdraws a
+// server that could be used before.
+func (a *Agent) updateEntry(serverKey version.Key, update Entry, listVersion version.List) (change withdrawal, withdraws bool) {
+	previous, known := a.entries[serverKey]
 	if known {
-		a.sum.Remove(k, old.state, old.startedAt)
-		if old.state == version.Up {
-			a.up--
+		a.digest.Remove(serverKey, previous.state, previous.startedAt)
+		if previous.state == version.Up {
+			a.upCount--
 		}
 	}
-	w = word{key: k, state: x.State, list: at}
-	if x.State == version.Removed {
-		delete(a.entries, k)
+	change = withdrawal{key: serverKey, state: update.State, list: listVersion}
+	if update.State == version.Removed {
+		delete(a.entries, serverKey)
 	} else {
-		a.entries[k] = entry{x.Name, x.State, x.StartedAt}
-		a.sum.Add(k, x.State, x.StartedAt)
-	}
-	if x.State == version.Up {
-		a.up++
-		a.log = slices.DeleteFunc(a.log, func(o word) bool { return o.key == k })
-		if !known || old.state != version.Up {
-			a.rec.RecordRestored(a.now, x.Name, at)
+		a.entries[serverKey] = entry{update.Name, update.State, update.StartedAt}
+		a.digest.Add(serverKey, update.State, update.StartedAt)
+	}
+	if update.State == version.Up {
+		a.upCount++
+		a.ownLog = slices.DeleteFunc(a.ownLog, func(o withdrawal) bool { return o.key == serverKey })
+		if !known || previous.state != version.Up {
+			a.recorder.RecordRestored(a.now, update.Name, listVersion)
 		}
-		return w, false
+		return change, false
 	}
-	if !known && x.State == version.Removed || known && old.state >= x.State {
-		return w, false
+	if !known && update.State == version.Removed || known && previous.state >= update.State {
+		return change, false
 	}
-	a.log = slices.DeleteFunc(a.log, func(o word) bool { return o.key == k })
-	if a.log = append(a.log, w); len(a.log) > mostLog {
-		a.floor = a.log[0].list
-		a.log = slices.Delete(a.log, 0, 1)
+	a.ownLog = slices.DeleteFunc(a.ownLog, func(o withdrawal) bool { return o.key == serverKey })
+	if a.ownLog = append(a.ownLog, change); len(a.ownLog) > maxLog {
+		a.logFloor = a.ownLog[0].list
+		a.ownLog = slices.Delete(a.ownLog, 0, 1)
 	}
 	if a.listed {
-		a.rec.RecordWithdrawal(a.now, x.Name, x.State, at, version.OwnSource)
+		a.recorder.RecordWithdrawal(a.now, update.Name, update.State, listVersion, version.OwnSource)
 	}
-	return w, true
+	return change, true
 }
 
-// overtaken drops words of neighbours that the own source has caught up with: its
-// word goes before theirs.
-func (a *Agent) overtaken() {
+// dropOvertaken drops peer reports that the own source has caught up with: the own
+// source takes precedence.
+func (a *Agent) dropOvertaken() {
 	changed := false
-	for _, k := range a.heldKeys() {
-		h := a.held[k]
+	for _, k := range a.pendingKeys() {
+		h := a.pending[k]
 		if h.list.CompareGeneration(a.vector.List) == version.Newer {
 			continue
 		}
-		delete(a.held, k)
-		changed = changed || h.acted
-		if x, known := a.entries[k]; known && x.state == version.Up && h.acted {
-			a.rec.RecordRestored(a.now, x.name, a.vector.List)
+		delete(a.pending, k)
+		changed = changed || h.enforced
+		if x, known := a.entries[k]; known && x.state == version.Up && h.enforced {
+			a.recorder.RecordRestored(a.now, x.name, a.vector.List)
 		}
 	}
-	if a.acts.CompareGeneration(a.vector.List) != version.Newer {
-		a.acts = a.vector.List
+	if a.applied.CompareGeneration(a.vector.List) != version.Newer {
+		a.applied = a.vector.List
 	}
-	a.rec.RecordApplied(a.acts)
+	a.recorder.RecordApplied(a.applied)
 	if changed {
-		a.do(EligibilityChanged{})
+		a.emit(EligibilityChanged{})
 	}
 }
 
-func (a *Agent) heldKeys() []version.Key {
-	out := make([]version.Key, 0, len(a.held))
-	for k := range a.held {
+func (a *Agent) pendingKeys() []version.Key {
+	out := make([]version.Key, 0, len(a.pending))
+	for k := range a.pending {
 		out = append(out, k)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Withdrawn tells whether a server that the own list has up is not to be used, by a
-// neighbour's newer word.
+// Withdrawn reports whether a server that is up in the own list must not be used
+// because a peer reported a newer withdrawal.
 func (a *Agent) Withdrawn(name string) bool {
-	if len(a.held) == 0 {
+	if len(a.pending) == 0 {
 		return false
 	}
-	h := a.held[version.KeyOf(name)]
-	return h != nil && h.acted
+	h := a.pending[version.KeyOf(name)]
+	return h != nil && h.enforced
 }
 
-// MinAnswerTime is the time since which a server must have answered to be used; 0 if none
-// need have. It is for a process that has narrowed.
+// MinAnswerTime returns the time since which a server must have answered to be used, or
+// 0 if there is no such limit. There is one while the mode is Narrowed or Closed.
 func (a *Agent) MinAnswerTime(now Time) Time {
-	if a.standing != Narrowed && a.standing != Closed {
+	if a.mode != Narrowed && a.mode != Closed {
 		return 0
 	}
-	return max(1, now-a.set.NarrowAfter/2)
+	return max(1, now-a.settings.NarrowAfter/2)
 }
 
-// AcceptsRequests tells whether the process takes new requests.
-func (a *Agent) AcceptsRequests() bool { return a.standing != Closed }
+// AcceptsRequests reports whether the process takes new requests.
+func (a *Agent) AcceptsRequests() bool { return a.mode != Closed }
 
-// HoldUntil tells until when requests are to wait, 0 if they need not: the process
-// stood still and has not heard yet whether what it believes still holds.
+// HoldUntil returns the time until which requests must wait, or 0: after a process
+// pause the state must be confirmed first.
 func (a *Agent) HoldUntil() Time { return a.holdUntil }
 
-// TrustsPeer tells whether another process's readings and suspicions are to be used.
+// TrustsPeer reports whether readings and suspicions of another process may be used.
 func (a *Agent) TrustsPeer(from int) bool {
-	if a.set.ObserveOnly || from < 0 || from >= len(a.peers) || !a.peers[from].behind {
+	if a.settings.ObserveOnly || from < 0 || from >= len(a.peers) || !a.peers[from].behind {
 		return true
 	}
 	a.counts.Ignored++
 	return false
 }
 
-// message words a datagram as of now.
+// message returns a datagram of a kind that describes the current state.
 func (a *Agent) message(k kind) message {
-	m := message{kind: k, vector: a.vector, age: -1, standing: a.standing, acts: a.speaksFor()}
-	m.vector.Clock = a.clock.Now(a.now)
+	msg := message{kind: k, vector: a.vector, age: -1, mode: a.mode, applied: a.advertisedVersion()}
+	msg.vector.Clock = a.clock.Now(a.now)
 	if a.confirmed > 0 {
-		m.age = a.now - a.confirmed
+		msg.age = a.now - a.confirmed
 	}
-	return m
+	return msg
 }
 
-// speaksFor is the version up to which this process tells others of withdrawals: its
-// own source's as long as that speaks, else also what it has of others. Guards
-// against a word that goes round after all who knew of it first have taken it back.
-func (a *Agent) speaksFor() version.List {
-	if a.ownFresh() {
+// advertisedVersion returns the version up to which this process tells peers of
+// withdrawals: that of its own source while it is live, else also what peers reported.
+// It guards against a report that circulates after all of its original reporters have
+// retracted it.
+func (a *Agent) advertisedVersion() version.List {
+	if a.ownSourceFresh() {
 		return a.vector.List
 	}
-	return a.acts
+	return a.applied
 }
 
-// ownFresh tells whether the own source has spoken of late.
-func (a *Agent) ownFresh() bool { return a.confirmed > 0 && a.now-a.confirmed <= a.set.NarrowAfter }
+// ownSourceFresh reports whether the own source has answered recently.
+func (a *Agent) ownSourceFresh() bool {
+	return a.confirmed > 0 && a.now-a.confirmed <= a.settings.NarrowAfter
+}
 
-func (a *Agent) send(to int, m message) {
-	data := m.append(make([]byte, 0, MaxDatagram))
-	switch m.kind {
+func (a *Agent) send(to int, msg message) {
+	data := msg.append(make([]byte, 0, MaxDatagram))
+	switch msg.kind {
 	case hello:
 		a.counts.Hellos++
-	case ask:
+	case query:
 		a.counts.Queries++
 	default:
 		a.counts.Answers++
-		if m.kind == words {
-			a.counts.Withdrawals += uint64(len(m.words))
+		if msg.kind == withdrawals {
+			a.counts.Withdrawals += uint64(len(msg.withdrawals))
 		}
 	}
 	a.counts.Bytes += uint64(len(data))
-	a.grow()
-	a.peers[to].told = a.now
-	a.do(Send{to, data})
+	a.growPeers()
+	a.peers[to].lastSent = a.now
+	a.emit(Send{to, data})
 }
 
-// grow makes room for all processes of the fleet.
-func (a *Agent) grow() {
+// growPeers makes room for all processes of the fleet.
+func (a *Agent) growPeers() {
 	if n := a.fleet.Size(); n > len(a.peers) {
 		a.peers = append(a.peers, make([]peer, n-len(a.peers))...)
 	}
 }
 
-// Wrap puts what the process has to say anyway to another one into a hello, where
-// that one knows the form, there is room and a hello is due to it.
+// Wrap embeds another message to a peer in a hello if the peer knows the format, there
+// is room and a hello is due.
 func (a *Agent) Wrap(now Time, to int, data []byte) []byte {
-	a.grow()
-	if to < 0 || to >= len(a.peers) || len(data) > MaxDatagram-head {
+	a.growPeers()
+	if to < 0 || to >= len(a.peers) || len(data) > MaxDatagram-headerSize {
 		return data
 	}
-	p := &a.peers[to]
-	if p.heard == 0 || now-p.heard > forgetTime || now-p.told < a.set.HelloInterval {
+	receiver := &a.peers[to]
+	if receiver.heard == 0 || now-receiver.heard > forgetAfter || now-receiver.lastSent < a.settings.HelloInterval {
 		return data
 	}
 	a.now = max(a.now, now)
-	m := a.message(hello)
-	m.rest = data
-	p.told = now
+	msg := a.message(hello)
+	msg.payload = data
+	receiver.lastSent = now
 	a.counts.Hellos++
-	a.counts.Bytes += head
-	return m.append(make([]byte, 0, MaxDatagram))
+	a.counts.Bytes += headerSize
+	return msg.append(make([]byte, 0, MaxDatagram))
 }
 
-// Payload gives what is not the fleet's own of a datagram: all of one in another
-// form, what a hello carries, nothing of the others.
+// Payload returns the part of a datagram that is not the fleet's own: all of one in
+// another format, what a hello carries, nothing of the others.
 func Payload(data []byte) []byte {
 	if !IsFleetDatagram(data) {
 		return data
 	}
-	if len(data) > head && data[1] == byte(hello) {
-		return data[head:]
+	if len(data) > headerSize && data[1] == byte(hello) {
+		return data[headerSize:]
 	}
 	return nil
 }
 
-// others lists the processes beside this one that are not known to be gone.
-func (a *Agent) others() []int {
+// otherProcesses returns the other processes that are not known to be gone.
+func (a *Agent) otherProcesses() []int {
 	size, self := a.fleet.Size(), a.fleet.Self()
 	out := make([]int, 0, max(0, size-1))
 	for i := range size {
@@ -423,29 +428,30 @@
 	return out
 }
 
-// some draws processes other than this one.
-func (a *Agent) some(n int) []int {
-	all := a.others()
+// randomProcesses returns up to n other processes, drawn at random.
+func (a *Agent) randomProcesses(n int) []int {
+	all := a.otherProcesses()
 	a.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// tick is the round of checks.
-func (a *Agent) tick() {
-	a.grow()
-	a.hearing = 0
+// handleTick runs the periodic checks.
+func (a *Agent) handleTick() {
+	a.growPeers()
+	a.livePeers = 0
 	for i := range a.peers {
-		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= hearWindow {
-			a.hearing++
+		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= peerTimeout {
+			a.livePeers++
 		}
 	}
 	if a.now >= a.nextHello {
-		a.nextHello = a.now + Time(float64(a.set.HelloInterval)*(0.75+0.5*a.rng.Float64()))
-		unsure := a.listed && a.now-a.shown() > a.set.NarrowAfter/2
-		for _, to := range a.some(a.set.HelloFanout) {
-			if a.greet(to); unsure { // whoever it is can say whether this list is current
-				m := a.message(ask)
-				m.since = a.acts
+		a.nextHello = a.now + Time(float64(a.settings.HelloInterval)*(0.75+0.5*a.rng.Float64()))
+		uncertain := a.listed && a.now-a.confirmedAsOf() > a.settings.NarrowAfter/2
+		for _, to := range a.randomProcesses(a.settings.HelloFanout) {
+			// Any receiver may be able to confirm the list.
+			if a.sendHello(to); uncertain {
+				m := a.message(query)
+				m.since = a.applied
 				a.send(to, m)
 			}
 		}
@@ -453,130 +459,131 @@
 	for len(a.repeats) > 0 && a.repeats[0].at <= a.now {
 		since := a.repeats[0].since
 		a.repeats = a.repeats[1:]
-		if since.Epoch == a.speaksFor().Epoch && since.CompareGeneration(a.floor) != version.Older {
-			a.tellWords(a.some(a.set.PushFanout), since, a.since(since)) // what has come meanwhile too: words are all there are up to now
+		if since.Epoch == a.advertisedVersion().Epoch && since.CompareGeneration(a.logFloor) != version.Older {
+			// Includes what has arrived meanwhile: the message must be complete up to
+			// the current version.
+			a.sendWithdrawals(a.randomProcesses(a.settings.PushFanout), since, a.since(since))
 		}
 	}
-	a.doubt()
-	a.exclude()
-	a.seek()
-	a.stand()
+	a.expireUnconfirmed()
+	a.markBehindPeers()
+	a.queryMissing()
+	a.updateMode()
 }
 
-// hear takes a datagram.
-func (a *Agent) hear(e DatagramReceived) {
-	a.grow()
-	if e.From < 0 || e.From >= len(a.peers) || e.From == a.fleet.Self() {
+// handleDatagram processes a datagram from a peer.
+func (a *Agent) handleDatagram(event DatagramReceived) {
+	a.growPeers()
+	if event.From < 0 || event.From >= len(a.peers) || event.From == a.fleet.Self() {
 		a.counts.Malformed++
 		return
 	}
-	m, err := parse(e.Data)
+	msg, err := parse(event.Data)
 	if err != nil {
 		a.counts.Malformed++
 		return
 	}
-	p := &a.peers[e.From]
-	if p.heard > 0 && a.now-p.heard < forgetTime && m.vector.Clock <= p.stamp {
-		a.counts.Stale++ // doubled, late, or said again by somebody else
-		if m.kind == hello || p.stamp.Sub(m.vector.Clock) > overtake {
+	sender := &a.peers[event.From]
+	if sender.heard > 0 && a.now-sender.heard < forgetAfter && msg.vector.Clock <= sender.timestamp {
+		a.counts.Stale++ // duplicated, late or replayed
+		if msg.kind == hello || sender.timestamp.Sub(msg.vector.Clock) > reorderWindow {
 			return
 		}
-		// A part of an answer that another one overtook: what it says is of a
-		// version and still true, but not how its sender stands.
+		// An overtaken part of an answer: what it says of a version is still true, but
+		// its sender's state is outdated.
 	} else {
-		a.know(e.From, p, &m)
+		a.updatePeer(event.From, sender, &msg)
 	}
-	switch m.kind {
-	case ask:
-		a.answer(e.From, p, m.since)
-	case words:
-		a.takeWords(e.From, p, &m)
-	case whole:
-		a.takeWhole(e.From, p, &m)
+	switch msg.kind {
+	case query:
+		a.answerQuery(event.From, sender, msg.since)
+	case withdrawals:
+		a.handleWithdrawals(event.From, sender, &msg)
+	case fullList:
+		a.handleFullList(event.From, sender, &msg)
 	}
-	a.seek()
-	if a.holdUntil > 0 || a.standing == Closed || a.standing == Narrowed {
-		a.stand()
+	a.queryMissing()
+	if a.holdUntil > 0 || a.mode == Closed || a.mode == Narrowed {
+		a.updateMode()
 	}
 }
 
-// know takes how another process stands by its newest datagram.
-func (a *Agent) know(from int, p *peer, m *message) {
-	a.clock.Observe(a.now, m.vector.Clock)
-	// How long it was on its way: what waited while this process stood still is as
-	// old as it is.
-	off := a.now - m.vector.Clock.Time()
-	p.offset += Time(drift * float64(a.now-p.offsetAt))
-	if p.heard == 0 || a.now-p.heard >= forgetTime || off < p.offset {
-		p.offset = off
-	}
-	p.offsetAt = a.now
-	p.heard, p.stamp, p.vector, p.acts, p.age, p.standing = a.now, m.vector.Clock, m.vector, m.acts, m.age, m.standing
-	p.sent = a.now - (off - p.offset)
-	a.rec.RecordPeer(a.now, from, m.vector)
-	a.sameEpoch(p)
+// updatePeer stores the sender's state from its newest datagram.
+func (a *Agent) updatePeer(from int, sender *peer, msg *message) {
+	a.clock.Observe(a.now, msg.vector.Clock)
+	// The time in transit counts: a datagram that waited during a process pause is as
+	// old as that.
+	apparentDelay := a.now - msg.vector.Clock.Time()
+	sender.offset += Time(maxClockDrift * float64(a.now-sender.offsetAt))
+	if sender.heard == 0 || a.now-sender.heard >= forgetAfter || apparentDelay < sender.offset {
+		sender.offset = apparentDelay
+	}
+	sender.offsetAt = a.now
+	sender.heard, sender.timestamp, sender.vector, sender.applied, sender.age, sender.mode = a.now, msg.vector.Clock, msg.vector, msg.applied, msg.age, msg.mode
+	sender.sentAt = a.now - (apparentDelay - sender.offset)
+	a.recorder.RecordPeer(a.now, from, msg.vector)
+	a.adoptEpoch(sender)
 }
 
-// sameEpoch takes the count of discovery's beginnings from most of those that have the
-// very same list: this process started, or was cut off, meanwhile, or saw another
-// discovery for a while and counted its coming back as a beginning. The content being
-// the same, nothing that is acted on changes.
-func (a *Agent) sameEpoch(p *peer) {
+// adoptEpoch takes over the epoch that most peers with the identical list have: this
+// process started or was cut off during a discovery restart, or counted one that was
+// none. The content is the same, so nothing that is acted on changes.
+func (a *Agent) adoptEpoch(sender *peer) {
 	own := a.vector.List
-	if its := p.vector.List; !a.listed || its.Generation != own.Generation || its.Digest != own.Digest || its.Epoch == own.Epoch {
+	if theirs := sender.vector.List; !a.listed || theirs.Generation != own.Generation || theirs.Digest != own.Digest || theirs.Epoch == own.Epoch {
 		return
 	}
-	votes, best := map[uint16]int{own.Epoch: 1}, own.Epoch
+	supporters, chosen := map[uint16]int{own.Epoch: 1}, own.Epoch
 	for i := range a.peers {
-		o := &a.peers[i]
-		if l := o.vector.List; o.heard > 0 && a.now-o.heard <= hearWindow && l.Generation == own.Generation && l.Digest == own.Digest {
-			votes[l.Epoch]++
+		other := &a.peers[i]
+		if l := other.vector.List; other.heard > 0 && a.now-other.heard <= peerTimeout && l.Generation == own.Generation && l.Digest == own.Digest {
+			supporters[l.Epoch]++
 		}
 	}
-	for e, n := range votes {
-		if n > votes[best] || n == votes[best] && int16(e-best) > 0 {
-			best = e
+	for e, n := range supporters {
+		if n > supporters[chosen] || n == supporters[chosen] && int16(e-chosen) > 0 {
+			chosen = e
 		}
 	}
-	if best == own.Epoch || votes[best] < a.quorum() {
+	if chosen == own.Epoch || supporters[chosen] < a.quorum() {
 		return
 	}
-	a.logf("takes epoch %d of discovery, after %d, from %d neighbours with the same list", best, own.Epoch, votes[best])
-	a.vector.List.Epoch = best
-	a.log, a.floor = a.log[:0], a.vector.List
-	if a.acts.Epoch == own.Epoch {
-		a.acts = a.vector.List
+	a.logf("adopted discovery epoch %d in place of %d from %d peers with the same list", chosen, own.Epoch, supporters[chosen])
+	a.vector.List.Epoch = chosen
+	a.ownLog, a.logFloor = a.ownLog[:0], a.vector.List
+	if a.applied.Epoch == own.Epoch {
+		a.applied = a.vector.List
 	}
-	a.overtaken()
-	a.rec.RecordVersion(a.now, a.vector)
+	a.dropOvertaken()
+	a.recorder.RecordVersion(a.now, a.vector)
 }
 
-// quorum is how many processes must say a thing that one alone is not believed:
-// two, where so many are heard.
-func (a *Agent) quorum() int { return min(2, max(1, a.hearing)) }
+// quorum returns how many processes must agree so that a single one is not trusted:
+// two, where that many are live.
+func (a *Agent) quorum() int { return min(2, max(1, a.livePeers)) }
 
-// woke takes that the process stood still.
-func (a *Agent) woke(e Resumed) {
-	a.rec.RecordPause(a.now, e.Gap)
-	if a.set.ObserveOnly {
+// handleResumed processes the end of a process pause.
+func (a *Agent) handleResumed(e Resumed) {
+	a.recorder.RecordPause(a.now, e.Gap)
+	if a.settings.ObserveOnly {
 		return
 	}
-	a.wokeAt, a.holdUntil = a.now, a.now+a.set.PauseHold
+	a.resumedAt, a.holdUntil = a.now, a.now+a.settings.PauseHold
 	a.logf("stood still for %v; all it believes is old until somebody says it is not", e.Gap.Round(time.Millisecond))
-	a.do(QuerySource{})
-	for _, to := range a.some(3) {
-		m := a.message(ask)
-		m.since = a.acts
+	a.emit(QuerySource{})
+	for _, to := range a.randomProcesses(3) {
+		m := a.message(query)
+		m.since = a.applied
 		a.send(to, m)
 	}
 }
 
-// expected is how many of so many others are heard in a time, when each says hello
-// to some at random and nothing is lost.
-func (a *Agent) expected(others int, in time.Duration) float64 {
-	if others == 0 {
+// expectedPeers returns how many of the other processes are heard within a time if each
+// sends hellos to random peers and nothing is lost.
+func (a *Agent) expectedPeers(processes int, window time.Duration) float64 {
+	if processes == 0 {
 		return 0
 	}
-	hellos := float64(a.set.HelloFanout) * float64(in) / float64(a.set.HelloInterval)
-	return float64(others) * (1 - math.Exp(-hellos/float64(others)))
+	hellos := float64(a.settings.HelloFanout) * float64(window) / float64(a.settings.HelloInterval)
+	return float64(processes) * (1 - math.Exp(-hellos/float64(processes)))
 }
--- a/fleet/follow/api.go
+++ b/fleet/follow/api.go
@@ -1,9 +1,9 @@
-// Package follow decides how a process keeps up with the fleet's newest versions
-// and what it does when it can't: whom it asks for what it has missed, which words
-// of neighbours it acts on, when it narrows to what it has evidence for and when
-// it takes nothing new, whose word it does not use any more, and what a process
-// believes that stood still. It does no I/O, reads no clock and starts no
-// goroutine: events in, actions out. docs/audit.md argues it.
+// Package follow decides how a process keeps up with the fleet's newest versions and
+// how it degrades when it cannot: which peers it queries for updates it has missed,
+// which peer reports it applies, when it narrows its set of servers or refuses new
+// requests, which peers it ignores, and what it still relies on after a process pause.
+// It does no I/O, reads no clock and starts no goroutine: events go in, actions come
+// out. The design is described in docs/audit.md.
 package follow
 
 import (
@@ -15,111 +15,114 @@
 // Time is a reading of the caller's monotonic clock with Unix time as its origin.
 type Time = time.Duration
 
-// Fleet says who belongs to it. Processes are numbers from 0 on; who has which is
-// agreed by configuration, or by a roster.
+// Fleet describes the membership. Processes are numbered from 0; the numbers are
+// assigned by the configuration or by a roster.
 type Fleet interface {
-	// Size is how many processes there are, this one among them.
+	// Size is the number of processes, including this one.
 	Size() int
 	// Self is this process's number.
 	Self() int
-	// IsAlive tells whether another one is not known to be gone.
+	// IsAlive reports whether another process is not known to be gone.
 	IsAlive(number int) bool
 }
 
-// StaticFleet is a fleet as the configuration names it.
+// StaticFleet is a fleet whose members are fixed by the configuration.
 type StaticFleet struct{ Nodes, Number int }
 
+// Size implements Fleet.
 func (f StaticFleet) Size() int { return f.Nodes }
+
+// Self implements Fleet.
 func (f StaticFleet) Self() int { return f.Number }
 
-// Lives: a configuration knows of no death.
+// IsAlive implements Fleet. A static configuration never reports a process as gone.
 func (f StaticFleet) IsAlive(int) bool { return true }
 
-// Settings are the figures of a fleet, the same at all its processes.
+// Settings are the parameters of a fleet, the same at all its processes.
 type Settings struct {
-	ObserveOnly         bool          // tell and record alone: no neighbour's word is acted on, and nothing is narrowed
+	ObserveOnly         bool          // notify and record only: peer reports are not applied, the set is never narrowed
 	HelloInterval       time.Duration // between two rounds of hellos
-	HelloFanout         int           // processes that one round goes to
-	PushFanout          int           // processes that a withdrawal is told to at once
-	NarrowAfter         time.Duration // without a sign that the list is current: only servers that have just answered are used
-	CloseAfter          time.Duration // and so long: nothing new is taken
-	BehindAfter         time.Duration // a process that acts on older lists for so long is not listened to
-	ReopenJitter        time.Duration // over which processes come back that were closed together
-	OnePeerFraction     float64       // part of the list that one neighbour's word may take out
-	AllPeersFraction    float64       // part that all neighbours together may
-	StaleSourceFraction float64       // of the fleet: if so many are behind it is the source that is
-	UnconfirmedTimeout  time.Duration // after which a word is dropped that the own source, speaking, does not bear out
-	PauseThreshold      time.Duration // a gap in the ticks from which on the process has stood still
-	PauseHold           time.Duration // that it waits then, at most, to hear whether what it believes still holds
+	HelloFanout         int           // peers per round of hellos
+	PushFanout          int           // peers that are notified of a withdrawal at once
+	NarrowAfter         time.Duration // without confirmation: only servers that have just answered are used
+	CloseAfter          time.Duration // without confirmation: no new requests are taken
+	BehindAfter         time.Duration // a peer that acts on older lists for so long is ignored
+	ReopenJitter        time.Duration // processes that closed together reopen at random times within it
+	OnePeerFraction     float64       // of the list that reports of a single peer may withdraw
+	AllPeersFraction    float64       // of the list that reports of all peers together may withdraw
+	StaleSourceFraction float64       // of the fleet: if so many are behind, the source counts as stale
+	UnconfirmedTimeout  time.Duration // after which a report is dropped that the own, live source does not confirm
+	PauseThreshold      time.Duration // a gap between ticks that counts as a process pause
+	PauseHold           time.Duration // longest wait for confirmation of the own state after a pause
 }
 
-// DefaultSettings are the settings of docs/audit.md.
+// DefaultSettings returns the settings described in docs/audit.md.
 func DefaultSettings() Settings {
 	return Settings{HelloInterval: 250 * time.Millisecond, HelloFanout: 2, PushFanout: 8, NarrowAfter: 3 * time.Second, CloseAfter: 6 * time.Second,
 		BehindAfter: 2 * time.Second, ReopenJitter: time.Second, OnePeerFraction: 0.25, AllPeersFraction: 0.5, StaleSourceFraction: 0.6, UnconfirmedTimeout: 8 * time.Second,
 		PauseThreshold: 400 * time.Millisecond, PauseHold: 300 * time.Millisecond}
 }
 
-// Mode is how well a process can show that what it acts on is current.
+// Mode tells how well a process can show that what it acts on is current.
 type Mode uint8
 
 const (
-	// Current: its own source, or neighbours with the same list, have just said so.
+	// Current: its own source, or peers with the same list, have confirmed it recently.
 	Current Mode = iota
-	// Held: nobody's source speaks, so the last good list holds for all.
+	// Held: no process hears its source, so all keep using the last good list.
 	Held
 	// Narrowed: it uses only servers that have just answered.
 	Narrowed
-	// Closed: it takes nothing new.
+	// Closed: it takes no new requests.
 	Closed
-	standings
+	modeCount
 )
 
 func (s Mode) String() string {
 	return [...]string{"current", "held", "narrowed", "closed"}[min(s, Closed)]
 }
 
-// Entry is a server of the list.
+// Entry is one server in a list.
 type Entry struct {
 	Name      string
 	State     version.State
 	StartedAt Time
 }
 
-// ListKind is the form of a list.
+// ListKind tells what a list contains.
 type ListKind int
 
 const (
 	// Delta holds only the changed entries.
 	Delta ListKind = iota
-	// Full holds all; a server not in it is gone.
+	// Full holds all entries; a server that is missing has been removed.
 	Full
-	// Cached is a full list that the process had before; it can be old.
+	// Cached is a full list from an earlier run; it may be stale.
 	Cached
 )
 
-// Event is something that happened.
+// Event is an input of the agent.
 type Event interface{ event() }
 
-// Events.
+// The events.
 type (
-	// ListReceived is a word of the process's own source.
+	// ListReceived is a list from the process's own source.
 	ListReceived struct {
 		Kind       ListKind
 		Generation uint64
 		Entries    []Entry
 	}
-	// DatagramReceived is a datagram of the fleet's from a process.
+	// DatagramReceived is a fleet datagram from a peer.
 	DatagramReceived struct {
 		From int
 		Data []byte
 	}
-	// Tick comes every tenth of a second or so.
+	// Tick is due about every 100 ms.
 	Tick struct{}
-	// Resumed says that the process stood still for a time and goes on now. It comes
-	// before all that happened meanwhile.
+	// Resumed reports that the process was paused and runs again. It precedes all
+	// events that were queued during the pause.
 	Resumed struct{ Gap time.Duration }
-	// MaintenanceChanged says that the words of maintenance have changed.
+	// MaintenanceChanged carries the digest of the maintenance records in force.
 	MaintenanceChanged struct{ Digest uint16 }
 )
 
@@ -129,21 +132,21 @@
 func (Resumed) event()            {}
 func (MaintenanceChanged) event() {}
 
-// Action is something the caller is to do.
+// Action is an output of the agent, for the caller to carry out.
 type Action interface{ action() }
 
-// Actions.
+// The actions.
 type (
-	// Send sends a datagram to a process.
+	// Send sends a datagram to a peer.
 	Send struct {
 		To   int
 		Data []byte
 	}
-	// EligibilityChanged says that servers may be used, or may not, that it was otherwise for.
+	// EligibilityChanged reports that the set of servers that may be used has changed.
 	EligibilityChanged struct{}
-	// QuerySource asks the own source again, at once.
+	// QuerySource queries the own source at once.
 	QuerySource struct{}
-	// Log is a line for the operators.
+	// Log is a log line.
 	Log struct{ Line string }
 )
 
@@ -152,15 +155,15 @@
 func (QuerySource) action()        {}
 func (Log) action()                {}
 
-// Counts are an agent's figures since its start.
+// Counts are an agent's counters since its start.
 type Counts struct {
-	Hellos, Queries, Answers, Withdrawals uint64 // datagrams sent, by kind
-	Bytes                                 uint64 // of all of them
-	Applied                               uint64 // withdrawals taken of neighbours
-	OverLimit                             uint64 // that were not, as they would have taken out too much
-	Reverted                              uint64 // that were dropped again, as the own source did not bear them out
-	Malformed                             uint64 // datagrams in no known form
-	Stale                                 uint64 // older than what their sender said before
-	Ignored                               uint64 // datagrams of processes that are too far behind to be listened to
-	Dropped                               uint64 // words that there was no room for
+	Hellos, Queries, Answers, Withdrawals uint64 // datagrams sent, by kind; withdrawals singly
+	Bytes                                 uint64 // of all datagrams sent
+	Applied                               uint64 // withdrawals applied that peers reported
+	OverLimit                             uint64 // withdrawals not applied because of the limits on peer reports
+	Reverted                              uint64 // withdrawals reverted because the own source did not confirm them
+	Malformed                             uint64 // datagrams of unknown format
+	Stale                                 uint64 // datagrams older than one that the sender had sent before
+	Ignored                               uint64 // datagrams of peers that are too far behind
+	Dropped                               uint64 // withdrawals dropped because the table was full
 }
--- a/fleet/follow/message.go
+++ b/fleet/follow/message.go
@@ -8,100 +8,99 @@
 	"ivylock/fleet/version"
 )
 
-// MaxDatagram is the most that processes may send one another, bytes.
+// MaxDatagram is the largest datagram between processes, bytes.
 const MaxDatagram = 256
 
-// The form: a byte that names it, what the datagram is, the sender's vector (24
-// bytes), the age of its own source's last word in hundredths of a second, its
-// standing, and the version up to which it acts on all withdrawals (6 bytes). Then
-// by kind: a hello carries whatever else the sender has to say to the receiver;
-// an ask the version from which on it wants withdrawals; words their place among
-// the parts of an answer, the version behind which they are all there are, and the
-// words; a whole its place and the keys of all servers that are up. All in network
-// order.
+// Datagram format: a format byte, the kind, the sender's vector (24 bytes), the age of
+// its source's last list in hundredths of a second, its mode, and the version up to
+// which it applies all withdrawals (6 bytes). Then by kind: a hello carries any other
+// payload for the receiver; a query the version from which on withdrawals are wanted;
+// withdrawals their part number, the version after which they are complete, and the
+// entries; a full list its part number and the keys of all servers that are up. All in
+// network byte order.
 const (
-	form = 0xF1
-	head = 2 + version.VectorSize + 2 + 1 + 6
-
-	wordSize  = 8 + 1 + 4
-	wordsHead = 2 + 6
-	keySize   = 8
-	wholeHead = 2
-	mostWords = (MaxDatagram - head - wordsHead) / wordSize
-	mostKeys  = (MaxDatagram - head - wholeHead) / keySize
-	mostParts = 64
-
-	greetWords = 4 // that a hello carries at most
-
-	stateBits = 0x03
-	hearsay   = 0x80 // the teller has it of another process, not of its own source
-	neverAge  = 0xFFFF
+	formatID   = 0xF1
+	headerSize = 2 + version.VectorSize + 2 + 1 + 6
+
+	withdrawalSize        = 8 + 1 + 4
+	withdrawalsHeaderSize = 2 + 6
+	keySize               = 8
+	fullListHeaderSize    = 2
+	maxWithdrawals        = (MaxDatagram - headerSize - withdrawalsHeaderSize) / withdrawalSize
+	maxKeys               = (MaxDatagram - headerSize - fullListHeaderSize) / keySize
+	maxParts              = 64
+
+	maxHelloWithdrawals = 4 // in a hello
+
+	stateMask  = 0x03
+	relayed    = 0x80 // the sender has it from a peer, not from its own source
+	unknownAge = 0xFFFF
 )
 
 type kind uint8
 
 const (
 	hello kind = iota
-	ask
-	words
-	whole
-	kinds
+	query
+	withdrawals
+	fullList
+	kindCount
 )
 
-// word says that a server wants nothing new, by a version.
-type word struct {
+// withdrawal says that a server takes no new requests, as of a version.
+type withdrawal struct {
 	key     version.Key
 	state   version.State
 	list    version.List
-	hearsay bool
+	relayed bool
 }
 
-// message is a datagram.
+// message is a decoded datagram.
 type message struct {
 	kind        kind
 	vector      version.Vector
-	age         time.Duration // of the word of the sender's own source; negative: it never spoke
-	standing    Mode
-	acts        version.List // version up to which the sender acts on all withdrawals
-	since       version.List // of an ask, and of words
+	age         time.Duration // of the list from the sender's own source; negative: none yet
+	mode        Mode
+	applied     version.List // version up to which the sender applies all withdrawals
+	since       version.List // of a query and of withdrawals
 	part, parts int
-	words       []word
+	withdrawals []withdrawal
 	keys        []version.Key
-	rest        []byte // of a hello
+	payload     []byte // of a hello
 }
 
-var errForm = errors.New("fleet: a datagram that is in no known form")
+var errFormat = errors.New("fleet: datagram of unknown format")
 
-func (m *message) append(to []byte) []byte {
-	to = m.vector.Append(append(to, form, byte(m.kind)))
-	age := uint16(neverAge)
-	if m.age >= 0 {
-		age = uint16(min(m.age/(10*time.Millisecond), neverAge-1))
+func (msg *message) append(buf []byte) []byte {
+	buf = msg.vector.Append(append(buf, formatID, byte(msg.kind)))
+	age := uint16(unknownAge)
+	if msg.age >= 0 {
+		age = uint16(min(msg.age/(10*time.Millisecond), unknownAge-1))
 	}
-	to = binary.BigEndian.AppendUint16(to, age)
-	to = appendList(append(to, byte(m.standing)), m.acts)
-	switch m.kind {
+	buf = binary.BigEndian.AppendUint16(buf, age)
+	buf = appendList(append(buf, byte(msg.mode)), msg.applied)
+	switch msg.kind {
 	case hello:
-		to = append(to, m.rest...)
-	case ask:
-		to = appendList(to, m.since)
-	case words:
-		to = appendList(append(to, byte(m.part), byte(m.parts)), m.since)
-		for _, w := range m.words {
+		buf = append(buf, msg.payload...)
+	case query:
+		buf = appendList(buf, msg.since)
+	case withdrawals:
+		buf = appendList(append(buf, byte(msg.part), byte(msg.parts)), msg.since)
+		for _, w := range msg.withdrawals {
 			b := byte(w.state)
-			if w.hearsay {
-				b |= hearsay
+			if w.relayed {
+				b |= relayed
 			}
-			to = append(binary.BigEndian.AppendUint64(to, uint64(w.key)), b)
-			to = binary.BigEndian.AppendUint32(to, w.list.Generation)
+			buf = append(binary.BigEndian.AppendUint64(buf, uint64(w.key)), b)
+			buf = binary.BigEndian.AppendUint32(buf, w.list.Generation)
 		}
-	case whole:
-		to = append(to, byte(m.part), byte(m.parts))
-		for _, k := range m.keys {
-			to = binary.BigEndian.AppendUint64(to, uint64(k))
+	case fullList:
+		buf = append(buf, byte(msg.part), byte(msg.parts))
+		for _, k := range msg.keys {
+			buf = binary.BigEndian.AppendUint64(buf, uint64(k))
 		}
 	}
-	return to
+	return buf
 }
 
 func appendList(to []byte, l version.List) []byte {
@@ -112,61 +111,63 @@
 	return version.List{Epoch: binary.BigEndian.Uint16(b), Generation: binary.BigEndian.Uint32(b[2:])}
 }
 
-// IsFleetDatagram tells whether a datagram is one of the fleet's, of whatever kind.
-func IsFleetDatagram(data []byte) bool { return len(data) > 0 && data[0] == form }
+// IsFleetDatagram reports whether a datagram is of the fleet's format, of any kind.
+func IsFleetDatagram(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == formatID }
 
-// parse reads a datagram. Nothing of one that has not this form is taken.
+// parse decodes a datagram. It rejects one of another format as a whole.
 func parse(data []byte) (message, error) {
-	var m message
-	if len(data) < head || len(data) > MaxDatagram || data[0] != form || data[1] >= byte(kinds) {
-		return m, errForm
+	var msg message
+	if len(data) < headerSize || len(data) > MaxDatagram || data[0] != formatID || data[1] >= byte(kindCount) {
+		return msg, errFormat
 	}
-	m.kind = kind(data[1])
-	m.vector, _ = version.ParseVector(data[2:])
-	b := data[2+version.VectorSize:]
-	m.age = -1
-	if age := binary.BigEndian.Uint16(b); age != neverAge {
-		m.age = time.Duration(age) * 10 * time.Millisecond
+	msg.kind = kind(data[1])
+	msg.vector, _ = version.ParseVector(data[2:])
+	body := data[2+version.VectorSize:]
+	msg.age = -1
+	if age := binary.BigEndian.Uint16(body); age != unknownAge {
+		msg.age = time.Duration(age) * 10 * time.Millisecond
 	}
-	m.standing, m.acts = Mode(b[2]), readList(b[3:])
-	if m.standing >= standings {
-		return m, errForm
+	msg.mode, msg.applied = Mode(body[2]), readList(body[3:])
+	if msg.mode >= modeCount {
+		return msg, errFormat
 	}
-	b = b[9:]
-	switch m.kind {
+	body = body[9:]
+	switch msg.kind {
 	case hello:
-		m.rest = b
-	case ask:
-		if len(b) != 6 {
-			return m, errForm
+		msg.payload = body
+	case query:
+		if len(body) != 6 {
+			return msg, errFormat
 		}
-		m.since = readList(b)
-	case words:
-		if len(b) < wordsHead || (len(b)-wordsHead)%wordSize != 0 || !m.place(b) {
-			return m, errForm
+		msg.since = readList(body)
+	case withdrawals:
+		if len(body) < withdrawalsHeaderSize || (len(body)-withdrawalsHeaderSize)%withdrawalSize != 0 || !msg.parsePart(body) {
+			return msg, errFormat
 		}
-		m.since = readList(b[2:])
-		for b = b[wordsHead:]; len(b) > 0; b = b[wordSize:] {
-			w := word{key: version.Key(binary.BigEndian.Uint64(b)), state: version.State(b[8] & stateBits), hearsay: b[8]&hearsay != 0,
-				list: version.List{Epoch: m.acts.Epoch, Generation: binary.BigEndian.Uint32(b[9:])}}
-			if w.state != version.Draining && w.state != version.Removed || w.list.CompareGeneration(m.acts) == version.Newer {
-				return m, errForm // a word that gives work, or is newer than what the sender says it has
+		msg.since = readList(body[2:])
+		for body = body[withdrawalsHeaderSize:]; len(body) > 0; body = body[withdrawalSize:] {
+			w := withdrawal{key: version.Key(binary.BigEndian.Uint64(body)), state: version.State(body[8] & stateMask), relayed: body[8]&relayed != 0,
+				list: version.List{Epoch: msg.applied.Epoch, Generation: binary.BigEndian.Uint32(body[9:])}}
+			if w.state != version.Draining && w.state != version.Removed || w.list.CompareGeneration(msg.applied) == version.Newer {
+				// Peers may only withdraw servers, and nothing newer than what the
+				// sender itself applies.
+				return msg, errFormat
 			}
-			m.words = append(m.words, w)
+			msg.withdrawals = append(msg.withdrawals, w)
 		}
-	case whole:
-		if len(b) < wholeHead || (len(b)-wholeHead)%keySize != 0 || !m.place(b) {
-			return m, errForm
+	case fullList:
+		if len(body) < fullListHeaderSize || (len(body)-fullListHeaderSize)%keySize != 0 || !msg.parsePart(body) {
+			return msg, errFormat
 		}
-		for b = b[wholeHead:]; len(b) > 0; b = b[keySize:] {
-			m.keys = append(m.keys, version.Key(binary.BigEndian.Uint64(b)))
+		for body = body[fullListHeaderSize:]; len(body) > 0; body = body[keySize:] {
+			msg.keys = append(msg.keys, version.Key(binary.BigEndian.Uint64(body)))
 		}
 	}
-	return m, nil
+	return msg, nil
 }
 
-// place reads which part of how many a datagram is.
-func (m *message) place(b []byte) bool {
-	m.part, m.parts = int(b[0]), int(b[1])
-	return m.parts > 0 && m.parts <= mostParts && m.part < m.parts
+// parsePart reads the part number and the number of parts.
+func (msg *message) parsePart(b []byte) bool {
+	msg.part, msg.parts = int(b[0]), int(b[1])
+	return msg.parts > 0 && msg.parts <= maxParts && msg.part < msg.parts
 }
--- a/fleet/follow/sim_test.go
+++ b/fleet/follow/sim_test.go
@@ -10,82 +10,82 @@
 	"ivylock/fleet/version"
 )
 
-// sim is a fleet of agents under virtual time, with a source that may be cut off
-// and datagrams that may be lost, late and doubled.
+// sim is a fleet of agents under virtual time. Processes can be cut off from the
+// source; datagrams can be lost, delayed and duplicated.
 type sim struct {
-	t        testing.TB
-	rng      *rand.Rand
-	now      Time
-	queue    planned
-	seq      int
-	agents   []*Agent
-	stopped  []bool
-	cut      []bool                     // from the source
-	lost     func(from, to int) float64 // part of datagrams
-	delay    func(from, to int) time.Duration
-	skew     []time.Duration // of clocks
-	doubled  float64
-	lag      []time.Duration // of the source to a process
-	list     map[string]version.State
-	gen      uint64
-	frozen   bool
-	calls    []int
-	lastAt   []Time // last tick of a process
-	liar     func(from, to int, data []byte) []byte
-	bytes    int
-	standing map[Mode]int
-}
-
-type plan struct {
+	t             testing.TB
+	rng           *rand.Rand
+	now           Time
+	queue         eventQueue
+	seq           int
+	agents        []*Agent
+	paused        []bool
+	cut           []bool                     // from the source
+	lossRate      func(from, to int) float64 // fraction of datagrams
+	delay         func(from, to int) time.Duration
+	skew          []time.Duration // of clocks
+	duplicateRate float64
+	lag           []time.Duration // from the source to a process
+	list          map[string]version.State
+	generation    uint64
+	sourceFrozen  bool
+	lastCall      []int
+	lastTick      []Time // of each process
+	tamper        func(from, to int, data []byte) []byte
+	bytes         int
+	modeTicks     map[Mode]int
+}
+
+type scheduledEvent struct {
 	at  Time
 	seq int
 	do  func()
 }
-type planned []plan
+type eventQueue []scheduledEvent
 
-func (p planned) Len() int { return len(p) }
-func (p planned) Less(i, j int) bool {
+func (p eventQueue) Len() int { return len(p) }
+func (p eventQueue) Less(i, j int) bool {
 	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
 }
-func (p planned) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *planned) Push(x any)   { *p = append(*p, x.(plan)) }
-func (p *planned) Pop() any {
+func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p *eventQueue) Push(x any)   { *p = append(*p, x.(scheduledEvent)) }
+func (p *eventQueue) Pop() any {
 	n := len(*p) - 1
 	x := (*p)[n]
 	*p = (*p)[:n]
 	return x
 }
 
-const began = 1_800_000_000 * time.Second
+const startTime = 1_800_000_000 * time.Second
 
-func newSim(t testing.TB, n, servers int, seed uint64) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: began, stopped: make([]bool, n), cut: make([]bool, n), skew: make([]time.Duration, n),
-		lag: make([]time.Duration, n), calls: make([]int, n), lastAt: make([]Time, n), gen: 40, list: map[string]version.State{}, standing: map[Mode]int{}}
-	s.lost = func(int, int) float64 { return 0 }
+func newSim(t testing.TB, processes, servers int, seed uint64) *sim {
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: startTime, paused: make([]bool, processes), cut: make([]bool, processes), skew: make([]time.Duration, processes),
+		lag: make([]time.Duration, processes), lastCall: make([]int, processes), lastTick: make([]Time, processes), generation: 40, list: map[string]version.State{}, modeTicks: map[Mode]int{}}
+	s.lossRate = func(int, int) float64 { return 0 }
 	s.delay = func(int, int) time.Duration { return time.Duration(3+s.rng.IntN(4)) * time.Millisecond }
 	for i := range servers {
 		s.list[fmt.Sprintf("s-%d", i)] = version.Up
 	}
-	for i := range n {
-		s.agents = append(s.agents, New(DefaultSettings(), StaticFleet{n, i}, s.now, int64(seed)*1000+int64(i), fmt.Sprintf("n%d", i), 7, 9))
+	for i := range processes {
+		s.agents = append(s.agents, New(DefaultSettings(), StaticFleet{processes, i}, s.now, int64(seed)*1000+int64(i), fmt.Sprintf("n%d", i), 7, 9))
 		s.start(i)
 	}
 	return s
 }
 
-// start gives a process its first list and its ticks.
+// start delivers the first list to a process and schedules its ticks.
 func (s *sim) start(i int) {
-	s.handle(i, s.whole(Cached))
-	s.lastAt[i] = s.now
-	s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.ticks(i) })
-	s.after(time.Duration(s.rng.IntN(1000))*time.Millisecond, func() { s.watch(i) })
+	s.handle(i, s.fullList(Cached))
+	s.lastTick[i] = s.now
+	s.scheduleAfter(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.tickLoop(i) })
+	s.scheduleAfter(time.Duration(s.rng.IntN(1000))*time.Millisecond, func() { s.pollLoop(i) })
 }
 
-func (s *sim) at(t Time, do func()) {
+func (s *sim) scheduleAt(t Time, do func()) {
 	s.seq++
-	heap.Push(&s.queue, plan{t, s.seq, do})
+	heap.Push(&s.queue, scheduledEvent{t, s.seq, do})
 }
-func (s *sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
+func (s *sim) scheduleAfter(d time.Duration, do func()) { s.scheduleAt(s.now+d, do) }
 
 func (s *sim) run(d time.Duration) {
 	for end := s.now + d; ; {
@@ -93,49 +93,49 @@
 			s.now = end
 			return
 		}
-		p := heap.Pop(&s.queue).(plan)
+		p := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = p.at
 		p.do()
 	}
 }
 
-func (s *sim) ticks(i int) {
-	s.after(100*time.Millisecond, func() { s.ticks(i) })
-	if s.stopped[i] {
+func (s *sim) tickLoop(i int) {
+	s.scheduleAfter(100*time.Millisecond, func() { s.tickLoop(i) })
+	if s.paused[i] {
 		return
 	}
-	if gap := s.now - s.lastAt[i]; gap > DefaultSettings().PauseThreshold {
+	if gap := s.now - s.lastTick[i]; gap > DefaultSettings().PauseThreshold {
 		s.handle(i, Resumed{gap})
 	}
-	s.lastAt[i] = s.now
+	s.lastTick[i] = s.now
 	s.handle(i, Tick{})
 	st, _ := s.agents[i].Mode()
-	s.standing[st]++
+	s.modeTicks[st]++
 }
 
-// watch is a call of the watch: answered each second where the source is in reach.
-func (s *sim) watch(i int) {
-	s.after(time.Second, func() { s.watch(i) })
-	s.tell(i)
+// pollLoop delivers the list every second while the source is reachable.
+func (s *sim) pollLoop(i int) {
+	s.scheduleAfter(time.Second, func() { s.pollLoop(i) })
+	s.deliverList(i)
 }
 
-func (s *sim) tell(i int) {
-	if s.cut[i] || s.stopped[i] || s.frozen {
+func (s *sim) deliverList(i int) {
+	if s.cut[i] || s.paused[i] || s.sourceFrozen {
 		return
 	}
-	l := s.whole(Full)
+	l := s.fullList(Full)
 	s.seq++
 	call := s.seq
-	s.after(s.lag[i]+time.Duration(1+s.rng.IntN(20))*time.Millisecond, func() {
-		if !s.stopped[i] && !s.cut[i] && s.calls[i] < call { // a watch tells in order
-			s.calls[i] = call
+	s.scheduleAfter(s.lag[i]+time.Duration(1+s.rng.IntN(20))*time.Millisecond, func() {
+		if !s.paused[i] && !s.cut[i] && s.lastCall[i] < call { // lists are delivered in order
+			s.lastCall[i] = call
 			s.handle(i, l)
 		}
 	})
 }
 
-func (s *sim) whole(k ListKind) ListReceived {
-	l := ListReceived{Kind: k, Generation: s.gen}
+func (s *sim) fullList(k ListKind) ListReceived {
+	l := ListReceived{Kind: k, Generation: s.generation}
 	for i := range len(s.list) + 64 {
 		name := fmt.Sprintf("s-%d", i)
 		if st, known := s.list[name]; known && st != version.Removed {
@@ -145,14 +145,14 @@
 	return l
 }
 
-// set changes the list; all that are in reach hear of it at once.
-func (s *sim) set(st version.State, names ...string) {
-	s.gen++
+// setState changes the list and notifies all processes that are reachable.
+func (s *sim) setState(st version.State, names ...string) {
+	s.generation++
 	for _, n := range names {
 		s.list[n] = st
 	}
 	for i := range s.agents {
-		s.tell(i)
+		s.deliverList(i)
 	}
 }
 
@@ -162,7 +162,7 @@
 		case Send:
 			s.send(i, a.To, append([]byte(nil), a.Data...))
 		case QuerySource:
-			s.tell(i)
+			s.deliverList(i)
 		}
 	}
 }
@@ -172,45 +172,47 @@
 	if len(data) > MaxDatagram {
 		s.t.Fatalf("a datagram of %d bytes", len(data))
 	}
-	if s.liar != nil {
-		if data = s.liar(from, to, data); data == nil {
+	if s.tamper != nil {
+		if data = s.tamper(from, to, data); data == nil {
 			return
 		}
 	}
 	times := 1
-	if s.rng.Float64() < s.doubled {
+	if s.rng.Float64() < s.duplicateRate {
 		times = 2
 	}
 	for range times {
-		if s.rng.Float64() < s.lost(from, to) {
+		if s.rng.Float64() < s.lossRate(from, to) {
 			continue
 		}
-		s.after(s.delay(from, to), func() { s.arrive(from, to, data) })
+		s.scheduleAfter(s.delay(from, to), func() { s.arrive(from, to, data) })
 	}
 }
 
-// arrive hands a datagram over, to a stopped process when it goes on.
+// arrive delivers a datagram; to a paused process after it resumes.
 func (s *sim) arrive(from, to int, data []byte) {
-	if s.stopped[to] {
-		s.after(10*time.Millisecond, func() { s.arrive(from, to, data) })
+	if s.paused[to] {
+		s.scheduleAfter(10*time.Millisecond, func() { s.arrive(from, to, data) })
 		return
 	}
-	if gap := s.now - s.lastAt[to]; gap > DefaultSettings().PauseThreshold { // as a loop does before all that waited
+	// A resumed process handles the pause before queued events.
+	if gap := s.now - s.lastTick[to]; gap > DefaultSettings().PauseThreshold {
 		s.handle(to, Resumed{gap})
-		s.lastAt[to] = s.now
+		s.lastTick[to] = s.now
 	}
 	s.handle(to, DatagramReceived{from, data})
 }
 
-func (s *sim) stop(i int, d time.Duration) {
-	s.stopped[i] = true
-	s.after(d, func() { s.stopped[i] = false })
+func (s *sim) pause(i int, d time.Duration) {
+	s.paused[i] = true
+	s.scheduleAfter(d, func() { s.paused[i] = false })
 }
 
-func (s *sim) standingOf(i int) Mode { st, _ := s.agents[i].Mode(); return st }
+func (s *sim) modeOf(i int) Mode { st, _ := s.agents[i].Mode(); return st }
 
-// outAt runs until a process does not use a server and gives how long it took.
-func (s *sim) outAt(i int, name string, most time.Duration) time.Duration {
+// timeUntilWithdrawn runs until a process no longer uses a server and returns the time
+// it took.
+func (s *sim) timeUntilWithdrawn(i int, name string, most time.Duration) time.Duration {
 	from := s.now
 	for s.now-from < most {
 		if s.agents[i].Withdrawn(name) || s.agents[i].entries[version.KeyOf(name)].state != version.Up {
--- a/fleet/follow/words.go
+++ b/fleet/follow/words.go
@@ -7,60 +7,61 @@
 	"ivylock/fleet/version"
 )
 
-// push tells of withdrawals at once, and once more a little later.
-func (a *Agent) push(since version.List, ws []word) {
-	a.tellWords(a.some(a.set.PushFanout), since, ws)
-	if len(a.repeats) < mostLog {
-		a.repeats = append(a.repeats, repeat{a.now + repeatIn, since})
+// pushWithdrawals notifies random peers of withdrawals at once, and schedules a
+// repetition.
+func (a *Agent) pushWithdrawals(since version.List, withdrawn []withdrawal) {
+	a.sendWithdrawals(a.randomProcesses(a.settings.PushFanout), since, withdrawn)
+	if len(a.repeats) < maxLog {
+		a.repeats = append(a.repeats, repeat{a.now + repeatDelay, since})
 	}
 }
 
-// tellWords sends words, which are all there are between a version and what this
-// process acts on, to some processes.
-func (a *Agent) tellWords(to []int, since version.List, ws []word) {
-	parts := (len(ws) + mostWords - 1) / mostWords
-	if parts > mostParts {
-		return // the receivers ask, and get the whole list
-	}
-	for _, p := range to {
+// sendWithdrawals sends the complete withdrawals between a version and the advertised
+// one to some processes.
+func (a *Agent) sendWithdrawals(to []int, since version.List, withdrawn []withdrawal) {
+	parts := (len(withdrawn) + maxWithdrawals - 1) / maxWithdrawals
+	if parts > maxParts {
+		return // the receivers query and get the full list
+	}
+	for _, receiver := range to {
 		for part := range max(1, parts) {
-			m := a.message(words)
-			m.since, m.part, m.parts = since, part, max(1, parts)
-			for _, w := range ws[part*mostWords : min(len(ws), (part+1)*mostWords)] {
-				if w.list.Epoch == m.acts.Epoch && w.list.CompareGeneration(m.acts) != version.Newer {
-					m.words = append(m.words, w)
+			msg := a.message(withdrawals)
+			msg.since, msg.part, msg.parts = since, part, max(1, parts)
+			for _, w := range withdrawn[part*maxWithdrawals : min(len(withdrawn), (part+1)*maxWithdrawals)] {
+				if w.list.Epoch == msg.applied.Epoch && w.list.CompareGeneration(msg.applied) != version.Newer {
+					msg.withdrawals = append(msg.withdrawals, w)
 				}
 			}
-			a.send(p, m)
+			a.send(receiver, msg)
 		}
 	}
 }
 
-// greet says hello to a process, with the newest withdrawals where this process can
-// say that they are all there are since a version: so one that is heard by nobody
-// keeps up too.
-func (a *Agent) greet(to int) {
-	if !a.listed || a.floor.Epoch != a.speaksFor().Epoch {
+// sendHello sends a hello, with the newest withdrawals if they are known to be complete
+// since some version. So a process that no peer hears is kept up to date too.
+func (a *Agent) sendHello(to int) {
+	if !a.listed || a.logFloor.Epoch != a.advertisedVersion().Epoch {
 		a.send(to, a.message(hello))
 		return
 	}
-	since, ws := a.floor, a.since(a.floor)
-	slices.SortStableFunc(ws, func(x, y word) int { return int(int32(x.list.Generation - y.list.Generation)) })
-	if n := len(ws) - greetWords; n > 0 {
-		since, ws = ws[n-1].list, ws[n:]
+	since, withdrawn := a.logFloor, a.since(a.logFloor)
+	slices.SortStableFunc(withdrawn, func(x, y withdrawal) int { return int(int32(x.list.Generation - y.list.Generation)) })
+	if n := len(withdrawn) - maxHelloWithdrawals; n > 0 {
+		since, withdrawn = withdrawn[n-1].list, withdrawn[n:]
 	}
-	a.tellWords([]int{to}, since, ws)
+	a.sendWithdrawals([]int{to}, since, withdrawn)
 }
 
-// seek asks a process that acts on newer withdrawals for what is missing here.
-func (a *Agent) seek() {
-	if a.now < a.nextAsk || !a.listed || a.set.ObserveOnly {
+// queryMissing queries a peer that applies newer withdrawals for those that are missing
+// here.
+func (a *Agent) queryMissing() {
+	if a.now < a.nextQuery || !a.listed || a.settings.ObserveOnly {
 		return
 	}
 	best := -1
 	for i := range a.peers {
 		p := &a.peers[i]
-		if p.heard == 0 || a.now-p.heard > hearWindow || p.acts.CompareGeneration(a.acts) != version.Newer || a.now < p.askedAt+p.askWait {
+		if p.heard == 0 || a.now-p.heard > peerTimeout || p.applied.CompareGeneration(a.applied) != version.Newer || a.now < p.queriedAt+p.queryWait {
 			continue
 		}
 		if best < 0 || p.heard > a.peers[best].heard {
@@ -71,31 +72,31 @@
 		return
 	}
 	p := &a.peers[best]
-	p.askedAt, p.askWait = a.now, min(askLast, max(askFirst, 2*p.askWait))
-	a.nextAsk = a.now + askGap
-	m := a.message(ask)
-	m.since = a.acts
+	p.queriedAt, p.queryWait = a.now, min(maxQueryRetry, max(minQueryRetry, 2*p.queryWait))
+	a.nextQuery = a.now + queryInterval
+	m := a.message(query)
+	m.since = a.applied
 	a.send(best, m)
 }
 
-// answer tells a process what it has missed: the withdrawals since a version, one
-// by one, or, if they are not all known here any more, which servers are up.
-func (a *Agent) answer(to int, p *peer, since version.List) {
-	if a.now-p.answeredAt < answerGap || !a.listed || p.answeredAt > a.now {
+// answerQuery sends a process the withdrawals since a version one by one or, if the log
+// does not reach back that far, the keys of all servers that are up.
+func (a *Agent) answerQuery(to int, peerState *peer, since version.List) {
+	if a.now-peerState.answeredAt < answerInterval || !a.listed || peerState.answeredAt > a.now {
 		return
 	}
-	p.answeredAt = a.now
-	acts := a.speaksFor()
-	if since.CompareGeneration(acts) != version.Older {
-		a.send(to, a.message(hello)) // nothing is missing; it hears how fresh this is
+	peerState.answeredAt = a.now
+	advertised := a.advertisedVersion()
+	if since.CompareGeneration(advertised) != version.Older {
+		a.send(to, a.message(hello)) // nothing is missing; the hello confirms it
 		return
 	}
-	if since.Epoch == acts.Epoch && since.CompareGeneration(a.floor) != version.Older {
-		a.tellWords([]int{to}, since, a.since(since))
+	if since.Epoch == advertised.Epoch && since.CompareGeneration(a.logFloor) != version.Older {
+		a.sendWithdrawals([]int{to}, since, a.since(since))
 		return
 	}
-	if acts.CompareGeneration(a.vector.List) == version.Newer {
-		a.send(to, a.message(hello)) // what this process was told of others is not all of a list
+	if advertised.CompareGeneration(a.vector.List) == version.Newer {
+		a.send(to, a.message(hello)) // a list with peer reports on top is not a full list
 		return
 	}
 	var up []version.Key
@@ -104,270 +105,269 @@
 			up = append(up, k)
 		}
 	}
-	parts := max(1, (len(up)+mostKeys-1)/mostKeys)
-	if parts > mostParts {
+	parts := max(1, (len(up)+maxKeys-1)/maxKeys)
+	if parts > maxParts {
 		return
 	}
 	for part := range parts {
-		m := a.message(whole)
-		m.part, m.parts, m.keys = part, parts, up[part*mostKeys:min(len(up), (part+1)*mostKeys)]
+		m := a.message(fullList)
+		m.part, m.parts, m.keys = part, parts, up[part*maxKeys:min(len(up), (part+1)*maxKeys)]
 		a.send(to, m)
 	}
 }
 
-// since lists the withdrawals in force here that are newer than a version: the
-// own source's, and what neighbours said beyond it.
-func (a *Agent) since(l version.List) []word {
-	var out []word
-	for _, w := range a.log {
-		if w.list.CompareGeneration(l) == version.Newer {
-			out = append(out, w)
+// since returns the withdrawals in force here that are newer than a version: the own
+// source's, and those that peers reported beyond it.
+func (a *Agent) since(base version.List) []withdrawal {
+	var result []withdrawal
+	for _, w := range a.ownLog {
+		if w.list.CompareGeneration(base) == version.Newer {
+			result = append(result, w)
 		}
 	}
-	if a.ownFresh() {
-		return out
+	if a.ownSourceFresh() {
+		return result
 	}
-	for _, k := range a.heldKeys() {
-		if h := a.held[k]; h.acted && h.list.CompareGeneration(l) == version.Newer {
-			w := h.word
-			w.hearsay = true
-			out = append(out, w)
+	for _, k := range a.pendingKeys() {
+		if h := a.pending[k]; h.enforced && h.list.CompareGeneration(base) == version.Newer {
+			w := h.withdrawal
+			w.relayed = true
+			result = append(result, w)
 		}
 	}
-	return out
+	return result
 }
 
-// collect takes a part of an answer and tells whether all are there.
-func (p *peer) collect(m *message, ok bool) bool {
-	s := &p.parts
-	if s.kind != m.kind || s.to != m.acts || s.since != m.since || s.total != m.parts {
-		*s = assembly{kind: m.kind, to: m.acts, since: m.since, total: m.parts, ok: true}
-	}
-	if bit := uint64(1) << m.part; s.got&bit == 0 {
-		s.got |= bit
-		s.ok = s.ok && ok
-		s.keys = append(s.keys, m.keys...)
-	}
-	return bits.OnesCount64(s.got) == s.total
+// collect adds a part of an answer and reports whether it is complete.
+func (p *peer) collect(msg *message, applicable bool) bool {
+	answer := &p.parts
+	if answer.kind != msg.kind || answer.to != msg.applied || answer.since != msg.since || answer.total != msg.parts {
+		*answer = assembly{kind: msg.kind, to: msg.applied, since: msg.since, total: msg.parts, applicable: true}
+	}
+	if bit := uint64(1) << msg.part; answer.received&bit == 0 {
+		answer.received |= bit
+		answer.applicable = answer.applicable && applicable
+		answer.keys = append(answer.keys, msg.keys...)
+	}
+	return bits.OnesCount64(answer.received) == answer.total
 }
 
-// takeWords takes withdrawals that a neighbour tells of.
-func (a *Agent) takeWords(from int, p *peer, m *message) {
-	changed, ok := false, true
-	for _, w := range m.words {
-		acted, sound := a.take(from, p, w)
-		changed, ok = changed || acted, ok && sound
-	}
-	if p.collect(m, ok) {
-		if p.parts.ok && m.since.Epoch == a.acts.Epoch && m.since.CompareGeneration(a.acts) != version.Newer {
-			a.reached(p, m.acts)
+// handleWithdrawals processes withdrawals that a peer reports.
+func (a *Agent) handleWithdrawals(from int, sender *peer, msg *message) {
+	changed, applicable := false, true
+	for _, w := range msg.withdrawals {
+		enforced, inForce := a.applyWithdrawal(from, sender, w)
+		changed, applicable = changed || enforced, applicable && inForce
+	}
+	if sender.collect(msg, applicable) {
+		if sender.parts.applicable && msg.since.Epoch == a.applied.Epoch && msg.since.CompareGeneration(a.applied) != version.Newer {
+			a.advanceApplied(sender, msg.applied)
 		}
-		p.parts = assembly{}
+		sender.parts = assembly{}
 	}
 	if changed {
-		a.do(EligibilityChanged{})
+		a.emit(EligibilityChanged{})
 	}
 }
 
-// takeWhole takes which servers a neighbour's list has up. What this one's has
-// besides, as of an older version, has been withdrawn.
-func (a *Agent) takeWhole(from int, p *peer, m *message) {
-	if m.acts.CompareGeneration(a.vector.List) != version.Newer || !p.collect(m, true) {
+// handleFullList processes the keys of the servers that are up in a peer's list.
+// Servers of an older own list that are missing there have been withdrawn.
+func (a *Agent) handleFullList(from int, sender *peer, msg *message) {
+	if msg.applied.CompareGeneration(a.vector.List) != version.Newer || !sender.collect(msg, true) {
 		return
 	}
 	up := map[version.Key]bool{}
-	for _, k := range p.parts.keys {
+	for _, k := range sender.parts.keys {
 		up[k] = true
 	}
-	p.parts = assembly{}
-	changed, ok := false, true
+	sender.parts = assembly{}
+	changed, applicable := false, true
 	for _, k := range a.keys() {
 		if a.entries[k].state == version.Up && !up[k] {
-			acted, sound := a.take(from, p, word{key: k, state: version.Draining, list: m.acts})
-			changed, ok = changed || acted, ok && sound
+			enforced, inForce := a.applyWithdrawal(from, sender, withdrawal{key: k, state: version.Draining, list: msg.applied})
+			changed, applicable = changed || enforced, applicable && inForce
 		}
 	}
-	if ok {
-		a.reached(p, m.acts)
+	if applicable {
+		a.advanceApplied(sender, msg.applied)
 	}
 	if changed {
-		a.do(EligibilityChanged{})
+		a.emit(EligibilityChanged{})
 	}
 }
 
-// reached takes that all withdrawals up to a version are in force here by now, if
-// enough neighbours have that version: one that claims a huge one must not keep
-// this process from asking the others.
-func (a *Agent) reached(p *peer, to version.List) {
-	p.askWait = 0
-	if to.CompareGeneration(a.acts) != version.Newer || a.backing(to) < a.quorum() {
+// advanceApplied records that all withdrawals up to a version are in force here, if
+// enough peers have that version: a peer that claims a huge version must not keep this
+// process from querying the others.
+func (a *Agent) advanceApplied(sender *peer, to version.List) {
+	sender.queryWait = 0
+	if to.CompareGeneration(a.applied) != version.Newer || a.countAtLeast(to) < a.quorum() {
 		return
 	}
 	to.Digest = 0
-	a.acts = to
-	a.rec.RecordApplied(to)
+	a.applied = to
+	a.recorder.RecordApplied(to)
 }
 
-// backing counts the processes heard of late that act on a version or a newer one.
-func (a *Agent) backing(to version.List) int {
+// countAtLeast counts the live peers that apply a version or a newer one.
+func (a *Agent) countAtLeast(to version.List) int {
 	n := 0
 	for i := range a.peers {
-		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= hearWindow && p.acts.CompareGeneration(to) != version.Older {
+		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= peerTimeout && p.applied.CompareGeneration(to) != version.Older {
 			n++
 		}
 	}
 	return n
 }
 
-// take takes one neighbour's word that a server wants nothing new. It is acted on
-// at once if the own source has not spoken of a later version, within bounds on
-// how much of the list neighbours can take out: one alone a smaller part than
-// several that agree. sound says that nothing stands against having it in force.
-func (a *Agent) take(from int, p *peer, w word) (acted, sound bool) {
-	if a.set.ObserveOnly {
+// applyWithdrawal processes one withdrawal that a peer reports. It is enforced at once
+// unless the own source has reached that version, within limits on how much of the list
+// peers may withdraw; the limit for a single peer is lower than for several that agree.
+// inForce reports that nothing keeps the withdrawal from being in force.
+func (a *Agent) applyWithdrawal(from int, sender *peer, received withdrawal) (enforced, inForce bool) {
+	if a.settings.ObserveOnly {
 		return false, false
 	}
-	if w.list.CompareGeneration(a.vector.List) != version.Newer {
-		return false, true // the own source's word holds
+	if received.list.CompareGeneration(a.vector.List) != version.Newer {
+		return false, true // the own source takes precedence
 	}
-	h := a.held[w.key]
-	if h == nil {
-		if len(a.held) >= mostHeld {
+	report := a.pending[received.key]
+	if report == nil {
+		if len(a.pending) >= maxPending {
 			a.counts.Dropped++
 			return false, false
 		}
-		h = &held{word: w, via: from, at: a.now}
-		a.held[w.key] = h
+		report = &pending{withdrawal: received, firstReporter: from, receivedAt: a.now}
+		a.pending[received.key] = report
 	}
-	if w.list.CompareGeneration(h.list) == version.Newer {
-		h.list, h.state = w.list, max(h.state, w.state)
+	if received.list.CompareGeneration(report.list) == version.Newer {
+		report.list, report.state = received.list, max(report.state, received.state)
 	}
-	if teller := teller(from, w); !slices.Contains(h.tellers, teller) && len(h.tellers) < mostTellers && a.now >= p.doubtUntil {
-		h.tellers = append(h.tellers, teller)
+	if reporter := reporter(from, received); !slices.Contains(report.reporters, reporter) && len(report.reporters) < maxReporters && a.now >= sender.distrustedUntil {
+		report.reporters = append(report.reporters, reporter)
 	}
-	x, known := a.entries[w.key]
-	if h.acted || !known || x.state != version.Up {
+	server, known := a.entries[received.key]
+	if report.enforced || !known || server.state != version.Up {
 		return false, true
 	}
-	if !a.mayTake(h) {
+	if !a.withinLimits(report) {
 		a.counts.OverLimit++
-		a.rec.RecordRefusal(a.now, x.name, w.list, from)
+		a.recorder.RecordRefusal(a.now, server.name, received.list, from)
 		return false, false
 	}
-	h.acted = true
+	report.enforced = true
 	a.counts.Applied++
-	a.rec.RecordWithdrawal(a.now, x.name, w.state, w.list, from)
+	a.recorder.RecordWithdrawal(a.now, server.name, received.state, received.list, from)
 	return true, true
 }
 
-// teller is whom a word counts for: hearsay, whoever passes it on, for one.
-func teller(from int, w word) int {
-	if w.hearsay {
+// reporter returns the peer that a report counts for: all relayed reports count as one.
+func reporter(from int, w withdrawal) int {
+	if w.relayed {
 		return -1
 	}
 	return from
 }
 
-// backers is how many processes have a word of their own sources; hearsay, whoever
-// passes it on, is worth one where nobody else tells it.
-func (h *held) backers() int {
-	n := len(h.tellers)
-	if n > 1 && slices.Contains(h.tellers, -1) {
+// independentReporters counts the peers that have the withdrawal from their own
+// sources. A relayed report counts as one if there is no other.
+func (h *pending) independentReporters() int {
+	n := len(h.reporters)
+	if n > 1 && slices.Contains(h.reporters, -1) {
 		n--
 	}
 	return n
 }
 
-// mayTake tells whether a word may take its server out, by how much of the list
-// neighbours have taken out already.
-func (a *Agent) mayTake(h *held) bool {
-	one, all := 0, 0
-	for k, o := range a.held {
-		if x, known := a.entries[k]; !o.acted || !known || x.state != version.Up {
+// withinLimits reports whether a withdrawal may be enforced, given how much of the list
+// peers have already withdrawn.
+func (a *Agent) withinLimits(candidate *pending) bool {
+	singleReporter, total := 0, 0
+	for k, o := range a.pending {
+		if x, known := a.entries[k]; !o.enforced || !known || x.state != version.Up {
 			continue
 		}
-		if all++; o.backers() < 2 {
-			one++
+		if total++; o.independentReporters() < 2 {
+			singleReporter++
 		}
 	}
-	limit := func(part float64) int { return max(1, int(part*float64(a.up))) }
+	limit := func(fraction float64) int { return max(1, int(fraction*float64(a.upCount))) }
 	switch {
-	case h.backers() == 0:
+	case candidate.independentReporters() == 0:
 		return false
-	case h.backers() == 1 && one >= limit(a.set.OnePeerFraction):
+	case candidate.independentReporters() == 1 && singleReporter >= limit(a.settings.OnePeerFraction):
 		return false
 	}
-	return all < limit(a.set.AllPeersFraction)
+	return total < limit(a.settings.AllPeersFraction)
 }
 
-// doubt drops words that the own source, which has spoken since, does not bear out
-// for so long that it would have, and believes their tellers no more by
-// themselves.
-func (a *Agent) doubt() {
+// expireUnconfirmed drops reports that the own source, though live since, has not
+// confirmed in time, and does not count their reporters for a while.
+func (a *Agent) expireUnconfirmed() {
 	changed := false
-	for _, k := range a.heldKeys() {
-		h := a.held[k]
-		if a.takenBack(h) {
-			a.drop(k, h)
-			changed = changed || h.acted
-			for _, t := range h.tellers { // guards against one that tells it over and over
+	for _, serverKey := range a.pendingKeys() {
+		report := a.pending[serverKey]
+		if a.retracted(report) {
+			a.drop(serverKey, report)
+			changed = changed || report.enforced
+			for _, t := range report.reporters { // guards against a peer that repeats it over and over
 				if t >= 0 {
-					a.peers[t].doubtUntil = a.now + doubtTime/4
+					a.peers[t].distrustedUntil = a.now + distrustTime/4
 				}
 			}
 			continue
 		}
-		wait := a.set.UnconfirmedTimeout
-		if h.backers() > 1 { // several sources against one: it may be the own one that is late
+		wait := a.settings.UnconfirmedTimeout
+		if report.independentReporters() > 1 { // several sources against one: the own one may be late
 			wait *= 4
 		}
-		if a.confirmed < h.at+wait || a.now-a.confirmed > a.set.NarrowAfter {
+		if a.confirmed < report.receivedAt+wait || a.now-a.confirmed > a.settings.NarrowAfter {
 			continue
 		}
-		a.drop(k, h)
+		a.drop(serverKey, report)
 		a.counts.Reverted++
-		for _, t := range h.tellers {
-			if t >= 0 && h.backers() == 1 {
-				a.peers[t].doubtUntil = a.now + doubtTime
+		for _, t := range report.reporters {
+			if t >= 0 && report.independentReporters() == 1 {
+				a.peers[t].distrustedUntil = a.now + distrustTime
 			}
 		}
-		if h.acted {
+		if report.enforced {
 			changed = true
-			a.logf("process %d withdrew %s and the own source does not for %v: it is used again", h.via, a.entries[k].name, wait)
+			a.logf("process %d withdrew %s, which the own source has not confirmed in %v: using it again", report.firstReporter, a.entries[serverKey].name, wait)
 		}
 	}
 	if changed {
-		a.do(EligibilityChanged{})
+		a.emit(EligibilityChanged{})
 	}
 }
 
-// drop forgets a word that the own source does not bear out: all that is beyond it is
-// heard anew.
-func (a *Agent) drop(k version.Key, h *held) {
-	delete(a.held, k)
-	if a.acts.CompareGeneration(a.vector.List) == version.Newer {
-		a.acts, a.vouched = a.vector.List, a.confirmed
+// drop removes a report that the own source does not confirm. All withdrawals beyond
+// the own list must be received anew.
+func (a *Agent) drop(serverKey version.Key, report *pending) {
+	delete(a.pending, serverKey)
+	if a.applied.CompareGeneration(a.vector.List) == version.Newer {
+		a.applied, a.peersConfirmed = a.vector.List, a.confirmed
 	}
-	if x, known := a.entries[k]; known && h.acted {
-		a.rec.RecordRestored(a.now, x.name, a.vector.List)
+	if x, known := a.entries[serverKey]; known && report.enforced {
+		a.recorder.RecordRestored(a.now, x.name, a.vector.List)
 	}
 }
 
-// takenBack tells whether a word has nobody behind it any more: the own source has
-// spoken since, and whoever told it now has the very list that the own source gives.
-func (a *Agent) takenBack(h *held) bool {
-	if a.confirmed <= h.at || !a.ownFresh() {
+// retracted reports whether nobody stands by a report any more: the own source has
+// answered since, and all its reporters now have the own source's list.
+func (a *Agent) retracted(report *pending) bool {
+	if a.confirmed <= report.receivedAt || !a.ownSourceFresh() {
 		return false
 	}
 	own := a.vector.List
-	same := func(t int) bool {
-		p := &a.peers[t]
-		return p.heard > h.at && p.vector.List.Generation == own.Generation && p.vector.List.Digest == own.Digest
+	hasOwnList := func(number int) bool {
+		p := &a.peers[number]
+		return p.heard > report.receivedAt && p.vector.List.Generation == own.Generation && p.vector.List.Digest == own.Digest
 	}
-	for _, t := range h.tellers {
-		if t >= 0 && !same(t) {
+	for _, number := range report.reporters {
+		if number >= 0 && !hasOwnList(number) {
 			return false
 		}
 	}
-	return same(h.via)
+	return hasOwnList(report.firstReporter)
 }
