--- a/fleet/version/digest.go
+++ b/fleet/version/digest.go
@@ -6,33 +6,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what a list says of a server.
+// State is the state of a server in a list.
 type State uint8
 
 const (
 	// Up servers take requests.
 	Up State = iota
-	// Draining servers want nothing new.
+	// Draining servers take no new requests.
 	Draining
-	// Removed servers have been removed.
+	// Removed servers are no longer in the list.
 	Removed
 )
 
 func (s State) String() string { return [...]string{"up", "draining", "removed"}[min(s, Removed)] }
 
-// Key names a server in datagrams: a hash of its name (xxHash64).
+// Key identifies a server in datagrams: the xxHash64 of its name.
 type Key uint64
 
-// KeyOf gives a server's key.
+// KeyOf returns a server's key.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// RunningDigest is the digest of a list, kept up as servers come and go: a sum of hashes,
-// so that the order of the words that led to it does not show.
+// RunningDigest is the incrementally updated digest of a list. It is a sum of hashes
+// and so does not depend on the order of the updates.
 type RunningDigest uint64
 
-// of hashes one entry. Where a process reaches a server differs from process to
-// process and is left out.
-func of(k Key, s State, startedAt Time) RunningDigest {
+// hashEntry hashes one entry. A server's address differs between processes and is left
+// out.
+func hashEntry(k Key, s State, startedAt Time) RunningDigest {
 	var b [17]byte
 	binary.BigEndian.PutUint64(b[:], uint64(k))
 	b[8] = byte(s)
@@ -40,11 +40,13 @@
 	return RunningDigest(xxhash.Sum64(b[:]))
 }
 
-// Add puts an entry in; Remove takes it out again.
-func (d *RunningDigest) Add(k Key, s State, startedAt Time)    { *d += of(k, s, startedAt) }
-func (d *RunningDigest) Remove(k Key, s State, startedAt Time) { *d -= of(k, s, startedAt) }
+// Add adds an entry.
+func (d *RunningDigest) Add(k Key, s State, startedAt Time) { *d += hashEntry(k, s, startedAt) }
 
-// Short is the digest as a List holds it; never 0.
+// Remove removes an entry that was added.
+func (d *RunningDigest) Remove(k Key, s State, startedAt Time) { *d -= hashEntry(k, s, startedAt) }
+
+// Short returns the digest as a List holds it; never 0.
 func (d RunningDigest) Short() uint32 {
 	if s := uint32(d>>32) ^ uint32(d); s != 0 {
 		return s
@@ -52,8 +54,7 @@
 	return 1
 }
 
-// Digest hashes any text, such as settings or a build's version, to 16 bits;
-// never 0.
+// Digest hashes any text, such as settings or a build's version, to 16 bits; never 0.
 func Digest(text []byte) uint16 {
 	h := xxhash.Sum64(text)
 	if d := uint16(h>>48) ^ uint16(h>>32) ^ uint16(h>>16) ^ uint16(h); d != 0 {
--- a/fleet/version/file.go
+++ b/fleet/version/file.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// MaxRecordBytes bounds a record's text, bytes.
+// MaxRecordBytes limits the encoded size of a record.
 const MaxRecordBytes = 4 << 20
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// serverText is a Server as text: its marks as milliseconds before the last send and
-// counts, as a record has thousands of them.
-type serverText struct {
+// serverJSON is the compact encoding of ServerSends, of which a record has thousands:
+// buckets are milliseconds before the last send, and counts.
+type serverJSON struct {
 	Name  string     `json:"name"`
 	Sends uint64     `json:"sends"`
 	First Timestamp  `json:"first"`
@@ -24,78 +24,79 @@
 	Marks [][3]int64 `json:"marks,omitempty"`
 }
 
-// MarshalJSON writes a server's marks short; stamps of them lose their counters.
+// MarshalJSON writes buckets in compact form. Their timestamps lose the logical
+// counters.
 func (s ServerSends) MarshalJSON() ([]byte, error) {
-	t := serverText{s.Name, s.Sends, s.First, s.Last, nil}
+	text := serverJSON{s.Name, s.Sends, s.First, s.Last, nil}
 	for _, m := range s.Buckets {
-		t.Marks = append(t.Marks, [3]int64{s.Last.Sub(m.From).Milliseconds(), s.Last.Sub(m.To).Milliseconds(), int64(m.Sends)})
+		text.Marks = append(text.Marks, [3]int64{s.Last.Sub(m.From).Milliseconds(), s.Last.Sub(m.To).Milliseconds(), int64(m.Sends)})
 	}
-	return json.Marshal(t)
+	return json.Marshal(text)
 }
 
 // UnmarshalJSON reads what MarshalJSON wrote.
 func (s *ServerSends) UnmarshalJSON(raw []byte) error {
-	var t serverText
-	if err := json.Unmarshal(raw, &t); err != nil {
+	var text serverJSON
+	if err := json.Unmarshal(raw, &text); err != nil {
 		return err
 	}
-	*s = ServerSends{Name: t.Name, Sends: t.Sends, First: t.First, Last: t.Last}
-	for _, m := range t.Marks[:min(len(t.Marks), mostMarks+1)] {
-		if m[2] < 0 || m[0] < 0 || m[1] < 0 || m[0] > maxSpan || m[1] > maxSpan {
-			return errMarks
+	*s = ServerSends{Name: text.Name, Sends: text.Sends, First: text.First, Last: text.Last}
+	for _, m := range text.Marks[:min(len(text.Marks), maxBuckets+1)] {
+		if m[2] < 0 || m[0] < 0 || m[1] < 0 || m[0] > maxBucketAgeMillis || m[1] > maxBucketAgeMillis {
+			return errBuckets
 		}
-		s.Buckets = append(s.Buckets, SendBucket{t.Last.Add(-time.Duration(m[0]) * time.Millisecond), t.Last.Add(-time.Duration(m[1]) * time.Millisecond), uint64(m[2])})
+		s.Buckets = append(s.Buckets, SendBucket{text.Last.Add(-time.Duration(m[0]) * time.Millisecond), text.Last.Add(-time.Duration(m[1]) * time.Millisecond), uint64(m[2])})
 	}
 	return nil
 }
 
-const maxSpan = int64(1000 * 365 * 24 * 3600) // ms before a server's last send that a mark may lie: a year
+const maxBucketAgeMillis = int64(1000 * 365 * 24 * 3600) // one year
 
-var errMarks = errors.New("record: marks that are not in their bounds")
+var errBuckets = errors.New("record: send buckets out of range")
 
-// AppendLine adds a record to the text of a file: a line with the checksum
-// (CRC-32C, hexadecimal) and the record in JSON, so that a file which breaks off
-// anywhere can be read up to its last whole line.
-func AppendLine(to []byte, r *Record) ([]byte, error) {
-	body, err := json.Marshal(r)
+// AppendLine appends a record to the text of a file: a line with its checksum (CRC-32C,
+// hexadecimal) and the record in JSON. A truncated file can be read up to its last
+// complete line.
+func AppendLine(buf []byte, record *Record) ([]byte, error) {
+	body, err := json.Marshal(record)
 	if err != nil {
-		return to, fmt.Errorf("record: %w", err)
+		return buf, fmt.Errorf("record: %w", err)
 	}
 	if len(body) > MaxRecordBytes {
-		return to, fmt.Errorf("record: %d bytes are over the bound of %d", len(body), MaxRecordBytes)
+		return buf, fmt.Errorf("record: %d bytes exceed the limit of %d", len(body), MaxRecordBytes)
 	}
-	to = fmt.Appendf(to, "%08x ", crc32.Checksum(body, castagnoli))
-	return append(append(to, body...), '\n'), nil
+	buf = fmt.Appendf(buf, "%08x ", crc32.Checksum(body, castagnoliTable))
+	return append(append(buf, body...), '\n'), nil
 }
 
-// ReadLines gives the whole records of a file's text, the newest of each life of
-// each process, in the order in which they ended, and how many lines were spoilt
-// or cut short.
-func ReadLines(raw []byte) (records []Record, spoilt int) {
-	at := map[string]int{}
+// ReadLines returns the records of a file's text, the newest of each incarnation of
+// each process, in the order in which they ended, and the number of damaged or
+// truncated lines.
+func ReadLines(raw []byte) (records []Record, damaged int) {
+	indexByKey := map[string]int{}
 	for len(raw) > 0 {
-		line, rest, whole := bytes.Cut(raw, []byte{'\n'})
+		line, rest, terminated := bytes.Cut(raw, []byte{'\n'})
 		raw = rest
-		r, ok := readLine(line)
-		if !ok || !whole {
-			spoilt++
+		record, ok := readLine(line)
+		if !ok || !terminated {
+			damaged++
 			continue
 		}
-		key := fmt.Sprintf("%s %d", r.Process, r.Incarnation)
-		if i, known := at[key]; known {
-			records[i] = r
+		key := fmt.Sprintf("%s %d", record.Process, record.Incarnation)
+		if i, known := indexByKey[key]; known {
+			records[i] = record
 			continue
 		}
-		at[key] = len(records)
-		records = append(records, r)
+		indexByKey[key] = len(records)
+		records = append(records, record)
 	}
-	return records, spoilt
+	return records, damaged
 }
 
 func readLine(line []byte) (Record, bool) {
 	var r Record
 	sum, body, found := bytes.Cut(line, []byte{' '})
-	if !found || len(sum) != 8 || len(body) > MaxRecordBytes || fmt.Sprintf("%08x", crc32.Checksum(body, castagnoli)) != string(sum) {
+	if !found || len(sum) != 8 || len(body) > MaxRecordBytes || fmt.Sprintf("%08x", crc32.Checksum(body, castagnoliTable)) != string(sum) {
 		return r, false
 	}
 	return r, json.Unmarshal(body, &r) == nil
--- a/fleet/version/record.go
+++ b/fleet/version/record.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Bounds of a record. What is over them is folded together or dropped, oldest
-// first, and counted.
+// Limits of a record. Entries beyond them are merged or dropped, oldest first, and
+// counted.
 const (
 	MaxIntervals   = 64
 	MaxWithdrawals = 256
@@ -19,31 +19,29 @@
 	MaxRefusals    = 64
 	MaxProxies     = 8192
 
-	markBits  = 27 // a mark is 2^27 ns, about 134 ms
-	mostMarks = 32 // marks of a server that are kept: those in which something was sent
+	bucketBits = 27 // a bucket is 2^27 ns, about 134 ms
+	maxBuckets = 32 // non-empty buckets that are kept of a server
 )
 
-// BucketLength is how long one mark of sends is at most.
-const BucketLength = time.Duration(1) << markBits
+// BucketLength is the longest span of a send bucket.
+const BucketLength = time.Duration(1) << bucketBits
 
-// SendBucket counts the sends of one short time, from the first of them to the last.
+// SendBucket counts the sends of a short span, from the first to the last of them.
 type SendBucket struct {
 	From  Timestamp `json:"from"`
 	To    Timestamp `json:"to"`
 	Sends uint64    `json:"sends"`
 }
 
-// SendCounter counts what this process writes to one server. It may be used by several
-// goroutines; a send costs one comparison and one addition under a lock that
-// nobody else wants.
+// SendCounter counts the sends to one server. It is safe for concurrent use.
 type SendCounter struct {
 	mu          sync.Mutex
-	slot        int64
-	count       uint64 // of the slot
-	all         uint64
-	first, last Time // of all
-	since       Time // the slot's first
-	marks       [mostMarks]struct {
+	bucket      int64
+	count       uint64 // of the current bucket
+	completed   uint64
+	first, last Time // of all sends
+	bucketFirst Time // first send of the current bucket
+	ring        [maxBuckets]struct {
 		from, to Time
 		count    uint64
 	}
@@ -53,10 +51,10 @@
 
 // Add counts a send.
 func (s *SendCounter) Add(now Time) {
-	slot := int64(now) >> markBits
+	bucket := int64(now) >> bucketBits
 	s.mu.Lock()
-	if slot != s.slot {
-		s.turn(slot, now)
+	if bucket != s.bucket {
+		s.startBucket(bucket, now)
 	}
 	s.count++
 	s.last = now
@@ -64,20 +62,20 @@
 	s.total.Add(1)
 }
 
-func (s *SendCounter) turn(slot int64, now Time) {
+func (s *SendCounter) startBucket(bucket int64, now Time) {
 	if s.count > 0 {
-		m := &s.marks[s.next%mostMarks]
-		m.from, m.to, m.count = s.since, s.last, s.count
+		finished := &s.ring[s.next%maxBuckets]
+		finished.from, finished.to, finished.count = s.bucketFirst, s.last, s.count
 		s.next++
-		s.all += s.count
+		s.completed += s.count
 	} else {
 		s.first = now
 	}
-	s.slot, s.count, s.since = slot, 0, now
+	s.bucket, s.count, s.bucketFirst = bucket, 0, now
 }
 
-// ServerSends is what was sent to one server, as a record tells it. Times are the
-// hybrid clock's, as far as it was ahead when the record was taken.
+// ServerSends is what was sent to one server. Its times include the lead of the hybrid
+// clock when the record was taken.
 type ServerSends struct {
 	Name    string       `json:"name"`
 	Sends   uint64       `json:"sends"`
@@ -86,34 +84,34 @@
 	Buckets []SendBucket `json:"marks,omitempty"` // the latest ones
 }
 
-func (s *SendCounter) server(name string, lag time.Duration) ServerSends {
+func (s *SendCounter) snapshot(name string, lag time.Duration) ServerSends {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := ServerSends{Name: name, Sends: s.all + s.count}
+	out := ServerSends{Name: name, Sends: s.completed + s.count}
 	if out.Sends == 0 {
 		return out
 	}
 	out.First, out.Last = TimestampOf(s.first+lag), TimestampOf(s.last+lag)
-	for i := max(0, s.next-mostMarks); i < s.next; i++ {
-		m := s.marks[i%mostMarks]
+	for i := max(0, s.next-maxBuckets); i < s.next; i++ {
+		m := s.ring[i%maxBuckets]
 		out.Buckets = append(out.Buckets, SendBucket{TimestampOf(m.from + lag), TimestampOf(m.to + lag), m.count})
 	}
-	out.Buckets = append(out.Buckets, SendBucket{TimestampOf(s.since + lag), out.Last, s.count})
+	out.Buckets = append(out.Buckets, SendBucket{TimestampOf(s.bucketFirst + lag), out.Last, s.count})
 	return out
 }
 
-// OwnSource is the teller of what a process's own source said.
+// OwnSource is the reporter of what a process's own source said.
 const OwnSource = -1
 
-// Interval is a time in which a process acted on one version.
+// Interval is a period in which a process acted on one version.
 type Interval struct {
 	Version Vector    `json:"version"`
 	From    Timestamp `json:"from"`
-	Until   Timestamp `json:"until"` // 0: still
+	Until   Timestamp `json:"until"` // 0: until now
 	Sends   uint64    `json:"sends"`
 }
 
-// MergedIntervals stands for intervals that a record has no room for.
+// MergedIntervals summarizes intervals beyond the limit of a record.
 type MergedIntervals struct {
 	Intervals uint64    `json:"intervals"`
 	From      Timestamp `json:"from,omitempty"`
@@ -121,101 +119,102 @@
 	Sends     uint64    `json:"sends"`
 }
 
-// Withdrawal is a server that wants nothing new, as a process came to know.
+// Withdrawal is the withdrawal of a server as a process learned of it.
 type Withdrawal struct {
 	Server     string    `json:"server"` // name
 	State      State     `json:"state"`
-	List       List      `json:"list"`  // the version that says so
-	KnownAt    Timestamp `json:"known"` // when this process knew
-	ReportedBy int       `json:"from"`  // who told it: a process's number, or Own
-	RestoredAt Timestamp `json:"again"` // when its own source gave the server back; 0: not yet
-	RestoredBy List      `json:"back"`  // the version that gave it back
+	List       List      `json:"list"`  // version of the withdrawal
+	KnownAt    Timestamp `json:"known"` // when this process learned of it
+	ReportedBy int       `json:"from"`  // number of the process that reported it, or OwnSource
+	RestoredAt Timestamp `json:"again"` // when its own source restored the server; 0: not yet
+	RestoredBy List      `json:"back"`  // version of the restoration
 }
 
-// PeerVersion is the last word that a process had of another.
+// PeerVersion is the last message that a process received from a peer.
 type PeerVersion struct {
 	Process         int       `json:"process"`
 	Version         Vector    `json:"version"`
 	LastHeard       Timestamp `json:"at"`   // this process's clock
-	ClockLeadMillis int64     `json:"lead"` // ms by which the teller's stamp was ahead of this process's, at the latest word
+	ClockLeadMillis int64     `json:"lead"` // lead of the sender's timestamp at the last message, ms
 	Count           uint64    `json:"count"`
 }
 
-// ModeChange is a change of a process's standing.
+// ModeChange is a change of a process's mode.
 type ModeChange struct {
 	At   Timestamp `json:"at"`
 	Mode string    `json:"to"`
 	Why  string    `json:"why"`
 }
 
-// Pause is a time in which a process stood still.
+// Pause is a process pause.
 type Pause struct {
-	ResumedAt Timestamp     `json:"until"` // when it went on
+	ResumedAt Timestamp     `json:"until"` // when the process resumed
 	Duration  time.Duration `json:"for"`
 }
 
-// Record is what a process has acted on, for an audit.
+// Record is what a process has acted on, for audits.
 type Record struct {
-	Process            string          `json:"process"`
-	Number             int             `json:"number"`
-	Incarnation        Timestamp       `json:"life"`  // its start
-	TakenAt            Timestamp       `json:"at"`    // when the record was taken
-	WallMillis         int64           `json:"wall"`  // ms, the process's own clock then
-	Ended              bool            `json:"ended"` // it ended in order after this record
-	Intervals          []Interval      `json:"acts"`
-	Merged             MergedIntervals `json:"folded"`
-	Servers            []ServerSends   `json:"servers"`
-	Withdrawals        []Withdrawal    `json:"withdrawals"`
-	Dropped            uint64          `json:"dropped"` // withdrawals, servers and words that there was no room for
-	Peers              []PeerVersion   `json:"heard"`
-	ModeChanges        []ModeChange    `json:"changes"`
-	Pauses             []Pause         `json:"stops"`
-	StaleRefusals      uint64          `json:"refused_old"`   // requests refused as what it acts on was too old
-	ClockRejected      int             `json:"clock_refused"` // stamps too far ahead to be believed
-	ClockLead          time.Duration   `json:"clock_lag"`     // the most that another clock was ahead
-	Confirmed          Timestamp       `json:"confirmed"`     // when its own source spoke last
-	AppliedVersion     List            `json:"reached"`       // up to which all withdrawals are in force, by whoever told them
-	Predecessors       []Predecessor   `json:"before"`        // former processes of this node, oldest first
-	Members            []Member        `json:"members"`       // who it takes to be in the fleet; none where it does not find out
-	Leases             []QuotaLease    `json:"parts"`         // of wholes that are shared
-	Majority           bool            `json:"majority"`      // most of the last agreed fleet are among them
-	ViewDigest         uint32          `json:"view"`          // digest of who it takes for alive
-	Slots              int             `json:"seats"`         // of the fleet's that it holds
-	HasQuorum          bool            `json:"quorate"`       // most guards of the seats answer it
-	RefusedWithdrawals []Refusal       `json:"refused"`       // withdrawals of neighbours that were not taken, as too much would have been out
-	ServersInUse       []string        `json:"uses"`          // servers that it uses now, by name and in order; a node's
-	Proxies            []ProxyRecord   `json:"steers"`        // of a control service: how each proxy follows
-	ControlService     bool            `json:"service"`       // a control service's; Number means nothing then
+	Process        string          `json:"process"`
+	Number         int             `json:"number"`
+	Incarnation    Timestamp       `json:"life"`  // start of the process
+	TakenAt        Timestamp       `json:"at"`    // when the record was taken
+	WallMillis     int64           `json:"wall"`  // the process's own clock at that time, ms
+	Ended          bool            `json:"ended"` // the process ended normally after this record
+	Intervals      []Interval      `json:"acts"`
+	Merged         MergedIntervals `json:"folded"`
+	Servers        []ServerSends   `json:"servers"`
+	Withdrawals    []Withdrawal    `json:"withdrawals"`
+	Dropped        uint64          `json:"dropped"` // withdrawals, servers and peers beyond the limits
+	Peers          []PeerVersion   `json:"heard"`
+	ModeChanges    []ModeChange    `json:"changes"`
+	Pauses         []Pause         `json:"stops"`
+	StaleRefusals  uint64          `json:"refused_old"`   // requests refused because the state was too old
+	ClockRejected  int             `json:"clock_refused"` // timestamps that were too far ahead
+	ClockLead      time.Duration   `json:"clock_lag"`     // largest lead of another clock
+	Confirmed      Timestamp       `json:"confirmed"`     // when its own source last answered
+	AppliedVersion List            `json:"reached"`       // all withdrawals up to it are in force
+	Predecessors   []Predecessor   `json:"before"`        // former processes of this node, oldest first
+	Members        []Member        `json:"members"`       // its view of the membership; empty if it does not track it
+	Leases         []QuotaLease    `json:"parts"`         // of shared quotas
+	Majority       bool            `json:"majority"`      // most of the last agreed fleet are alive
+	ViewDigest     uint32          `json:"view"`          // digest of the processes that it takes for alive
+	Slots          int             `json:"seats"`         // slots of the fleet that it holds
+	HasQuorum      bool            `json:"quorate"`       // most guards of the slots answer it
+	// Withdrawals reported by peers that were not applied because of the limits.
+	RefusedWithdrawals []Refusal     `json:"refused"`
+	ServersInUse       []string      `json:"uses"`    // names in order; of a node
+	Proxies            []ProxyRecord `json:"steers"`  // of a control service
+	ControlService     bool          `json:"service"` // record of a control service; Number is unused
 }
 
-// Refusal is a withdrawal that a process was told of and did not take.
+// Refusal is a withdrawal that a peer reported and a process did not apply.
 type Refusal struct {
 	Server     string    `json:"server"`
-	List       List      `json:"list"` // the version that says so
-	ReportedBy int       `json:"from"` // who told it last
+	List       List      `json:"list"` // version of the withdrawal
+	ReportedBy int       `json:"from"` // last reporter
 	First      Timestamp `json:"first"`
 	Last       Timestamp `json:"last"`
 	Count      uint64    `json:"times"`
 }
 
-// Member is a process of the fleet as another one takes it.
+// Member is a process of the fleet as another one sees it.
 type Member struct {
 	Process     int           `json:"process"`
 	Status      string        `json:"status"`
 	Incarnation uint32        `json:"life"`
-	SinceHeard  time.Duration `json:"heard"` // ago; negative: never
+	SinceHeard  time.Duration `json:"heard"` // duration since the last message; negative: never heard
 }
 
-// QuotaLease is what a process holds of a whole that the fleet shares, in its unit.
+// QuotaLease is what a process holds of a quota that the fleet shares, in its unit.
 type QuotaLease struct {
 	Quota      string  `json:"whole"`
-	EqualShare float64 `json:"base"` // an equal part
+	EqualShare float64 `json:"base"` // the quota divided equally
 	Held       float64 `json:"held"`
 	Demand     float64 `json:"need"`
-	Total      float64 `json:"all"` // the whole
+	Total      float64 `json:"all"` // the whole quota
 }
 
-// Incarnation sums up a former process of the same node.
+// Predecessor summarizes a former process of the same node.
 type Predecessor struct {
 	Incarnation Timestamp `json:"life"`
 	Until       Timestamp `json:"until"`
@@ -223,203 +222,206 @@
 	LastVersion Vector    `json:"last"`
 }
 
-// Recorder keeps a process's record. All but Sends is for one goroutine.
+// Recorder keeps a process's record. Only its SendCounters and CountStaleRefusal are
+// safe for concurrent use.
 type Recorder struct {
-	rec     Record
-	clock   *HybridClock
-	total   atomic.Uint64
-	began   uint64 // total at the last interval's beginning
-	sends   map[string]*SendCounter
-	heard   map[int]*PeerVersion
-	refused atomic.Uint64
+	record        Record
+	clock         *HybridClock
+	total         atomic.Uint64
+	totalAtStart  uint64 // total at the start of the current interval
+	counters      map[string]*SendCounter
+	peers         map[int]*PeerVersion
+	staleRefusals atomic.Uint64
 }
 
-// NewRecorder begins a record of a process at a time.
+// NewRecorder starts the record of a process.
 func NewRecorder(process string, number int, now Time, clock *HybridClock) *Recorder {
-	return &Recorder{rec: Record{Process: process, Number: number, Incarnation: clock.Now(now)}, clock: clock,
-		sends: map[string]*SendCounter{}, heard: map[int]*PeerVersion{}}
+	return &Recorder{record: Record{Process: process, Number: number, Incarnation: clock.Now(now)}, clock: clock,
+		counters: map[string]*SendCounter{}, peers: map[int]*PeerVersion{}}
 }
 
-// SendCounter gives the counter of a server, which lasts while the server may still be asked about.
+// SendCounter returns the counter of a server. It is kept for as long as the server may
+// appear in an audit.
 func (r *Recorder) SendCounter(name string) *SendCounter {
-	s := r.sends[name]
+	s := r.counters[name]
 	if s == nil {
 		s = &SendCounter{total: &r.total}
-		if len(r.sends) >= MaxServers {
-			r.rec.Dropped++ // it counts, in the total alone
+		if len(r.counters) >= MaxServers {
+			r.record.Dropped++ // counted in the total only
 			return s
 		}
-		r.sends[name] = s
+		r.counters[name] = s
 	}
 	return s
 }
 
-// forget drops a server that is gone for good once its withdrawal has gone out
-// of the record.
-func (r *Recorder) forget(name string) {
-	if !slices.ContainsFunc(r.rec.Withdrawals, func(w Withdrawal) bool { return w.Server == name }) {
-		delete(r.sends, name)
+// dropCounter drops the counter of a removed server once the record has no withdrawal
+// of it.
+func (r *Recorder) dropCounter(name string) {
+	if !slices.ContainsFunc(r.record.Withdrawals, func(w Withdrawal) bool { return w.Server == name }) {
+		delete(r.counters, name)
 	}
 }
 
-// Intervals says that from now on the process acts on a version.
-func (r *Recorder) RecordVersion(now Time, v Vector) {
+// RecordVersion records that the process acts on a version from now on.
+func (r *Recorder) RecordVersion(now Time, vector Vector) {
 	at := r.clock.Now(now)
-	if n := len(r.rec.Intervals); n > 0 {
-		last := &r.rec.Intervals[n-1]
-		if last.Version.Compare(v) == Same {
+	if n := len(r.record.Intervals); n > 0 {
+		last := &r.record.Intervals[n-1]
+		if last.Version.Compare(vector) == Same {
 			return
 		}
-		last.Until, last.Sends = at, r.total.Load()-r.began
+		last.Until, last.Sends = at, r.total.Load()-r.totalAtStart
 	}
-	r.began = r.total.Load()
-	v.Clock = at
-	if r.rec.Intervals = append(r.rec.Intervals, Interval{Version: v, From: at}); len(r.rec.Intervals) > MaxIntervals {
-		old := r.rec.Intervals[0]
-		f := &r.rec.Merged
-		if f.Intervals++; f.Intervals == 1 {
-			f.From = old.From
+	r.totalAtStart = r.total.Load()
+	vector.Clock = at
+	if r.record.Intervals = append(r.record.Intervals, Interval{Version: vector, From: at}); len(r.record.Intervals) > MaxIntervals {
+		old := r.record.Intervals[0]
+		merged := &r.record.Merged
+		if merged.Intervals++; merged.Intervals == 1 {
+			merged.From = old.From
 		}
-		f.Until, f.Sends = old.Until, f.Sends+old.Sends
-		r.rec.Intervals = slices.Delete(r.rec.Intervals, 0, 1)
+		merged.Until, merged.Sends = old.Until, merged.Sends+old.Sends
+		r.record.Intervals = slices.Delete(r.record.Intervals, 0, 1)
 	}
 }
 
-// RecordWithdrawal says that a server wants nothing new, by a version, told by a
-// process or Own. The first teller of a version counts.
-func (r *Recorder) RecordWithdrawal(now Time, name string, s State, l List, from int) {
-	for i := len(r.rec.Withdrawals) - 1; i >= 0; i-- {
-		w := &r.rec.Withdrawals[i]
+// RecordWithdrawal records the withdrawal of a server, as of a version, reported by a
+// process or OwnSource. The first reporter is kept.
+func (r *Recorder) RecordWithdrawal(now Time, name string, state State, list List, reporter int) {
+	for i := len(r.record.Withdrawals) - 1; i >= 0; i-- {
+		w := &r.record.Withdrawals[i]
 		if w.Server != name || w.RestoredAt != 0 {
 			continue
 		}
-		if w.State = max(w.State, s); w.List.CompareGeneration(l) == Older {
-			w.List = l // a later word of what is known: draining, then removed
+		if w.State = max(w.State, state); w.List.CompareGeneration(list) == Older {
+			w.List = list // a later state: draining, then removed
 		}
 		return
 	}
-	r.rec.Withdrawals = append(r.rec.Withdrawals, Withdrawal{Server: name, State: s, List: l, KnownAt: r.clock.Now(now), ReportedBy: from})
-	if len(r.rec.Withdrawals) > MaxWithdrawals {
-		old := r.rec.Withdrawals[0]
-		r.rec.Withdrawals = slices.Delete(r.rec.Withdrawals, 0, 1)
-		r.rec.Dropped++
+	r.record.Withdrawals = append(r.record.Withdrawals, Withdrawal{Server: name, State: state, List: list, KnownAt: r.clock.Now(now), ReportedBy: reporter})
+	if len(r.record.Withdrawals) > MaxWithdrawals {
+		old := r.record.Withdrawals[0]
+		r.record.Withdrawals = slices.Delete(r.record.Withdrawals, 0, 1)
+		r.record.Dropped++
 		if old.State == Removed && old.RestoredAt == 0 {
-			r.forget(old.Server)
+			r.dropCounter(old.Server)
 		}
 	}
 }
 
-// RestoredAt says that a server may be used again, by a version of the own list. It is stamped by the process's own
-// clock, as sends are, and put beside the fleet's with them when the record is taken: the fleet's clock runs ahead
-// of the own one from time to time, and sends that follow would seem to come before.
-func (r *Recorder) RecordRestored(now Time, name string, l List) {
-	for i := len(r.rec.Withdrawals) - 1; i >= 0; i-- {
-		if w := &r.rec.Withdrawals[i]; w.Server == name && w.RestoredAt == 0 {
-			w.RestoredAt, w.RestoredBy = TimestampOf(now), l
+// RecordRestored records that a server may be used again, as of a version of the own
+// list. Like sends it is stamped by the process's own clock, and both are shifted to
+// the fleet's clock when the record is taken: otherwise sends after the restoration
+// could seem to precede it while the hybrid clock is ahead.
+func (r *Recorder) RecordRestored(now Time, name string, list List) {
+	for i := len(r.record.Withdrawals) - 1; i >= 0; i-- {
+		if w := &r.record.Withdrawals[i]; w.Server == name && w.RestoredAt == 0 {
+			w.RestoredAt, w.RestoredBy = TimestampOf(now), list
 		}
 	}
 }
 
-// RecordPeer notes a word of another process.
-func (r *Recorder) RecordPeer(now Time, from int, v Vector) {
-	h := r.heard[from]
-	if h == nil {
-		if len(r.heard) >= MaxPeers {
-			r.rec.Dropped++
+// RecordPeer records a message of a peer.
+func (r *Recorder) RecordPeer(now Time, from int, vector Vector) {
+	peer := r.peers[from]
+	if peer == nil {
+		if len(r.peers) >= MaxPeers {
+			r.record.Dropped++
 			return
 		}
-		h = &PeerVersion{Process: from}
-		r.heard[from] = h
+		peer = &PeerVersion{Process: from}
+		r.peers[from] = peer
 	}
-	h.Version, h.LastHeard, h.ClockLeadMillis = v, r.clock.Last(), (v.Clock.Time() - max(now, r.clock.Last().Time())).Milliseconds()
-	h.Count++
+	peer.Version, peer.LastHeard, peer.ClockLeadMillis = vector, r.clock.Last(), (vector.Clock.Time() - max(now, r.clock.Last().Time())).Milliseconds()
+	peer.Count++
 }
 
-// RecordMode notes a change of standing.
-func (r *Recorder) RecordMode(now Time, to, why string) {
-	if r.rec.ModeChanges = append(r.rec.ModeChanges, ModeChange{r.clock.Now(now), to, why}); len(r.rec.ModeChanges) > MaxChanges {
-		r.rec.ModeChanges = slices.Delete(r.rec.ModeChanges, 0, 1)
-		r.rec.Dropped++
+// RecordMode records a mode change.
+func (r *Recorder) RecordMode(now Time, mode, why string) {
+	if r.record.ModeChanges = append(r.record.ModeChanges, ModeChange{r.clock.Now(now), mode, why}); len(r.record.ModeChanges) > MaxChanges {
+		r.record.ModeChanges = slices.Delete(r.record.ModeChanges, 0, 1)
+		r.record.Dropped++
 	}
 }
 
-// RecordPause notes that the process stood still until now.
+// RecordPause records that the process was paused until now.
 func (r *Recorder) RecordPause(now Time, gap time.Duration) {
-	if r.rec.Pauses = append(r.rec.Pauses, Pause{r.clock.Now(now), gap}); len(r.rec.Pauses) > MaxChanges {
-		r.rec.Pauses = slices.Delete(r.rec.Pauses, 0, 1)
-		r.rec.Dropped++
+	if r.record.Pauses = append(r.record.Pauses, Pause{r.clock.Now(now), gap}); len(r.record.Pauses) > MaxChanges {
+		r.record.Pauses = slices.Delete(r.record.Pauses, 0, 1)
+		r.record.Dropped++
 	}
 }
 
-// RecordRefusal notes that a neighbour's word of a withdrawal was not taken.
-func (r *Recorder) RecordRefusal(now Time, server string, l List, from int) {
+// RecordRefusal records that a withdrawal reported by a peer was not applied.
+func (r *Recorder) RecordRefusal(now Time, server string, list List, reporter int) {
 	at := r.clock.Now(now)
-	for i := range r.rec.RefusedWithdrawals {
-		if x := &r.rec.RefusedWithdrawals[i]; x.Server == server {
-			x.ReportedBy, x.Last, x.Count = from, at, x.Count+1
-			if x.List.CompareGeneration(l) == Older {
-				x.List = l
+	for i := range r.record.RefusedWithdrawals {
+		if x := &r.record.RefusedWithdrawals[i]; x.Server == server {
+			x.ReportedBy, x.Last, x.Count = reporter, at, x.Count+1
+			if x.List.CompareGeneration(list) == Older {
+				x.List = list
 			}
 			return
 		}
 	}
-	if r.rec.RefusedWithdrawals = append(r.rec.RefusedWithdrawals, Refusal{server, l, from, at, at, 1}); len(r.rec.RefusedWithdrawals) > MaxRefusals {
-		r.rec.RefusedWithdrawals = slices.Delete(r.rec.RefusedWithdrawals, 0, 1)
-		r.rec.Dropped++
+	if r.record.RefusedWithdrawals = append(r.record.RefusedWithdrawals, Refusal{server, list, reporter, at, at, 1}); len(r.record.RefusedWithdrawals) > MaxRefusals {
+		r.record.RefusedWithdrawals = slices.Delete(r.record.RefusedWithdrawals, 0, 1)
+		r.record.Dropped++
 	}
 }
 
-// StaleRefusals counts a request that was refused for the age of what is known.
-func (r *Recorder) CountStaleRefusal() { r.refused.Add(1) }
+// CountStaleRefusal counts a request that was refused because the state was too old.
+func (r *Recorder) CountStaleRefusal() { r.staleRefusals.Add(1) }
 
-// RecordConfirmed notes that the process's own source spoke.
-func (r *Recorder) RecordConfirmed(now Time) { r.rec.Confirmed = r.clock.Now(now) }
+// RecordConfirmed records that the process's own source answered.
+func (r *Recorder) RecordConfirmed(now Time) { r.record.Confirmed = r.clock.Now(now) }
 
-// AppliedVersion notes up to which version all withdrawals are in force.
-func (r *Recorder) RecordApplied(l List) { r.rec.AppliedVersion = l }
+// RecordApplied records the version up to which all withdrawals are in force.
+func (r *Recorder) RecordApplied(list List) { r.record.AppliedVersion = list }
 
-// AddPredecessor takes the record of the process before this one, of the same node.
-func (r *Recorder) AddPredecessor(old Record) {
-	l := Predecessor{Incarnation: old.Incarnation, Until: old.TakenAt, Sends: old.Merged.Sends}
-	for _, a := range old.Intervals {
-		l.Sends, l.LastVersion = l.Sends+a.Sends, a.Version
+// AddPredecessor adds the record of the previous process of the same node.
+func (r *Recorder) AddPredecessor(previous Record) {
+	summary := Predecessor{Incarnation: previous.Incarnation, Until: previous.TakenAt, Sends: previous.Merged.Sends}
+	for _, a := range previous.Intervals {
+		summary.Sends, summary.LastVersion = summary.Sends+a.Sends, a.Version
 	}
-	r.rec.Predecessors = append(old.Predecessors, l)
-	if n := len(r.rec.Predecessors) - MaxChanges; n > 0 {
-		r.rec.Predecessors = r.rec.Predecessors[n:]
-		r.rec.Dropped += uint64(n)
+	r.record.Predecessors = append(previous.Predecessors, summary)
+	if n := len(r.record.Predecessors) - MaxChanges; n > 0 {
+		r.record.Predecessors = r.record.Predecessors[n:]
+		r.record.Dropped += uint64(n)
 	}
-	for _, w := range old.Withdrawals { // what it knew, this one knows
-		if w.RestoredAt == 0 && len(r.rec.Withdrawals) < MaxWithdrawals {
-			r.rec.Withdrawals = append(r.rec.Withdrawals, w)
+	for _, w := range previous.Withdrawals { // what the predecessor knew is known here too
+		if w.RestoredAt == 0 && len(r.record.Withdrawals) < MaxWithdrawals {
+			r.record.Withdrawals = append(r.record.Withdrawals, w)
 		}
 	}
 }
 
-// Snapshot gives the record as of now. It shares nothing with the recorder.
+// Snapshot returns the record as of now. It shares no memory with the recorder.
 func (r *Recorder) Snapshot(now Time) Record {
-	out := r.rec
+	out := r.record
 	out.TakenAt, out.WallMillis = r.clock.Now(now), now.Milliseconds()
-	out.Intervals = slices.Clone(r.rec.Intervals)
+	out.Intervals = slices.Clone(r.record.Intervals)
 	if n := len(out.Intervals); n > 0 {
-		out.Intervals[n-1].Sends = r.total.Load() - r.began
+		out.Intervals[n-1].Sends = r.total.Load() - r.totalAtStart
 	}
-	out.Withdrawals, out.ModeChanges, out.Pauses = slices.Clone(r.rec.Withdrawals), slices.Clone(r.rec.ModeChanges), slices.Clone(r.rec.Pauses)
-	out.Predecessors, out.RefusedWithdrawals = slices.Clone(r.rec.Predecessors), slices.Clone(r.rec.RefusedWithdrawals)
-	out.StaleRefusals, out.ClockRejected, out.ClockLead = r.refused.Load(), r.clock.Rejected, r.clock.MaxLead
+	out.Withdrawals, out.ModeChanges, out.Pauses = slices.Clone(r.record.Withdrawals), slices.Clone(r.record.ModeChanges), slices.Clone(r.record.Pauses)
+	out.Predecessors, out.RefusedWithdrawals = slices.Clone(r.record.Predecessors), slices.Clone(r.record.RefusedWithdrawals)
+	out.StaleRefusals, out.ClockRejected, out.ClockLead = r.staleRefusals.Load(), r.clock.Rejected, r.clock.MaxLead
 	lag := max(0, out.TakenAt.Time()-now)
 	for i := range out.Withdrawals {
 		if w := &out.Withdrawals[i]; w.RestoredAt != 0 {
 			w.RestoredAt = TimestampOf(w.RestoredAt.Time() + lag)
 		}
 	}
-	for name, s := range r.sends {
-		if x := s.server(name, lag); x.Sends > 0 {
+	for name, s := range r.counters {
+		if x := s.snapshot(name, lag); x.Sends > 0 {
 			out.Servers = append(out.Servers, x)
 		}
 	}
 	slices.SortFunc(out.Servers, func(a, b ServerSends) int { return strings.Compare(a.Name, b.Name) })
-	for _, h := range r.heard {
+	for _, h := range r.peers {
 		out.Peers = append(out.Peers, *h)
 	}
 	slices.SortFunc(out.Peers, func(a, b PeerVersion) int { return a.Process - b.Process })
