--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -1,9 +1,9 @@
-// Package audit puts the records of many processes together, some of them
-// missing, cut off or of former lives, and says who acted on which version when,
-// which sends happened although the sender or another process knew better, how
-// long a change took to reach the fleet, and who is behind, why, and how sure that
-// is. What there is no evidence for is unknown, never fine. It does no I/O, reads
-// no clock and starts no goroutine.
+// Package audit merges the records of many processes, which may be incomplete or of
+// earlier incarnations. It reports who acted on which version when, which sends
+// happened although the sender or another process knew better, how long changes took to
+// propagate, and who is behind, why, and with what confidence. What there is no
+// evidence for is reported as unknown. It does no I/O, reads no clock and starts no
+// goroutine.
 package audit
 
 import (
@@ -16,63 +16,63 @@
 	"ivylock/fleet/version"
 )
 
-// Options of an audit.
+// Options are the parameters of an audit.
 type Options struct {
-	// Grace is how long after a withdrawal is known sends may still go to its
-	// server.
+	// Grace is how long sends may still go to a server after its withdrawal is known.
 	Grace time.Duration
-	// Tolerance is what clocks and the network may add between two processes.
+	// Tolerance allows for clock skew and network delay between two processes.
 	Tolerance time.Duration
-	// FleetSize is how many processes the fleet has; those without a record are then
-	// named. 0: as many as the records name.
+	// FleetSize is the number of processes of the fleet, to name those without a
+	// record. 0: as many as the records name.
 	FleetSize int
 }
 
-// DefaultOptions are the rule's grace and what a network of a few ms adds.
+// DefaultOptions returns the grace period of the rules and a tolerance for a network
+// delay of a few ms.
 func DefaultOptions() Options {
 	return Options{Grace: 500 * time.Millisecond, Tolerance: 50 * time.Millisecond}
 }
 
-// Confidence says how much stands behind a claim.
+// Confidence tells how well a finding is supported.
 type Confidence string
 
-// The grades.
+// The levels of confidence.
 const (
-	Certain Confidence = "certain" // the process's own record says so, and nothing speaks against it
-	Likely  Confidence = "likely"  // others' words alone, or one record alone
-	Unknown Confidence = "unknown" // nothing says either way
+	Certain Confidence = "certain" // the process's own record says so, uncontradicted
+	Likely  Confidence = "likely"  // only other processes' records say so, or only one record
+	Unknown Confidence = "unknown" // no evidence either way
 )
 
-// ClockAlignment says how a process's times stand to the others'.
+// ClockAlignment tells how a process's times relate to those of the others.
 type ClockAlignment struct {
-	Shift   time.Duration `json:"shift"` // added to its times here
+	Shift   time.Duration `json:"shift"` // added to its times
 	Trusted bool          `json:"trusted"`
 	Why     string        `json:"why,omitempty"`
 }
 
-// life is one process: a record, its times put in line with the others'.
-type life struct {
+// incarnation is one process: its record with aligned times.
+type incarnation struct {
 	version.Record
-	clock ClockAlignment
-	last  bool // the newest process of its node
+	clock  ClockAlignment
+	latest bool // the latest process of its node
 }
 
-// Audit is what the records say together.
+// Audit is the merged view of all records.
 type Audit struct {
-	o        Options
-	lives    []*life           // by node and start
-	services []*life           // control services, by name and start
-	byNumber map[int]*life     // the newest process of each node
-	now      version.Timestamp // of the newest record
-	episodes []*episode        // withdrawals, by server and time
-	names    map[int]string    // of nodes by number
+	options      Options
+	incarnations []*incarnation       // by node and start
+	services     []*incarnation       // control services, by name and start
+	byNumber     map[int]*incarnation // the latest process of each node
+	now          version.Timestamp    // time of the newest record
+	episodes     []*episode           // withdrawals, by server and time
+	nodeNames    map[int]string       // by node number
 }
 
-// New takes records in any order. Of one life of a process the newest counts;
-// former lives that a record sums up are not records of their own.
-func New(records []version.Record, o Options) *Audit {
-	a := &Audit{o: o, byNumber: map[int]*life{}, names: map[int]string{}}
-	newest := map[string]*life{}
+// New merges records in any order. Of each incarnation the newest record counts;
+// predecessors that a record summarizes are not records of their own.
+func New(records []version.Record, options Options) *Audit {
+	a := &Audit{options: options, byNumber: map[int]*incarnation{}, nodeNames: map[int]string{}}
+	newest := map[string]*incarnation{}
 	for _, r := range records {
 		if r.Process == "" || r.TakenAt == 0 {
 			continue
@@ -81,41 +81,41 @@
 		if old := newest[key]; old != nil && old.TakenAt >= r.TakenAt {
 			continue
 		}
-		newest[key] = &life{Record: clone(r)}
+		newest[key] = &incarnation{Record: cloneRecord(r)}
 	}
 	for _, l := range newest {
 		if l.ControlService {
 			a.services = append(a.services, l)
 		} else {
-			a.lives = append(a.lives, l)
+			a.incarnations = append(a.incarnations, l)
 		}
 	}
-	inOrder := func(x, y *life) int {
+	compare := func(x, y *incarnation) int {
 		return cmp.Or(cmp.Compare(x.Number, y.Number), strings.Compare(x.Process, y.Process), cmp.Compare(x.Incarnation, y.Incarnation))
 	}
-	slices.SortFunc(a.lives, inOrder)
-	slices.SortFunc(a.services, inOrder)
+	slices.SortFunc(a.incarnations, compare)
+	slices.SortFunc(a.services, compare)
 	for i, l := range a.services {
-		l.last = i+1 == len(a.services) || a.services[i+1].Process != l.Process
+		l.latest = i+1 == len(a.services) || a.services[i+1].Process != l.Process
 	}
-	a.align()
-	for _, l := range a.lives {
+	a.alignClocks()
+	for _, l := range a.incarnations {
 		if old := a.byNumber[l.Number]; old != nil {
-			old.last = false
+			old.latest = false
 		}
-		l.last = true
-		a.byNumber[l.Number], a.names[l.Number] = l, l.Process
+		l.latest = true
+		a.byNumber[l.Number], a.nodeNames[l.Number] = l, l.Process
 		if l.clock.Trusted {
 			a.now = max(a.now, l.TakenAt)
 		}
-		a.o.FleetSize = max(a.o.FleetSize, l.Number+1)
+		a.options.FleetSize = max(a.options.FleetSize, l.Number+1)
 	}
-	a.find()
+	a.groupWithdrawals()
 	return a
 }
 
-// clone copies what align changes.
-func clone(r version.Record) version.Record {
+// cloneRecord copies what alignClocks changes.
+func cloneRecord(r version.Record) version.Record {
 	r.Intervals, r.Withdrawals = slices.Clone(r.Intervals), slices.Clone(r.Withdrawals)
 	r.Servers, r.Peers = slices.Clone(r.Servers), slices.Clone(r.Peers)
 	r.ModeChanges, r.Pauses = slices.Clone(r.ModeChanges), slices.Clone(r.Pauses)
@@ -125,39 +125,39 @@
 	return r
 }
 
-// align puts all times in line. Hybrid clocks that believe one another are in line
-// already; one that the others did not believe, or that did not believe them, is
-// shifted by what they noted of its lead. One that nobody noted anything of can't
-// be compared.
-func (a *Audit) align() {
-	leads := map[int][]int64{} // ms, by the process that led
-	for _, l := range a.lives {
+// alignClocks aligns all times. Hybrid clocks that accept each other's timestamps are
+// aligned already. One whose timestamps are rejected, or that rejects the others', is
+// shifted by the lead that the others observed. One that nobody observed cannot be
+// compared.
+func (a *Audit) alignClocks() {
+	leads := map[int][]int64{} // ms, by the process that leads
+	for _, l := range a.incarnations {
 		for _, h := range l.Peers {
 			leads[h.Process] = append(leads[h.Process], h.ClockLeadMillis)
 		}
 	}
-	for _, l := range a.lives {
-		noted := leads[l.Number]
+	for _, l := range a.incarnations {
+		observed := leads[l.Number]
 		switch {
-		case len(noted) == 0 && len(l.Peers) == 0 && len(a.lives) > 1:
+		case len(observed) == 0 && len(l.Peers) == 0 && len(a.incarnations) > 1:
 			l.clock.Why = "no process heard it and it heard none: its times can't be compared with the others'"
-		case len(noted) == 0:
+		case len(observed) == 0:
 			l.clock = ClockAlignment{Trusted: true}
 		default:
-			slices.Sort(noted)
-			lead := time.Duration(noted[len(noted)/2]) * time.Millisecond
+			slices.Sort(observed)
+			lead := time.Duration(observed[len(observed)/2]) * time.Millisecond
 			l.clock.Trusted = true
 			if lead.Abs() > version.MaxClockLead {
 				l.clock.Shift = -lead
-				l.clock.Why = fmt.Sprintf("its clock is off by %v by the word of %d processes", lead.Round(time.Millisecond), len(noted))
-				l.shift(-lead)
+				l.clock.Why = fmt.Sprintf("its clock is off by %v by the word of %d processes", lead.Round(time.Millisecond), len(observed))
+				l.shiftTimes(-lead)
 			}
 		}
 	}
 }
 
-// shift moves all times of a record.
-func (l *life) shift(by time.Duration) {
+// shiftTimes shifts all times of a record.
+func (l *incarnation) shiftTimes(by time.Duration) {
 	move := func(s *version.Timestamp) {
 		if *s != 0 {
 			*s = s.Add(by)
@@ -194,8 +194,8 @@
 	}
 }
 
-// heard gives what a process heard last of another.
-func (l *life) heard(number int) (version.PeerVersion, bool) {
+// heard returns the last message that a process received from another.
+func (l *incarnation) heard(number int) (version.PeerVersion, bool) {
 	i := slices.IndexFunc(l.Peers, func(h version.PeerVersion) bool { return h.Process == number })
 	if i < 0 {
 		return version.PeerVersion{}, false
@@ -203,13 +203,13 @@
 	return l.Peers[i], true
 }
 
-// name gives a node's name, as far as a record tells it.
-func (a *Audit) name(number int) string {
-	if n := a.names[number]; n != "" {
+// nodeName returns the name of a node, if a record has it.
+func (a *Audit) nodeName(number int) string {
+	if n := a.nodeNames[number]; n != "" {
 		return n
 	}
 	return fmt.Sprintf("process %d", number)
 }
 
-// Now is the time of the newest record, as of which the audit speaks.
+// Now returns the time of the newest record, which the audit refers to.
 func (a *Audit) Now() version.Timestamp { return a.now }
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -10,113 +10,112 @@
 	"ivylock/fleet/version"
 )
 
-const began = 1_800_000_000 * time.Second
+const startTime = 1_800_000_000 * time.Second
 
-// proc is a process of a made-up fleet whose truth is known.
-type proc struct {
-	clock *version.HybridClock
-	rec   *version.Recorder
-	skew  time.Duration
-	n     int
-	now   time.Duration
-	list  version.List
+// process is a process of a simulated fleet whose true history is known.
+type process struct {
+	clock    *version.HybridClock
+	recorder *version.Recorder
+	skew     time.Duration
+	n        int
+	now      time.Duration
+	list     version.List
 }
 
-func (p *proc) wall() time.Duration { return p.now + p.skew }
+func (p *process) wall() time.Duration { return p.now + p.skew }
 
-// fleetOf makes processes of one list that hear one another.
-func fleetOf(n int, skew func(i int) time.Duration) []*proc {
-	out := make([]*proc, n)
+// newFleet returns processes of one list.
+func newFleet(n int, skew func(i int) time.Duration) []*process {
+	out := make([]*process, n)
 	for i := range out {
-		p := &proc{clock: &version.HybridClock{}, n: i, now: began}
+		p := &process{clock: &version.HybridClock{}, n: i, now: startTime}
 		if skew != nil {
 			p.skew = skew(i)
 		}
-		p.rec = version.NewRecorder(fmt.Sprintf("n%d", i), i, p.wall(), p.clock)
+		p.recorder = version.NewRecorder(fmt.Sprintf("n%d", i), i, p.wall(), p.clock)
 		out[i] = p
-		p.acts(40)
+		p.actOn(40)
 	}
 	return out
 }
 
-func (p *proc) acts(generation uint32) {
+func (p *process) actOn(generation uint32) {
 	p.list = version.List{Generation: generation, Digest: generation}
-	p.rec.RecordVersion(p.wall(), version.Vector{List: p.list, Format: version.FormatVersion})
-	p.rec.RecordConfirmed(p.wall())
-	p.rec.RecordApplied(p.list)
+	p.recorder.RecordVersion(p.wall(), version.Vector{List: p.list, Format: version.FormatVersion})
+	p.recorder.RecordConfirmed(p.wall())
+	p.recorder.RecordApplied(p.list)
 }
 
-// hears takes a word of another process, as package follow does.
-func (p *proc) hears(o *proc) {
-	v := version.Vector{List: o.list, Format: version.FormatVersion, Clock: o.clock.Now(o.wall())}
+// hear processes a message of another process like package follow.
+func (p *process) hear(sender *process) {
+	v := version.Vector{List: sender.list, Format: version.FormatVersion, Clock: sender.clock.Now(sender.wall())}
 	p.clock.Observe(p.wall(), v.Clock)
-	p.rec.RecordPeer(p.wall(), o.n, v)
+	p.recorder.RecordPeer(p.wall(), sender.n, v)
 }
 
-func at(all []*proc, d time.Duration) {
-	for _, p := range all {
-		p.now = began + d
+func advance(processes []*process, d time.Duration) {
+	for _, p := range processes {
+		p.now = startTime + d
 	}
 }
 
-func talk(all []*proc, rng *rand.Rand, deaf func(i int) bool) {
-	for _, p := range all {
+func exchange(processes []*process, rng *rand.Rand, isolated func(i int) bool) {
+	for _, p := range processes {
 		for range 8 {
-			if o := all[rng.IntN(len(all))]; o != p && (deaf == nil || !deaf(p.n) && !deaf(o.n)) {
-				p.hears(o)
+			if o := processes[rng.IntN(len(processes))]; o != p && (isolated == nil || !isolated(p.n) && !isolated(o.n)) {
+				p.hear(o)
 			}
 		}
 	}
 }
 
-// A process whose clock is behind that of the one it hears sends to a server as soon as its source gives it back: the
-// word of that is not stamped later than sends that follow it. Sends before it are found.
-func TestSendsAfterAServersReturnAreNotTooLate(t *testing.T) {
+// Sends after a server's restoration are not reported as late, even if the sender's
+// clock is behind; sends before it are.
+func TestSendsAfterRestorationAreNotLate(t *testing.T) {
 	for _, x := range []struct {
 		after time.Duration
 		found int
 	}{{time.Millisecond, 0}, {-20 * time.Millisecond, 1}, {-time.Second, 1}} {
-		all := fleetOf(2, func(i int) time.Duration { return time.Duration(i) * 15 * time.Millisecond })
+		all := newFleet(2, func(i int) time.Duration { return time.Duration(i) * 15 * time.Millisecond })
 		p := all[0]
-		p.acts(41)
-		p.rec.RecordWithdrawal(p.wall(), "s-1", version.Draining, p.list, version.OwnSource)
-		sent := func() { p.rec.SendCounter("s-1").Add(p.wall() + x.after) }
-		at(all, 6*time.Second)
+		p.actOn(41)
+		p.recorder.RecordWithdrawal(p.wall(), "s-1", version.Draining, p.list, version.OwnSource)
+		sent := func() { p.recorder.SendCounter("s-1").Add(p.wall() + x.after) }
+		advance(all, 6*time.Second)
 		if x.after < 0 {
 			sent()
 		}
-		p.hears(all[1])
-		p.acts(42)
-		p.rec.RecordRestored(p.wall(), "s-1", p.list)
+		p.hear(all[1])
+		p.actOn(42)
+		p.recorder.RecordRestored(p.wall(), "s-1", p.list)
 		if x.after > 0 {
 			sent()
 		}
-		at(all, 7*time.Second)
-		if got := New([]version.Record{p.rec.Snapshot(p.wall())}, DefaultOptions()).LateSends(); len(got) != x.found {
-			t.Errorf("sent %v after its return: %+v", x.after, got)
+		advance(all, 7*time.Second)
+		if got := New([]version.Record{p.recorder.Snapshot(p.wall())}, DefaultOptions()).LateSends(); len(got) != x.found {
+			t.Errorf("sent %v after the restoration: %+v", x.after, got)
 		}
 	}
 }
 
-// Of 300 processes with clocks off by up to 2 s, one by an hour, and a tenth of the
-// records missing, the audit finds each that sent too late and each that is behind,
-// says unknown where it has nothing to go by, and says nothing that is not so.
-func TestThreeHundredProcesses(t *testing.T) {
+// In a large fleet with skewed clocks and missing records, the audit finds every late
+// sender and every process that is behind, and reports nothing false.
+func TestAuditOfLargeFleet(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		all := fleetOf(300, func(i int) time.Duration {
+		all := newFleet(300, func(i int) time.Duration {
 			if i == 77 {
 				return time.Hour
 			}
 			return time.Duration(rng.IntN(4000)-2000) * time.Millisecond
 		})
 		behind, late := map[int]bool{}, map[int]bool{}
-		for range 3 { // words go round until the clocks are in line
-			talk(all, rng, nil)
+		for range 3 { // messages are exchanged until the clocks are aligned
+			exchange(all, rng, nil)
 		}
-		at(all, 10*time.Second)
+		advance(all, 10*time.Second)
 		for range 3 {
-			talk(all, rng, nil)
+			exchange(all, rng, nil)
 		}
 		for len(behind) < 10 {
 			behind[rng.IntN(300)] = true
@@ -125,19 +124,19 @@
 		for _, p := range all {
 			if !behind[p.n] {
 				p.now += time.Duration(rng.IntN(200)) * time.Millisecond
-				p.acts(41)
-				p.rec.RecordWithdrawal(p.wall(), "s-1", version.Draining, p.list, version.OwnSource)
+				p.actOn(41)
+				p.recorder.RecordWithdrawal(p.wall(), "s-1", version.Draining, p.list, version.OwnSource)
 			}
 		}
-		at(all, 12*time.Second)
+		advance(all, 12*time.Second)
 		for n := range behind {
 			if rng.IntN(2) == 0 {
 				late[n] = true
-				all[n].rec.SendCounter("s-1").Add(all[n].wall())
+				all[n].recorder.SendCounter("s-1").Add(all[n].wall())
 			}
 		}
-		at(all, 20*time.Second)
-		talk(all, rng, nil)
+		advance(all, 20*time.Second)
+		exchange(all, rng, nil)
 		var records []version.Record
 		missing := map[int]bool{}
 		for _, p := range all {
@@ -145,37 +144,37 @@
 				missing[p.n] = true
 				continue
 			}
-			records = append(records, p.rec.Snapshot(p.wall()), p.rec.Snapshot(p.wall())) // one of them twice
+			records = append(records, p.recorder.Snapshot(p.wall()), p.recorder.Snapshot(p.wall())) // one record twice
 		}
 		o := DefaultOptions()
 		o.FleetSize = 300
 		a := New(records, o)
-		said := map[int]bool{}
+		reported := map[int]bool{}
 		for _, b := range a.LateSends() {
-			said[b.Number] = true
+			reported[b.Number] = true
 			if !late[b.Number] {
-				t.Errorf("seed %d: %s is said to have sent too late: %v", seed, b.Process, b.Evidence)
+				t.Errorf("seed %d: %s is falsely reported for late sends: %v", seed, b.Process, b.Evidence)
 			}
 		}
-		right := 0
+		judged := 0
 		for _, p := range a.Processes() {
-			if late[p.Number] && !missing[p.Number] && !said[p.Number] {
-				t.Errorf("seed %d: %s sent too late and is not named", seed, p.Process)
+			if late[p.Number] && !missing[p.Number] && !reported[p.Number] {
+				t.Errorf("seed %d: %s sent too late and is not reported", seed, p.Process)
 			}
 			is := p.State == Behind
 			switch {
 			case p.State == StateUnknown:
 				if !missing[p.Number] {
-					t.Errorf("seed %d: %s is unknown although its record is there: %s", seed, p.Process, p.Why)
+					t.Errorf("seed %d: %s is unknown although its record is present: %s", seed, p.Process, p.Why)
 				}
 			case is != behind[p.Number]:
-				t.Errorf("seed %d: %s is said to be %s (%s): %s", seed, p.Process, p.State, p.Confidence, p.Why)
+				t.Errorf("seed %d: %s is reported as %s (%s): %s", seed, p.Process, p.State, p.Confidence, p.Why)
 			default:
-				right++
+				judged++
 			}
 		}
-		if right < 285 {
-			t.Errorf("seed %d: %d of 300 judged", seed, right)
+		if judged < 285 {
+			t.Errorf("seed %d: %d of 300 judged", seed, judged)
 		}
 		var c Propagation
 		for _, x := range a.Propagations() {
@@ -184,72 +183,73 @@
 			}
 		}
 		if c.ToAll != -1 || c.ToNineTenths < 0 || c.ToNineTenths > 600*time.Millisecond || len(c.NotReached) == 0 {
-			t.Errorf("seed %d: the change: %+v", seed, c)
+			t.Errorf("seed %d: wrong propagation: %+v", seed, c)
 		}
 	}
 }
 
-// Why a process is behind, and that nothing is claimed without evidence.
-func TestWhyAProcessIsBehind(t *testing.T) {
+// The reason why a process is behind; nothing is claimed without evidence.
+func TestReasonsForBeingBehind(t *testing.T) {
 	for _, x := range []struct {
 		name string
-		do   func(p *proc) (ended, gone bool) // what happens to process 4 from 10 s on; gone: no record after it
-		deaf bool
-		want State
-		sure Confidence
-		why  string
+		// What happens to process 4 from 10 s on; gone: there is no later record of it.
+		do         func(p *process) (ended, gone bool)
+		isolated   bool
+		want       State
+		confidence Confidence
+		why        string
 	}{
-		{"cut off from its source", func(*proc) (bool, bool) { return false, false }, false, Behind, Certain, "cut off from its source"},
-		{"cut off from all", func(*proc) (bool, bool) { return false, false }, true, Behind, Certain, "cut off: neither"},
-		{"stopped", func(p *proc) (bool, bool) {
+		{"cut off from its source", func(*process) (bool, bool) { return false, false }, false, Behind, Certain, "cut off from its source"},
+		{"cut off from source and peers", func(*process) (bool, bool) { return false, false }, true, Behind, Certain, "cut off: neither"},
+		{"stopped", func(p *process) (bool, bool) {
 			p.now += 9 * time.Second
-			p.rec.RecordPause(p.wall(), 9*time.Second)
+			p.recorder.RecordPause(p.wall(), 9*time.Second)
 			return false, false
-		}, false, Behind, Certain, "stopped: it stood still for 9s"},
-		{"starved", func(p *proc) (bool, bool) {
+		}, false, Behind, Certain, "stopped: it was paused for 9s"},
+		{"starved", func(p *process) (bool, bool) {
 			for range 5 {
 				p.now += 900 * time.Millisecond
-				p.rec.RecordPause(p.wall(), 700*time.Millisecond)
+				p.recorder.RecordPause(p.wall(), 700*time.Millisecond)
 			}
 			return false, false
 		}, false, Behind, Certain, "starved"},
-		{"led by neighbours", func(p *proc) (bool, bool) {
-			p.rec.RecordApplied(version.List{Generation: 41})
+		{"led by peers", func(p *process) (bool, bool) {
+			p.recorder.RecordApplied(version.List{Generation: 41})
 			return false, false
 		}, false, LedByPeers, Certain, "cut off from its source"},
-		{"refuses what it is told", func(p *proc) (bool, bool) {
-			p.now = began + 19*time.Second
-			p.rec.RecordRefusal(p.wall(), "s-7", version.List{Generation: 41}, 2)
+		{"refuses reported withdrawals", func(p *process) (bool, bool) {
+			p.now = startTime + 19*time.Second
+			p.recorder.RecordRefusal(p.wall(), "s-7", version.List{Generation: 41}, 2)
 			return false, false
-		}, false, Behind, Certain, "refuses it: 1 withdrawals that others tell it of, s-7"},
-		{"crashed", func(*proc) (bool, bool) { return false, true }, true, StateUnknown, Unknown, "crashed, is stopped"},
-		{"ended", func(*proc) (bool, bool) { return true, true }, true, Ended, Certain, "in order"},
+		}, false, Behind, Certain, "refuses it: 1 withdrawals reported by peers, s-7"},
+		{"crashed", func(*process) (bool, bool) { return false, true }, true, StateUnknown, Unknown, "crashed, is stopped"},
+		{"ended", func(*process) (bool, bool) { return true, true }, true, Ended, Certain, "in order"},
 	} {
-		all := fleetOf(6, nil)
+		all := newFleet(6, nil)
 		rng := rand.New(rand.NewPCG(5, 5))
 		for range 4 {
-			talk(all, rng, nil)
+			exchange(all, rng, nil)
 		}
-		at(all, 10*time.Second)
-		early := all[4].rec.Snapshot(all[4].wall())
+		advance(all, 10*time.Second)
+		early := all[4].recorder.Snapshot(all[4].wall())
 		ended, gone := x.do(all[4])
 		early.Ended = ended
 		for _, p := range all {
 			if p.n != 4 {
-				p.now = began + 10*time.Second
-				p.acts(41)
+				p.now = startTime + 10*time.Second
+				p.actOn(41)
 			}
 		}
-		at(all, 20*time.Second)
+		advance(all, 20*time.Second)
 		for range 4 {
-			talk(all, rng, func(i int) bool { return x.deaf && i == 4 })
+			exchange(all, rng, func(i int) bool { return x.isolated && i == 4 })
 		}
 		var records []version.Record
 		for _, p := range all {
 			if p.n != 4 {
-				p.rec.RecordConfirmed(p.wall())
+				p.recorder.RecordConfirmed(p.wall())
 			}
-			if r := p.rec.Snapshot(p.wall()); p.n == 4 && gone {
+			if r := p.recorder.Snapshot(p.wall()); p.n == 4 && gone {
 				records = append(records, early)
 			} else {
 				records = append(records, r)
@@ -257,40 +257,40 @@
 		}
 		a := New(records, DefaultOptions())
 		p := a.Processes()[4]
-		if p.State != x.want || p.Confidence != x.sure || !strings.Contains(p.Why, x.why) {
+		if p.State != x.want || p.Confidence != x.confidence || !strings.Contains(p.Why, x.why) {
 			t.Errorf("%s: %s (%s): %s", x.name, p.State, p.Confidence, p.Why)
 		}
 		if other := a.Processes()[2]; other.State != UpToDate {
-			t.Errorf("%s: a process that is not: %+v", x.name, other)
+			t.Errorf("%s: a process that is not behind: %+v", x.name, other)
 		}
 	}
 }
 
-// One process that claims a huge version makes nobody else behind.
-func TestOneAloneIsNotTheNewest(t *testing.T) {
-	all := fleetOf(5, nil)
+// A single process that claims a huge version does not make the others behind.
+func TestSingleClaimIsNotNewest(t *testing.T) {
+	all := newFleet(5, nil)
 	rng := rand.New(rand.NewPCG(6, 6))
 	for range 3 {
-		talk(all, rng, nil)
+		exchange(all, rng, nil)
 	}
-	at(all, 5*time.Second)
-	all[2].acts(9000)
-	talk(all, rng, nil)
+	advance(all, 5*time.Second)
+	all[2].actOn(9000)
+	exchange(all, rng, nil)
 	var records []version.Record
 	for _, p := range all {
-		p.rec.RecordConfirmed(p.wall())
-		records = append(records, p.rec.Snapshot(p.wall()))
+		p.recorder.RecordConfirmed(p.wall())
+		records = append(records, p.recorder.Snapshot(p.wall()))
 	}
 	for _, p := range New(records, DefaultOptions()).Processes() {
 		if p.State == Behind {
-			t.Errorf("%s is said to be behind one that is alone", p.Process)
+			t.Errorf("%s is reported as behind a single process", p.Process)
 		}
 	}
 }
 
-// Description a proxy acts on is told by the service that it asks now; that a service began
-// anew at a lower version makes nobody behind, and who went back is named.
-func TestProxiesOfSeveralServices(t *testing.T) {
+// A proxy is judged by its current service. A service that restarts at a lower version
+// makes no proxy behind, and proxies that went back are named.
+func TestProxiesAcrossControlServices(t *testing.T) {
 	row := func(service string, life version.Timestamp, joined, left version.Timestamp, accepted uint64, generation uint32, state version.ProxyState) version.ProxyRecord {
 		return version.ProxyRecord{Proxy: "p", Joined: joined, Left: left, State: state.String(), Control: version.Control{Service: service, Incarnation: life,
 			Accepted: accepted, BasedOn: version.List{Generation: generation, Digest: generation}}}
@@ -306,13 +306,13 @@
 		back    int
 		asks    string
 	}{
-		"begun anew":         {[]version.Record{service("a", 1, 41, row("a", 1, 1, 0, 900, 41, current)), service("a", 9, 41, row("a", 9, 10, 0, 2, 41, current)), service("b", 2, 41)}, UpToDate, 0, "a"},
-		"moved":              {[]version.Record{service("a", 1, 41, row("a", 1, 1, 5, 900, 41, current)), service("b", 2, 41, row("b", 2, 6, 0, 3, 41, current))}, UpToDate, 0, "b"},
-		"went back":          {[]version.Record{service("a", 1, 42, row("a", 1, 1, 5, 3, 42, current)), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, Behind, 1, "b"},
-		"its service is old": {[]version.Record{service("a", 1, 42), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, Behind, 0, "b"},
-		"refuses":            {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 42, refuses))}, Behind, 0, "a"},
-		"has left":           {[]version.Record{service("a", 1, 42, row("a", 1, 1, 4, 3, 42, current))}, StateUnknown, 0, "a"},
-		"not known":          {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 0, current))}, StateUnknown, 0, "a"},
+		"restarted":         {[]version.Record{service("a", 1, 41, row("a", 1, 1, 0, 900, 41, current)), service("a", 9, 41, row("a", 9, 10, 0, 2, 41, current)), service("b", 2, 41)}, UpToDate, 0, "a"},
+		"moved":             {[]version.Record{service("a", 1, 41, row("a", 1, 1, 5, 900, 41, current)), service("b", 2, 41, row("b", 2, 6, 0, 3, 41, current))}, UpToDate, 0, "b"},
+		"moved back":        {[]version.Record{service("a", 1, 42, row("a", 1, 1, 5, 3, 42, current)), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, Behind, 1, "b"},
+		"stale service":     {[]version.Record{service("a", 1, 42), service("b", 2, 41, row("b", 2, 6, 0, 900, 41, current))}, Behind, 0, "b"},
+		"rejects a version": {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 42, refuses))}, Behind, 0, "a"},
+		"left":              {[]version.Record{service("a", 1, 42, row("a", 1, 1, 4, 3, 42, current))}, StateUnknown, 0, "a"},
+		"unknown list":      {[]version.Record{service("a", 1, 42, row("a", 1, 1, 0, 3, 0, current))}, StateUnknown, 0, "a"},
 	} {
 		a := New(x.records, DefaultOptions())
 		p := a.Proxies()
--- a/fleet/audit/breaks.go
+++ b/fleet/audit/breaks.go
@@ -9,35 +9,35 @@
 	"ivylock/fleet/version"
 )
 
-// episode is one withdrawal of a server, from the first process that knew until it
-// is given back.
+// episode is one withdrawal of a server, from the first process that knew of it until
+// the server is restored.
 type episode struct {
-	server string
-	state  version.State
-	list   version.List // the first version that says so
-	back   version.List // the first that gives it back
-	given  bool
-	first  version.Timestamp // when the first process knew of its own source; of any, if none did
-	source bool              // one did
-	again  version.Timestamp // when the first process had it back; 0: none had
-	knows  []knower          // by time
+	server     string
+	state      version.State
+	list       version.List // first version of the withdrawal
+	restoredBy version.List // first version that restores the server
+	restored   bool
+	first      version.Timestamp // when a process first knew from its own source; from any, if none did
+	fromSource bool              // first is from a process's own source
+	restoredAt version.Timestamp // when a process first had it restored; 0: never
+	known      []knowledge       // by time
 }
 
-type knower struct {
-	*life
+type knowledge struct {
+	*incarnation
 	version.Withdrawal
 }
 
-// find puts the processes' withdrawals together.
-func (a *Audit) find() {
-	by := map[string][]knower{}
-	for _, l := range a.lives {
+// groupWithdrawals groups the withdrawals of all processes into episodes.
+func (a *Audit) groupWithdrawals() {
+	byServer := map[string][]knowledge{}
+	for _, l := range a.incarnations {
 		for _, w := range l.Withdrawals {
-			by[w.Server] = append(by[w.Server], knower{l, w})
+			byServer[w.Server] = append(byServer[w.Server], knowledge{l, w})
 		}
 	}
-	for server, all := range by {
-		slices.SortFunc(all, func(x, y knower) int {
+	for server, reports := range byServer {
+		slices.SortFunc(reports, func(x, y knowledge) int {
 			switch x.List.CompareGeneration(y.List) {
 			case version.Older:
 				return -1
@@ -47,8 +47,8 @@
 			return cmp.Or(cmp.Compare(x.KnownAt, y.KnownAt), cmp.Compare(x.Number, y.Number))
 		})
 		var e *episode
-		for _, k := range all {
-			if e == nil || e.given && k.List.CompareGeneration(e.back) != version.Older {
+		for _, k := range reports {
+			if e == nil || e.restored && k.List.CompareGeneration(e.restoredBy) != version.Older {
 				e = &episode{server: server, list: k.List}
 				a.episodes = append(a.episodes, e)
 			}
@@ -56,62 +56,62 @@
 		}
 	}
 	for _, e := range a.episodes {
-		slices.SortFunc(e.knows, func(x, y knower) int {
+		slices.SortFunc(e.known, func(x, y knowledge) int {
 			return cmp.Or(cmp.Compare(x.KnownAt, y.KnownAt), cmp.Compare(x.Number, y.Number))
 		})
-		for _, k := range e.knows {
-			if own := k.ReportedBy == version.OwnSource; k.clock.Trusted && (e.first == 0 || own && !e.source) {
-				e.first, e.source = k.KnownAt, own
+		for _, k := range e.known {
+			if own := k.ReportedBy == version.OwnSource; k.clock.Trusted && (e.first == 0 || own && !e.fromSource) {
+				e.first, e.fromSource = k.KnownAt, own
 			}
-			if k.clock.Trusted && k.RestoredAt != 0 && (e.again == 0 || k.RestoredAt < e.again) {
-				e.again = k.RestoredAt
+			if k.clock.Trusted && k.RestoredAt != 0 && (e.restoredAt == 0 || k.RestoredAt < e.restoredAt) {
+				e.restoredAt = k.RestoredAt
 			}
 		}
 	}
 	slices.SortFunc(a.episodes, func(x, y *episode) int { return cmp.Or(cmp.Compare(x.first, y.first), cmp.Compare(x.server, y.server)) })
 }
 
-func (e *episode) add(k knower) {
-	e.knows = append(e.knows, k)
+func (e *episode) add(k knowledge) {
+	e.known = append(e.known, k)
 	e.state = max(e.state, k.State)
-	if k.RestoredAt != 0 && (!e.given || k.RestoredBy.CompareGeneration(e.back) == version.Older) {
-		e.given, e.back = true, k.RestoredBy
+	if k.RestoredAt != 0 && (!e.restored || k.RestoredBy.CompareGeneration(e.restoredBy) == version.Older) {
+		e.restored, e.restoredBy = true, k.RestoredBy
 	}
 }
 
-// of gives what a process knew of a withdrawal.
-func (e *episode) of(l *life) (knower, bool) {
-	i := slices.IndexFunc(e.knows, func(k knower) bool { return k.life == l })
+// knowledgeOf returns what a process knew of a withdrawal.
+func (e *episode) knowledgeOf(l *incarnation) (knowledge, bool) {
+	i := slices.IndexFunc(e.known, func(k knowledge) bool { return k.incarnation == l })
 	if i < 0 {
-		return knower{}, false
+		return knowledge{}, false
 	}
-	return e.knows[i], true
+	return e.known[i], true
 }
 
-// LateSendReport is sends to a server that wanted nothing new.
+// LateSendReport describes the sends of a process to a withdrawn server.
 type LateSendReport struct {
 	Process    string            `json:"process"`
 	Number     int               `json:"number"`
 	Life       version.Timestamp `json:"life"`
 	Server     string            `json:"server"`
 	State      string            `json:"state"`
-	Version    version.List      `json:"version"` // that withdrew it
-	SelfKnew   bool              `json:"own"`     // the process itself knew; else another did
-	MinSends   uint64            `json:"least"`   // sends that were too late for certain
-	MaxSends   uint64            `json:"most"`    // with those that may have been
-	LateFrom   version.Timestamp `json:"from"`    // from when on sends were too late
+	Version    version.List      `json:"version"` // of the withdrawal
+	SelfKnew   bool              `json:"own"`     // the process itself knew; else another one did
+	MinSends   uint64            `json:"least"`   // sends that were certainly too late
+	MaxSends   uint64            `json:"most"`    // including those that may have been too late
+	LateFrom   version.Timestamp `json:"from"`    // time from which on sends were too late
 	LastSend   version.Timestamp `json:"last"`
-	Lateness   time.Duration     `json:"late"` // the last one after the first that knew
-	Evidence   []string          `json:"path"` // who knew when, and how the sender could have
+	Lateness   time.Duration     `json:"late"` // of the last send after a process first knew
+	Evidence   []string          `json:"path"` // who knew when, and how the sender could have known
 	Confidence Confidence        `json:"sure"`
 }
 
-// LateSends lists the sends that happened although somebody knew better, by time.
+// LateSends lists the sends that happened although some process knew better, by time.
 func (a *Audit) LateSends() []LateSendReport {
 	var out []LateSendReport
 	for _, e := range a.episodes {
-		for _, l := range a.lives {
-			out = append(out, a.breaks(e, l)...)
+		for _, l := range a.incarnations {
+			out = append(out, a.lateSends(e, l)...)
 		}
 	}
 	slices.SortFunc(out, func(x, y LateSendReport) int {
@@ -120,55 +120,55 @@
 	return out
 }
 
-func (a *Audit) breaks(e *episode, l *life) []LateSendReport {
-	i := slices.IndexFunc(l.Servers, func(s version.ServerSends) bool { return s.Name == e.server })
+func (a *Audit) lateSends(e *episode, l *incarnation) []LateSendReport {
+	i := slices.IndexFunc(l.Servers, func(sends version.ServerSends) bool { return sends.Name == e.server })
 	if i < 0 {
 		return nil
 	}
-	s := l.Servers[i]
+	sends := l.Servers[i]
 	var out []LateSendReport
-	add := func(own bool, from, to version.Timestamp) {
-		least, most, last := count(&s, from, to)
+	add := func(selfKnew bool, from, to version.Timestamp) {
+		least, most, last := countSends(&sends, from, to)
 		if least == 0 {
 			return
 		}
-		b := LateSendReport{Process: l.Process, Number: l.Number, Life: l.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: own,
-			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.path(e, l, last), Confidence: Certain}
-		if !e.source {
-			b.Confidence = Likely // nobody's record says that a source said so
+		report := LateSendReport{Process: l.Process, Number: l.Number, Life: l.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: selfKnew,
+			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.evidence(e, l, last), Confidence: Certain}
+		if !e.fromSource {
+			report.Confidence = Likely // no record shows that a source withdrew it
 		}
-		out = append(out, b)
+		out = append(out, report)
 	}
-	wait := a.o.Grace + a.o.Tolerance
+	allowance := a.options.Grace + a.options.Tolerance
 	end := l.TakenAt + 1
-	if k, knew := e.of(l); knew {
+	if k, knew := e.knowledgeOf(l); knew {
 		until := end
 		if k.RestoredAt != 0 {
 			until = k.RestoredAt
 		}
-		add(true, k.KnownAt.Add(wait), until)
-		end = min(end, k.KnownAt.Add(a.o.Grace))
+		add(true, k.KnownAt.Add(allowance), until)
+		end = min(end, k.KnownAt.Add(a.options.Grace))
 	}
 	if !l.clock.Trusted || e.first == 0 {
 		return out
 	}
-	if e.again != 0 { // from then on nobody's knowledge was better
-		end = min(end, e.again)
+	if e.restoredAt != 0 { // restored: later sends are not late
+		end = min(end, e.restoredAt)
 	}
-	add(false, max(e.first.Add(wait), l.Incarnation), end)
+	add(false, max(e.first.Add(allowance), l.Incarnation), end)
 	return out
 }
 
-// count gives how many sends to a server fell for certain, and at most, between two
-// times, and the last of them.
-func count(s *version.ServerSends, from, to version.Timestamp) (least, most uint64, last version.Timestamp) {
+// countSends returns the number of sends that certainly and at most fell between two
+// times, and the time of the last one.
+func countSends(s *version.ServerSends, from, to version.Timestamp) (least, most uint64, last version.Timestamp) {
 	for _, m := range s.Buckets {
 		switch {
 		case m.From >= from && m.To < to:
 			least, most, last = least+m.Sends, most+m.Sends, m.To
-		case m.To >= from && m.To < to: // its last one at least
+		case m.To >= from && m.To < to: // at least its last send
 			least, most, last = least+1, most+m.Sends, m.To
-		case m.From >= from && m.From < to: // its first one at least
+		case m.From >= from && m.From < to: // at least its first send
 			least, most, last = least+1, most+m.Sends, m.From
 		case m.From < from && m.To >= to:
 			most += m.Sends
@@ -177,45 +177,45 @@
 	return least, most, last
 }
 
-// path tells who knew of a withdrawal when, and how one that sent could have known.
-func (a *Audit) path(e *episode, l *life, at version.Timestamp) []string {
+// evidence lists who knew of a withdrawal when, and how the sender could have known.
+func (a *Audit) evidence(withdrawal *episode, sender *incarnation, at version.Timestamp) []string {
 	var out []string
-	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for i, k := range e.knows {
+	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
+	for i, k := range withdrawal.known {
 		if i == 3 {
-			say("and %d more", len(e.knows)-i)
+			add("and %d more", len(withdrawal.known)-i)
 			break
 		}
 		if k.ReportedBy == version.OwnSource {
-			say("%s knew at %s by its own source, version %v", k.Process, FormatTime(k.KnownAt), k.List)
+			add("%s knew at %s by its own source, version %v", k.Process, FormatTime(k.KnownAt), k.List)
 		} else {
-			say("%s knew at %s by %s, version %v", k.Process, FormatTime(k.KnownAt), a.name(k.ReportedBy), k.List)
+			add("%s knew at %s by %s, version %v", k.Process, FormatTime(k.KnownAt), a.nodeName(k.ReportedBy), k.List)
 		}
 	}
 	heard := false
-	for _, k := range e.knows {
-		if h, ok := l.heard(k.Number); ok && k.life != l && h.LastHeard > k.KnownAt && h.LastHeard <= at {
-			say("%s heard %s at %s, which knew by then", l.Process, k.Process, FormatTime(h.LastHeard))
+	for _, k := range withdrawal.known {
+		if h, ok := sender.heard(k.Number); ok && k.incarnation != sender && h.LastHeard > k.KnownAt && h.LastHeard <= at {
+			add("%s heard %s at %s, which knew by then", sender.Process, k.Process, FormatTime(h.LastHeard))
 			heard = true
 			break
 		}
 	}
-	if k, knew := e.of(l); knew && k.KnownAt <= at {
-		say("%s knew itself since %s", l.Process, FormatTime(k.KnownAt))
+	if k, knew := withdrawal.knowledgeOf(sender); knew && k.KnownAt <= at {
+		add("%s knew itself since %s", sender.Process, FormatTime(k.KnownAt))
 	} else if !heard {
-		say("no word from one that knew to %s is on record before its last send", l.Process)
+		add("no word from one that knew to %s is on record before its last send", sender.Process)
 	}
-	for _, s := range l.Pauses {
+	for _, s := range sender.Pauses {
 		if s.ResumedAt <= at && at.Sub(s.ResumedAt) < time.Second {
-			say("%s stood still for %v until %s", l.Process, s.Duration.Round(time.Millisecond), FormatTime(s.ResumedAt))
+			add("%s stood still for %v until %s", sender.Process, s.Duration.Round(time.Millisecond), FormatTime(s.ResumedAt))
 		}
 	}
-	say("%s sent last at %s, acting on %v", l.Process, FormatTime(at), l.actedOn(at))
+	add("%s sent last at %s, acting on %v", sender.Process, FormatTime(at), sender.versionAt(at))
 	return out
 }
 
-// actedOn gives the version that a process acted on at a time.
-func (l *life) actedOn(at version.Timestamp) version.List {
+// versionAt returns the version that a process acted on at a time.
+func (l *incarnation) versionAt(at version.Timestamp) version.List {
 	var v version.List
 	for _, i := range l.Intervals {
 		if i.From <= at {
