--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -83,11 +83,11 @@
 		}
 		newest[key] = &incarnation{Record: cloneRecord(r)}
 	}
-	for _, l := range newest {
-		if l.ControlService {
-			a.services = append(a.services, l)
+	for _, process := range newest {
+		if process.ControlService {
+			a.services = append(a.services, process)
 		} else {
-			a.incarnations = append(a.incarnations, l)
+			a.incarnations = append(a.incarnations, process)
 		}
 	}
 	compare := func(x, y *incarnation) int {
@@ -95,20 +95,20 @@
 	}
 	slices.SortFunc(a.incarnations, compare)
 	slices.SortFunc(a.services, compare)
-	for i, l := range a.services {
-		l.latest = i+1 == len(a.services) || a.services[i+1].Process != l.Process
+	for i, process := range a.services {
+		process.latest = i+1 == len(a.services) || a.services[i+1].Process != process.Process
 	}
 	a.alignClocks()
-	for _, l := range a.incarnations {
-		if old := a.byNumber[l.Number]; old != nil {
+	for _, process := range a.incarnations {
+		if old := a.byNumber[process.Number]; old != nil {
 			old.latest = false
 		}
-		l.latest = true
-		a.byNumber[l.Number], a.nodeNames[l.Number] = l, l.Process
-		if l.clock.Trusted {
-			a.now = max(a.now, l.TakenAt)
+		process.latest = true
+		a.byNumber[process.Number], a.nodeNames[process.Number] = process, process.Process
+		if process.clock.Trusted {
+			a.now = max(a.now, process.TakenAt)
 		}
-		a.options.FleetSize = max(a.options.FleetSize, l.Number+1)
+		a.options.FleetSize = max(a.options.FleetSize, process.Number+1)
 	}
 	a.groupWithdrawals()
 	return a
@@ -131,51 +131,51 @@
 // compared.
 func (a *Audit) alignClocks() {
 	leads := map[int][]int64{} // ms, by the process that leads
-	for _, l := range a.incarnations {
-		for _, h := range l.Peers {
+	for _, process := range a.incarnations {
+		for _, h := range process.Peers {
 			leads[h.Process] = append(leads[h.Process], h.ClockLeadMillis)
 		}
 	}
-	for _, l := range a.incarnations {
-		observed := leads[l.Number]
+	for _, process := range a.incarnations {
+		observed := leads[process.Number]
 		switch {
-		case len(observed) == 0 && len(l.Peers) == 0 && len(a.incarnations) > 1:
-			l.clock.Why = "no process heard it and it heard none: its times can't be compared with the others'"
+		case len(observed) == 0 && len(process.Peers) == 0 && len(a.incarnations) > 1:
+			process.clock.Why = "no process heard it and it heard none: its times can't be compared with the others'"
 		case len(observed) == 0:
-			l.clock = ClockAlignment{Trusted: true}
+			process.clock = ClockAlignment{Trusted: true}
 		default:
 			slices.Sort(observed)
 			lead := time.Duration(observed[len(observed)/2]) * time.Millisecond
-			l.clock.Trusted = true
+			process.clock.Trusted = true
 			if lead.Abs() > version.MaxClockLead {
-				l.clock.Shift = -lead
-				l.clock.Why = fmt.Sprintf("its clock is off by %v by the word of %d processes", lead.Round(time.Millisecond), len(observed))
-				l.shiftTimes(-lead)
+				process.clock.Shift = -lead
+				process.clock.Why = fmt.Sprintf("its clock is off by %v by the word of %d processes", lead.Round(time.Millisecond), len(observed))
+				process.shiftTimes(-lead)
 			}
 		}
 	}
 }
 
-// shiftTimes shifts all times of a record.
-func (l *incarnation) shiftTimes(by time.Duration) {
+// shiftTimes shifts the times of a record.
+func (p *incarnation) shiftTimes(by time.Duration) {
 	move := func(s *version.Timestamp) {
 		if *s != 0 {
 			*s = s.Add(by)
 		}
 	}
-	for _, s := range []*version.Timestamp{&l.Incarnation, &l.TakenAt, &l.Confirmed, &l.Merged.From, &l.Merged.Until} {
+	for _, s := range []*version.Timestamp{&p.Incarnation, &p.TakenAt, &p.Confirmed, &p.Merged.From, &p.Merged.Until} {
 		move(s)
 	}
-	for i := range l.Intervals {
-		move(&l.Intervals[i].From)
-		move(&l.Intervals[i].Until)
+	for i := range p.Intervals {
+		move(&p.Intervals[i].From)
+		move(&p.Intervals[i].Until)
 	}
-	for i := range l.Withdrawals {
-		move(&l.Withdrawals[i].KnownAt)
-		move(&l.Withdrawals[i].RestoredAt)
+	for i := range p.Withdrawals {
+		move(&p.Withdrawals[i].KnownAt)
+		move(&p.Withdrawals[i].RestoredAt)
 	}
-	for i := range l.Servers {
-		s := &l.Servers[i]
+	for i := range p.Servers {
+		s := &p.Servers[i]
 		move(&s.First)
 		move(&s.Last)
 		for k := range s.Buckets {
@@ -183,24 +183,24 @@
 			move(&s.Buckets[k].To)
 		}
 	}
-	for i := range l.Peers {
-		move(&l.Peers[i].LastHeard)
+	for i := range p.Peers {
+		move(&p.Peers[i].LastHeard)
 	}
-	for i := range l.ModeChanges {
-		move(&l.ModeChanges[i].At)
+	for i := range p.ModeChanges {
+		move(&p.ModeChanges[i].At)
 	}
-	for i := range l.Pauses {
-		move(&l.Pauses[i].ResumedAt)
+	for i := range p.Pauses {
+		move(&p.Pauses[i].ResumedAt)
 	}
 }
 
 // heard returns the last message that a process received from another.
-func (l *incarnation) heard(number int) (version.PeerVersion, bool) {
-	i := slices.IndexFunc(l.Peers, func(h version.PeerVersion) bool { return h.Process == number })
+func (p *incarnation) heard(number int) (version.PeerVersion, bool) {
+	i := slices.IndexFunc(p.Peers, func(h version.PeerVersion) bool { return h.Process == number })
 	if i < 0 {
 		return version.PeerVersion{}, false
 	}
-	return l.Peers[i], true
+	return p.Peers[i], true
 }
 
 // nodeName returns the name of a node, if a record has it.
--- a/fleet/audit/behind.go
+++ b/fleet/audit/behind.go
@@ -50,11 +50,11 @@
 		}
 		claims[v][by] = true
 	}
-	for n, l := range a.byNumber {
-		if len(l.Intervals) > 0 {
-			claim(l.Intervals[len(l.Intervals)-1].Version.List, n)
+	for n, process := range a.byNumber {
+		if len(process.Intervals) > 0 {
+			claim(process.Intervals[len(process.Intervals)-1].Version.List, n)
 		}
-		for _, h := range l.Peers {
+		for _, h := range process.Peers {
 			claim(h.Version.List, h.Process)
 		}
 	}
@@ -79,11 +79,11 @@
 // firstNewer returns when a process first acted on a version newer than v.
 func (a *Audit) firstNewer(v version.List) version.Timestamp {
 	var at version.Timestamp
-	for _, l := range a.incarnations {
-		if !l.clock.Trusted {
+	for _, process := range a.incarnations {
+		if !process.clock.Trusted {
 			continue
 		}
-		for _, i := range l.Intervals {
+		for _, i := range process.Intervals {
 			if i.Version.List.CompareGeneration(v) == version.Newer && (at == 0 || i.From < at) {
 				at = i.From
 			}
@@ -98,16 +98,16 @@
 	var out []Process
 	for n := range a.options.FleetSize {
 		p := Process{Process: a.nodeName(n), Number: n, State: StateUnknown, Confidence: Unknown, GenerationsBehind: -1}
-		l := a.byNumber[n]
+		record := a.byNumber[n]
 		report, reporter := a.lastReport(n)
 		switch {
-		case l == nil && report.LastHeard == 0:
+		case record == nil && report.LastHeard == 0:
 			p.Why = "no record of it, and no process on record received a message of a known format from it: it crashed, is cut off, or its build is too old"
-		case l == nil:
+		case record == nil:
 			p.Version, p.LastSeen = report.Version, report.LastHeard
 			a.judgeByPeers(&p, report, reporter, newest)
 		default:
-			a.judgeByRecord(&p, l, report, newest)
+			a.judgeByRecord(&p, record, report, newest)
 		}
 		out = append(out, p)
 	}
@@ -117,9 +117,9 @@
 // lastReport returns the newest message of a process that others have on record, and
 // its receiver.
 func (a *Audit) lastReport(n int) (report version.PeerVersion, reporter *incarnation) {
-	for _, l := range a.incarnations {
-		if h, ok := l.heard(n); ok && l.clock.Trusted && h.LastHeard > report.LastHeard {
-			report, reporter = h, l
+	for _, process := range a.incarnations {
+		if h, ok := process.heard(n); ok && process.clock.Trusted && h.LastHeard > report.LastHeard {
+			report, reporter = h, process
 		}
 	}
 	return report, reporter
@@ -229,17 +229,17 @@
 
 // appliedLater reports whether a process later applied a withdrawal that it had
 // refused.
-func (l *incarnation) appliedLater(r version.Refusal) bool {
-	return slices.ContainsFunc(l.Withdrawals, func(w version.Withdrawal) bool {
+func (p *incarnation) appliedLater(r version.Refusal) bool {
+	return slices.ContainsFunc(p.Withdrawals, func(w version.Withdrawal) bool {
 		return w.Server == r.Server && w.RestoredAt == 0 && w.List.CompareGeneration(r.List) != version.Older
 	})
 }
 
 // refusalReason names the withdrawals that a process refuses.
-func (l *incarnation) refusalReason() string {
+func (p *incarnation) refusalReason() string {
 	n, first := 0, ""
-	for _, r := range l.RefusedWithdrawals {
-		if l.TakenAt.Sub(r.Last) < freshFor && !l.appliedLater(r) {
+	for _, r := range p.RefusedWithdrawals {
+		if p.TakenAt.Sub(r.Last) < freshFor && !p.appliedLater(r) {
 			n++
 			if first == "" {
 				first = r.Server
--- a/fleet/audit/breaks.go
+++ b/fleet/audit/breaks.go
@@ -31,9 +31,9 @@
 // groupWithdrawals groups the withdrawals of all processes into episodes.
 func (a *Audit) groupWithdrawals() {
 	byServer := map[string][]knowledge{}
-	for _, l := range a.incarnations {
-		for _, w := range l.Withdrawals {
-			byServer[w.Server] = append(byServer[w.Server], knowledge{l, w})
+	for _, process := range a.incarnations {
+		for _, w := range process.Withdrawals {
+			byServer[w.Server] = append(byServer[w.Server], knowledge{process, w})
 		}
 	}
 	for server, reports := range byServer {
@@ -80,8 +80,8 @@
 }
 
 // knowledgeOf returns what a process knew of a withdrawal.
-func (e *episode) knowledgeOf(l *incarnation) (knowledge, bool) {
-	i := slices.IndexFunc(e.known, func(k knowledge) bool { return k.incarnation == l })
+func (e *episode) knowledgeOf(process *incarnation) (knowledge, bool) {
+	i := slices.IndexFunc(e.known, func(k knowledge) bool { return k.incarnation == process })
 	if i < 0 {
 		return knowledge{}, false
 	}
@@ -110,8 +110,8 @@
 func (a *Audit) LateSends() []LateSendReport {
 	var out []LateSendReport
 	for _, e := range a.episodes {
-		for _, l := range a.incarnations {
-			out = append(out, a.lateSends(e, l)...)
+		for _, process := range a.incarnations {
+			out = append(out, a.lateSends(e, process)...)
 		}
 	}
 	slices.SortFunc(out, func(x, y LateSendReport) int {
@@ -120,28 +120,28 @@
 	return out
 }
 
-func (a *Audit) lateSends(e *episode, l *incarnation) []LateSendReport {
-	i := slices.IndexFunc(l.Servers, func(sends version.ServerSends) bool { return sends.Name == e.server })
+func (a *Audit) lateSends(e *episode, process *incarnation) []LateSendReport {
+	i := slices.IndexFunc(process.Servers, func(sends version.ServerSends) bool { return sends.Name == e.server })
 	if i < 0 {
 		return nil
 	}
-	sends := l.Servers[i]
+	sends := process.Servers[i]
 	var out []LateSendReport
 	add := func(selfKnew bool, from, to version.Timestamp) {
 		least, most, last := countSends(&sends, from, to)
 		if least == 0 {
 			return
 		}
-		report := LateSendReport{Process: l.Process, Number: l.Number, Life: l.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: selfKnew,
-			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.evidence(e, l, last), Confidence: Certain}
+		report := LateSendReport{Process: process.Process, Number: process.Number, Life: process.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: selfKnew,
+			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.evidence(e, process, last), Confidence: Certain}
 		if !e.fromSource {
 			report.Confidence = Likely // no record shows that a source withdrew it
 		}
 		out = append(out, report)
 	}
 	allowance := a.options.Grace + a.options.Tolerance
-	end := l.TakenAt + 1
-	if k, knew := e.knowledgeOf(l); knew {
+	end := process.TakenAt + 1
+	if k, knew := e.knowledgeOf(process); knew {
 		until := end
 		if k.RestoredAt != 0 {
 			until = k.RestoredAt
@@ -149,13 +149,13 @@
 		add(true, k.KnownAt.Add(allowance), until)
 		end = min(end, k.KnownAt.Add(a.options.Grace))
 	}
-	if !l.clock.Trusted || e.first == 0 {
+	if !process.clock.Trusted || e.first == 0 {
 		return out
 	}
 	if e.restoredAt != 0 { // restored: later sends are not late
 		end = min(end, e.restoredAt)
 	}
-	add(false, max(e.first.Add(allowance), l.Incarnation), end)
+	add(false, max(e.first.Add(allowance), process.Incarnation), end)
 	return out
 }
 
@@ -215,9 +215,9 @@
 }
 
 // versionAt returns the version that a process acted on at a time.
-func (l *incarnation) versionAt(at version.Timestamp) version.List {
+func (p *incarnation) versionAt(at version.Timestamp) version.List {
 	var v version.List
-	for _, i := range l.Intervals {
+	for _, i := range p.Intervals {
 		if i.From <= at {
 			v = i.Version.List
 		}
--- a/fleet/audit/changes.go
+++ b/fleet/audit/changes.go
@@ -25,12 +25,12 @@
 // reach the first, half, nine in ten and all of those that ran.
 func (a *Audit) Propagations() []Propagation {
 	type arrival struct {
-		l  *incarnation
-		at version.Timestamp
+		process *incarnation
+		at      version.Timestamp
 	}
 	versions := map[version.List]bool{}
-	for _, l := range a.incarnations {
-		for i, act := range l.Intervals {
+	for _, process := range a.incarnations {
+		for i, act := range process.Intervals {
 			if i > 0 { // the first is the version at the start
 				v := act.Version.List
 				v.Digest = 0
@@ -43,26 +43,28 @@
 		change := Propagation{Version: v, ToHalf: -1, ToNineTenths: -1, ToAll: -1}
 		var reached []arrival
 		var notReached []string
-		for _, l := range a.incarnations {
-			if !l.clock.Trusted {
+		for _, process := range a.incarnations {
+			if !process.clock.Trusted {
 				continue
 			}
-			i := slices.IndexFunc(l.Intervals, func(i version.Interval) bool { return i.Version.List.CompareGeneration(v) != version.Older })
+			i := slices.IndexFunc(process.Intervals, func(i version.Interval) bool { return i.Version.List.CompareGeneration(v) != version.Older })
 			switch {
 			case i > 0:
-				reached = append(reached, arrival{l, l.Intervals[i].From})
-			case i < 0 && l.latest:
-				notReached = append(notReached, l.Process)
+				reached = append(reached, arrival{process, process.Intervals[i].From})
+			case i < 0 && process.latest:
+				notReached = append(notReached, process.Process)
 			}
 		}
 		if len(reached) == 0 {
 			continue
 		}
-		slices.SortFunc(reached, func(x, y arrival) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.l.Number, y.l.Number)) })
-		change.FirstAt, change.FirstProcess, change.Reached = reached[0].at, reached[0].l.Process, len(reached)
-		for _, l := range notReached { // those that still ran when it started to propagate
-			if x := a.incarnations[slices.IndexFunc(a.incarnations, func(x *incarnation) bool { return x.latest && x.Process == l })]; x.TakenAt > change.FirstAt {
-				change.NotReached = append(change.NotReached, l)
+		slices.SortFunc(reached, func(x, y arrival) int {
+			return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.process.Number, y.process.Number))
+		})
+		change.FirstAt, change.FirstProcess, change.Reached = reached[0].at, reached[0].process.Process, len(reached)
+		for _, process := range notReached { // those that still ran when it started to propagate
+			if x := a.incarnations[slices.IndexFunc(a.incarnations, func(x *incarnation) bool { return x.latest && x.Process == process })]; x.TakenAt > change.FirstAt {
+				change.NotReached = append(change.NotReached, process)
 			}
 		}
 		total := len(reached) + len(change.NotReached)
@@ -98,11 +100,11 @@
 // Spans lists who acted on which version when.
 func (a *Audit) Spans() []Span {
 	var out []Span
-	for _, l := range a.incarnations {
-		for _, i := range l.Intervals {
-			s := Span{l.Process, l.Number, l.Incarnation, i.Version, i.From, i.Until, i.Sends, i.Until == 0}
+	for _, process := range a.incarnations {
+		for _, i := range process.Intervals {
+			s := Span{process.Process, process.Number, process.Incarnation, i.Version, i.From, i.Until, i.Sends, i.Until == 0}
 			if s.Ongoing {
-				s.Until = l.TakenAt
+				s.Until = process.TakenAt
 			}
 			out = append(out, s)
 		}
--- a/fleet/audit/members.go
+++ b/fleet/audit/members.go
@@ -24,12 +24,12 @@
 // legitimately differ.
 func (a *Audit) Views() []View {
 	var out []View
-	for _, l := range a.incarnations {
-		if !l.latest || len(l.Members) == 0 {
+	for _, process := range a.incarnations {
+		if !process.latest || len(process.Members) == 0 {
 			continue
 		}
-		v := View{Process: l.Process, Digest: l.ViewDigest, Slots: l.Slots, HasQuorum: l.HasQuorum, Known: len(l.Members), Majority: l.Majority}
-		for _, m := range l.Members {
+		v := View{Process: process.Process, Digest: process.ViewDigest, Slots: process.Slots, HasQuorum: process.HasQuorum, Known: len(process.Members), Majority: process.Majority}
+		for _, m := range process.Members {
 			if m.Status == "alive" {
 				v.Alive++
 				continue
@@ -61,9 +61,9 @@
 // SharedQuotas returns what the processes hold of each quota.
 func (a *Audit) SharedQuotas() []SharedQuota {
 	byQuota := map[string]*SharedQuota{}
-	for _, l := range a.incarnations {
-		for _, p := range l.Leases {
-			if !l.latest {
+	for _, process := range a.incarnations {
+		for _, p := range process.Leases {
+			if !process.latest {
 				continue
 			}
 			s := byQuota[p.Quota]
@@ -72,7 +72,7 @@
 				byQuota[p.Quota] = s
 			}
 			s.EqualShare, s.Held, s.Demand, s.Total = s.EqualShare+p.EqualShare, s.Held+p.Held, s.Demand+p.Demand, max(s.Total, p.Total)
-			s.Leases = append(s.Leases, HeldLease{l.Process, p})
+			s.Leases = append(s.Leases, HeldLease{process.Process, p})
 		}
 	}
 	var out []SharedQuota
--- a/fleet/audit/proxies.go
+++ b/fleet/audit/proxies.go
@@ -35,9 +35,9 @@
 // newestServiceList returns the newest of the comparable lists that control services
 // act on.
 func (a *Audit) newestServiceList() (best version.List, found bool) {
-	for _, l := range a.services {
-		if n := len(l.Intervals); n > 0 && !l.Ended && l.latest {
-			if v := l.Intervals[n-1].Version.List; !found || v.CompareIndependent(best) == version.Newer {
+	for _, service := range a.services {
+		if n := len(service.Intervals); n > 0 && !service.Ended && service.latest {
+			if v := service.Intervals[n-1].Version.List; !found || v.CompareIndependent(best) == version.Newer {
 				best, found = v, true
 			}
 		}
@@ -48,8 +48,8 @@
 // Proxies returns the state of each proxy that a control service has on record.
 func (a *Audit) Proxies() []Proxy {
 	byProxy := map[string][]version.ProxyRecord{}
-	for _, l := range a.services {
-		for _, r := range l.Proxies {
+	for _, service := range a.services {
+		for _, r := range service.Proxies {
 			byProxy[r.Proxy] = append(byProxy[r.Proxy], r)
 		}
 	}
@@ -132,7 +132,9 @@
 
 // incarnationEnded reports whether the incarnation of the service of a row has ended.
 func (a *Audit) incarnationEnded(r version.ProxyRecord) bool {
-	i := slices.IndexFunc(a.services, func(l *incarnation) bool { return l.Process == r.Service && l.Incarnation == r.Incarnation })
+	i := slices.IndexFunc(a.services, func(service *incarnation) bool {
+		return service.Process == r.Service && service.Incarnation == r.Incarnation
+	})
 	return i < 0 || a.services[i].Ended || !a.services[i].latest
 }
 
--- a/fleet/version/control.go
+++ b/fleet/version/control.go
@@ -71,7 +71,7 @@
 }
 
 // Evaluate returns the state of a proxy. sentAt is when the oldest unanswered version
-// was sent; strays counts sends, reported after the grace period, to servers that an
+// was sent; lateSends counts sends, reported after the grace period, to servers that an
 // accepted version withdraws.
 func (c Control) Evaluate(now, sentAt Time, timeout time.Duration, lateSends uint64) ProxyState {
 	switch {
--- a/fleet/version/record.go
+++ b/fleet/version/record.go
@@ -84,19 +84,19 @@
 	Buckets []SendBucket `json:"marks,omitempty"` // the latest ones
 }
 
-func (s *SendCounter) snapshot(name string, lag time.Duration) ServerSends {
+func (s *SendCounter) snapshot(name string, lead time.Duration) ServerSends {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := ServerSends{Name: name, Sends: s.completed + s.count}
 	if out.Sends == 0 {
 		return out
 	}
-	out.First, out.Last = TimestampOf(s.first+lag), TimestampOf(s.last+lag)
+	out.First, out.Last = TimestampOf(s.first+lead), TimestampOf(s.last+lead)
 	for i := max(0, s.next-maxBuckets); i < s.next; i++ {
 		m := s.ring[i%maxBuckets]
-		out.Buckets = append(out.Buckets, SendBucket{TimestampOf(m.from + lag), TimestampOf(m.to + lag), m.count})
+		out.Buckets = append(out.Buckets, SendBucket{TimestampOf(m.from + lead), TimestampOf(m.to + lead), m.count})
 	}
-	out.Buckets = append(out.Buckets, SendBucket{TimestampOf(s.bucketFirst + lag), out.Last, s.count})
+	out.Buckets = append(out.Buckets, SendBucket{TimestampOf(s.bucketFirst + lead), out.Last, s.count})
 	return out
 }
 
@@ -346,8 +346,8 @@
 }
 
 // RecordPause records that the process was paused until now.
-func (r *Recorder) RecordPause(now Time, gap time.Duration) {
-	if r.record.Pauses = append(r.record.Pauses, Pause{r.clock.Now(now), gap}); len(r.record.Pauses) > MaxChanges {
+func (r *Recorder) RecordPause(now Time, duration time.Duration) {
+	if r.record.Pauses = append(r.record.Pauses, Pause{r.clock.Now(now), duration}); len(r.record.Pauses) > MaxChanges {
 		r.record.Pauses = slices.Delete(r.record.Pauses, 0, 1)
 		r.record.Dropped++
 	}
@@ -409,14 +409,14 @@
 	out.Withdrawals, out.ModeChanges, out.Pauses = slices.Clone(r.record.Withdrawals), slices.Clone(r.record.ModeChanges), slices.Clone(r.record.Pauses)
 	out.Predecessors, out.RefusedWithdrawals = slices.Clone(r.record.Predecessors), slices.Clone(r.record.RefusedWithdrawals)
 	out.StaleRefusals, out.ClockRejected, out.ClockLead = r.staleRefusals.Load(), r.clock.Rejected, r.clock.MaxLead
-	lag := max(0, out.TakenAt.Time()-now)
+	lead := max(0, out.TakenAt.Time()-now)
 	for i := range out.Withdrawals {
 		if w := &out.Withdrawals[i]; w.RestoredAt != 0 {
-			w.RestoredAt = TimestampOf(w.RestoredAt.Time() + lag)
+			w.RestoredAt = TimestampOf(w.RestoredAt.Time() + lead)
 		}
 	}
 	for name, s := range r.counters {
-		if x := s.snapshot(name, lag); x.Sends > 0 {
+		if x := s.snapshot(name, lead); x.Sends > 0 {
 			out.Servers = append(out.Servers, x)
 		}
 	}
--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -125,33 +125,33 @@
 	now := 1_800_000_000 * time.Second
 	var raw []byte
 	var ends []int
-	for life := range 3 {
-		r := NewRecorder("n0", 0, now+time.Duration(life)*time.Hour, clock)
+	for incarnation := range 3 {
+		r := NewRecorder("n0", 0, now+time.Duration(incarnation)*time.Hour, clock)
 		r.SendCounter("s-1").Add(now)
-		rec := r.Snapshot(now + time.Duration(life)*time.Hour)
+		rec := r.Snapshot(now + time.Duration(incarnation)*time.Hour)
 		var err error
 		if raw, err = AppendLine(raw, &rec); err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, len(raw))
 	}
-	for cut := range len(raw) + 1 {
+	for length := range len(raw) + 1 {
 		want := 0
 		for _, end := range ends {
-			if cut >= end {
+			if length >= end {
 				want++
 			}
 		}
-		found, spoilt := ReadLines(raw[:cut])
-		if whole := cut == 0 || cut == ends[0] || cut == ends[1] || cut == ends[2]; len(found) != want || (spoilt == 0) != whole {
-			t.Fatalf("truncated at %d: %d records and %d damaged lines, want %d", cut, len(found), spoilt, want)
+		records, damaged := ReadLines(raw[:length])
+		if boundary := length == 0 || length == ends[0] || length == ends[1] || length == ends[2]; len(records) != want || (damaged == 0) != boundary {
+			t.Fatalf("truncated at %d: %d records and %d damaged lines, want %d", length, len(records), damaged, want)
 		}
 	}
 	for at := range raw { // a flipped bit costs no other record
 		corrupted := append([]byte(nil), raw...)
 		corrupted[at] ^= 1
-		if found, spoilt := ReadLines(corrupted); len(found) < 1 || len(found)+spoilt < 3 && raw[at] != '\n' {
-			t.Fatalf("bit flipped at %d: %d records, %d damaged lines", at, len(found), spoilt)
+		if records, damaged := ReadLines(corrupted); len(records) < 1 || len(records)+damaged < 3 && raw[at] != '\n' {
+			t.Fatalf("bit flipped at %d: %d records, %d damaged lines", at, len(records), damaged)
 		}
 	}
 }
@@ -159,17 +159,17 @@
 func TestEvaluateProxyState(t *testing.T) {
 	for want, x := range map[ProxyState]struct {
 		Control
-		since  time.Duration
-		strays uint64
+		since     time.Duration
+		lateSends uint64
 	}{
 		ProxyUnknown:      {Control: Control{Published: 3}},
 		ProxyCurrent:      {Control: Control{Sent: 3, Accepted: 3}},
 		ProxyPending:      {Control: Control{Sent: 3, Accepted: 2}, since: time.Second},
 		ProxyUnresponsive: {Control: Control{Sent: 3, Accepted: 2}, since: 6 * time.Second},
 		ProxyRejecting:    {Control: Control{Sent: 3, Accepted: 2, Rejected: 3}, since: 6 * time.Second},
-		ProxyNotApplying:  {Control: Control{Sent: 3, Accepted: 3}, strays: 4},
+		ProxyNotApplying:  {Control: Control{Sent: 3, Accepted: 3}, lateSends: 4},
 	} {
-		if got := x.Evaluate(time.Hour, time.Hour-x.since, 5*time.Second, x.strays); got != want {
+		if got := x.Evaluate(time.Hour, time.Hour-x.since, 5*time.Second, x.lateSends); got != want {
 			t.Errorf("%+v is %v, want %v", x, got, want)
 		}
 	}
@@ -178,21 +178,21 @@
 // Versions of two services, or of two incarnations of one, are compared by the lists
 // that they are based on; within one incarnation by number.
 func TestCompareVersionsAcrossServices(t *testing.T) {
-	on := func(service string, life Timestamp, accepted uint64, epoch uint16, generation, digest uint32) Control {
-		return Control{Service: service, Incarnation: life, Accepted: accepted, BasedOn: List{epoch, generation, digest}}
+	control := func(service string, incarnation Timestamp, accepted uint64, epoch uint16, generation, digest uint32) Control {
+		return Control{Service: service, Incarnation: incarnation, Accepted: accepted, BasedOn: List{epoch, generation, digest}}
 	}
 	for _, x := range []struct {
 		a, b Control
 		want Relation
 	}{
-		{on("a", 1, 7, 0, 40, 4), on("a", 1, 9, 0, 41, 5), Older},
-		{on("a", 2, 1, 0, 41, 5), on("a", 1, 900, 0, 41, 5), Same}, // restarted at a lower version
-		{on("a", 2, 1, 0, 42, 6), on("a", 1, 900, 0, 41, 5), Newer},
-		{on("a", 2, 1, 0, 40, 4), on("b", 1, 900, 0, 41, 5), Older},
-		{on("a", 2, 1, 0, 41, 5), on("b", 1, 900, 1, 41, 5), Same}, // the identical list, with one restart more counted
-		{on("a", 2, 1, 0, 42, 6), on("b", 1, 900, 1, 3, 5), Incomparable},
-		{on("a", 2, 1, 0, 42, 0), on("b", 1, 900, 0, 3, 5), Incomparable}, // unknown list
-		{on("a", 2, 1, 0, 41, 6), on("b", 1, 900, 0, 41, 5), Incomparable},
+		{control("a", 1, 7, 0, 40, 4), control("a", 1, 9, 0, 41, 5), Older},
+		{control("a", 2, 1, 0, 41, 5), control("a", 1, 900, 0, 41, 5), Same}, // restarted at a lower version
+		{control("a", 2, 1, 0, 42, 6), control("a", 1, 900, 0, 41, 5), Newer},
+		{control("a", 2, 1, 0, 40, 4), control("b", 1, 900, 0, 41, 5), Older},
+		{control("a", 2, 1, 0, 41, 5), control("b", 1, 900, 1, 41, 5), Same}, // the identical list, with one restart more counted
+		{control("a", 2, 1, 0, 42, 6), control("b", 1, 900, 1, 3, 5), Incomparable},
+		{control("a", 2, 1, 0, 42, 0), control("b", 1, 900, 0, 3, 5), Incomparable}, // unknown list
+		{control("a", 2, 1, 0, 41, 6), control("b", 1, 900, 0, 41, 5), Incomparable},
 	} {
 		if got := x.a.Compare(x.b); got != x.want {
 			t.Errorf("%+v against %+v is %v, want %v", x.a, x.b, got, x.want)
