--- a/fleet/audit/proxies.go
+++ b/fleet/audit/proxies.go
@@ -9,14 +9,15 @@
 	"ivylock/fleet/version"
 )
 
-// Proxy is the state of one steered proxy by the records of its control services.
+// Proxy is the state of one steered proxy, derived from the records of its control
+// services.
 type Proxy struct {
 	Proxy          string          `json:"proxy"`
 	Service        string          `json:"service"` // the current or last control service
 	Accepted       uint64          `json:"accepted"`
 	BasedOn        version.List    `json:"on"` // the list that the accepted version is based on
 	State          State           `json:"state"`
-	Verdict        string          `json:"verdict"` // of the service
+	Verdict        string          `json:"verdict"` // the state on record at the service
 	Why            string          `json:"why"`
 	Confidence     Confidence      `json:"sure"`
 	ServiceChanges []ServiceChange `json:"moves"` // oldest first
@@ -29,7 +30,7 @@
 	To       string            `json:"to"`
 	At       version.Timestamp `json:"at"` // by the clock of the new service
 	Relation version.Relation  `json:"-"`
-	Result   string            `json:"went"` // what it accepted there against what it had: same, newer, older, apart
+	Result   string            `json:"went"` // version accepted there relative to the former: same, newer, older, apart
 }
 
 // newestServiceList returns the newest of the comparable lists that control services
@@ -55,28 +56,28 @@
 	}
 	newest, known := a.newestServiceList()
 	var out []Proxy
-	for name, rows := range byProxy {
-		slices.SortStableFunc(rows, func(x, y version.ProxyRecord) int { return cmp.Compare(x.Joined, y.Joined) })
-		out = append(out, a.judgeProxy(name, rows, newest, known))
+	for name, records := range byProxy {
+		slices.SortStableFunc(records, func(x, y version.ProxyRecord) int { return cmp.Compare(x.Joined, y.Joined) })
+		out = append(out, a.judgeProxy(name, records, newest, known))
 	}
 	slices.SortFunc(out, func(x, y Proxy) int { return strings.Compare(x.Proxy, y.Proxy) })
 	return out
 }
 
-// judgeProxy judges a proxy by its rows, in the order in which the proxy joined the
-// services.
-func (a *Audit) judgeProxy(name string, rows []version.ProxyRecord, newest version.List, known bool) Proxy {
+// judgeProxy judges a proxy by its records at the services, in the order in which it
+// joined them.
+func (a *Audit) judgeProxy(name string, records []version.ProxyRecord, newest version.List, known bool) Proxy {
 	p := Proxy{Proxy: name, State: StateUnknown, Confidence: Unknown}
 	active := 0
-	last := rows[len(rows)-1]
-	for _, r := range rows {
+	last := records[len(records)-1]
+	for _, r := range records {
 		if r.Left == 0 && !a.incarnationEnded(r) {
 			active++
 			last = r
 		}
 	}
-	for i := 1; i < len(rows); i++ {
-		x, y := rows[i-1], rows[i]
+	for i := 1; i < len(records); i++ {
+		x, y := records[i-1], records[i]
 		if x.Accepted == 0 || y.Accepted == 0 {
 			continue
 		}
--- a/fleet/follow/follow_test.go
+++ b/fleet/follow/follow_test.go
@@ -16,10 +16,10 @@
 // second, as long as a peer is reachable.
 func TestWithdrawalsReachProcessCutOffFromSource(t *testing.T) {
 	for _, x := range []struct {
-		loss  float64
-		delay time.Duration
-		worst time.Duration
-		share float64 // of 100 drains within half a second
+		loss     float64
+		delay    time.Duration
+		worst    time.Duration
+		fraction float64 // of 100 drains within half a second
 	}{{0, 0, 100 * time.Millisecond, 1}, {0.1, 0, 500 * time.Millisecond, 1}, {0.4, 0, 1200 * time.Millisecond, 0.99}, {0, time.Second, 1200 * time.Millisecond, 0}} {
 		var durations []time.Duration
 		for seed := range uint64(100) {
@@ -42,7 +42,7 @@
 			}
 		}
 		t.Logf("loss %.1f, delay %v: p50 %v, p99 %v, worst %v", x.loss, x.delay, durations[49], durations[98], durations[99])
-		if worst := durations[99]; worst > x.worst || float64(n) < 100*x.share {
+		if worst := durations[99]; worst > x.worst || float64(n) < 100*x.fraction {
 			t.Errorf("loss %.1f, delay %v: worst %v, %d of 100 within 0.5 s", x.loss, x.delay, worst, n)
 		}
 	}
@@ -115,12 +115,12 @@
 // The mode under each kind of partition, and after it has healed.
 func TestModeUnderPartitions(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		nodes int
-		cut   func(s *sim) // the fault, at process 0 or at all
-		at    time.Duration
-		want  Mode // of process 0
-		rest  Mode // of the others
+		name     string
+		nodes    int
+		cut      func(s *sim) // the fault, at process 0 or at all
+		duration time.Duration
+		want     Mode // of process 0
+		others   Mode // of the others
 	}{
 		{"cut off from source and peers", 9, func(s *sim) { s.cut[0] = true; s.lossRate = lossAt(0, 1) }, 7 * time.Second, Closed, Current},
 		{"cut off from source and peers, earlier", 9, func(s *sim) { s.cut[0] = true; s.lossRate = lossAt(0, 1) }, 4500 * time.Millisecond, Narrowed, Current},
@@ -150,13 +150,13 @@
 			s := newSim(t, x.nodes, 12, seed)
 			s.run(3 * time.Second)
 			x.cut(s)
-			s.run(x.at)
+			s.run(x.duration)
 			if got := s.modeOf(0); got != x.want {
 				t.Errorf("%s, seed %d: mode %v, want %v", x.name, seed, got, x.want)
 			}
 			for i := max(1, x.nodes-2); i < x.nodes; i++ {
-				if got := s.modeOf(i); got != x.rest {
-					t.Errorf("%s, seed %d: process %d has mode %v, want %v", x.name, seed, i, got, x.rest)
+				if got := s.modeOf(i); got != x.others {
+					t.Errorf("%s, seed %d: process %d has mode %v, want %v", x.name, seed, i, got, x.others)
 				}
 			}
 			clear(s.cut)
@@ -208,16 +208,16 @@
 		s := newSim(t, 9, 40, seed)
 		s.run(3 * time.Second)
 		s.cut[4] = true
-		gens := map[string]uint64{}
+		generations := map[string]uint64{}
 		for i := range 12 {
 			name, loss := fmt.Sprintf("s-%d", i), float64(i%2)
 			s.lossRate = func(int, int) float64 { return loss }
 			s.setState(version.Draining, name)
-			gens[name] = s.generation
+			generations[name] = s.generation
 			for range 12 {
 				s.run(10 * time.Millisecond)
 				a := s.agents[4]
-				for name, generation := range gens {
+				for name, generation := range generations {
 					if uint64(a.AppliedVersion().Generation) >= generation && !a.Withdrawn(name) {
 						t.Fatalf("seed %d: version %v is applied, but %s, withdrawn in %d, is used", seed, a.AppliedVersion(), name, generation)
 					}
@@ -330,13 +330,13 @@
 				if st := s.modeOf(i); st != Current {
 					t.Fatalf("%s: process %d has mode %v", name, i, st)
 				}
-				out := 0
+				withdrawn := 0
 				for k := range 12 {
 					if s.agents[i].Withdrawn(fmt.Sprintf("s-%d", k)) {
-						out++
+						withdrawn++
 					}
 				}
-				maxWithdrawn = max(maxWithdrawn, out)
+				maxWithdrawn = max(maxWithdrawn, withdrawn)
 				for j := 1; j < 9; j++ {
 					if s.agents[i].peers[j].behind {
 						t.Fatalf("%s: process %d ignores process %d", name, i, j)
@@ -353,7 +353,7 @@
 		}
 		s.tamper = nil
 		for i := 1; i < 9; i++ {
-			if out := s.agents[i].Withdrawn("s-2"); i != 5 && out {
+			if withdrawn := s.agents[i].Withdrawn("s-2"); i != 5 && withdrawn {
 				t.Errorf("%s: process %d, whose source is live, still applies the false report", name, i)
 			}
 		}
@@ -372,13 +372,13 @@
 			s.run(pause / 2)
 			s.setState(version.Draining, "s-1")
 			s.run(pause - pause/2 + 5*time.Millisecond)
-			woke := s.now
-			for s.now < woke+2*time.Second {
+			resumedAt := s.now
+			for s.now < resumedAt+2*time.Second {
 				s.run(5 * time.Millisecond)
 				a := s.agents[2]
-				holds := a.HoldUntil() > s.now || s.now-s.lastTick[2] > a.settings.PauseThreshold
-				if uses := !a.Withdrawn("s-1") && a.entries[version.KeyOf("s-1")].state == version.Up; uses && !holds && a.MinAnswerTime(s.now) == 0 {
-					t.Fatalf("paused for %v, seed %d: %v after resuming it uses a draining server", pause, seed, s.now-woke)
+				holding := a.HoldUntil() > s.now || s.now-s.lastTick[2] > a.settings.PauseThreshold
+				if uses := !a.Withdrawn("s-1") && a.entries[version.KeyOf("s-1")].state == version.Up; uses && !holding && a.MinAnswerTime(s.now) == 0 {
+					t.Fatalf("paused for %v, seed %d: %v after resuming it uses a draining server", pause, seed, s.now-resumedAt)
 				}
 			}
 			if st := s.modeOf(2); st != Current {
@@ -422,14 +422,14 @@
 // skew.
 func TestNoProcessExcludedWithoutFault(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		n := rapid.IntRange(2, 12).Draw(r, "nodes")
-		s := newSim(t, n, 12, rapid.Uint64().Draw(r, "seed"))
+		processes := rapid.IntRange(2, 12).Draw(r, "nodes")
+		s := newSim(t, processes, 12, rapid.Uint64().Draw(r, "seed"))
 		loss := rapid.Float64Range(0, 0.6).Draw(r, "loss")
 		s.lossRate = func(int, int) float64 { return loss }
 		s.duplicateRate = rapid.Float64Range(0, 0.5).Draw(r, "doubled")
-		late := time.Duration(rapid.IntRange(0, 1000).Draw(r, "late")) * time.Millisecond
-		s.delay = func(int, int) time.Duration { return time.Duration(s.rng.Float64() * float64(late)) }
-		for i := range n {
+		maxDelay := time.Duration(rapid.IntRange(0, 1000).Draw(r, "late")) * time.Millisecond
+		s.delay = func(int, int) time.Duration { return time.Duration(s.rng.Float64() * float64(maxDelay)) }
+		for i := range processes {
 			s.lag[i] = time.Duration(rapid.IntRange(0, 900).Draw(r, "lag")) * time.Millisecond
 			s.skew[i] = time.Duration(rapid.IntRange(-2000, 2000).Draw(r, "skew")) * time.Millisecond
 		}
@@ -442,7 +442,7 @@
 		if s.modeTicks[Narrowed]+s.modeTicks[Closed]+s.modeTicks[Held] > 0 {
 			r.Fatalf("ticks by mode: %v", s.modeTicks)
 		}
-		for i := range n {
+		for i := range processes {
 			if s.agents[i].counts.Ignored > 0 || s.agents[i].vector.List.Digest != s.agents[0].vector.List.Digest {
 				r.Fatalf("process %d is at %v, process 0 at %v", i, s.agents[i].vector.List, s.agents[0].vector.List)
 			}
@@ -455,7 +455,7 @@
 	})
 }
 
-func FuzzHear(f *testing.F) {
+func FuzzHandleDatagram(f *testing.F) {
 	m := message{kind: withdrawals, parts: 1, withdrawals: []withdrawal{{key: 1, state: version.Removed}}}
 	f.Add(m.append(nil))
 	m = message{kind: fullList, parts: 2, keys: []version.Key{1, 2}}
@@ -465,18 +465,18 @@
 		a := s.agents[0]
 		a.Handle(startTime+time.Second, DatagramReceived{1, data})
 		if m, err := parse(data); err == nil && !bytes.Equal(m.append(nil), data) && m.kind != hello {
-			if again, err := parse(m.append(nil)); err != nil || len(again.withdrawals) != len(m.withdrawals) || len(again.keys) != len(m.keys) {
+			if decoded, err := parse(m.append(nil)); err != nil || len(decoded.withdrawals) != len(m.withdrawals) || len(decoded.keys) != len(m.keys) {
 				t.Errorf("message changed in an encoding round trip: %v", err)
 			}
 		}
-		out := 0
+		withdrawn := 0
 		for i := range 8 {
 			if a.Withdrawn(fmt.Sprintf("s-%d", i)) {
-				out++
+				withdrawn++
 			}
 		}
-		if out > 2 {
-			t.Errorf("one datagram withdrew %d of 8 servers", out)
+		if withdrawn > 2 {
+			t.Errorf("one datagram withdrew %d of 8 servers", withdrawn)
 		}
 	})
 }
--- a/fleet/follow/sim_test.go
+++ b/fleet/follow/sim_test.go
@@ -29,11 +29,11 @@
 	list          map[string]version.State
 	generation    uint64
 	sourceFrozen  bool
-	lastCall      []int
-	lastTick      []Time // of each process
-	tamper        func(from, to int, data []byte) []byte
+	lastCall      []int                                  // sequence number of the last list delivered
+	lastTick      []Time                                 // of each process
+	tamper        func(from, to int, data []byte) []byte // modifies a datagram; nil drops it
 	bytes         int
-	modeTicks     map[Mode]int
+	modeTicks     map[Mode]int // number of ticks by mode
 }
 
 type scheduledEvent struct {
@@ -43,16 +43,16 @@
 }
 type eventQueue []scheduledEvent
 
-func (p eventQueue) Len() int { return len(p) }
-func (p eventQueue) Less(i, j int) bool {
-	return p[i].at < p[j].at || p[i].at == p[j].at && p[i].seq < p[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (p eventQueue) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *eventQueue) Push(x any)   { *p = append(*p, x.(scheduledEvent)) }
-func (p *eventQueue) Pop() any {
-	n := len(*p) - 1
-	x := (*p)[n]
-	*p = (*p)[:n]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	n := len(*q) - 1
+	x := (*q)[n]
+	*q = (*q)[:n]
 	return x
 }
 
@@ -93,9 +93,9 @@
 			s.now = end
 			return
 		}
-		p := heap.Pop(&s.queue).(scheduledEvent)
-		s.now = p.at
-		p.do()
+		event := heap.Pop(&s.queue).(scheduledEvent)
+		s.now = event.at
+		event.do()
 	}
 }
 
@@ -127,7 +127,7 @@
 	s.seq++
 	call := s.seq
 	s.scheduleAfter(s.lag[i]+time.Duration(1+s.rng.IntN(20))*time.Millisecond, func() {
-		if !s.paused[i] && !s.cut[i] && s.lastCall[i] < call { // lists are delivered in order
+		if !s.paused[i] && !s.cut[i] && s.lastCall[i] < call { // an older list never follows a newer one
 			s.lastCall[i] = call
 			s.handle(i, l)
 		}
@@ -170,7 +170,7 @@
 func (s *sim) send(from, to int, data []byte) {
 	s.bytes += len(data)
 	if len(data) > MaxDatagram {
-		s.t.Fatalf("a datagram of %d bytes", len(data))
+		s.t.Fatalf("a datagram of %d bytes exceeds the limit", len(data))
 	}
 	if s.tamper != nil {
 		if data = s.tamper(from, to, data); data == nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-// arrive delivers a datagram; to a paused process after it resumes.
+// arrive delivers a datagram. A paused process receives it after it has resumed.
 func (s *sim) arrive(from, to int, data []byte) {
 	if s.paused[to] {
 		s.scheduleAfter(10*time.Millisecond, func() { s.arrive(from, to, data) })
@@ -212,13 +212,13 @@
 
 // timeUntilWithdrawn runs until a process no longer uses a server and returns the time
 // it took.
-func (s *sim) timeUntilWithdrawn(i int, name string, most time.Duration) time.Duration {
-	from := s.now
-	for s.now-from < most {
+func (s *sim) timeUntilWithdrawn(i int, name string, limit time.Duration) time.Duration {
+	start := s.now
+	for s.now-start < limit {
 		if s.agents[i].Withdrawn(name) || s.agents[i].entries[version.KeyOf(name)].state != version.Up {
-			return s.now - from
+			return s.now - start
 		}
 		s.run(5 * time.Millisecond)
 	}
-	return most
+	return limit
 }
