--- a/guard/attempt.go
+++ b/guard/attempt.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// MaxProcessPause is for how long a process may be held up between its last look at the clock
-// and its write (standing page). A window for repeats is kept by a process that is.
+// MaxProcessPause is how long a process may be paused between its last clock reading and
+// its write. Deduplication windows are kept despite such a pause.
 const MaxProcessPause = 150 * time.Millisecond
 
-// toldMargin is what a process keeps of the time that it tells a server: the time
-// between the last look at the clock and the write, where nothing holds it up.
-const toldMargin = 10 * time.Millisecond
+// writeMargin is deducted from the time passed on to a server: the time between the last
+// clock reading and the write without a pause.
+const writeMargin = 10 * time.Millisecond
 
-// WithholdReason is why an attempt that was chosen must not be written.
+// WithholdReason is why a chosen attempt must not be written.
 type WithholdReason int
 
 const (
 	// Permitted: it may be written.
 	Permitted WithholdReason = iota
-	// WithheldRequestDone: its request has its final answer, or its client has gone.
+	// WithheldRequestDone: the request has its final answer, or the client has
+	// disconnected.
 	WithheldRequestDone
-	// WithheldCancelled: it was called off, or its time is over.
+	// WithheldCancelled: the attempt was cancelled, or its timeout has passed.
 	WithheldCancelled
-	// WithheldDraining: its server drains or is gone by now.
+	// WithheldDraining: the server is draining or removed.
 	WithheldDraining
-	// WithheldWindowExpired: the window for repeats of its key is over.
+	// WithheldWindowExpired: the deduplication window of its key has ended.
 	WithheldWindowExpired
-	// WithheldDeadlinePassed: the client's time is over.
+	// WithheldDeadlinePassed: the client's deadline has passed.
 	WithheldDeadlinePassed
-	// WithheldProcessPaused: the process stood still and must look first.
+	// WithheldProcessPaused: the process was paused and must first check its state.
 	WithheldProcessPaused
 	// WithheldBodyConsumed: another attempt has read the request's body.
 	WithheldBodyConsumed
 )
 
-// WithholdReasonNames name the reasons in figures and logs, by their numbers. Permitted is
-// none.
-var WithholdReasonNames = []string{"", "over", "cancelled", "server_draining", "window_over", "late", "stood_still", "body_spent"}
+// WithholdReasonNames are the names of the reasons in metrics and logs, indexed by reason.
+var WithholdReasonNames = []string{"", "over", "cancelled", "server_draining", "window_over", "late", "stood_still",
+	"body_spent"}
 
-// String names the reason.
-func (w WithholdReason) String() string { return word(WithholdReasonNames, int(w)) }
+// String returns the reason's name in metrics and logs.
+func (r WithholdReason) String() string { return nameOf(WithholdReasonNames, int(r)) }
 
-// Attempt is what is known of an attempt just before its first byte is written.
+// Attempt is the state of an attempt just before its first byte is written.
 type Attempt struct {
 	Now               time.Time
-	Deadline          time.Time // when its client stops waiting
-	DedupWindowEnd    time.Time // after which it is no repeat that its server knows; zero: no such bound
-	RequestDone       bool      // its request has its final answer, or its client has gone
+	Deadline          time.Time // when the client stops waiting
+	DedupWindowEnd    time.Time // end of the deduplication window; zero: none
+	RequestDone       bool      // the request has its final answer, or the client has disconnected
 	Cancelled         bool
-	ServerUnavailable bool // its server drains or is gone
-	ProcessPaused     bool // the process stood still, and has not looked since
-	BodyConsumed      bool // its request's body has been read by another attempt
+	ServerUnavailable bool // the server is draining or removed
+	ProcessPaused     bool // the process was paused and has not checked its state since
+	BodyConsumed      bool // another attempt has read the request's body
 }
 
-// CheckWrite is the last look at an attempt, a first one as well as a repeat: nothing is
-// written that it does not permit.
+// CheckWrite decides whether an attempt may be written. It is checked last, for first
+// attempts and retries alike.
 func (a Attempt) CheckWrite() WithholdReason {
 	switch {
 	case a.RequestDone:
@@ -73,17 +74,17 @@
 	return Permitted
 }
 
-// ForwardedTimeout is what a server is told of the time that is left to a client: whole
-// milliseconds, one at least.
-func ForwardedTimeout(left time.Duration) time.Duration {
-	margin := min(toldMargin, left/10)
-	return max(time.Millisecond, (left - margin).Truncate(time.Millisecond))
+// ForwardedTimeout returns the time limit passed on to a server for a client with the given
+// time left: whole milliseconds, at least one.
+func ForwardedTimeout(timeLeft time.Duration) time.Duration {
+	margin := min(writeMargin, timeLeft/10)
+	return max(time.Millisecond, (timeLeft - margin).Truncate(time.Millisecond))
 }
 
-// word gives the word of a number.
-func word(words []string, number int) string {
-	if number < 0 || number >= len(words) {
+// nameOf returns names[number], or "unknown" if there is none.
+func nameOf(names []string, number int) string {
+	if number < 0 || number >= len(names) {
 		return "unknown"
 	}
-	return words[number]
+	return names[number]
 }
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -1,30 +1,30 @@
 package guard
 
-// Connection is what is known of a client's connection when it is to be ended.
+// Connection is the state of a client connection that is to be closed.
 type Connection struct {
-	Closed         bool // it has been ended already
-	RequestOpen    bool // a request's head has been handed on, and the request has no whole answer
-	ReceivingBody  bool // the body of that request has not come whole
-	HeadPending    bool // a whole head has been read that has not been handed on yet
-	PartialRequest bool // a part of a request has been read
-	UnreadData     bool // something has come on it that has not been read
+	Closed         bool // it is already closed
+	RequestOpen    bool // a request was passed on and is not fully answered
+	ReceivingBody  bool // the body of that request has not fully arrived
+	HeadPending    bool // a complete request head was read but not passed on yet
+	PartialRequest bool // part of a request was read
+	UnreadData     bool // data has arrived that was not read
 }
 
-// CloseMode is how a connection may be ended.
+// CloseMode is how a connection may be closed.
 type CloseMode int
 
 const (
-	// Keep: a request on it is owed its answer.
+	// KeepOpen: a request on it needs an answer.
 	KeepOpen CloseMode = iota
-	// Cut: nothing on it is owed an answer; it may be closed with no word.
+	// CloseNow: no request is pending; it may be closed without an answer.
 	CloseNow
-	// RejectThenClose: a request is coming on it whose last byte may be on its way. It may
-	// be ended with an answer that refuses that request.
+	// RejectThenClose: a request is arriving whose last byte may be under way. The
+	// connection may be closed after an answer that refuses the request.
 	RejectThenClose
 )
 
-// CloseMode tells how the connection may be ended. A request that has been read has an answer
-// before its connection ends, whatever ends it.
+// CloseMode returns how the connection may be closed. A request that was read is answered
+// before its connection closes.
 func (c Connection) CloseMode() CloseMode {
 	switch {
 	case c.Closed, c.HeadPending && !c.RequestOpen:
--- a/guard/repeat.go
+++ b/guard/repeat.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Effect says what a second execution of a request would do.
+// Effect is the consequence of executing a request twice.
 type Effect int
 
 const (
 	// Unsafe requests must never run twice.
 	Unsafe Effect = iota
-	// Keyed requests carry a key by which a group of servers drops repeats.
+	// Keyed requests carry an idempotency key by which a group of servers deduplicates.
 	Keyed
 	// Safe requests may run any number of times.
 	Safe
 )
 
-// Scope is the group of servers that share knowledge of keys.
+// Scope is the group of servers that share idempotency keys.
 type Scope int
 
 const (
@@ -26,33 +26,33 @@
 	ScopeAll
 )
 
-// Location is where a server stands, as far as keys are known there.
+// Location is where a server belongs in the scopes.
 type Location struct {
 	Zone string
 	Cell int
 }
 
-// RetryRules are a class's rules on what may run twice.
+// RetryRules are a class's rules on repeated execution.
 type RetryRules struct {
 	Effect Effect
-	Scope  Scope         // of Keyed: the group that drops repeats
-	Window time.Duration // of Keyed: how long the group remembers, from the sending on
+	Scope  Scope         // for Keyed: the group that deduplicates
+	Window time.Duration // for Keyed: how long the group remembers a key, from the send on
 }
 
-// MayRetry tells whether a request may be sent to a server at a time although an
-// earlier attempt, which was sent to another place, may have run or may run yet.
+// MayRetry reports whether a request may be sent to a server at the time now although an
+// earlier attempt, sent to another location, may have run or may still run.
 func (r RetryRules) MayRetry(earlier Location, sent time.Duration, to Location, now time.Duration) bool {
 	switch r.Effect {
 	case Safe:
 		return true
 	case Keyed:
-		return now < sent+r.Window && r.knows(earlier, to)
+		return now < sent+r.Window && r.sameGroup(earlier, to)
 	}
 	return false
 }
 
-// knows tells whether two servers are of one group.
-func (r RetryRules) knows(a, b Location) bool {
+// sameGroup reports whether two locations share idempotency keys.
+func (r RetryRules) sameGroup(a, b Location) bool {
 	switch r.Scope {
 	case ScopeAll:
 		return true
@@ -62,8 +62,8 @@
 	return a.Cell == b.Cell
 }
 
-// MayRefuse tells whether a request may be refused although an attempt may have
-// run: a refusal promises that a new try does no harm, wherever it goes.
+// MayRefuse reports whether a request may be refused although an attempt may have run: a
+// refusal promises that a retry to any server is harmless.
 func (r RetryRules) MayRefuse() bool {
 	return r.Effect == Safe || r.Effect == Keyed && r.Scope == ScopeAll
 }
--- a/guard/schedule.go
+++ b/guard/schedule.go
@@ -4,95 +4,91 @@
 	"time"
 )
 
-// The platform's part of a planned end (protocol page, standing page).
+// Termination by the platform.
 const (
-	// KillMargin is how long after SIGTERM, beside the longest deadline, SIGKILL
-	// comes at the earliest.
+	// KillMargin is the minimum time from SIGTERM to SIGKILL beyond the longest deadline.
 	KillMargin = 700 * time.Millisecond
-	// MaxDeadline is the most that a deadline counts for that.
+	// MaxDeadline is the most by which a deadline delays SIGKILL.
 	MaxDeadline = 3 * time.Second
-	// comingTime is how long after SIGTERM new connections still come.
-	comingTime = 400 * time.Millisecond
+	// trafficStopTime is how long new connections arrive after SIGTERM.
+	trafficStopTime = 400 * time.Millisecond
 )
 
-// The node's part of it.
+// Termination by the node.
 const (
-	// heldUp is what is kept of the time before SIGKILL for a process that is held
-	// up for 0.15 s before it sees the signal, and once more before it writes, and
-	// for the writing.
-	heldUp = 350 * time.Millisecond
-	// flushTime is how long connections may take to end once all is answered.
+	// pauseReserve is kept before SIGKILL for process pauses of 0.15 s before the signal is
+	// seen and before the write, and for the write itself.
+	pauseReserve = 350 * time.Millisecond
+	// flushTime is how long connections may take to close after the last answer.
 	flushTime = 150 * time.Millisecond
-	// exitTime is what is kept of the time before SIGKILL for the process's own end.
-	exitTime = 50 * time.Millisecond
-	// acceptTime is how long new connections are accepted, where the deadlines
-	// leave room for it.
+	// exitReserve is kept before SIGKILL for the exit of the process.
+	exitReserve = 50 * time.Millisecond
+	// acceptTime is how long new connections are accepted if the deadlines permit.
 	acceptTime = 600 * time.Millisecond
-	// readTime is how long requests are read behind the last connection.
-	readTime = 50 * time.Millisecond
-	// emptyTime is how long connections that wait at the listener are accepted still when it is
-	// to be closed, where the deadlines leave room for it.
-	emptyTime = 100 * time.Millisecond
-	// servingTime is the least that the last request has to be served.
-	servingTime = 100 * time.Millisecond
+	// readGrace is how long requests are read after the last connection was accepted.
+	readGrace = 50 * time.Millisecond
+	// maxBacklogTime is how long connections in the listener's backlog are accepted before
+	// it closes, if the deadlines permit.
+	maxBacklogTime = 100 * time.Millisecond
+	// minServeTime is the minimum time to serve the last request.
+	minServeTime = 100 * time.Millisecond
 )
 
-// Phase is how far a process has come.
+// Phase is a phase of the shutdown.
 type Phase int
 
 const (
-	// Serving: it has not been told to end.
+	// Serving: no shutdown.
 	Serving Phase = iota
-	// Draining: it accepts connections and serves what comes; each connection
-	// ends with its next answer.
+	// Draining: connections are accepted and requests served; each connection closes after
+	// its next answer.
 	Draining
-	// Finishing: it accepts no more connections, ends those that are idle and
-	// serves what still comes on the others.
+	// Finishing: no connections are accepted, idle ones are closed, and requests on the
+	// others are served.
 	Finishing
-	// Refusing: what is read from now on is refused; what was read before has
-	// what is left of its time.
+	// Refusing: requests that are read are refused; earlier ones have the rest of their
+	// time.
 	Refusing
-	// Answering: all that is open gets its final answer now.
+	// Answering: all open requests get their final answer at once.
 	Answering
-	// Ended: the process has no connection any more.
+	// Ended: the process has no connections.
 	Ended
 )
 
 var phaseNames = [...]string{"serving", "draining", "finishing", "refusing", "answering", "ended"}
 
-// String names the phase.
+// String returns the phase's name.
 func (p Phase) String() string { return phaseNames[min(max(p, Serving), Ended)] }
 
-// ShutdownSchedule is what a process does at which time after it was told to end. Each
-// time is from the signal on and not before the one above it.
+// ShutdownSchedule contains the times of the shutdown's phases, counted from the signal, in
+// ascending order.
 type ShutdownSchedule struct {
-	AcceptUntil time.Duration // until then connections are accepted
-	ServeUntil  time.Duration // until then what is read is served
-	AnswerBy    time.Duration // by then each request has its final answer
-	ExitBy      time.Duration // by then the process has ended, if nothing held it up
-	ForceExitAt time.Duration // from then on not even an answer that is being written is waited for
+	AcceptUntil time.Duration // connections are accepted until then
+	ServeUntil  time.Duration // requests that are read until then are served
+	AnswerBy    time.Duration // all requests have their final answer by then
+	ExitBy      time.Duration // the process has exited by then unless it was paused
+	ForceExitAt time.Duration // the process exits even while an answer is being written
 }
 
-// NewShutdownSchedule gives the schedule of a deployment whose requests have at most this
-// deadline; 0: it is not known, and may be short. All of it ends before SIGKILL
-// may come.
+// NewShutdownSchedule returns the schedule for requests with at most the given deadline; 0:
+// unknown, possibly short. It ends before SIGKILL.
 func NewShutdownSchedule(deadline time.Duration) ShutdownSchedule {
 	kill := KillMargin + min(deadline, MaxDeadline)
-	s := ShutdownSchedule{AnswerBy: max(kill-heldUp, comingTime)}
-	s.ServeUntil = max(min(acceptTime+readTime, s.AnswerBy-servingTime), min(comingTime, s.AnswerBy))
-	s.AcceptUntil = max(s.ServeUntil-readTime, 0)
+	s := ShutdownSchedule{AnswerBy: max(kill-pauseReserve, trafficStopTime)}
+	s.ServeUntil = max(min(acceptTime+readGrace, s.AnswerBy-minServeTime), min(trafficStopTime, s.AnswerBy))
+	s.AcceptUntil = max(s.ServeUntil-readGrace, 0)
 	s.ExitBy = s.AnswerBy + flushTime
-	s.ForceExitAt = kill - exitTime
+	s.ForceExitAt = kill - exitReserve
 	return s
 }
 
-// BacklogTime is how long what waits at the listener may be accepted from Accept on: nobody is
-// accepted whose refusal would come after the last answers.
+// BacklogTime returns how long connections in the listener's backlog may be accepted after
+// AcceptUntil, so that refusals are written before the last answers.
 func (s ShutdownSchedule) BacklogTime() time.Duration {
-	return max(0, min(emptyTime, s.AnswerBy-s.AcceptUntil-readTime))
+	return max(0, min(maxBacklogTime, s.AnswerBy-s.AcceptUntil-readGrace))
 }
 
-// Phase tells how far a process has come a time after it was told to end.
+// Phase returns the phase at the given time since the signal.
 func (s ShutdownSchedule) Phase(since time.Duration) Phase {
 	switch {
 	case since < s.AcceptUntil:
@@ -107,29 +103,29 @@
 	return Ended
 }
 
-// MayServe tells whether a request that was read a time after the process was told
-// to end may be served; if not it is refused.
+// MayServe reports whether a request that was read at the given time since the signal may
+// be served; otherwise it is refused.
 func (s ShutdownSchedule) MayServe(read time.Duration) bool { return read < s.ServeUntil }
 
-// MayExit tells whether the process may end its connections and itself a time after it
-// was told to end. Answers that a process gives late, because it was held up, are
-// written all the same while there is time: settled is when no request was without
-// its written answer any more, owed that there is one yet.
-func (s ShutdownSchedule) MayExit(since, settled time.Duration, owed bool) bool {
+// MayExit reports whether the process may close its connections and exit at the given time
+// since the signal. Answers delayed by a process pause are still written while there is
+// time: settled is when the last pending answer was written, pending whether an answer is
+// still missing.
+func (s ShutdownSchedule) MayExit(since, settled time.Duration, pending bool) bool {
 	switch {
 	case since < s.ExitBy:
 		return false
 	case since >= s.ForceExitAt:
 		return true
 	}
-	return !owed && since >= settled+flushTime
+	return !pending && since >= settled+flushTime
 }
 
-// EffectiveDeadline gives the longest of some deadlines, as far as it counts; 0 if there is
-// none.
+// EffectiveDeadline returns the longest deadline, at most MaxDeadline, or 0 without
+// deadlines.
 func EffectiveDeadline(deadlines ...time.Duration) (longest time.Duration) {
-	for _, d := range deadlines {
-		longest = max(longest, d)
+	for _, deadline := range deadlines {
+		longest = max(longest, deadline)
 	}
 	return min(longest, MaxDeadline)
 }
