--- a/readings/readings_test.go
+++ b/readings/readings_test.go
@@ -9,27 +9,28 @@
 	"pgregory.net/rapid"
 )
 
-// fleet lets nodes ask for a time and gives each server's times between two readings, in s.
-func fleet(nodes, servers int, length time.Duration, lives func(node int, now Time) bool) (gaps []float64) {
-	r := rand.New(rand.NewPCG(1, 2))
-	duties := make([]ProbeSchedule, nodes)
-	seen := make([]Reading, servers)
+// simulateFleet lets nodes probe for some time and returns the times between two readings
+// of a server, in s.
+func simulateFleet(nodes, servers int, length time.Duration, alive func(node int, now Time) bool) (gaps []float64) {
+	random := rand.New(rand.NewPCG(1, 2))
+	schedules := make([]ProbeSchedule, nodes)
+	known := make([]Reading, servers)
 	last := make([]Time, servers)
 	for now := Time(time.Second); now < time.Second+length; now += 5 * time.Millisecond {
-		for n := range duties {
-			if !lives(n, now) || !duties[n].Due(now, servers, float64(nodes), r.Float64()) {
+		for n := range schedules {
+			if !alive(n, now) || !schedules[n].Due(now, servers, float64(nodes), random.Float64()) {
 				continue
 			}
-			a, b := r.IntN(servers), r.IntN(servers)
-			if Staler(now, &seen[a], &seen[b]) == &seen[b] {
+			a, b := random.IntN(servers), random.IntN(servers)
+			if Staler(now, &known[a], &known[b]) == &known[b] {
 				a = b
 			}
 			if last[a] > 0 {
 				gaps = append(gaps, (now - last[a]).Seconds())
 			}
 			last[a] = now
-			seen[a].Update(0.1, now)
-			duties[n].Done()
+			known[a].Update(0.1, now)
+			schedules[n].Done()
 		}
 	}
 	return gaps
@@ -42,162 +43,174 @@
 	return sum
 }
 
-// However many nodes there are, a server is asked as often.
-func TestAServerIsAskedAsOftenByFewNodesAsByMany(t *testing.T) {
+// The probe rate at a server must not depend on the number of nodes.
+func TestProbeRateIsIndependentOfNodeCount(t *testing.T) {
 	for _, nodes := range []int{1, 3, 40, 120, 300} {
-		gaps := fleet(nodes, 30, 20*time.Second, func(int, Time) bool { return true })
+		gaps := simulateFleet(nodes, 30, 20*time.Second, func(int, Time) bool { return true })
 		if m := mean(gaps) / ProbeInterval.Seconds(); m < 0.85 || m > 1.25 {
-			t.Errorf("%d nodes: a server is asked each %.2f of the interval", nodes, m)
+			t.Errorf("%d nodes: the mean probe interval of a server is %.2f of ProbeInterval", nodes, m)
 		}
 		worst := 0.0
 		for _, g := range gaps {
 			worst = math.Max(worst, g)
 		}
 		if worst > 1.5*MaxAge.Seconds() {
-			t.Errorf("%d nodes: one was not asked for %.1f s", nodes, worst)
+			t.Errorf("%d nodes: a server was not probed for %.1f s", nodes, worst)
 		}
 	}
 }
 
-// Seven in ten nodes die at once: the others ask on, no more than before.
-func TestNodesThatDieLeaveOlderReadingsOnly(t *testing.T) {
-	gaps := fleet(300, 175, 20*time.Second, func(n int, now Time) bool { return n < 90 || now < 5*time.Second })
+// When 70 % of the nodes fail at once, the others must continue to probe at their own rate.
+func TestProbesContinueAfterNodeFailures(t *testing.T) {
+	gaps := simulateFleet(300, 175, 20*time.Second, func(n int, now Time) bool {
+		return n < 90 || now < 5*time.Second
+	})
 	if m := mean(gaps); m > 4*ProbeInterval.Seconds() || m < 0.85*ProbeInterval.Seconds() {
-		t.Errorf("asked each %.2f s", m)
+		t.Errorf("mean probe interval %.2f s", m)
 	}
 }
 
-// A server that does not answer holds up no more than one turn, and all of them together stop a node's asking until
-// one is back.
-func TestProbesThatHangAreBounded(t *testing.T) {
-	var d ProbeSchedule
-	asked := 0
+// An unanswered probe must block only one slot, and a node with all slots blocked must
+// resume when one is freed.
+func TestUnansweredProbesAreBounded(t *testing.T) {
+	var schedule ProbeSchedule
+	probes := 0
 	for now := Time(1); now < Time(time.Minute); now += 5 * time.Millisecond {
-		if d.Due(now, 100, 1, 0.5) {
-			asked++
+		if schedule.Due(now, 100, 1, 0.5) {
+			probes++
 		}
 	}
-	if asked != MaxProbesInFlight {
-		t.Errorf("%d probes are out", asked)
+	if probes != MaxProbesInFlight {
+		t.Errorf("%d probes in flight", probes)
 	}
-	if d.Done(); !d.Due(Time(2*time.Minute), 100, 1, 0.5) {
-		t.Error("it asks no more although one is back")
+	if schedule.Done(); !schedule.Due(Time(2*time.Minute), 100, 1, 0.5) {
+		t.Error("no further probe although one has ended")
 	}
 }
 
-func TestWaitOfAProbe(t *testing.T) {
+func TestProbeResultWait(t *testing.T) {
 	for _, c := range []struct {
-		what  string
-		p     ProbeResult
-		wait  float64
-		known bool
+		name   string
+		result ProbeResult
+		wait   float64
+		known  bool
 	}{
-		{"deep: it waited itself, and the queue is shorter now", ProbeResult{Elapsed: 300 * time.Millisecond, OK: true, Queued: 2, WaitPerRequest: 0.05}, 0.2, true},
-		{"shallow: what it tells counts", ProbeResult{Elapsed: 2 * time.Millisecond, OK: true, Queued: 8, WaitPerRequest: 0.05}, 0.4, true},
-		{"no report", ProbeResult{Elapsed: 20 * time.Millisecond, OK: true, Queued: -1, WaitPerRequest: 0.05}, 0.02, true},
-		{"the server gave it up after a time", ProbeResult{Elapsed: 400 * time.Millisecond, Refused: true}, 0.6, true},
-		{"turned away at once", ProbeResult{Elapsed: time.Millisecond, Refused: true}, 0, false},
+		{"deep probe: it waited, and the queue is shorter now",
+			ProbeResult{Elapsed: 300 * time.Millisecond, OK: true, Queued: 2, WaitPerRequest: 0.05}, 0.2, true},
+		{"shallow probe: the report counts",
+			ProbeResult{Elapsed: 2 * time.Millisecond, OK: true, Queued: 8, WaitPerRequest: 0.05}, 0.4, true},
+		{"no report",
+			ProbeResult{Elapsed: 20 * time.Millisecond, OK: true, Queued: -1, WaitPerRequest: 0.05}, 0.02, true},
+		{"the server gave up the probe after some time",
+			ProbeResult{Elapsed: 400 * time.Millisecond, Refused: true}, 0.6, true},
+		{"refused at once", ProbeResult{Elapsed: time.Millisecond, Refused: true}, 0, false},
 		{"no answer", ProbeResult{Elapsed: time.Second}, 0, false},
 	} {
-		if wait, known := c.p.Wait(); math.Abs(wait-c.wait) > 1e-9 || known != c.known {
-			t.Errorf("%s: %v, %v", c.what, wait, known)
+		if wait, known := c.result.Wait(); math.Abs(wait-c.wait) > 1e-9 || known != c.known {
+			t.Errorf("%s: %v, %v", c.name, wait, known)
 		}
 	}
 }
 
-func TestAReadingLosesWeightWithAge(t *testing.T) {
-	var r Reading
-	if r.Estimate(time.Second, 0.3) != 0.3 {
-		t.Error("a server that nobody asked is like the others")
+func TestReadingWeightDecaysWithAge(t *testing.T) {
+	var reading Reading
+	if reading.Estimate(time.Second, 0.3) != 0.3 {
+		t.Error("a server without a reading must be like the others")
 	}
-	r.Update(1.3, 10*time.Second)
-	if r.Update(0.1, 9*time.Second) || r.Update(math.NaN(), 11*time.Second) || r.Update(-1, 11*time.Second) || r.Update(math.Inf(1), 11*time.Second) {
-		t.Error("an older reading, or one that is none, was taken")
+	reading.Update(1.3, 10*time.Second)
+	if reading.Update(0.1, 9*time.Second) || reading.Update(math.NaN(), 11*time.Second) ||
+		reading.Update(-1, 11*time.Second) || reading.Update(math.Inf(1), 11*time.Second) {
+		t.Error("an older or invalid reading was accepted")
 	}
 	last := math.Inf(1)
 	for age := time.Duration(0); age <= MaxAge; age += 100 * time.Millisecond {
-		s := r.Estimate(10*time.Second+age, 0.3)
-		if s >= last || s < 0.3 {
-			t.Errorf("%v: %v after %v", age, s, last)
+		estimate := reading.Estimate(10*time.Second+age, 0.3)
+		if estimate >= last || estimate < 0.3 {
+			t.Errorf("%v: %v after %v", age, estimate, last)
 		}
-		last = s
+		last = estimate
 	}
-	if s := r.Estimate(10*time.Second+MaxAge+1, 0.3); s != 0.3 {
-		t.Errorf("a useless reading counts: %v", s)
+	if estimate := reading.Estimate(10*time.Second+MaxAge+1, 0.3); estimate != 0.3 {
+		t.Errorf("a reading beyond MaxAge counts: %v", estimate)
 	}
 	// A clock that steps back, or a reading from a node whose clock is ahead.
-	if s := r.Estimate(9*time.Second, 0.3); s != 1.3 {
-		t.Errorf("a reading of the future: %v", s)
+	if estimate := reading.Estimate(9*time.Second, 0.3); estimate != 1.3 {
+		t.Errorf("a reading from the future: %v", estimate)
 	}
 }
 
-func TestWhatIsToldIsHeard(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) PeerReading {
-			return PeerReading{Server: rapid.Uint32().Draw(t, "server"), Wait: float64(rapid.IntRange(0, 65535).Draw(t, "ms")) / 1000,
+		sent := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) PeerReading {
+			return PeerReading{Server: rapid.Uint32().Draw(t, "server"),
+				Wait:     float64(rapid.IntRange(0, 65535).Draw(t, "ms")) / 1000,
 				Age:      time.Duration(rapid.IntRange(0, 65535).Draw(t, "age")) * time.Millisecond,
-				Attempts: float64(rapid.IntRange(0, 255).Draw(t, "count")), Ratio: float64(rapid.IntRange(0, 255).Draw(t, "ratio")) / part}
+				Attempts: float64(rapid.IntRange(0, 255).Draw(t, "count")),
+				Ratio:    float64(rapid.IntRange(0, 255).Draw(t, "ratio")) / ratioScale}
 		}), 1, MaxReadings).Draw(t, "said")
-		data := Encode(nil, time.Hour, 0.1234, said...)
+		data := Encode(nil, time.Hour, 0.1234, sent...)
 		if len(data) > 256 {
 			t.Fatalf("%d bytes", len(data))
 		}
-		var heard []PeerReading
-		var from PeerState
-		work, err := Decode(data, time.Second, &from, func(s PeerReading) { heard = append(heard, s) })
-		if err != nil || math.Abs(work-0.1234) > 1e-9 || len(heard) != len(said) {
-			t.Fatalf("%v, %v, %d of %d", work, err, len(heard), len(said))
+		var received []PeerReading
+		var sender PeerState
+		serviceTime, err := Decode(data, time.Second, &sender, func(s PeerReading) { received = append(received, s) })
+		if err != nil || math.Abs(serviceTime-0.1234) > 1e-9 || len(received) != len(sent) {
+			t.Fatalf("%v, %v, %d of %d", serviceTime, err, len(received), len(sent))
 		}
-		for i := range said {
-			if heard[i].Server != said[i].Server || math.Abs(heard[i].Wait-said[i].Wait) > 1e-9 || heard[i].Age != said[i].Age ||
-				heard[i].Attempts != said[i].Attempts || heard[i].Ratio != said[i].Ratio {
-				t.Fatalf("%+v was heard as %+v", said[i], heard[i])
+		for i := range sent {
+			if received[i].Server != sent[i].Server || math.Abs(received[i].Wait-sent[i].Wait) > 1e-9 ||
+				received[i].Age != sent[i].Age ||
+				received[i].Attempts != sent[i].Attempts || received[i].Ratio != sent[i].Ratio {
+				t.Fatalf("%+v was decoded as %+v", sent[i], received[i])
 			}
 		}
 	})
-	if data := Encode(nil, 0, 1e9, make([]PeerReading, MaxReadings+9)...); len(data) != head+MaxReadings*each {
-		t.Errorf("%d bytes of too many readings", len(data))
+	if data := Encode(nil, 0, 1e9,
+		make([]PeerReading, MaxReadings+9)...); len(data) != headerSize+MaxReadings*entrySize {
+		t.Errorf("%d bytes for too many readings", len(data))
 	}
 }
 
-// Without evidence a server is like the others; a row of slow answers shows, and is forgotten.
-func TestPaceFollowsTheEvidence(t *testing.T) {
-	var p Slowdown
-	if s := p.Factor(time.Second); s != 1 {
-		t.Errorf("%v without evidence", s)
+// Without samples a server is like the others; slow answers must show and fade.
+func TestSlowdownFollowsSamples(t *testing.T) {
+	var slowdown Slowdown
+	if factor := slowdown.Factor(time.Second); factor != 1 {
+		t.Errorf("%v without samples", factor)
 	}
 	for i := range 30 {
-		p.Record(time.Duration(10+i/10)*time.Second, 4)
+		slowdown.Record(time.Duration(10+i/10)*time.Second, 4)
 	}
-	if s := p.Factor(13 * time.Second); s < 2.8 || s > 4 {
-		t.Errorf("%v after thirty attempts that took four times their work", s)
+	if factor := slowdown.Factor(13 * time.Second); factor < 2.8 || factor > 4 {
+		t.Errorf("%v after thirty attempts at four times their service time", factor)
 	}
-	if s := p.Factor(13*time.Second + 5*SlowdownDecayTime); s > 1.2 {
-		t.Errorf("%v long after", s)
+	if factor := slowdown.Factor(13*time.Second + 5*SlowdownDecayTime); factor > 1.2 {
+		t.Errorf("%v after the samples have decayed", factor)
 	}
-	if ratio, count := p.TakeUnreported(); ratio != 4 || count != 30 {
-		t.Errorf("tells %v, %v", ratio, count)
+	if ratio, count := slowdown.TakeUnreported(); ratio != 4 || count != 30 {
+		t.Errorf("unreported %v, %v", ratio, count)
 	}
-	if _, count := p.TakeUnreported(); count != 0 {
-		t.Errorf("tells of %v attempts twice", count)
+	if _, count := slowdown.TakeUnreported(); count != 0 {
+		t.Errorf("%v attempts are reported twice", count)
 	}
-	// One word of another node, and one heavy request, are bounded.
-	var q Slowdown
-	q.Record(time.Second, 1000)
-	q.RecordPeer(time.Second, math.Inf(1), math.Inf(1))
-	q.RecordPeer(time.Second, math.NaN(), 3)
-	q.RecordPeer(time.Second, 2, -3)
-	if s := q.Factor(time.Second); !(s <= (neutral+MaxRatio+worstOf*mostOf)/(neutral+1+mostOf)) {
-		t.Errorf("%v", s)
+	// The effect of one peer report and of one heavy request must be bounded.
+	var bounded Slowdown
+	bounded.Record(time.Second, 1000)
+	bounded.RecordPeer(time.Second, math.Inf(1), math.Inf(1))
+	bounded.RecordPeer(time.Second, math.NaN(), 3)
+	bounded.RecordPeer(time.Second, 2, -3)
+	if factor := bounded.Factor(time.Second); !(factor <=
+		(priorAttempts+MaxRatio+maxPeerRatio*maxPeerAttempts)/(priorAttempts+1+maxPeerAttempts)) {
+		t.Errorf("%v", factor)
 	}
 }
 
-// A datagram that comes twice, or after a later one, is turned away; a sender that was away is believed again,
-// whatever its clock says by then, and a clock that goes round is no matter.
-func TestOldWordsAreTurnedAway(t *testing.T) {
-	var from PeerState
-	heard := func(now, sent Time) bool {
-		_, err := Decode(Encode(nil, sent, 0.1, PeerReading{Server: 1}), now, &from, func(PeerReading) {})
+// Duplicate and reordered datagrams must be rejected; a sender that returns after a silence
+// must be accepted with any clock, and the clock may wrap around.
+func TestOutdatedDatagramsAreRejected(t *testing.T) {
+	var sender PeerState
+	accepted := func(now, sent Time) bool {
+		_, err := Decode(Encode(nil, sent, 0.1, PeerReading{Server: 1}), now, &sender, func(PeerReading) {})
 		return err == nil
 	}
 	for _, c := range []struct {
@@ -205,33 +218,35 @@
 		want      bool
 	}{
 		{time.Second, 65 * time.Second, true},
-		{time.Second + 20*time.Millisecond, 65 * time.Second, false},                       // doubled
+		{time.Second + 20*time.Millisecond, 65 * time.Second, false},                       // duplicate
 		{time.Second + 30*time.Millisecond, 64 * time.Second, false},                       // late
-		{2 * time.Second, 66 * time.Second, true},                                          // its two bytes have gone round
+		{2 * time.Second, 66 * time.Second, true},                                          // clock wrapped around
 		{2 * time.Second, 65*time.Second + 500*time.Millisecond, false},                    // late
-		{2*time.Second + SlowdownDecayTime, 10 * time.Second, true},                        // a new process, after a time
-		{2*time.Second + SlowdownDecayTime + time.Second, 11 * time.Second, true},          // and on
+		{2*time.Second + SlowdownDecayTime, 10 * time.Second, true},                        // new process
+		{2*time.Second + SlowdownDecayTime + time.Second, 11 * time.Second, true},          // its next datagram
 		{2*time.Second + SlowdownDecayTime + time.Second, 10500 * time.Millisecond, false}, // late
 	} {
-		if got := heard(c.now, c.sent); got != c.want {
-			t.Errorf("at %v, sent at its %v: %v", c.now, c.sent, got)
+		if got := accepted(c.now, c.sent); got != c.want {
+			t.Errorf("received at %v, sent at %v by the sender's clock: %v", c.now, c.sent, got)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(nil, 0, 0.3, PeerReading{Server: 1, Wait: 0.2, Age: time.Second, Ratio: 2, Attempts: 3}))
-	f.Add([]byte{form})
+	f.Add([]byte{formatID})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n := 0
-		_, err := Decode(data, time.Second, new(PeerState), func(s PeerReading) {
-			n++
-			if !(s.Wait >= 0 && s.Wait < 66) || !(s.Ratio >= 0 && s.Ratio <= 16) || !(s.Attempts >= 0 && s.Attempts <= 255) || s.Age < 0 || s.Age > 66*time.Second {
-				t.Errorf("%+v", s)
+		count := 0
+		_, err := Decode(data, time.Second, new(PeerState), func(reading PeerReading) {
+			count++
+			if !(reading.Wait >= 0 && reading.Wait < 66) || !(reading.Ratio >= 0 && reading.Ratio <= 16) ||
+				!(reading.Attempts >= 0 && reading.Attempts <= 255) || reading.Age < 0 ||
+				reading.Age > 66*time.Second {
+				t.Errorf("%+v", reading)
 			}
 		})
-		if (err == nil) != (n > 0) || n > MaxReadings {
-			t.Errorf("%d readings, %v", n, err)
+		if (err == nil) != (count > 0) || count > MaxReadings {
+			t.Errorf("%d readings, %v", count, err)
 		}
 	})
 }
