--- a/balance/api.go
+++ b/balance/api.go
@@ -216,7 +216,7 @@
 
 // Events.
 type (
-	// RequestArrived is a new request. The module gives it exactly one final answer.
+	// RequestArrived is a new request. It gets one final answer unless it is abandoned.
 	RequestArrived struct {
 		ID            RequestID
 		Class         string
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -23,7 +23,7 @@
 	baseLatencyNoise      = 0.15                   // noise of a class's mean latency
 	lowFraction           = 0.5                    // L / H
 	blockFactor           = 2.0                    // R / H
-	localQueueDelay       = 0.025                  // s
+	localQueueDelay       = 0.025                  // s, possible queueing delay within this node
 	busyFactor            = 1.5                    // multiple of the in-flight count at peak rates
 	priorityValueFloor    = 0.1                    // of the highest value
 	initialWindow         = 4.0                    // requests per server, over all nodes, before measurements
@@ -436,8 +436,8 @@
 }
 
 // retryWriteWindow returns how long a retry may take until it is written: the rest of the
-// deduplication window that began with the first attempt that may have run. It returns 0
-// for a first attempt and for classes without a window.
+// deduplication window that began with the first attempt that may have run. It returns 0 if
+// there is no such bound.
 func (m *Module) retryWriteWindow(req *request) (left time.Duration) {
 	for _, att := range req.attempts[:len(req.attempts)-1] {
 		if att.mayHaveRun && req.class.Effect == Keyed {
@@ -704,8 +704,8 @@
 // receives any, so that nodes that exchange readings agree.
 func (m *Module) isLargeFleet() bool {
 	n := m.planner.ProcessCount()
-	return n >= largeFleetEnter || n > largeFleetExit &&
-		(m.largeFleet || m.peerReadingAt > 0 && m.now-m.peerReadingAt < modeValidity)
+	return n >= largeFleetEnter ||
+		n > largeFleetExit && (m.largeFleet || m.peerReadingAt > 0 && m.now-m.peerReadingAt < modeValidity)
 }
 
 // applyFleet applies a change of the fleet's nodes and drops the state of departed peers.
--- a/balance/behaviour_test.go
+++ b/balance/behaviour_test.go
@@ -40,10 +40,9 @@
 
 func testSettings() balance.Settings {
 	return balance.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond,
-		ListPollInterval: 10 * time.Second,
-		ConnectTimeout:   100 * time.Millisecond, WarmupStartFraction: 0.3, WarmupTime: 8 * time.Second,
-		OverloadFactor: 2.5,
-		OverloadTime:   time.Second, RetryAfterSupported: true, MaxRetryAfter: time.Second,
+		ListPollInterval: 10 * time.Second, ConnectTimeout: 100 * time.Millisecond,
+		WarmupStartFraction: 0.3, WarmupTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second,
+		RetryAfterSupported: true, MaxRetryAfter: time.Second,
 		Classes: []balance.Class{
 			{Name: "dear", Value: 12, TargetLatency: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond,
 				Effect: balance.Safe},
@@ -61,8 +60,8 @@
 	h := &harness{t: t, module: decider.New(s, 1000*seed+int64(5+s.Self)), now: time.Hour,
 		sent: map[balance.ServerID]int{}, done: map[balance.RequestID]bool{},
 		finalAnswer: map[balance.RequestID]balance.Action{}, attempts: map[balance.RequestID]int{},
-		clientTimeout: 2 * time.Second,
-		inTime:        map[string]int{}, arrivedAt: map[balance.RequestID]time.Duration{}}
+		clientTimeout: 2 * time.Second, inTime: map[string]int{},
+		arrivedAt: map[balance.RequestID]time.Duration{}}
 	h.work = func(balance.RequestID) time.Duration { return 0 }
 	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return 50 * time.Millisecond, balance.OK }
 	var list []balance.Server
@@ -99,7 +98,8 @@
 			h.retryAfters = append(h.retryAfters, action.RetryAfter)
 			class, try, _ := strings.Cut(string(action.ID), "/")
 			if remaining := h.clientTimeout -
-				(h.now + action.RetryAfter - h.arrivedAt[balance.RequestID(class)]); len(try) < h.retries && remaining > 0 {
+				(h.now + action.RetryAfter - h.arrivedAt[balance.RequestID(class)]); len(try) < h.retries &&
+				remaining > 0 {
 				id := balance.RequestID(class + "/" + try + "x")
 				h.pendingEvents = append(h.pendingEvents,
 					timedEvent{h.now + action.RetryAfter,
@@ -283,8 +283,7 @@
 		s := testSettings()
 		s.MaxProcessPause = pause
 		s.Classes = []balance.Class{{Name: "keyed", Value: 1, TargetLatency: 1500 * time.Millisecond,
-			Deadline: 2 * time.Second,
-			Effect:   balance.Keyed, KeyScope: balance.ScopeAll, DedupWindow: window}}
+			Deadline: 2 * time.Second, Effect: balance.Keyed, KeyScope: balance.ScopeAll, DedupWindow: window}}
 		h := newHarness(t, s, 3)
 		first := true
 		h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
--- a/balance/gone_test.go
+++ b/balance/gone_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// An attempt ends at a server that was removed from the list, so its index in the
-// assignment is invalid. Guards against a crash, and against messages about it to nodes
+// An attempt ends at a server that was removed from the list, so that the server's index in
+// the assignment is no longer valid. Guards against a crash, and against messages about it to nodes
 // that use another server.
 func TestAttemptEndsAfterServerRemoval(t *testing.T) {
 	s := Settings{Nodes: 60, MaxAttempts: 3, MayMessage: true, MayProbe: true, ReportSource: ReportsFromProbes,
-		Classes: []Class{{Name: "clip", Value: 1, TargetLatency: time.Second, Deadline: 2 * time.Second,
-			Effect: Safe}}}
+		Classes: []Class{
+			{Name: "clip", Value: 1, TargetLatency: time.Second, Deadline: 2 * time.Second, Effect: Safe}}}
 	list := func(n int) (update ListUpdate) {
 		update.Kind = ListFull
 		for i := range n {
@@ -55,8 +55,9 @@
 // would use it in a larger pool may send to it at once. Guards against first requests that
 // together overload it.
 func TestFewNodesSendToStartingServerAtOnce(t *testing.T) {
-	for _, c := range []struct{ nodes, servers, least, most int }{{300, 6, 1, 3 * nodesPerServer},
-		{300, 3, 1, 3 * nodesPerServer}, {300, 200, 1, nodesPerServer + extraPeers}} {
+	for _, c := range []struct{ nodes, servers, least, most int }{
+		{300, 6, 1, 3 * nodesPerServer}, {300, 3, 1, 3 * nodesPerServer},
+		{300, 200, 1, nodesPerServer + extraPeers}} {
 		senders := 0
 		for self := range c.nodes {
 			m := New(Settings{Nodes: c.nodes, Self: self, MaxAttempts: 3, WarmupTime: 8 * time.Second,
@@ -81,7 +82,7 @@
 }
 
 // A server that drains, or leaves the list, and returns with the same process must keep its
-// start time; a process that started long ago is warm at once.
+// start time; a process that started long ago counts as warm at once.
 func TestRelistingIsNoRestart(t *testing.T) {
 	const warmup = 8 * time.Second
 	for name, state := range map[string]ServerState{"drains": Draining, "leaves": Removed} {
@@ -92,15 +93,15 @@
 			m.Handle(now, ListUpdate{Kind: ListFull, Entries: []Server{{ID: 1}, {ID: 2}, entry}})
 			for range 20 {
 				now += 500 * time.Millisecond
-				gone := entry
-				gone.State = state
-				m.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{gone}})
+				unavailable := entry
+				unavailable.State = state
+				m.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{unavailable}})
 				now += 500 * time.Millisecond
 				m.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{entry}})
 				srv := m.known[7]
 				m.warmupLimited(srv)
-				if want := startedAt > 0 && now < startedAt+warmup; srv.warmup != want || srv.warmup &&
-					srv.warmupStart != startedAt {
+				if want := startedAt > 0 && now < startedAt+warmup; srv.warmup != want ||
+					srv.warmup && srv.warmupStart != startedAt {
 					t.Fatalf("%s, started at %v: warming up %v since %v at %v", name, startedAt, srv.warmup,
 						srv.warmupStart, now)
 				}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -11,8 +11,9 @@
 
 const testRate = 60 // arrivals per second
 
-func simulate(seed int64, length time.Duration, mutate func(*simulation,
-	[]balance.Action) []balance.Action) *simulation {
+func simulate(
+	seed int64, length time.Duration, mutate func(*simulation, []balance.Action) []balance.Action,
+) *simulation {
 	sim := newSimulation(seed)
 	sim.capacity, sim.mutate = testRate/3, mutate
 	sim.run(length, testRate, true)
@@ -62,8 +63,9 @@
 // TestCheckerDetectsViolations breaks the module's actions in each way that the rules
 // forbid.
 func TestCheckerDetectsViolations(t *testing.T) {
-	each := func(change func(*simulation, balance.Action) []balance.Action) func(*simulation,
-		[]balance.Action) []balance.Action {
+	each := func(
+		change func(*simulation, balance.Action) []balance.Action,
+	) func(*simulation, []balance.Action) []balance.Action {
 		return func(sim *simulation, in []balance.Action) (out []balance.Action) {
 			for _, a := range in {
 				out = append(out, change(sim, a)...)
--- a/balance/state.go
+++ b/balance/state.go
@@ -174,7 +174,7 @@
 	// Number of nodes if each had this node's share of the fleet-wide limits.
 	effectiveNodes float64
 	windowNodes    float64 // effectiveNodes, at most the configured number
-	sampleScarcity float64 // nodes per server relative to ownSampleNodes, at least 1
+	sampleScarcity float64 // nodes per server relative to ownSampleNodes; 1 in a small fleet
 	lastAnswerAt   Time    // time of the last answer
 	failureRate    float64 // background failure rate of healthy servers, smoothed
 	minLatency     float64 // s, lowest recent meanLatency
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -40,10 +40,10 @@
 // may have run must fail.
 func TestConsumedBodyIsNotResent(t *testing.T) {
 	for _, c := range []struct {
-		class             string
-		code              balance.OutcomeCode
-		spent             bool
-		sends, refuse, no int
+		class               string
+		code                balance.OutcomeCode
+		bodyConsumed        bool
+		sends, refuse, fail int
 	}{
 		{"once", balance.ConnectFailed, false, 1, 0, 0},
 		{"once", balance.ConnectFailed, true, 0, 1, 0},
@@ -53,8 +53,8 @@
 	} {
 		h, s := oneRequest(t, c.class)
 		sends, refusals, failures := countActions(h, balance.AttemptEnded{ID: "x", Server: s.Server, Code: c.code,
-			BodyConsumed: c.spent})
-		if sends != c.sends || refusals != c.refuse || failures != c.no {
+			BodyConsumed: c.bodyConsumed})
+		if sends != c.sends || refusals != c.refuse || failures != c.fail {
 			t.Errorf("%+v: %d sends, %d refusals, %d failures", c, sends, refusals, failures)
 		}
 	}
--- a/balance/waits.go
+++ b/balance/waits.go
@@ -15,7 +15,7 @@
 
 const (
 	serviceTimeGain      = 0.05 // weight of a sample in the service time of a mean request
-	maxServiceTimeChange = 2.0  // factor by which one peer message may change it
+	maxServiceTimeChange = 2.0  // largest factor between it and a sample of a peer
 	extraPeers           = 4    // notified nodes per server beyond those that use it
 	concurrencyGain      = 0.05 // weight of a reading in a server's concurrency
 	initialConcurrency   = 4.0  // requests, before a server has reported
--- a/balance/world_test.go
+++ b/balance/world_test.go
@@ -98,8 +98,8 @@
 
 // sameGroup is the checker's own implementation of the scopes.
 func sameGroup(s balance.Scope, a, b *listedServer) bool {
-	return s == balance.ScopeAll || s == balance.ScopeZone && a.Zone == b.Zone || s == balance.ScopeCell &&
-		a.Cell == b.Cell
+	return s == balance.ScopeAll || s == balance.ScopeZone && a.Zone == b.Zone ||
+		s == balance.ScopeCell && a.Cell == b.Cell
 }
 
 func neverRan(c balance.OutcomeCode) bool {
@@ -405,8 +405,8 @@
 	const step = 5 * time.Millisecond
 	for end := sim.now + length; sim.now < end; sim.now += step {
 		sort.SliceStable(sim.queue, func(i, j int) bool {
-			return sim.queue[i].at < sim.queue[j].at || sim.queue[i].at == sim.queue[j].at &&
-				sim.queue[i].order < sim.queue[j].order
+			return sim.queue[i].at < sim.queue[j].at ||
+				sim.queue[i].at == sim.queue[j].at && sim.queue[i].order < sim.queue[j].order
 		})
 		for len(sim.queue) > 0 && sim.queue[0].at <= sim.now {
 			next := sim.queue[0]
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -3,9 +3,9 @@
 // Connection is the state of a client connection that is to be closed.
 type Connection struct {
 	Closed         bool // it is already closed
-	RequestOpen    bool // a request was passed on and is not fully answered
+	RequestOpen    bool // a request's head was passed on and the request is not fully answered
 	ReceivingBody  bool // the body of that request has not fully arrived
-	HeadPending    bool // a complete request head was read but not passed on yet
+	HeadPending    bool // a complete request head was read and not passed on yet
 	PartialRequest bool // part of a request was read
 	UnreadData     bool // data has arrived that was not read
 }
@@ -14,7 +14,7 @@
 type CloseMode int
 
 const (
-	// KeepOpen: a request on it needs an answer.
+	// KeepOpen: it must not be closed, for example because a request on it needs an answer.
 	KeepOpen CloseMode = iota
 	// CloseNow: no request is pending; it may be closed without an answer.
 	CloseNow
