--- a/internal/node/checks.go
+++ b/internal/node/checks.go
@@ -10,66 +10,67 @@
 	"ivylock/internal/invariant"
 )
 
-// The node's side of packages guard and invariant: what is known of an attempt before
-// its first byte, and what is checked of what was done.
+// Safety checks by packages guard and invariant: whether an attempt may be written, and
+// whether what was done was allowed.
 
-// lastLook tells whether an attempt may be written, just before its first byte.
-func (n *Node) lastLook(ctx context.Context, a *attempt) guard.WithholdReason {
+// checkBeforeWrite decides, just before the first byte, whether an attempt may be written.
+func (n *Node) checkBeforeWrite(ctx context.Context, a *attempt) guard.WithholdReason {
 	r := a.request
-	look := guard.Attempt{Now: time.Now(), Deadline: r.Deadline, DedupWindowEnd: a.latest, RequestDone: r.isOver() || r.ClientGone != nil && r.ClientGone(),
-		Cancelled: ctx.Err() != nil, ServerUnavailable: a.server.Closed(), ProcessPaused: n.fleet != nil && n.fleet.stoodStill(n.now())}
-	why := look.CheckWrite()
-	if why == guard.Permitted && r.BodyStream != nil && r.spent.Swap(true) { // guards against a second reader of what can be read once
-		look.BodyConsumed = true
-		why = look.CheckWrite()
+	state := guard.Attempt{Now: time.Now(), Deadline: r.Deadline, DedupWindowEnd: a.writeBy, RequestDone: r.isOver() || r.ClientGone != nil && r.ClientGone(),
+		Cancelled: ctx.Err() != nil, ServerUnavailable: a.server.Closed(), ProcessPaused: n.fleet != nil && n.fleet.paused(n.now())}
+	reason := state.CheckWrite()
+	if reason == guard.Permitted && r.BodyStream != nil && r.bodyConsumed.Swap(true) { // it can be read once
+		state.BodyConsumed = true
+		reason = state.CheckWrite()
 	}
-	return why
+	return reason
 }
 
-// checkWritten checks an attempt that has been written.
+// checkWritten checks the invariants of an attempt that has been written.
 func (n *Node) checkWritten(a *attempt) {
 	r := a.request
-	w := invariant.Written{Request: string(r.ID), At: time.Now(), Deadline: r.Deadline, ServerClosed: a.server.ClosedAt(),
-		DrainGrace: n.cfg.Settings.DrainGrace, Told: a.told, TooLate: a.number == 0 && !n.life.mayTake(r.ReadAt)}
-	if over := r.over.Load(); over != nil {
-		w.Over = over.at
+	written := invariant.Written{Request: string(r.ID), At: time.Now(), Deadline: r.Deadline, ServerClosed: a.server.ClosedAt(),
+		DrainGrace: n.cfg.Settings.DrainGrace, Told: a.forwardedTimeout, TooLate: a.number == 0 && !n.lifecycle.mayServe(r.ReadAt)}
+	if end := r.ended.Load(); end != nil {
+		written.Over = end.at
 	}
-	if r.BodyStream != nil { // its last byte is written long after its first one, and its time counts from then on
-		w.Over, w.ServerClosed, w.Told = time.Time{}, time.Time{}, 0
+	// Its last byte is written long after the first, and its timeout starts only then.
+	if r.BodyStream != nil {
+		written.Over, written.ServerClosed, written.Told = time.Time{}, time.Time{}, 0
 	}
-	n.checker.Wrote(w)
+	n.checker.Wrote(written)
 }
 
-// checkRepeat tells whether an attempt would break the rules on repeats, by what the
-// node knows of the earlier ones. It comes before the attempt is one of the request's.
-func (n *Node) checkRepeat(a *attempt) (broken bool) {
+// checkRetry reports whether an attempt would break the retry rules of its class, given the
+// earlier attempts. It must be called before the attempt is added to its request.
+func (n *Node) checkRetry(a *attempt) (broken bool) {
 	r := a.request
-	for _, e := range r.attempts {
-		if !e.mayRun {
+	for _, earlier := range r.attempts {
+		if !earlier.mayHaveRun {
 			continue
 		}
-		if !n.repeats[r.Class].MayRetry(e.server.Place, e.chosen.Sub(n.start), a.server.Place, a.chosen.Sub(n.start)) {
-			n.checker.Broken(invariant.RepeatedUnsafely, string(r.ID), "attempt %d at %s although attempt %d at %s may have run", a.number, a.server.Name, e.number, e.server.Name)
+		if !n.retryRules[r.Class].MayRetry(earlier.server.Place, earlier.chosenAt.Sub(n.start), a.server.Place, a.chosenAt.Sub(n.start)) {
+			n.checker.Broken(invariant.RepeatedUnsafely, string(r.ID), "attempt %d at %s although attempt %d at %s may have run", a.number, a.server.Name, earlier.number, earlier.server.Name)
 			return true
 		}
 	}
 	return false
 }
 
-// checkRefusal gives the answer that a request may have: one that may have run and that a
-// client must not repeat is failed and not refused.
-func (n *Node) checkRefusal(r *Request, answer Response) Response {
-	if figures.OutcomeOf(answer.Status) != figures.Throttled || n.repeats[r.Class].MayRefuse() {
-		return answer
+// checkRefusal returns the response that a request may get: if an attempt may have run and
+// the client must not retry, a refusal becomes a failure.
+func (n *Node) checkRefusal(r *Request, resp Response) Response {
+	if figures.OutcomeOf(resp.Status) != figures.Throttled || n.retryRules[r.Class].MayRefuse() {
+		return resp
 	}
 	for _, a := range r.attempts {
-		if a.mayRun {
+		if a.mayHaveRun {
 			n.checker.Broken(invariant.RefusedUnsafely, string(r.ID), "refused although attempt %d at %s may have run", a.number, a.server.Name)
-			return Response{Status: http.StatusBadGateway, Reason: answer.Reason}
+			return Response{Status: http.StatusBadGateway, Reason: resp.Reason}
 		}
 	}
-	return answer
+	return resp
 }
 
-// Checker counts violations of invariants, for fronts to add theirs.
+// Checker returns the counter of invariant violations, to which front ends add theirs.
 func (n *Node) Checker() *invariant.Checker { return n.checker }
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -8,42 +8,41 @@
 	"ivylock/internal/discovery"
 )
 
-// Whichever way the wall clock stepped since the node's start, a server that is told to have
-// started a moment ago has started a moment ago; so it has for a node whose own clock was wrong
-// at its start, where discovery tells its time.
-func TestAServerIsColdThoughTheClockStepped(t *testing.T) {
+// A server that started a moment ago counts as such after a step of the wall clock, whether
+// or not discovery reports its own time.
+func TestRestartedServerWarmsUpAfterClockStep(t *testing.T) {
 	for _, step := range []time.Duration{0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
-		for _, told := range []bool{false, true} {
+		for _, dated := range []bool{false, true} {
 			n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
-			n.origin -= step // what the wall clock was at the start, by what it is now
+			n.origin -= step // the wall clock at start, given its present value
 			entry := discovery.Entry{InstanceID: "a", HostPort: "127.0.0.1:2", Lifecycle: "up"}
-			news := func(kind balance.ListKind, startedAgo time.Duration) {
+			update := func(kind balance.ListKind, startedAgo time.Duration) {
 				if entry.StartedAtMs = 0; startedAgo > 0 {
 					entry.StartedAtMs = time.Now().Add(-startedAgo).UnixMilli()
 				}
 				list := discovery.List{Generation: n.list.Generation() + 1, Full: kind == balance.ListFull, Instances: []discovery.Entry{entry}}
-				if told {
+				if dated {
 					list.Date = time.Now().Truncate(time.Second)
 				}
-				n.takeNews(discovery.Update{Kind: kind, List: list})
+				n.applyListUpdate(discovery.Update{Kind: kind, List: list})
 			}
-			news(balance.ListFull, 0)
-			news(balance.ListChanges, time.Second)
-			age := n.now() - n.startOf(entry, n.list.ReceivedAt())
+			update(balance.ListFull, 0)
+			update(balance.ListChanges, time.Second)
+			age := n.now() - n.serverStart(entry, n.list.ReceivedAt())
 			if age < -time.Second || age > 1500*time.Millisecond {
-				t.Errorf("step %v, discovery tells its time %v: it counts as started %v ago", step, told, age)
+				t.Errorf("step %v, discovery reports its time %v: the server counts as started %v ago", step, dated, age)
 			}
 		}
 	}
 }
 
-// A node whose clock is wrong from its start on goes by discovery's.
-func TestAWrongClockAtTheStartIsFoundOut(t *testing.T) {
+// A node whose clock is wrong from the start uses discovery's clock.
+func TestWrongStartClockIsCorrectedByDiscovery(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
-	discoverysTime := time.Now().Add(-time.Hour)
-	entry := discovery.Entry{InstanceID: "a", HostPort: "127.0.0.1:2", Lifecycle: "up", StartedAtMs: discoverysTime.Add(-time.Second).UnixMilli()}
-	n.takeNews(discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: 1, Full: true, Instances: []discovery.Entry{entry}, Date: discoverysTime}})
-	if age := n.now() - n.startOf(entry, 0); age > 7*time.Second {
-		t.Errorf("it counts as started %v ago", age)
+	sourceTime := time.Now().Add(-time.Hour)
+	entry := discovery.Entry{InstanceID: "a", HostPort: "127.0.0.1:2", Lifecycle: "up", StartedAtMs: sourceTime.Add(-time.Second).UnixMilli()}
+	n.applyListUpdate(discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: 1, Full: true, Instances: []discovery.Entry{entry}, Date: sourceTime}})
+	if age := n.now() - n.serverStart(entry, 0); age > 7*time.Second {
+		t.Errorf("the server counts as started %v ago", age)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	reservedSockets = 24 // listeners, discovery, peers, standard streams, the runtime's own
-	bodyPart        = 8  // of the memory limit
-	leastSockets    = 2 * (reservedSockets + console.Sockets)
+	reservedSockets   = 24 // listeners, discovery, peers, standard streams and the Go runtime
+	bodyMemoryDivisor = 8  // fraction of the memory limit for streamed bodies
+	minSockets        = 2 * (reservedSockets + console.Sockets)
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
 	Name, Listen, Discovery   string
-	Console                   string // where operators call; empty: nowhere
+	Console                   string // address of the operators' console; empty: none
 	Seed                      int64
 	Cores                     float64
 	MemoryMB, Sockets         int
 	PeerListen, PeerBroadcast string
-	Peers                     []string // by node number, this node's own among them
+	Peers                     []string // by node number, including this node
 	InitialList               discovery.List
 	Settings                  balance.Settings
-	Fleet                     *FleetConfig // nil: the node neither tells nor asks others what it acts on
+	Fleet                     *FleetConfig // nil: the node does not exchange fleet state
 	settingsDigest            uint16
 }
 
-// ConfigError is what is wrong with a configuration, on one line.
+// ConfigError describes an invalid configuration in one line.
 type ConfigError struct {
-	Path  string // of the file; empty: it did not come from one
-	Field string // its place in the object; empty: the whole of it
-	Text  string // what is wrong and the fix
+	Path  string // of the file; empty if not read from a file
+	Field string // path of the field; empty for the whole object
+	Text  string // what is wrong and how to fix it
 }
 
 func (e *ConfigError) Error() string {
@@ -56,18 +56,19 @@
 	return text + ": " + e.Text
 }
 
-func fault(field, format string, args ...any) *ConfigError {
+func newConfigError(field, format string, args ...any) *ConfigError {
 	return &ConfigError{Field: field, Text: strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", " ")}
 }
 
-// LoadConfig reads and checks the configuration file. Its errors are of type *ConfigError.
+// LoadConfig reads and validates the configuration file. Its errors are of type
+// *ConfigError.
 func LoadConfig(path string) (*Config, error) {
 	if path == "" {
-		return nil, fault("", "PROXY_CONFIG names no file; set it to the configuration's path")
+		return nil, newConfigError("", "PROXY_CONFIG names no file; set it to the configuration's path")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault("", "%v; make it a file that this process may read", err)
+		return nil, newConfigError("", "%v; make it a file that this process may read", err)
 	}
 	c, err := ParseConfig(raw)
 	var e *ConfigError
@@ -77,23 +78,23 @@
 	return c, err
 }
 
-// explain words an error of encoding/json with its place.
-func explain(within string, raw []byte, err error) *ConfigError {
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+// describeJSONError converts an error of encoding/json into a ConfigError with its
+// position.
+func describeJSONError(within string, raw []byte, err error) *ConfigError {
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
-		before := raw[:min(int(syntax.Offset), len(raw))]
-		return fault(within, "line %d: %v; write valid JSON", 1+bytes.Count(before, []byte("\n")), err)
-	case errors.As(err, &kind):
-		field := strings.Trim(within+"."+kind.Field, ".")
-		return fault(field, "is a JSON %s; write a value of type %v", kind.Value, kind.Type)
-	}
-	return fault(within, "%v; correct it", err)
+	case errors.As(err, &syntaxErr):
+		before := raw[:min(int(syntaxErr.Offset), len(raw))]
+		return newConfigError(within, "line %d: %v; write valid JSON", 1+bytes.Count(before, []byte("\n")), err)
+	case errors.As(err, &typeErr):
+		field := strings.Trim(within+"."+typeErr.Field, ".")
+		return newConfigError(field, "is a JSON %s; write a value of type %v", typeErr.Value, typeErr.Type)
+	}
+	return newConfigError(within, "%v; correct it", err)
 }
 
-// configFile is the configuration as it is written; docs/settings.md has a row for each
-// field.
+// configFile is the JSON form of a configuration. docs/settings.md documents each field.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -112,75 +113,75 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// ParseConfig reads and checks a configuration. Its errors are of type *ConfigError.
+// ParseConfig parses and validates a configuration. Its errors are of type *ConfigError.
 func ParseConfig(raw []byte) (*Config, error) {
 	var in configFile
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return nil, explain("", raw, err)
+		return nil, describeJSONError("", raw, err)
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		return nil, fault("seed", "%q is no number; write up to 16 hexadecimal digits", in.Seed)
+		return nil, newConfigError("seed", "%q is not a number; write up to 16 hexadecimal digits", in.Seed)
 	}
 	c := &Config{Name: in.Name, Listen: in.Listen, Console: in.Console, Discovery: in.Discovery, Seed: int64(seed),
 		Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
 		PeerListen: in.PeerListen, PeerBroadcast: in.PeersAll, Peers: in.Peers}
 	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil && (a.addr != "" || a.field != "console") {
-			return nil, fault(a.field, "%q is no address; write host:port", a.addr)
+			return nil, newConfigError(a.field, "%q is not an address; write host:port", a.addr)
 		}
 	}
 	if c.Cores <= 0 {
-		return nil, fault("limits.cores", "%v; write a number above 0", c.Cores)
+		return nil, newConfigError("limits.cores", "%v; write a number above 0", c.Cores)
 	}
 	if c.MemoryMB <= 0 {
-		return nil, fault("limits.memory_mb", "%d; write a number above 0", c.MemoryMB)
+		return nil, newConfigError("limits.memory_mb", "%d; write a number above 0", c.MemoryMB)
 	}
-	if c.Sockets < leastSockets {
-		return nil, fault("limits.sockets", "%d; write at least %d", c.Sockets, leastSockets)
+	if c.Sockets < minSockets {
+		return nil, newConfigError("limits.sockets", "%d; write at least %d", c.Sockets, minSockets)
 	}
 	if len(in.Known) > 0 {
 		if c.InitialList, err = discovery.ParseList(in.Known); err != nil {
-			return nil, fault("known", "%v; write a list in discovery's form, or leave it out", err)
+			return nil, newConfigError("known", "%v; write a list in discovery's form, or leave it out", err)
 		}
 	}
 	if len(in.Settings) == 0 {
-		return nil, fault("settings", "missing; write the deployment's settings")
+		return nil, newConfigError("settings", "missing; write the deployment's settings")
 	}
-	var wrong *settings.Error
-	if c.Settings, err = settings.DecodeForNode(in.Settings); errors.As(err, &wrong) {
-		return nil, fault(strings.TrimSuffix("settings."+wrong.Field, "."), "%s", wrong.Text)
+	var settingsErr *settings.Error
+	if c.Settings, err = settings.DecodeForNode(in.Settings); errors.As(err, &settingsErr) {
+		return nil, newConfigError(strings.TrimSuffix("settings."+settingsErr.Field, "."), "%s", settingsErr.Text)
 	}
-	c.settingsDigest = digestOf(in.Settings)
+	c.settingsDigest = digestSettings(in.Settings)
 	s := c.Settings
-	// Clients hold a third of the descriptors at most: what is open then shows
-	// that the next requests find no connection.
+	// Open requests are limited to a third of the descriptors, so that connections remain
+	// for further clients.
 	c.Settings.MaxOpenRequests = min(s.MaxOpenRequests, c.Sockets/3)
 	if s.MayMessage && c.PeerListen != "" && (s.Self < 0 || s.Self >= len(c.Peers)) {
-		return nil, fault("peers", "node %d is not among %d peers; list every node, in the order of their numbers", s.Self, len(c.Peers))
+		return nil, newConfigError("peers", "node %d is not among %d peers; list every node, in the order of their numbers", s.Self, len(c.Peers))
 	}
 	return c, nil
 }
 
-// CheckReload tells whether another configuration is this node's own: one of another node or
-// deployment names servers of somebody else. Limits and costs may differ; they are taken at
-// a start. Its errors are of type *ConfigError.
+// CheckReload returns an error if other belongs to another node or deployment, whose
+// servers differ. Limits and costs may differ; they take effect at the next start. Its
+// errors are of type *ConfigError.
 func (c *Config) CheckReload(other *Config) error {
 	for _, f := range []struct{ field, have, want string }{
 		{"name", other.Name, c.Name}, {"listen", other.Listen, c.Listen},
 		{"settings.zone", other.Settings.Zone, c.Settings.Zone},
 		{"settings.slot_no", strconv.Itoa(other.Settings.Self), strconv.Itoa(c.Settings.Self)},
-		{"settings.classes", classKinds(other.Settings), classKinds(c.Settings)},
+		{"settings.classes", classEffects(other.Settings), classEffects(c.Settings)},
 	} {
 		if f.have != f.want {
-			return fault(f.field, "%q is not this node's %q; give each node its own file, or start it anew", f.have, f.want)
+			return newConfigError(f.field, "%q is not this node's %q; give each node its own file, or start it anew", f.have, f.want)
 		}
 	}
 	return nil
 }
 
-// classKinds names the classes and what their repeats do, in a fixed order.
-func classKinds(s balance.Settings) string {
+// classEffects lists the classes with their retry effects in a fixed order.
+func classEffects(s balance.Settings) string {
 	var all []string
 	for _, c := range s.Classes {
 		all = append(all, fmt.Sprintf("%s:%d", c.Name, c.Effect))
@@ -189,7 +190,7 @@
 	return strings.Join(all, " ")
 }
 
-// reserved is what neither clients nor backends get.
+// reserved returns the number of descriptors that neither clients nor backends may use.
 func (c *Config) reserved() int {
 	if c.Console != "" {
 		return reservedSockets + console.Sockets
@@ -197,12 +198,14 @@
 	return reservedSockets
 }
 
-// BackendSockets is the part of the descriptors that connections to backends
-// may take, ClientSockets that of clients, which are more: each request at a
-// backend has its client's connection, and clients keep idle ones too.
+// BackendSockets returns the number of descriptors for connections to backends.
 func (c *Config) BackendSockets() int { return (c.Sockets - c.reserved()) * 3 / 8 }
-func (c *Config) ClientSockets() int  { return c.Sockets - c.reserved() - c.BackendSockets() }
 
-// BodyBudget is how many bytes clients' long bodies may take, all together,
-// beyond what each request may hold.
-func (c *Config) BodyBudget() int64 { return int64(c.MemoryMB) << 20 / bodyPart }
+// ClientSockets returns the number of descriptors for connections of clients. It exceeds
+// BackendSockets because every request at a backend occupies a client connection too, and
+// clients also keep idle connections.
+func (c *Config) ClientSockets() int { return c.Sockets - c.reserved() - c.BackendSockets() }
+
+// BodyBudget returns the total number of bytes that long request bodies may occupy beyond
+// the per-request buffer.
+func (c *Config) BodyBudget() int64 { return int64(c.MemoryMB) << 20 / bodyMemoryDivisor }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -23,50 +23,49 @@
 	"ivylock/maintenance"
 )
 
-// FleetConfig switches on that a node tells the others what it acts on, and keeps up
-// with them (docs/audit.md).
+// FleetConfig enables the exchange of fleet state with other nodes (docs/audit.md).
 type FleetConfig struct {
-	Member         member.Config // but for what the configuration says; Peers where there are ranges
-	RecordFile     string        // takes the record; empty: the console alone tells it
-	RecordInterval time.Duration // how often
+	Member         member.Config // without what Config provides; Peers only with AllowedPrefixes
+	RecordFile     string        // file that records are appended to; empty: available at the console only
+	RecordInterval time.Duration
 }
 
 const (
-	holdsPerNarrow = 3 // calls of a watch that end within the time after which a node narrows
-	closedHoldOff  = time.Second
-	recordEndTime  = 100 * time.Millisecond // for the last record: the process has 0.2 s until SIGKILL then
-	unreadTime     = 150 * time.Millisecond // after a stop, in which what came meanwhile is read
-	spareTime      = 120 * time.Millisecond // that a request which waits must have left: longer than a tick
+	pollsPerNarrowing  = 3 // watch polls that complete within the narrowing time
+	staleRetryAfter    = time.Second
+	finalRecordTimeout = 100 * time.Millisecond // limit on writing the last record; SIGKILL follows 0.2 s after
+	backlogTime        = 150 * time.Millisecond // after a process pause, in which queued requests are read
+	minSpareTime       = 120 * time.Millisecond // time that a held request must have left; longer than a tick
 )
 
-// fleet is the node's side of package member: it carries out what that decides. All
-// but what is atomic is the loop's.
+// fleet connects the node to package member and executes its actions. Fields that are not
+// atomic belong to the loop.
 type fleet struct {
-	cfg     *FleetConfig
-	member  *member.Member
-	agent   *follow.Agent // the member's
-	waiting []*Request    // that came while the node waits to hear whether what it believes still holds
-	changed bool
-	used    uint64 // digest of the servers that may be used while it has narrowed
-	turnAt  atomic.Int64
-	wokeAt  atomic.Int64
-	gap     atomic.Int64 // how long it stood still then
-	shut    atomic.Bool
-	write   func(path string, r *version.Record) error // appends to the record's file
+	cfg          *FleetConfig
+	member       *member.Member
+	agent        *follow.Agent // the member's agent
+	waiting      []*Request    // held until the node knows whether its state is current
+	changed      bool
+	usedDigest   uint64 // digest of the servers that are usable after narrowing
+	lastTurn     atomic.Int64
+	resumedAt    atomic.Int64
+	pause        atomic.Int64 // length of the latest process pause
+	notReady     atomic.Bool
+	appendRecord func(path string, r *version.Record) error // appends a record to the file
 }
 
-// What the loop is told of the fleet.
+// Events of the loop for the fleet.
 type (
-	fleetHeard   member.DatagramReceived
-	recordWanted chan version.Record
+	fleetDatagram member.DatagramReceived
+	recordRequest chan version.Record
 )
 
-// newFleet gives nil where the fleet is switched off or datagrams are not allowed.
+// newFleet returns nil if the fleet is disabled or datagrams are not allowed.
 func newFleet(cfg *Config, now balance.Time) *fleet {
 	if cfg.Fleet == nil || cfg.PeerListen == "" || !cfg.Settings.MayMessage {
 		return nil
 	}
-	f := &fleet{cfg: cfg.Fleet, write: recordfile.Append}
+	f := &fleet{cfg: cfg.Fleet, appendRecord: recordfile.Append}
 	c := cfg.Fleet.Member
 	c.Name, c.Self, c.Nodes, c.Seed, c.SettingsDigest, c.BuildDigest = cfg.Name, cfg.Settings.Self, len(cfg.Peers), cfg.Seed, cfg.settingsDigest, build.Digest()
 	for _, t := range cfg.Settings.Tenants {
@@ -77,76 +76,77 @@
 	}
 	f.member = member.New(c, now)
 	f.agent = f.member.Agent()
-	f.turnAt.Store(int64(now))
+	f.lastTurn.Store(int64(now))
 	return f
 }
 
-// digestOf gives the digest of settings, without what differs from node to node.
-func digestOf(settings []byte) uint16 {
+// digestSettings returns a digest of the settings without the fields that differ between
+// nodes.
+func digestSettings(settings []byte) uint16 {
 	var all map[string]any
 	if json.Unmarshal(settings, &all) != nil {
 		return version.Digest(settings)
 	}
 	delete(all, "slot_no")
 	delete(all, "zone")
-	same, err := json.Marshal(all) // in the order of the keys
+	common, err := json.Marshal(all) // keys are sorted
 	if err != nil {
 		return version.Digest(settings)
 	}
-	return version.Digest(same)
+	return version.Digest(common)
 }
 
-// hold is how long a call of the watch may wait: the answer shows that the list is
-// current, also when there is no news.
-func (f *fleet) hold() time.Duration { return f.cfg.Member.Follow.NarrowAfter / holdsPerNarrow }
+// pollWait returns how long a poll of the watch may wait. Its response confirms that the
+// list is current even if nothing changed.
+func (f *fleet) pollWait() time.Duration { return f.cfg.Member.Follow.NarrowAfter / pollsPerNarrowing }
 
-// stoodStill tells whether the loop has not run for so long that what it believes
-// must not be acted on before it has looked.
-func (f *fleet) stoodStill(now balance.Time) bool {
-	return now-balance.Time(f.turnAt.Load()) > f.cfg.Member.Follow.PauseThreshold
+// paused reports whether the loop has not run for so long that its state must be verified
+// before use.
+func (f *fleet) paused(now balance.Time) bool {
+	return now-balance.Time(f.lastTurn.Load()) > f.cfg.Member.Follow.PauseThreshold
 }
 
-// PauseDelay is how long a request that is read now may have waited unread, as the whole
-// process stood still: its time counts from its client's sending.
+// PauseDelay returns how long a request that is read now may have waited unread during a
+// process pause. The client's timeout includes that wait.
 func (n *Node) PauseDelay() time.Duration {
 	f := n.fleet
 	if f == nil {
 		return 0
 	}
 	now := n.now()
-	if gap := now - balance.Time(f.turnAt.Load()); gap > f.cfg.Member.Follow.PauseThreshold {
-		return gap // the loop has not found out yet
+	if gap := now - balance.Time(f.lastTurn.Load()); gap > f.cfg.Member.Follow.PauseThreshold {
+		return gap // the loop has not detected the pause yet
 	}
-	if now-balance.Time(f.wokeAt.Load()) < unreadTime {
-		return time.Duration(f.gap.Load())
+	if now-balance.Time(f.resumedAt.Load()) < backlogTime {
+		return time.Duration(f.pause.Load())
 	}
 	return 0
 }
 
-// turn marks a turn of the loop. After a gap the process stood still: all that it
-// believes is old, and what has run out of time is answered first.
-func (n *Node) turn() {
+// detectPause records a turn of the loop. A long gap since the last turn is a process
+// pause: the state is stale, and expired requests are failed first.
+func (n *Node) detectPause() {
 	if n.fleet == nil {
 		return
 	}
 	now := n.now()
-	gap := now - balance.Time(n.fleet.turnAt.Load())
+	gap := now - balance.Time(n.fleet.lastTurn.Load())
 	if gap > n.fleet.cfg.Member.Follow.PauseThreshold {
-		n.fleet.gap.Store(int64(gap))
-		n.fleet.wokeAt.Store(int64(now))
+		n.fleet.pause.Store(int64(gap))
+		n.fleet.resumedAt.Store(int64(now))
 		for _, r := range n.requests {
 			if time.Until(r.Deadline) <= 0 && n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedDeadline}) {
 				n.handle(balance.RequestAbandoned{ID: r.ID})
-				n.forgetRequest(r)
+				n.removeRequest(r)
 			}
 		}
-		n.fleetDo(member.Resumed{Gap: gap})
+		n.handleFleetEvent(member.Resumed{Gap: gap})
 	}
-	n.fleet.turnAt.Store(int64(now))
+	n.fleet.lastTurn.Store(int64(now))
 }
 
-// fleetDo gives an event to the member and carries out what it wants.
-func (n *Node) fleetDo(e member.Event) {
+// handleFleetEvent passes an event to the member and executes the returned actions.
+func (n *Node) handleFleetEvent(e member.Event) {
 	f := n.fleet
 	if f == nil {
 		return
@@ -163,9 +163,9 @@
 			n.source.RestartWatch()
 		case member.AllocationChanged:
 			n.handle(balance.ShareUpdate{TenantRates: a.Quotas, EffectiveNodes: a.EquivalentNodes})
-			if a.EquivalentNodes >= 1 && a.EquivalentNodes != n.sharing {
-				n.sharing = a.EquivalentNodes
-				n.source.SetNodes(n.sharing)
+			if a.EquivalentNodes >= 1 && a.EquivalentNodes != n.discoveryNodes {
+				n.discoveryNodes = a.EquivalentNodes
+				n.source.SetNodes(n.discoveryNodes)
 			}
 		case member.FleetChanged:
 			n.handle(balance.FleetChanged{Nodes: a.Processes})
@@ -173,79 +173,79 @@
 			log.Print("fleet: ", a.Line)
 		}
 	}
-	if s, is := e.(member.SourceEvent); !is || !listed(s.Event) { // there the list itself is told next
-		n.fleetChanged()
+	if s, is := e.(member.SourceEvent); !is || !isListEvent(s.Event) { // a list event is followed by the list itself
+		n.reapplyIfFleetChanged()
 	}
-	f.shut.Store(!f.agent.AcceptsRequests())
-	n.fleetRelease(false)
+	f.notReady.Store(!f.agent.AcceptsRequests())
+	n.releaseWaiting(false)
 }
 
-func listed(word follow.Event) bool {
-	_, is := word.(follow.ListReceived)
+func isListEvent(e follow.Event) bool {
+	_, is := e.(follow.ListReceived)
 	return is
 }
 
-// fleetChanged tells the module anew what may be used, if that has changed.
-func (n *Node) fleetChanged() {
+// reapplyIfFleetChanged reapplies the list if the set of usable servers has changed.
+func (n *Node) reapplyIfFleetChanged() {
 	if n.fleet != nil && n.fleet.changed {
 		n.fleet.changed = false
 		n.reapplyList()
 	}
 }
 
-// fleetTick is the round of checks.
-func (n *Node) fleetTick() {
+// tickFleet runs the periodic checks of the fleet.
+func (n *Node) tickFleet() {
 	if n.fleet == nil {
 		return
 	}
-	n.fleetDo(member.Tick{})
+	n.handleFleetEvent(member.Tick{})
 	if n.fleet.agent.MinAnswerTime(n.now()) == 0 {
 		return
 	}
-	used := uint64(0)
+	digest := uint64(0)
 	for name := range n.list.Entries() {
-		if b := n.servers[n.ids[name]]; !n.fleetOut(name, b) {
-			used += uint64(version.KeyOf(name))
+		if server := n.servers[n.serverIDs[name]]; !n.excludedByFleet(name, server) {
+			digest += uint64(version.KeyOf(name))
 		}
 	}
-	if used != n.fleet.used {
-		n.fleet.used = used
+	if digest != n.fleet.usedDigest {
+		n.fleet.usedDigest = digest
 		n.reapplyList()
 	}
 }
 
-// fleetList tells the agent of a word of discovery.
-func (n *Node) fleetList(e discovery.Update) {
+// reportListToFleet passes an update of discovery to the agent.
+func (n *Node) reportListToFleet(e discovery.Update) {
 	if n.fleet == nil {
 		return
 	}
 	kinds := map[balance.ListKind]follow.ListKind{balance.ListChanges: follow.Delta, balance.ListFull: follow.Full, balance.ListCached: follow.Cached}
 	states := map[balance.ServerState]version.State{balance.Ready: version.Up, balance.Draining: version.Draining, balance.Removed: version.Removed}
-	l := follow.ListReceived{Kind: kinds[e.Kind], Generation: e.List.Generation}
-	for _, x := range e.List.Instances {
-		l.Entries = append(l.Entries, follow.Entry{Name: x.InstanceID, State: states[discovery.LifecycleStates[x.Lifecycle]],
-			StartedAt: time.Duration(x.StartedAtMs) * time.Millisecond})
+	update := follow.ListReceived{Kind: kinds[e.Kind], Generation: e.List.Generation}
+	for _, entry := range e.List.Instances {
+		update.Entries = append(update.Entries, follow.Entry{Name: entry.InstanceID, State: states[discovery.LifecycleStates[entry.Lifecycle]],
+			StartedAt: time.Duration(entry.StartedAtMs) * time.Millisecond})
 	}
-	n.fleetDo(member.SourceEvent{Event: l})
+	n.handleFleetEvent(member.SourceEvent{Event: update})
 }
 
-// fleetOut tells whether a server that the list has up is not to be used, by a
-// neighbour's word or for want of a sign that it still is up.
-func (n *Node) fleetOut(name string, b *backend.Server) bool {
+// excludedByFleet reports whether a server that is up in the list must not be used: peers
+// reported its departure, or it has not answered recently enough.
+func (n *Node) excludedByFleet(name string, server *backend.Server) bool {
 	if n.fleet == nil {
 		return false
 	}
-	fresh := n.fleet.agent.MinAnswerTime(n.now())
-	return n.fleet.agent.Withdrawn(name) || fresh > 0 && (b == nil || b.Answered < fresh)
+	oldest := n.fleet.agent.MinAnswerTime(n.now())
+	return n.fleet.agent.Withdrawn(name) || oldest > 0 && (server == nil || server.Answered < oldest)
 }
 
-// admit tells whether a request goes on to the module now. One that does not waits,
+// admit reports whether a request may go to the module now. Otherwise the request is held
 // or has been refused.
 func (n *Node) admit(r *Request) bool {
 	f := n.fleet
 	until := f.agent.HoldUntil()
 	holds := until > 0 && n.now() < until
-	if holds && time.Until(r.Deadline) > spareTime && len(f.waiting) < n.cfg.Settings.MaxOpenRequests {
+	if holds && time.Until(r.Deadline) > minSpareTime && len(f.waiting) < n.cfg.Settings.MaxOpenRequests {
 		f.waiting = append(f.waiting, r)
 		return false
 	}
@@ -253,17 +253,17 @@
 		return true
 	}
 	f.agent.Recorder().CountStaleRefusal()
-	a := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale}
+	resp := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale}
 	if n.cfg.Settings.RetryAfterSupported {
-		a.RetryAfter = min(closedHoldOff, n.cfg.Settings.MaxRetryAfter)
+		resp.RetryAfter = min(staleRetryAfter, n.cfg.Settings.MaxRetryAfter)
 	}
-	n.finish(r, a)
+	n.finish(r, resp)
 	return false
 }
 
-// fleetRelease lets requests go on that waited, or, at the end, refuses them:
-// nothing of them was sent.
-func (n *Node) fleetRelease(end bool) {
+// releaseWaiting resumes the held requests, or refuses them at shutdown. None of them has
+// been sent.
+func (n *Node) releaseWaiting(end bool) {
 	f := n.fleet
 	if f == nil || len(f.waiting) == 0 {
 		return
@@ -274,30 +274,30 @@
 	f.waiting = nil
 	for _, r := range waiting {
 		switch {
-		case r.isOver(): // its client is gone
-		case holds && time.Until(r.Deadline) > spareTime:
+		case r.isOver(): // the client has disconnected
+		case holds && time.Until(r.Deadline) > minSpareTime:
 			f.waiting = append(f.waiting, r)
 		case holds || end || time.Until(r.Deadline) <= 0:
 			n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale})
 		default:
-			n.takeRequest(r)
+			n.acceptRequest(r)
 		}
 	}
 }
 
-// fleetWorded tells the agent which words of maintenance are in force.
-func (n *Node) fleetWorded() {
+// reportMaintenanceToFleet passes the digest of the maintenance records to the agent.
+func (n *Node) reportMaintenanceToFleet() {
 	if n.fleet == nil {
 		return
 	}
 	digest := uint16(0)
-	if records := n.byHand.Records(); len(records) > 0 {
-		digest = wordsDigest(records)
+	if records := n.maintenance.Records(); len(records) > 0 {
+		digest = maintenanceDigest(records)
 	}
-	n.fleetDo(member.SourceEvent{Event: follow.MaintenanceChanged{Digest: digest}})
+	n.handleFleetEvent(member.SourceEvent{Event: follow.MaintenanceChanged{Digest: digest}})
 }
 
-func wordsDigest(records []maintenance.Record) uint16 {
+func maintenanceDigest(records []maintenance.Record) uint16 {
 	raw, err := json.Marshal(records)
 	if err != nil {
 		return 1
@@ -305,8 +305,8 @@
 	return version.Digest(raw)
 }
 
-// fleetFigures publishes the fleet's figures.
-func (n *Node) fleetFigures() {
+// publishFleetMetrics publishes the metrics of the fleet.
+func (n *Node) publishFleetMetrics() {
 	if n.fleet == nil {
 		return
 	}
@@ -314,27 +314,27 @@
 	for _, f := range n.fleet.member.Figures(n.now()) {
 		all = append(all, figures.Named{Name: f.Name, Kind: f.Kind, Value: f.Value})
 	}
-	n.figures.SetFleet(all)
+	n.metrics.SetFleet(all)
 }
 
-// makeRecord makes the record as of now; for the loop.
-func (n *Node) makeRecord() version.Record {
+// buildRecord returns the current record. It must be called by the loop.
+func (n *Node) buildRecord() version.Record {
 	r := n.fleet.member.Record(n.now())
 	for _, id := range n.module.ServersInUse() {
-		if b := n.servers[id]; b != nil {
-			r.ServersInUse = append(r.ServersInUse, b.Name)
+		if server := n.servers[id]; server != nil {
+			r.ServersInUse = append(r.ServersInUse, server.Name)
 		}
 	}
 	slices.Sort(r.ServersInUse)
 	return r
 }
 
-// record gives what the node has acted on.
+// record returns the record of what the node has acted on.
 func (n *Node) record(ctx context.Context) (version.Record, error) {
 	if n.fleet == nil {
 		return version.Record{}, console.ErrOff
 	}
-	want := make(recordWanted, 1)
+	want := make(recordRequest, 1)
 	select {
 	case n.events <- want:
 	case <-n.done:
@@ -352,7 +352,7 @@
 	}
 }
 
-// FleetRecord gives it in JSON, for operators.
+// FleetRecord returns the record as JSON, for operators.
 func (n *Node) FleetRecord(ctx context.Context) ([]byte, error) {
 	r, err := n.record(ctx)
 	if err != nil {
@@ -361,14 +361,15 @@
 	return json.Marshal(r)
 }
 
-// recordAll writes the record to the operator's file, until the loop has ended.
-func (n *Node) recordAll() {
-	every := time.NewTicker(n.fleet.cfg.RecordInterval)
-	defer every.Stop()
+// writeRecords appends the record to the configured file periodically until the loop has
+// ended.
+func (n *Node) writeRecords() {
+	ticker := time.NewTicker(n.fleet.cfg.RecordInterval)
+	defer ticker.Stop()
 	failed := false
 	for {
 		select {
-		case <-every.C:
+		case <-ticker.C:
 		case <-n.done:
 			return
 		}
@@ -376,31 +377,30 @@
 		r, err := n.record(ctx)
 		cancel()
 		if err == nil {
-			err = n.fleet.write(n.fleet.cfg.RecordFile, &r)
+			err = n.fleet.appendRecord(n.fleet.cfg.RecordFile, &r)
 		}
 		if err != nil && !failed {
-			log.Printf("fleet: the record is not written: %v", err)
+			log.Printf("fleet: cannot write the record: %v", err)
 		}
 		failed = err != nil
 	}
 }
 
-// recordEnd writes the record a last time, as that of a process that ended in
-// order.
-func (n *Node) recordEnd() {
+// writeFinalRecord writes the last record, marked as that of an orderly exit.
+func (n *Node) writeFinalRecord() {
 	if n.fleet == nil || n.fleet.cfg.RecordFile == "" {
 		return
 	}
-	r := n.makeRecord()
+	r := n.buildRecord()
 	r.Ended = true
 	written := make(chan error, 1)
-	go func() { written <- n.fleet.write(n.fleet.cfg.RecordFile, &r) }()
+	go func() { written <- n.fleet.appendRecord(n.fleet.cfg.RecordFile, &r) }()
 	select {
 	case err := <-written:
 		if err != nil {
-			log.Printf("fleet: the last record is not written: %v", err)
+			log.Printf("fleet: cannot write the last record: %v", err)
 		}
-	case <-time.After(recordEndTime): // guards against a disk that keeps the process from ending
-		log.Printf("fleet: the last record is not written after %v", recordEndTime)
+	case <-time.After(finalRecordTimeout): // a hanging disk must not block the exit
+		log.Printf("fleet: the last record was not written within %v", finalRecordTimeout)
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -8,9 +8,8 @@
 	"ivylock/internal/operator"
 )
 
-// A disk that stands still keeps a node from ending for no longer than the time for its last
-// record.
-func TestADiskThatStandsStillDoesNotKeepANodeFromEnding(t *testing.T) {
+// A hanging disk delays the exit by no more than the limit for the last record.
+func TestHangingDiskDoesNotBlockShutdown(t *testing.T) {
 	c := testConfig(t, "127.0.0.1:1")
 	c.Settings.MayMessage = true
 	c.PeerListen, c.Peers, c.PeerBroadcast = "127.0.0.1:0", []string{"127.0.0.1:1"}, "127.0.0.1:2"
@@ -19,13 +18,13 @@
 	n := New(c)
 	hangs := make(chan bool)
 	defer close(hangs)
-	n.fleet.write = func(string, *version.Record) error {
+	n.fleet.appendRecord = func(string, *version.Record) error {
 		<-hangs
 		return nil
 	}
 	began := time.Now()
-	n.recordEnd()
-	if took := time.Since(began); took > 10*recordEndTime {
-		t.Errorf("it took %v", took)
+	n.writeFinalRecord()
+	if took := time.Since(began); took > 10*finalRecordTimeout {
+		t.Errorf("the exit took %v", took)
 	}
 }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -7,58 +7,57 @@
 	"ivylock/guard"
 )
 
-// lifecycle knows how far the process has come. It reads the clock each time it is
-// asked, so a process that was held up decides by the time and not by a timer that
-// fires late. Its methods may be called from several goroutines.
+// lifecycle tracks the phase of the process. It reads the clock on each call, so that a
+// paused process decides by the current time and not by a late timer. Its methods are safe
+// for concurrent use.
 type lifecycle struct {
-	schedule guard.ShutdownSchedule
-	told     atomic.Pointer[time.Time] // when the process was told to end; nil: it was not
+	schedule    guard.ShutdownSchedule
+	signalledAt atomic.Pointer[time.Time] // when shutdown began; nil: it has not
 }
 
-// end takes that the process is told to end.
-func (l *lifecycle) end(now time.Time) { l.told.CompareAndSwap(nil, &now) }
+// beginShutdown records the start of the shutdown. Only the first call counts.
+func (l *lifecycle) beginShutdown(now time.Time) { l.signalledAt.CompareAndSwap(nil, &now) }
 
-// since tells how long before a time the process was told to end; false if it
-// was not.
-func (l *lifecycle) since(t time.Time) (time.Duration, bool) {
-	told := l.told.Load()
-	if told == nil {
+// sinceSignal returns how long before t the shutdown began, and false if it has not begun.
+func (l *lifecycle) sinceSignal(t time.Time) (time.Duration, bool) {
+	signalledAt := l.signalledAt.Load()
+	if signalledAt == nil {
 		return 0, false
 	}
-	return t.Sub(*told), true
+	return t.Sub(*signalledAt), true
 }
 
-// phase is how far the process has come.
+// phase returns the current phase.
 func (l *lifecycle) phase() guard.Phase {
-	since, told := l.since(time.Now())
-	if !told {
+	since, ending := l.sinceSignal(time.Now())
+	if !ending {
 		return guard.Serving
 	}
 	return l.schedule.Phase(since)
 }
 
-// mayTake tells whether a request that was read at a time may be served.
-func (l *lifecycle) mayTake(read time.Time) bool {
-	since, told := l.since(read)
+// mayServe reports whether a request that was read at the given time may be served.
+func (l *lifecycle) mayServe(read time.Time) bool {
+	since, told := l.sinceSignal(read)
 	return !told || l.schedule.MayServe(since)
 }
 
-// at gives the time of a step of the schedule. The process has been told to end.
-func (l *lifecycle) at(step time.Duration) time.Time { return l.told.Load().Add(step) }
+// stepTime returns the time of a step of the schedule. Shutdown must have begun.
+func (l *lifecycle) stepTime(step time.Duration) time.Time { return l.signalledAt.Load().Add(step) }
 
-// SetShutdownSchedule changes what the node does at which time after it is told to end. It
-// comes before Run. The schedule that the settings give is right for the platform.
-func (n *Node) SetShutdownSchedule(s guard.ShutdownSchedule) { n.life.schedule = s }
+// SetShutdownSchedule replaces the schedule that follows from the settings. It must be
+// called before Run.
+func (n *Node) SetShutdownSchedule(s guard.ShutdownSchedule) { n.lifecycle.schedule = s }
 
-// ShutdownSchedule is what the node does at which time after it is told to end.
-func (n *Node) ShutdownSchedule() guard.ShutdownSchedule { return n.life.schedule }
+// ShutdownSchedule returns the schedule of the shutdown.
+func (n *Node) ShutdownSchedule() guard.ShutdownSchedule { return n.lifecycle.schedule }
 
-// ShutdownPhase is how far the process has come.
-func (n *Node) ShutdownPhase() guard.Phase { return n.life.phase() }
+// ShutdownPhase returns the current phase of the process.
+func (n *Node) ShutdownPhase() guard.Phase { return n.lifecycle.phase() }
 
-// ShutdownStepTime gives the time of a step of the schedule, once the process has been told to
-// end.
-func (n *Node) ShutdownStepTime(step time.Duration) time.Time { return n.life.at(step) }
+// ShutdownStepTime returns the time of a step of the schedule. Shutdown must have begun.
+func (n *Node) ShutdownStepTime(step time.Duration) time.Time { return n.lifecycle.stepTime(step) }
 
-// MayServe tells whether a request may be served whose last byte was read at a time.
-func (n *Node) MayServe(read time.Time) bool { return n.life.mayTake(read) }
+// MayServe reports whether a request whose last byte was read at the given time may be
+// served.
+func (n *Node) MayServe(read time.Time) bool { return n.lifecycle.mayServe(read) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,6 @@
-// Package node is the core of a load-balancing proxy node. It takes requests
-// from a front and servers from a source, and decides nothing: it reports what
-// happens to the decision module as its events and carries out the actions
-// that it gives back.
+// Package node is the event loop of a load-balancing proxy node. It receives requests from
+// a front end and servers from discovery. It makes no balancing decisions of its own: it
+// passes events to package balance and executes the actions that balance returns.
 package node
 
 import (
@@ -28,59 +27,58 @@
 )
 
 const (
-	eventQueue   = 1024
-	reapInterval = time.Second
-	lookInterval = 100 * time.Millisecond // how old the figures of the list may be
-	agentTime    = time.Second            // in which an agent on the own machine, which answers at once, must say what it has; else it is silent, and the node is ready with what it knows
+	eventQueueSize     = 1024
+	reapInterval       = time.Second
+	tickInterval       = 100 * time.Millisecond // period of metrics publication and of the checks on peers
+	initialListTimeout = time.Second            // limit on the wait for the first list of a local agent
 )
 
-// Node is one node. Its loop, a single goroutine, owns the module and all
-// that is not said to be shared.
+// Node is one proxy node. Its event loop, a single goroutine, owns the balance module and
+// every field that is not documented as shared.
 type Node struct {
-	cfg      *Config
-	module   *balance.Module
-	start    time.Time
-	origin   time.Duration // Unix time at the start
-	events   chan any
-	done     chan struct{} // closed when the loop has ended
-	closed   bool          // at the end of a drain: all that still comes is refused
-	requests map[balance.RequestID]*Request
-	servers  map[balance.ServerID]*backend.Server
-	ids      map[string]balance.ServerID // by discovery's name
-	pool     *backend.Pool
-	source   *discovery.Client // nil before Run
-	heard    chan struct{}     // closed by the first answer of discovery
-	told     bool              // it is
-	sharing  float64           // equal nodes that call the same discovery
-	list     *membership.List[discovery.Entry]
-	peers    *peers
-	words    chan word // of operators: heard before requests
-	ready    atomic.Bool
-	figures  *figures.Set
-	history  *eventlog.Log // the latest events, for operators
-	checker  *invariant.Checker
-	repeats  map[string]guard.RetryRules // by class
-	byHand   *maintenance.Table
-	starts   membership.StartTimes // of servers
-	keeper   StateStore            // nil: nobody takes over
-	keep     chan *handoff.State   // the newest that is to be kept
-	keepAt   time.Time             // of the last one
-	keptMu   sync.Mutex            // held while a state is written
-	kept     balance.Time          // when the one that was written last was made
-	outcome  balance.AttemptEnded  // the last one, kept from call to call: no garbage
-	fleet    *fleet                // nil: off
-	life     lifecycle
+	cfg            *Config
+	module         *balance.Module
+	start          time.Time
+	origin         time.Duration // Unix time at start
+	events         chan any
+	done           chan struct{} // closed when the event loop has ended
+	refuseNew      bool          // set at the end of a drain: refuse every further request
+	requests       map[balance.RequestID]*Request
+	servers        map[balance.ServerID]*backend.Server
+	serverIDs      map[string]balance.ServerID // by name in discovery
+	pool           *backend.Pool
+	source         *discovery.Client // nil before Run
+	listReceived   chan struct{}     // closed when discovery's first list has arrived
+	hasList        bool              // listReceived is closed
+	discoveryNodes float64           // effective number of nodes polling the same discovery service
+	list           *membership.List[discovery.Entry]
+	peers          *peers
+	commands       chan command // from operators; handled before requests
+	ready          atomic.Bool
+	metrics        *figures.Set
+	history        *eventlog.Log // latest events, for operators
+	checker        *invariant.Checker
+	retryRules     map[string]guard.RetryRules // by class
+	maintenance    *maintenance.Table
+	startTimes     membership.StartTimes // of servers
+	stateStore     StateStore            // nil: no state is handed over
+	pendingState   chan *handoff.State   // latest state that is still to be stored
+	stateQueuedAt  time.Time             // when the latest state was queued
+	storeMu        sync.Mutex            // held while a state is stored
+	storedAt       balance.Time          // WrittenAt of the state stored last
+	outcome        balance.AttemptEnded  // reused between calls to avoid allocation
+	fleet          *fleet                // nil: disabled
+	lifecycle      lifecycle
 
-	askedAt    time.Time         // of the latest question to neighbours
-	answeredAt map[int]time.Time // of the latest answer to each of them
+	lastQueryAt time.Time         // time of the latest query to peers
+	lastReplyAt map[int]time.Time // time of the latest reply to each peer
 
-	// sourceAhead is by how much discovery's own time, in its latest answer, was ahead
-	// of the node's; nil: not told.
-	sourceAhead *time.Duration
+	// sourceClockOffset is how far discovery's clock was ahead of the node's in its latest
+	// response; nil if that response had no date.
+	sourceClockOffset *time.Duration
 }
 
-// What the loop is told, besides *Request, discovery.Update and the module's own
-// events.
+// Events of the loop besides *Request, discovery.Update and the events of package balance.
 type (
 	clientGone  struct{ *Request }
 	attemptDone struct {
@@ -88,7 +86,7 @@
 		backend.Result
 		elapsed time.Duration
 	}
-	attemptBegun struct {
+	responseStarted struct {
 		*attempt
 		*backend.Stream
 		elapsed time.Duration
@@ -97,43 +95,44 @@
 		*backend.Server
 		balance.ProbeEnded
 	}
-	answerAll struct{} // the process ends: all that is open gets its final answer now
-	reload    struct{ discovery string }
-	adopt     struct{ *handoff.State } // a newer process's, whose words hold
-	overheard struct{ *handoff.State } // another process's, whose list may be newer
+	answerDeadline struct{} // shutdown: every open request gets its final response now
+	reload         struct{ discovery string }
+	adoptState     struct{ *handoff.State } // from a newer process, whose maintenance records take precedence
+	siblingState   struct{ *handoff.State } // from another process of this node, whose list may be newer
 )
 
-// New makes a node from its configuration. Its servers come from discovery.
+// New returns a node with the given configuration. Its servers come from discovery.
 func New(cfg *Config) *Node {
-	start, origin := time.Now(), wallclock.Now() // one right after the other: what lies between makes the node's time wrong
+	// Read back to back: any delay between the two calls is an error of the node's clock.
+	start, origin := time.Now(), wallclock.Now()
 	n := &Node{cfg: cfg, module: balance.New(cfg.Settings, cfg.Seed),
-		start: start, origin: origin, events: make(chan any, eventQueue), done: make(chan struct{}),
+		start: start, origin: origin, events: make(chan any, eventQueueSize), done: make(chan struct{}),
 		requests: map[balance.RequestID]*Request{}, servers: map[balance.ServerID]*backend.Server{},
-		sharing: float64(cfg.Settings.Nodes), heard: make(chan struct{}), words: make(chan word), list: membership.NewList[discovery.Entry](), byHand: maintenance.New(nil), figures: figures.New(classNames(cfg.Settings)), history: eventlog.New(), repeats: map[string]guard.RetryRules{},
-		answeredAt: map[int]time.Time{},
-		ids:        map[string]balance.ServerID{},
-		pool:       backend.NewPool(cfg.BackendSockets(), cfg.Settings.ConnectTimeout, cfg.Settings.ConnIdleTimeout)}
-	n.pool.OnDialError = func(err error) { n.figures.DialErrors.Add(neterr.Number(err)) }
+		discoveryNodes: float64(cfg.Settings.Nodes), listReceived: make(chan struct{}), commands: make(chan command), list: membership.NewList[discovery.Entry](), maintenance: maintenance.New(nil), metrics: figures.New(classNames(cfg.Settings)), history: eventlog.New(), retryRules: map[string]guard.RetryRules{},
+		lastReplyAt: map[int]time.Time{},
+		serverIDs:   map[string]balance.ServerID{},
+		pool:        backend.NewPool(cfg.BackendSockets(), cfg.Settings.ConnectTimeout, cfg.Settings.ConnIdleTimeout)}
+	n.pool.OnDialError = func(err error) { n.metrics.DialErrors.Add(neterr.Number(err)) }
 	n.fleet = newFleet(cfg, n.now())
-	n.checker = invariant.New(n.figures.InvariantsBroken.Add, n.history)
+	n.checker = invariant.New(n.metrics.InvariantsBroken.Add, n.history)
 	var deadlines []time.Duration
 	for _, c := range cfg.Settings.Classes {
 		deadlines = append(deadlines, c.Deadline)
-		n.repeats[c.Name] = c.RetryRules()
+		n.retryRules[c.Name] = c.RetryRules()
 	}
-	n.life.schedule = guard.NewShutdownSchedule(guard.EffectiveDeadline(deadlines...))
+	n.lifecycle.schedule = guard.NewShutdownSchedule(guard.EffectiveDeadline(deadlines...))
 	return n
 }
 
-// Done is closed when the node has ended.
+// Done returns a channel that is closed when the event loop has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Run takes requests from the front until ctx ends, then drains: all that it
-// has taken is answered, and it returns.
+// Run serves requests from the front end until ctx is cancelled, then drains: it returns
+// once every accepted request has its final response.
 func (n *Node) Run(ctx context.Context, front Front) error {
-	defer context.AfterFunc(ctx, func() { n.life.end(time.Now()) })()
+	defer context.AfterFunc(ctx, func() { n.lifecycle.beginShutdown(time.Now()) })()
 	var err error
-	if n.peers, err = openPeers(n.cfg, n.figures); err != nil {
+	if n.peers, err = openPeers(n.cfg, n.metrics); err != nil {
 		return err
 	}
 	if n.peers != nil {
@@ -141,32 +140,34 @@
 		log.Printf("%s takes datagrams on %s", n.cfg.Name, n.peers.conn.LocalAddr())
 		go n.peers.receive(n.post, n.fleet != nil)
 	}
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList}) // before the first word of an operator
+	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList}) // before any command
 	n.discover(n.cfg.Discovery, membership.InitialState{Generation: n.list.Generation(), HaveList: true, Stagger: true})
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	go n.loop(loopCtx)
-	if !n.cfg.Settings.ListOnDemand { // what the agent has counts as told from the first moment on
+	// An agent pushes its list, so that list is current from the start.
+	if !n.cfg.Settings.ListOnDemand {
 		select {
-		case <-n.heard:
-		case <-time.After(agentTime):
+		case <-n.listReceived:
+		case <-time.After(initialListTimeout):
 		case <-ctx.Done():
 		}
 	}
-	if n.keeper != nil {
-		go n.keepAll()
+	if n.stateStore != nil {
+		go n.runStateStore()
 	}
 	if n.fleet != nil && n.fleet.cfg.RecordFile != "" {
-		go n.recordAll()
+		go n.writeRecords()
 	}
-	log.Printf("%s serves on %s", n.cfg.Name, front.Addr()) // the last line of a start: whoever reads it has read where else it listens
+	// Last line of the startup log: the other addresses are logged before it.
+	log.Printf("%s serves on %s", n.cfg.Name, front.Addr())
 	n.ready.Store(true)
 	served := make(chan error, 1)
 	go func() { served <- front.Serve() }()
 	select {
 	case err = <-served:
 	case <-ctx.Done():
-		n.life.end(time.Now())
-		answer := time.AfterFunc(time.Until(n.life.at(n.life.schedule.AnswerBy)), func() { n.post(answerAll{}) })
+		n.lifecycle.beginShutdown(time.Now())
+		answer := time.AfterFunc(time.Until(n.lifecycle.stepTime(n.lifecycle.schedule.AnswerBy)), func() { n.post(answerDeadline{}) })
 		err = front.Drain()
 		answer.Stop()
 	}
@@ -176,18 +177,18 @@
 	return err
 }
 
-// Reload takes what may change while the node serves: discovery's address. A configuration
-// that is not this node's changes nothing and is counted.
+// Reload applies the settings that may change at run time: the address of discovery. A
+// configuration of another node is rejected and counted.
 func (n *Node) Reload(cfg *Config) error {
 	if err := n.cfg.CheckReload(cfg); err != nil {
-		n.figures.ReloadsRefused.Add(1)
+		n.metrics.ReloadsRefused.Add(1)
 		return err
 	}
 	n.post(reload{cfg.Discovery})
 	return nil
 }
 
-// post hands something to the loop; it gives up once the loop has ended.
+// post sends an event to the loop, or drops it if the loop has ended.
 func (n *Node) post(e any) {
 	select {
 	case n.events <- e:
@@ -195,8 +196,8 @@
 	}
 }
 
-// now is the module's clock: monotonic from the node's start on, with the
-// wall clock's origin, as starts of backends are told in Unix time.
+// now returns the time of the balance module: Unix time at start plus the monotonic time
+// since. Unix time is used because discovery reports server start times in it.
 func (n *Node) now() balance.Time { return n.origin + time.Since(n.start) }
 
 func (n *Node) loop(ctx context.Context) {
@@ -206,84 +207,85 @@
 			n.source.Close()
 		}
 	}()
-	reap, look := time.NewTicker(reapInterval), time.NewTicker(lookInterval)
+	reap, tick := time.NewTicker(reapInterval), time.NewTicker(tickInterval)
 	defer reap.Stop()
 	if n.fleet != nil {
-		n.fleet.turnAt.Store(int64(n.now())) // what its start took is no stop
+		// Startup time does not count as a process pause.
+		n.fleet.lastTurn.Store(int64(n.now()))
 	}
-	defer look.Stop()
+	defer tick.Stop()
 	for {
-		n.turn()
+		n.detectPause()
 		select {
-		case w := <-n.words: // ahead of all that waits in the other queue
-			n.maintain(w)
+		case cmd := <-n.commands: // commands take precedence over other events
+			n.applyCommand(cmd)
 			continue
 		default:
 		}
 		select {
-		case w := <-n.words:
-			n.maintain(w)
-		case <-look.C:
-			n.turn()
-			n.fleetTick()
-			n.checkWithdrawals()
-			n.askNeighbours()
+		case cmd := <-n.commands:
+			n.applyCommand(cmd)
+		case <-tick.C:
+			n.detectPause()
+			n.tickFleet()
+			n.reviewPeerReports()
+			n.queryPeers()
 			n.publish()
 		case e := <-n.events:
-			n.turn()
-			n.takeEvent(e)
+			n.detectPause()
+			n.handleEvent(e)
 		case <-reap.C:
 			n.pool.Reap()
-			n.byHand.PruneRecords(n.now(), n.cfg.Settings.WarmupTime)
+			n.maintenance.PruneRecords(n.now(), n.cfg.Settings.WarmupTime)
 		case <-ctx.Done():
 			n.answerAll()
-			n.fleetDo(member.Leaving{})
-			n.recordEnd()
+			n.handleFleetEvent(member.Leaving{})
+			n.writeFinalRecord()
 			return
 		}
 	}
 }
 
-// takeEvent turns one event into the module's form.
-func (n *Node) takeEvent(e any) {
+// handleEvent dispatches one event of the loop.
+func (n *Node) handleEvent(e any) {
 	switch e := e.(type) {
 	case *Request:
-		n.takeRequest(e)
+		n.acceptRequest(e)
 	case clientGone:
 		if n.requests[e.ID] == e.Request {
 			n.handle(balance.RequestAbandoned{ID: e.ID})
-			n.forgetRequest(e.Request)
+			n.removeRequest(e.Request)
 		}
 	case attemptDone:
 		n.attemptEnded(e)
-	case attemptBegun:
-		n.answerBegun(e)
+	case responseStarted:
+		n.startStream(e)
 	case probeDone:
 		if e.Code == balance.OK {
 			e.Server.Answered = n.now()
 		}
 		n.handle(e.ProbeEnded)
 		e.Server.Out--
-		n.forgetServer(e.Server)
+		n.removeServer(e.Server)
 	case discovery.Update:
-		if e.Source == nil || e.Source == n.source { // guards against news of an address that was left
-			n.takeNews(e)
+		if e.Source == nil || e.Source == n.source { // ignores updates from a former address
+			n.applyListUpdate(e)
 		}
-	case adopt:
-		n.adoptWords(e.State)
-	case overheard:
-		n.takeOthersList(e.State)
-	case fleetHeard:
-		n.fleetDo(member.DatagramReceived(e))
-	case recordWanted:
-		e <- n.makeRecord()
+	case adoptState:
+		n.adoptMaintenance(e.State)
+	case siblingState:
+		n.adoptSiblingList(e.State)
+	case fleetDatagram:
+		n.handleFleetEvent(member.DatagramReceived(e))
+	case recordRequest:
+		e <- n.buildRecord()
 	case reload:
-		n.changeDiscovery(e.discovery)
-	case answerAll:
+		n.switchDiscovery(e.discovery)
+	case answerDeadline:
 		n.answerAll()
 	case balance.MessageReceived:
 		if membership.IsDatagram(e.Data) {
-			n.takeDatagram(e.From, e.Data)
+			n.handleListDatagram(e.From, e.Data)
 		} else {
 			n.handle(e)
 		}
@@ -292,32 +294,33 @@
 	}
 }
 
-// answerAll gives each open request its final answer: a refusal if it may be repeated,
-// else a failure.
+// answerAll gives every open request its final response: a refusal if the client may retry
+// it, otherwise a failure.
 func (n *Node) answerAll() {
-	n.closed = true
-	n.fleetRelease(true)
+	n.refuseNew = true
+	n.releaseWaiting(true)
 	for _, r := range n.requests {
 		n.handle(balance.FinalAnswerDue{ID: r.ID})
-		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedEnding}) { // the module no longer knew it
-			n.forgetRequest(r)
+		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedEnding}) { // unknown to the module
+			n.removeRequest(r)
 		}
 	}
 }
 
-func (n *Node) takeRequest(r *Request) {
-	if r.isOver() { // its client went while it waited here
+func (n *Node) acceptRequest(r *Request) {
+	if r.isOver() { // the client left while the request was queued
 		return
 	}
 	switch {
 	case n.requests[r.ID] != nil:
-		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.TurnedDuplicate}) // the one that has the id is not touched
+		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.TurnedDuplicate}) // the open request goes on
 		return
-	case n.closed:
+	case n.refuseNew:
 		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding})
 		return
 	case len(n.requests) >= min(n.cfg.Settings.MaxOpenRequests, n.cfg.ClientSockets()):
-		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedFull}) // as the settings say: before it reaches the module
+		// Rejected before it reaches the balance module.
+		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedFull})
 		return
 	}
 	if n.fleet != nil {
@@ -331,35 +334,36 @@
 	n.handle(&r.RequestArrived)
 }
 
-// finish gives the final answer unless there has been one.
-func (n *Node) finish(r *Request, a Response) bool {
+// finish sends the final response, unless one has been sent already, and reports whether it
+// did.
+func (n *Node) finish(r *Request, resp Response) bool {
 	if !r.end(true) {
 		return false
 	}
-	if a.Status != http.StatusOK {
-		n.figures.RequestsTurned.Add(int(a.Reason))
+	if resp.Status != http.StatusOK {
+		n.metrics.RequestsTurned.Add(int(resp.Reason))
 	}
-	r.answer <- a
+	r.response <- resp
 	return true
 }
 
-// forgetRequest drops a request that is over and has no attempt out.
-func (n *Node) forgetRequest(r *Request) {
-	if r.isOver() && r.out == 0 {
+// removeRequest drops a request that has ended and has no attempt in flight.
+func (n *Node) removeRequest(r *Request) {
+	if r.isOver() && r.outstanding == 0 {
 		delete(n.requests, r.ID)
 	}
 }
 
-// handle tells the module and carries out what it wants done.
+// handle passes an event to the balance module and executes the returned actions.
 func (n *Node) handle(e balance.Event) {
 	for _, a := range n.module.Handle(n.now(), e) {
 		switch a := a.(type) {
 		case balance.Send:
 			n.send(a)
 		case balance.Refuse:
-			n.giveAnswer(a.ID, Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Reason: figures.Turned(a.Cause)})
+			n.respond(a.ID, Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Reason: figures.Turned(a.Cause)})
 		case balance.Fail:
-			n.giveAnswer(a.ID, Response{Status: http.StatusBadGateway, Reason: figures.Turned(a.Cause)})
+			n.respond(a.ID, Response{Status: http.StatusBadGateway, Reason: figures.Turned(a.Cause)})
 		case balance.CancelAttempt:
 			if r := n.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 				r.attempts[a.Attempt].cancel()
@@ -371,7 +375,7 @@
 		case balance.SendMessage:
 			if n.fleet == nil || a.ToAll {
 				n.peers.send(a)
-			} else if to, ok := n.fleet.member.Addr(a.To); ok { // also one that the configuration does not know
+			} else if to, ok := n.fleet.member.Addr(a.To); ok { // may be a node that the configuration does not list
 				n.peers.sendTo(to, n.fleet.member.Wrap(n.now(), a.To, a.Data))
 			}
 		case balance.CloseIdleConns:
@@ -386,10 +390,10 @@
 	}
 }
 
-// giveAnswer carries out a final answer of the module.
-func (n *Node) giveAnswer(id balance.RequestID, a Response) {
+// respond sends the final response that the balance module decided on.
+func (n *Node) respond(id balance.RequestID, resp Response) {
 	if r := n.requests[id]; r != nil {
-		n.finish(r, n.checkRefusal(r, a))
-		n.forgetRequest(r)
+		n.finish(r, n.checkRefusal(r, resp))
+		n.removeRequest(r)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 	"ivylock/internal/nodetest"
 )
 
-// testConfig is a valid configuration with these servers.
+// testConfig returns a valid configuration with the given servers.
 func testConfig(t *testing.T, discovery string, servers ...string) *Config {
 	t.Helper()
 	c, err := ParseConfig([]byte(nodetest.ConfigJSON(discovery, servers...)))
@@ -28,8 +28,8 @@
 	return c
 }
 
-// Each field of the configuration has its row in docs/settings.md, and no row is of a field that there is not.
-func TestEachFieldOfTheConfigurationHasItsRow(t *testing.T) {
+// Each configuration field has one row in docs/settings.md, and there are no other rows.
+func TestEachConfigFieldIsDocumented(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "docs", "settings.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -47,28 +47,28 @@
 	}
 }
 
-func TestConfigRejects(t *testing.T) {
+func TestParseConfigRejectsInvalidInput(t *testing.T) {
 	good := nodetest.ConfigJSON("127.0.0.1:1")
 	if _, err := ParseConfig([]byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for name, bad := range map[string]struct{ text, field string }{
-		"empty":           {"", ""},
-		"not JSON":        {"x", ""},
-		"no fields":       {"{}", "seed"},
-		"no listen":       {strings.Replace(good, `"listen"`, `"l"`, 1), "listen"},
-		"no discovery":    {strings.Replace(good, `"discovery"`, `"d"`, 1), "discovery"},
-		"bad seed":        {strings.Replace(good, "8c1f30d27a5be964", "zz", 1), "seed"},
-		"no sockets":      {strings.Replace(good, `"sockets":1024`, `"sockets":0`, 1), "limits.sockets"},
-		"no memory":       {strings.Replace(good, `"memory_mb":192`, `"memory_mb":0`, 1), "limits.memory_mb"},
-		"text for memory": {strings.Replace(good, `"memory_mb":192`, `"memory_mb":"192"`, 1), "limits.memory_mb"},
-		"no settings":     {strings.Replace(good, `"settings"`, `"s"`, 1), "settings"},
-		"no classes":      {strings.Replace(good, `"classes"`, `"c"`, 1), "settings.classes"},
-		"unknown effect":  {strings.Replace(good, "fragile", "frail", 1), "settings.classes[2].effect"},
-		"malformed known": {strings.Replace(good, `"generation":7`, `"generation":"x"`, 1), "known"},
-		"no time-out":     {strings.Replace(good, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":0`, 1), "settings.caps.connect_timeout_ns"},
-		"holds nothing":   {strings.Replace(good, `"most_held":20000`, `"most_held":0`, 1), "settings.caps.most_held"},
-		"unknown mode":    {strings.Replace(good, "on_request", "whispered", 1), "settings.membership_mode"},
+		"empty":              {"", ""},
+		"not JSON":           {"x", ""},
+		"no fields":          {"{}", "seed"},
+		"no listen":          {strings.Replace(good, `"listen"`, `"l"`, 1), "listen"},
+		"no discovery":       {strings.Replace(good, `"discovery"`, `"d"`, 1), "discovery"},
+		"bad seed":           {strings.Replace(good, "8c1f30d27a5be964", "zz", 1), "seed"},
+		"no sockets":         {strings.Replace(good, `"sockets":1024`, `"sockets":0`, 1), "limits.sockets"},
+		"no memory":          {strings.Replace(good, `"memory_mb":192`, `"memory_mb":0`, 1), "limits.memory_mb"},
+		"text for memory":    {strings.Replace(good, `"memory_mb":192`, `"memory_mb":"192"`, 1), "limits.memory_mb"},
+		"no settings":        {strings.Replace(good, `"settings"`, `"s"`, 1), "settings"},
+		"no classes":         {strings.Replace(good, `"classes"`, `"c"`, 1), "settings.classes"},
+		"unknown effect":     {strings.Replace(good, "fragile", "frail", 1), "settings.classes[2].effect"},
+		"malformed known":    {strings.Replace(good, `"generation":7`, `"generation":"x"`, 1), "known"},
+		"no connect timeout": {strings.Replace(good, `"connect_timeout_ns":250000000`, `"connect_timeout_ns":0`, 1), "settings.caps.connect_timeout_ns"},
+		"zero request limit": {strings.Replace(good, `"most_held":20000`, `"most_held":0`, 1), "settings.caps.most_held"},
+		"unknown mode":       {strings.Replace(good, "on_request", "whispered", 1), "settings.membership_mode"},
 	} {
 		var e *ConfigError
 		if _, err := ParseConfig([]byte(bad.text)); err == nil {
@@ -87,13 +87,13 @@
 		t.Fatal(err)
 	}
 	if c, err := LoadConfig(path); err != nil || c.BackendSockets()+c.ClientSockets()+c.reserved() != c.Sockets {
-		t.Errorf("the good one: %v, %v", c, err)
+		t.Errorf("valid configuration: %v, %v", c, err)
 	}
 }
 
-// A configuration of another node or customer changes nothing at a reload, and is counted; one with other limits moves
-// discovery.
-func TestAForeignConfigurationIsNotReloaded(t *testing.T) {
+// A configuration of another node or deployment is rejected and counted. Other limits are
+// accepted.
+func TestReloadRejectsAnotherNodesConfig(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
 	good := nodetest.ConfigJSON("127.0.0.1:3", "127.0.0.1:2")
 	refused := 0
@@ -116,19 +116,19 @@
 			refused++
 		}
 	}
-	if n.figures.ReloadsRefused.Load() != int64(refused) || refused != 5 || len(n.events) != 1 {
-		t.Errorf("%d refused, %d counted, %d taken", refused, n.figures.ReloadsRefused.Load(), len(n.events))
+	if n.metrics.ReloadsRefused.Load() != int64(refused) || refused != 5 || len(n.events) != 1 {
+		t.Errorf("%d rejected, %d counted, %d accepted", refused, n.metrics.ReloadsRefused.Load(), len(n.events))
 	}
 }
 
 func TestDrainingBackendsGetNothingNew(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
+	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	draining := discovery.List{Generation: 8, Instances: []discovery.Entry{{InstanceID: "s-0", HostPort: "127.0.0.1:2", Lifecycle: "draining"},
 		{InstanceID: "s-1", Lifecycle: "removed"}}}
-	n.takeNews(discovery.Update{Kind: balance.ListChanges, List: draining})
+	n.applyListUpdate(discovery.Update{Kind: balance.ListChanges, List: draining})
 	closed := func(name string) bool {
-		b := n.servers[n.ids[name]]
+		b := n.servers[n.serverIDs[name]]
 		return b == nil || b.Closed()
 	}
 	for i, want := range []bool{true, true, false} {
@@ -136,7 +136,7 @@
 			t.Errorf("s-%d closed: %v", i, got)
 		}
 	}
-	n.takeNews(discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: 9, Instances: []discovery.Entry{
+	n.applyListUpdate(discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: 9, Instances: []discovery.Entry{
 		{InstanceID: "s-0", HostPort: "127.0.0.1:2", Lifecycle: "up"}}}})
 	for i, want := range []bool{false, true, true} {
 		if got := closed(fmt.Sprintf("s-%d", i)); got != want {
@@ -145,35 +145,34 @@
 	}
 }
 
-// Guards against growth where backends are replaced all day, and against an
-// old connection or a late outcome that is taken for a new backend's, at the
-// address of one that has gone.
-func TestBackendsThatAreGoneAreForgotten(t *testing.T) {
+// Replaced backends must not accumulate, and a late outcome must not be attributed to a new
+// backend at the same address.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1"))
 	list := func(generation int, id string) discovery.Update {
 		return discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: uint64(generation), Instances: []discovery.Entry{
 			{InstanceID: id, HostPort: "127.0.0.1:2", Lifecycle: "up"}}}}
 	}
 	for i := range 100 {
-		n.takeNews(list(i, fmt.Sprintf("s-%d", i)))
+		n.applyListUpdate(list(i, fmt.Sprintf("s-%d", i)))
 	}
-	if len(n.servers) != 1 || len(n.ids) != 1 || n.pool.Servers() != 1 {
-		t.Errorf("kept %d backends, %d names, %d in the pool", len(n.servers), len(n.ids), n.pool.Servers())
+	if len(n.servers) != 1 || len(n.serverIDs) != 1 || n.pool.Servers() != 1 {
+		t.Errorf("%d backends, %d names, %d in the pool are left", len(n.servers), len(n.serverIDs), n.pool.Servers())
 	}
-	old := n.servers[n.ids["s-99"]]
+	old := n.servers[n.serverIDs["s-99"]]
 	old.Out++
-	n.takeNews(list(100, "s-new"))
+	n.applyListUpdate(list(100, "s-new"))
 	if n.servers[old.ID] != old {
-		t.Fatal("forgotten with an attempt out")
+		t.Fatal("dropped with an attempt in flight")
 	}
-	r := &Request{RequestArrived: balance.RequestArrived{ID: "r"}, answer: make(chan Response, 1), out: 1}
+	r := &Request{RequestArrived: balance.RequestArrived{ID: "r"}, response: make(chan Response, 1), outstanding: 1}
 	n.attemptEnded(attemptDone{attempt: &attempt{request: r, server: old}, Result: backend.Result{Code: balance.Reset}})
-	if len(n.servers) != 1 || len(n.ids) != 1 || n.pool.Servers() != 1 {
-		t.Errorf("after the last outcome: %d servers, %d names, %d in the pool", len(n.servers), len(n.ids), n.pool.Servers())
+	if len(n.servers) != 1 || len(n.serverIDs) != 1 || n.pool.Servers() != 1 {
+		t.Errorf("after the last outcome: %d servers, %d names, %d in the pool", len(n.servers), len(n.serverIDs), n.pool.Servers())
 	}
 }
 
-func TestPeersDropStrangersAndLongDatagrams(t *testing.T) {
+func TestPeersDropUnknownSendersAndLongDatagrams(t *testing.T) {
 	socket := func() net.PacketConn {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
@@ -182,7 +181,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	peer, stranger := socket(), socket()
+	peer, unknownSender := socket(), socket()
 	c := testConfig(t, "127.0.0.1:1")
 	c.Settings.MayMessage = true
 	c.PeerListen, c.Peers, c.PeerBroadcast = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}, peer.LocalAddr().String()
@@ -195,7 +194,7 @@
 	got := make(chan any, 10)
 	go p.receive(func(e any) { got <- e }, false)
 	to := p.conn.LocalAddr()
-	stranger.WriteTo([]byte("no"), to)
+	unknownSender.WriteTo([]byte("no"), to)
 	peer.WriteTo(make([]byte, maxDatagram+1), to)
 	peer.WriteTo([]byte("yes"), to)
 	select {
@@ -204,12 +203,12 @@
 			t.Errorf("got %+v", e)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Fatal("nothing came")
+		t.Fatal("no datagram arrived")
 	}
 	if n := count.Strangers.Load(); n != 2 {
-		t.Errorf("%d of two others were counted", n)
+		t.Errorf("%d of two other datagrams were counted", n)
 	}
-	p.send(balance.SendMessage{To: 9, Data: []byte("x")}) // nobody: must not panic
+	p.send(balance.SendMessage{To: 9, Data: []byte("x")}) // unknown node: must not panic
 	p.send(balance.SendMessage{To: 1, Data: []byte("one")})
 	buf := make([]byte, 10)
 	peer.SetReadDeadline(time.Now().Add(nodetest.Patience))
@@ -218,34 +217,33 @@
 	}
 }
 
-// Guards against news of an address that was left, which a watch that ended
-// may still bring.
-func TestNewsOfAnAddressThatWasLeftIsIgnored(t *testing.T) {
+// A watch of the former address may still deliver an update after the change.
+func TestUpdatesFromFormerDiscoveryAreIgnored(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
-	n.changeDiscovery("127.0.0.1:4")
+	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
+	n.switchDiscovery("127.0.0.1:4")
 	old := n.source
-	n.changeDiscovery("127.0.0.1:3")
+	n.switchDiscovery("127.0.0.1:3")
 	defer n.source.Close()
-	n.takeEvent(discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: 99, Full: true}, Source: old})
+	n.handleEvent(discovery.Update{Kind: balance.ListFull, List: discovery.List{Generation: 99, Full: true}, Source: old})
 	if len(n.servers) != 1 || n.list.Generation() != 0 {
-		t.Errorf("%d servers, version %d", len(n.servers), n.list.Generation())
+		t.Errorf("%d servers, generation %d", len(n.servers), n.list.Generation())
 	}
 }
 
-// A client that goes while its request waits to be heard of gets nothing begun: not even a connection is dialled.
-func TestARequestWhoseClientWentWhileItWaitedIsNotSent(t *testing.T) {
+// A client that disconnects while its request is queued causes no attempt, not even a dial.
+func TestQueuedRequestOfDepartedClientIsNotSent(t *testing.T) {
 	server := nodetest.NewHeldListener(t)
 	n := New(testConfig(t, nodetest.ClosedAddr(t), server.Addr().String()))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
+	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	for _, leaves := range []bool{false, true} {
 		r := &Request{RequestArrived: balance.RequestArrived{ID: "r", Class: "clip"}, Method: "GET", URI: "/clip/a", Deadline: time.Now().Add(time.Minute)}
-		n.Submit(r) // the loop does not run: both wait in its queue
+		n.Submit(r) // the loop does not run: both events stay queued
 		if leaves {
 			n.Abandon(r)
 		}
 		for len(n.events) > 0 {
-			n.takeEvent(<-n.events)
+			n.handleEvent(<-n.events)
 		}
 		if sent := len(r.attempts); leaves == (sent > 0) {
 			t.Errorf("client gone %v: %d attempts", leaves, sent)
@@ -255,28 +253,28 @@
 		}
 		n.Abandon(r)
 		for len(n.requests) > 0 {
-			n.takeEvent(<-n.events)
+			n.handleEvent(<-n.events)
 		}
 	}
 }
 
-// Discovery answers with broken-off and unreadable lists: the last good one holds, and each is counted.
-func TestTheLastGoodListHolds(t *testing.T) {
+// Truncated and unreadable lists leave the last good one in force, and are counted.
+func TestLastGoodListIsKept(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"))
-	n.takeNews(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
+	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	version := n.list.Generation()
 	for _, why := range []discovery.Failure{discovery.Truncated, discovery.Unreadable, discovery.Unreadable, discovery.Unanswered} {
-		n.takeNews(discovery.Update{Kind: balance.ListFailed, Failure: why, Source: nil})
+		n.applyListUpdate(discovery.Update{Kind: balance.ListFailed, Failure: why, Source: nil})
 		n.handle(balance.TimerFired{})
 	}
-	n.takeNews(discovery.Update{Kind: balance.ListChanges, List: discovery.List{Generation: version, Skipped: 3}})
-	for name, b := range map[string]*backend.Server{"first": n.servers[n.ids[n.cfg.InitialList.Instances[0].InstanceID]], "second": n.servers[n.ids[n.cfg.InitialList.Instances[1].InstanceID]]} {
+	n.applyListUpdate(discovery.Update{Kind: balance.ListChanges, List: discovery.List{Generation: version, Skipped: 3}})
+	for name, b := range map[string]*backend.Server{"first": n.servers[n.serverIDs[n.cfg.InitialList.Instances[0].InstanceID]], "second": n.servers[n.serverIDs[n.cfg.InitialList.Instances[1].InstanceID]]} {
 		if b == nil || b.Closed() || b.Gone {
-			t.Errorf("the %s server is not used any more: %+v", name, b)
+			t.Errorf("the %s server is no longer used: %+v", name, b)
 		}
 	}
 	if len(n.list.Entries()) != 2 || n.list.Generation() != version {
-		t.Errorf("%d servers, version %d", len(n.list.Entries()), n.list.Generation())
+		t.Errorf("%d servers, generation %d", len(n.list.Entries()), n.list.Generation())
 	}
 	for _, want := range []string{"app.lists.unanswered:1|c", "app.lists.cut_short:1|c", "app.lists.unreadable:2|c", "app.lists.entries_skipped:3|c"} {
 		if text := string(n.Figures()); !strings.Contains(text, want) {
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -13,20 +13,20 @@
 	"ivylock/internal/figures"
 )
 
-// errBusy says that the loop took no word in time.
+// errBusy is returned when the loop does not accept a command or query in time.
 var errBusy = errors.New("the node did not get to it in time; nothing was changed")
 
-// word is what an operator says of one server.
-type word struct {
-	id     string
-	out    bool
-	adopt  *handoff.State // instead of a word: those of a newer process
-	answer chan heard
+// command is a maintenance command for one server.
+type command struct {
+	id            string
+	inMaintenance bool
+	adopt         *handoff.State // instead of a command: the state of a newer process
+	result        chan commandResult
 }
 
-// heard is what the loop made of a word.
-type heard struct {
-	state *handoff.State // after it
+// commandResult is the outcome of a command.
+type commandResult struct {
+	state *handoff.State // after the command
 	err   error
 }
 
@@ -38,89 +38,89 @@
 	return names
 }
 
-// Ready tells whether this process takes clients: not before it runs, nor while
-// it can't show that what it acts on is current.
-func (n *Node) Ready() bool { return n.ready.Load() && (n.fleet == nil || !n.fleet.shut.Load()) }
+// Ready reports whether the process accepts clients: it is running and its state is
+// current.
+func (n *Node) Ready() bool { return n.ready.Load() && (n.fleet == nil || !n.fleet.notReady.Load()) }
 
-// Figures gives the figures as text.
-func (n *Node) Figures() []byte { return n.figures.Text() }
+// Figures returns the metrics as text.
+func (n *Node) Figures() []byte { return n.metrics.Text() }
 
-// Metrics gives the figures themselves, for fronts.
-func (n *Node) Metrics() *figures.Set { return n.figures }
+// Metrics returns the metrics, to which front ends add theirs.
+func (n *Node) Metrics() *figures.Set { return n.metrics }
 
-// History gives the latest events, for fronts to add theirs.
+// History returns the latest events, to which front ends add theirs.
 func (n *Node) History() *eventlog.Log { return n.history }
 
-// Events words the latest events, those of one request if it is named.
+// Events returns the latest events as text, or only those of one request if its ID is
+// given.
 func (n *Node) Events(request string) []byte { return n.history.Text(request) }
 
-// BackendPool gives the pool of connections to servers.
+// BackendPool returns the pool of connections to servers.
 func (n *Node) BackendPool() *backend.Pool { return n.pool }
 
-// Maintain takes a server out of use by hand, or uses it again. Once it has
-// returned nothing new is written to one that was taken out, and the process
-// that takes over from this one knows. A word is heard before all requests
-// that wait.
-func (n *Node) Maintain(ctx context.Context, id string, out bool) error {
-	if n.keeper != nil {
-		if err := n.keeper.CheckOwner(); err != nil {
+// Maintain takes a server into or out of maintenance. When it returns nil, no new request
+// is written to a server in maintenance, and the change is stored for the next process.
+// Commands are handled before queued requests.
+func (n *Node) Maintain(ctx context.Context, id string, inMaintenance bool) error {
+	if n.stateStore != nil {
+		if err := n.stateStore.CheckOwner(); err != nil {
 			return err
 		}
 	}
-	w := word{id: id, out: out}
+	cmd := command{id: id, inMaintenance: inMaintenance}
 	for {
-		h := n.say(ctx, w)
-		if h.err != nil || n.keeper == nil {
-			return h.err
+		result := n.submitCommand(ctx, cmd)
+		if result.err != nil || n.stateStore == nil {
+			return result.err
 		}
-		newer, err := n.keepNow(h.state)
+		newer, err := n.storeIfNewer(result.state)
 		if newer == nil {
 			return err
 		}
-		// A newer process spoke for the node: its words come first. If it has
-		// died this one is said again on top of them.
-		if h := n.say(ctx, word{adopt: newer}); h.err != nil || err != nil {
-			return errors.Join(err, h.err)
+		// A newer process owns the node: its records take precedence. If it has exited,
+		// repeat the command on top of them.
+		if result := n.submitCommand(ctx, command{adopt: newer}); result.err != nil || err != nil {
+			return errors.Join(err, result.err)
 		}
 	}
 }
 
-// say has the loop hear a word. Once the loop has it, it is a matter of
-// microseconds.
-func (n *Node) say(ctx context.Context, w word) heard {
-	w.answer = make(chan heard, 1)
+// submitCommand has the loop apply a command. ctx limits only the wait for the loop to
+// accept it.
+func (n *Node) submitCommand(ctx context.Context, cmd command) commandResult {
+	cmd.result = make(chan commandResult, 1)
 	select {
-	case n.words <- w:
-		return <-w.answer
+	case n.commands <- cmd:
+		return <-cmd.result
 	case <-n.done:
 	case <-ctx.Done():
 	}
-	return heard{err: errBusy}
+	return commandResult{err: errBusy}
 }
 
-// maintain is the loop's side of Maintain.
-func (n *Node) maintain(w word) {
-	var h heard
-	if w.adopt != nil {
-		n.adoptWords(w.adopt)
-		w.answer <- h
+// applyCommand is the part of Maintain that runs in the loop.
+func (n *Node) applyCommand(cmd command) {
+	var result commandResult
+	if cmd.adopt != nil {
+		n.adoptMaintenance(cmd.adopt)
+		cmd.result <- result
 		return
 	}
-	if w.out {
-		h.err = n.byHand.Enter(w.id, n.now(), n.startOf(n.list.Entries()[w.id].Payload, n.list.ReceivedAt()))
+	if cmd.inMaintenance {
+		result.err = n.maintenance.Enter(cmd.id, n.now(), n.serverStart(n.list.Entries()[cmd.id].Payload, n.list.ReceivedAt()))
 	} else {
-		h.err = n.byHand.Exit(w.id, n.now())
+		result.err = n.maintenance.Exit(cmd.id, n.now())
 	}
-	if h.err == nil {
-		n.fleetWorded()
+	if result.err == nil {
+		n.reportMaintenanceToFleet()
 		n.reapplyList()
-		h.state = n.state()
+		result.state = n.handoffState()
 	}
-	w.answer <- h
+	cmd.result <- result
 }
 
-// reapplyList tells the module the whole list anew, in the form of one that was held
-// before: it is no answer of discovery.
+// reapplyList passes the whole list to the module again, as a cached list since it is not a
+// new response of discovery.
 func (n *Node) reapplyList() {
 	entries := make([]discovery.Entry, 0, len(n.list.Entries()))
 	for _, e := range n.list.Entries() {
@@ -129,26 +129,26 @@
 	n.applyEntries(balance.ListCached, entries, n.list.ReceivedAt())
 }
 
-// publish publishes what only the loop knows, and has it kept for a process that
-// takes over.
+// publish updates the metrics that only the loop can compute, and queues the state for the
+// next process.
 func (n *Node) publish() {
 	avoided := 0
 	for name := range n.list.Entries() {
-		if n.byHand.InMaintenance(name) || n.list.ExcludedByPeers(name) || n.module.Ejected(n.ids[name]) || n.fleetOut(name, n.servers[n.ids[name]]) {
+		if n.maintenance.InMaintenance(name) || n.list.ExcludedByPeers(name) || n.module.Ejected(n.serverIDs[name]) || n.excludedByFleet(name, n.servers[n.serverIDs[name]]) {
 			avoided++
 		}
 	}
-	n.fleetFigures()
-	n.figures.WordsTurnedAway.Store(n.module.DiscardedDatagrams())
-	n.figures.Registry.Store(int64(len(n.list.Entries())))
-	n.figures.OutOfRotation.Store(int64(avoided))
-	if n.keeper == nil || time.Since(n.keepAt) < keepInterval {
+	n.publishFleetMetrics()
+	n.metrics.WordsTurnedAway.Store(n.module.DiscardedDatagrams())
+	n.metrics.Registry.Store(int64(len(n.list.Entries())))
+	n.metrics.OutOfRotation.Store(int64(avoided))
+	if n.stateStore == nil || time.Since(n.stateQueuedAt) < saveInterval {
 		return
 	}
-	n.keepAt = time.Now()
+	n.stateQueuedAt = time.Now()
 	select {
-	case <-n.keep: // an older one that has not been written yet
+	case <-n.pendingState: // discard an older state that has not been written yet
 	default:
 	}
-	n.keep <- n.state()
+	n.pendingState <- n.handoffState()
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -13,7 +13,7 @@
 	"ivylock/internal/nodetest"
 )
 
-// failingSocket fails reads and writes with the errors that a test puts into it.
+// failingSocket fails reads and writes with the errors that the test queues.
 type failingSocket struct {
 	net.PacketConn
 	reads, writes chan syscall.Errno
@@ -37,8 +37,8 @@
 	}
 }
 
-// A datagram that can't be read or sent is counted; those after it come and go as before.
-func TestErrorsOfDatagramsEndNothing(t *testing.T) {
+// A datagram that cannot be read or sent is counted, and the later ones get through.
+func TestDatagramErrorsAreCountedAndSurvived(t *testing.T) {
 	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -80,17 +80,17 @@
 			t.Errorf("got %+v", e)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Fatal("it is deaf")
+		t.Fatal("no datagram arrived")
 	}
 	for _, figure := range []string{"app.peers.errors.ECONNREFUSED:1|c", "app.peers.errors.ENOBUFS:2|c", "app.peers.errors.EMSGSIZE:1|c"} {
 		if !strings.Contains(string(count.Text()), figure) {
-			t.Errorf("there is no %s", figure)
+			t.Errorf("%s is missing", figure)
 		}
 	}
 	socket.Close()
 	select {
 	case <-ended:
 	case <-time.After(nodetest.Patience):
-		t.Error("it goes on")
+		t.Error("receive did not return")
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -12,104 +12,104 @@
 	"ivylock/internal/figures"
 )
 
-// Request is one try of a client, from its arrival to its final answer. A
-// front makes it; from Take on it is the node's.
+// Request is one try of a client, from its arrival to its final response. The front end
+// creates it; from Submit on it belongs to the node.
 type Request struct {
 	balance.RequestArrived
-	Method, URI, Key string // as they go on to a server; Key is the Idempotency-Key
+	Method, URI, Key string // as forwarded to a server; Key is the Idempotency-Key
 	Body             []byte
-	BodyStream       BodyStream // of a body that is not held: nil if Body is all
+	BodyStream       BodyStream // of a body that is not buffered; nil if Body is complete
 	Deadline         time.Time
-	ReadAt           time.Time              // when its last byte was read, or, of a body that is not held, its head's
-	ClientGone       func() bool            // whether its client has gone, looked at just now; nil: not known
-	answer           chan Response          // holds the one final answer
-	over             atomic.Pointer[ending] // nothing more goes out; nil: it is open
-	attempts         []*attempt             // the loop's
-	out              int                    // the loop's
-	spent            atomic.Bool            // an attempt has begun to read Rest
+	ReadAt           time.Time                  // when the last byte was read, or the header if the body is streamed
+	ClientGone       func() bool                // checks whether the client has disconnected; nil: unknown
+	response         chan Response              // receives the single final response
+	ended            atomic.Pointer[requestEnd] // set once nothing more may be sent; nil while the request is open
+	attempts         []*attempt                 // owned by the loop
+	outstanding      int                        // attempts in flight; owned by the loop
+	bodyConsumed     atomic.Bool                // an attempt has begun to read BodyStream
 }
 
-// ending is how and when a request ended.
-type ending struct {
+// requestEnd records when and how a request ended.
+type requestEnd struct {
 	at       time.Time
-	answered bool // it had its final answer, and its client did not go before that
+	answered bool // the final response was given before the client disconnected
 }
 
-// end notes that nothing more goes out for the request; false if that was so.
+// end marks the request as ended. It returns false if the request had ended before.
 func (r *Request) end(answered bool) bool {
-	return r.over.CompareAndSwap(nil, &ending{time.Now(), answered})
+	return r.ended.CompareAndSwap(nil, &requestEnd{time.Now(), answered})
 }
 
-// isOver tells whether nothing more may go out for the request.
-func (r *Request) isOver() bool { return r.over.Load() != nil }
+// isOver reports whether the request has ended: nothing more may be sent for it.
+func (r *Request) isOver() bool { return r.ended.Load() != nil }
 
-// BodyStream is what comes after the part of a body that is held. It can be read
-// once, so an attempt that has begun to read it is the request's last.
+// BodyStream is the unbuffered remainder of a request body. It can be read only once, so an
+// attempt that has begun to read it is the last one of its request.
 type BodyStream interface {
 	io.Reader
-	// Length is that of the whole body; -1: not known before it ends.
+	// Length returns the length of the whole body; -1 if it is unknown before the end.
 	Length() int64
-	// Timeout is how long the client waits from the last byte on.
+	// Timeout returns how long the client waits after the last byte of the body.
 	Timeout() time.Duration
-	// Deadline is when the client stops waiting: its time counts from the last
-	// byte. It is called once that has been read.
+	// Deadline returns when the client stops waiting, counted from the last byte of the
+	// body. It is called after that byte has been read.
 	Deadline() time.Time
 }
 
-// Response is the final answer to a client.
+// Response is the final response to a client.
 type Response struct {
-	Status     int // of HTTP: 200 served, 429 and 503 refused, any other failed
+	Status     int // HTTP status: 200 served, 429 and 503 refused, any other failed
 	Body       []byte
-	BodyStream *backend.Stream // of a 200 that is passed on in pieces: nil if Body is all
-	RetryAfter time.Duration   // how long a refused client should wait; 0: no advice
-	Reason     figures.Turned  // of any other status than 200: why no server's answer is passed on
+	BodyStream *backend.Stream // of a streamed 200; nil if Body is complete
+	RetryAfter time.Duration   // hint to a refused client; 0: none
+	Reason     figures.Turned  // why the response is not a server's; unused with status 200
 }
 
-// Front takes requests from clients and hands them to a node.
+// Front accepts requests from clients and submits them to a node.
 type Front interface {
-	// Addr is where clients connect.
+	// Addr returns the address that clients connect to.
 	Addr() net.Addr
-	// Serve takes requests until the front is drained, or fails.
+	// Serve serves requests until the front end is drained or fails.
 	Serve() error
-	// Drain ends the service by the node's schedule, from the node's signal on: it
-	// goes on taking requests while connections may still come, and returns when
-	// all have their answers and the connections have ended, or at the
-	// schedule's end.
+	// Drain stops the service by the node's shutdown schedule: it accepts requests while
+	// connections may still arrive, and returns when all requests are answered and all
+	// connections closed, or at the end of the schedule.
 	Drain() error
 }
 
-// endingHoldOff is how long a client is told to wait whose request a process that ends
-// refuses: another node may take it at once.
-const endingHoldOff = 50 * time.Millisecond
+// shutdownRetryAfter is the retry hint to clients that a terminating process refuses. It is
+// short because another node can serve them at once.
+const shutdownRetryAfter = 50 * time.Millisecond
 
-// Submit hands a request to the node. Exactly one final answer comes on the
-// channel, unless the request is abandoned or the node has ended (Done). One that
-// comes too late for a process that was told to end is refused at once.
+// Submit hands a request to the node. Exactly one final response arrives on the channel,
+// unless the request is abandoned or the event loop has ended (see Done). A request that
+// was read too late during shutdown is refused at once.
 func (n *Node) Submit(r *Request) <-chan Response {
-	r.answer = make(chan Response, 1)
-	if !n.life.mayTake(r.ReadAt) {
+	r.response = make(chan Response, 1)
+	if !n.lifecycle.mayServe(r.ReadAt) {
 		n.finish(r, n.ShutdownResponse())
-		return r.answer
+		return r.response
 	}
 	n.post(r)
-	return r.answer
+	return r.response
 }
 
-// ShutdownResponse refuses what comes too late for a process that ends.
+// ShutdownResponse returns the refusal for requests that arrive too late during shutdown.
 func (n *Node) ShutdownResponse() Response {
-	a := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding}
+	resp := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding}
 	if n.cfg.Settings.RetryAfterSupported {
-		a.RetryAfter = min(endingHoldOff, n.cfg.Settings.MaxRetryAfter)
+		resp.RetryAfter = min(shutdownRetryAfter, n.cfg.Settings.MaxRetryAfter)
 	}
-	return a
+	return resp
 }
 
-// Abandon tells, once, that a request's client is gone: nothing more goes out for it. An answer
-// that came just before is nobody's; what it passes on is given up.
+// Abandon tells the node that a request's client has disconnected: nothing more is sent for
+// it. It must be called at most once. A response that was given just before is discarded
+// and its stream is closed.
 func (n *Node) Abandon(r *Request) {
-	if !r.end(false) && r.over.Load().answered { // its answer is there, or will be at once
-		if a := <-r.answer; a.BodyStream != nil {
-			a.BodyStream.Done(backend.ErrUnread)
+	if !r.end(false) && r.ended.Load().answered { // the response is available or will be at once
+		if resp := <-r.response; resp.BodyStream != nil {
+			resp.BodyStream.Done(backend.ErrUnread)
 		}
 	}
 	n.post(clientGone{r})
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -11,23 +11,23 @@
 	"ivylock/membership"
 )
 
-// The node's list of servers: what discovery, neighbours and operators say of it, and how
-// the pool and the module are told.
+// The list of servers: merges what discovery, peers and operators report, and updates the
+// connection pool and the balance module.
 
-// discover begins to call discovery at an address.
+// discover starts watching the discovery service at addr.
 func (n *Node) discover(addr string, from membership.InitialState) {
 	s := n.cfg.Settings
-	set := membership.Settings{Pushed: !s.ListOnDemand, AskWithin: s.ListPollInterval, Nodes: n.sharing, Seed: n.cfg.Seed}
+	set := membership.Settings{Pushed: !s.ListOnDemand, AskWithin: s.ListPollInterval, Nodes: n.discoveryNodes, Seed: n.cfg.Seed}
 	if n.fleet != nil {
-		set.PollWait = n.fleet.hold()
+		set.PollWait = n.fleet.pollWait()
 	}
-	n.source = discovery.New(addr, set, from, func(news discovery.Update) { n.post(news) })
+	n.source = discovery.New(addr, set, from, func(update discovery.Update) { n.post(update) })
 }
 
-// changeDiscovery turns to discovery at another address at once. What still comes from
-// the old one is ignored. The versions of the two need not be related, so the
-// watch begins from the start.
-func (n *Node) changeDiscovery(addr string) {
+// switchDiscovery moves to the discovery service at another address. Later updates from the
+// old one are ignored. The generations of the two may be unrelated, so the watch restarts
+// from scratch.
+func (n *Node) switchDiscovery(addr string) {
 	if n.source != nil {
 		n.source.Close()
 	}
@@ -35,161 +35,162 @@
 	n.discover(addr, membership.InitialState{HaveList: true})
 }
 
-// takeNews takes news of the list: first what the pool needs, so that nothing
-// new goes to a backend that drains, then the module.
-func (n *Node) takeNews(e discovery.Update) {
-	n.figures.EntriesSkipped.Add(int64(e.List.Skipped))
+// applyListUpdate applies an update of the server list: first to the pool, so that draining
+// backends get no new requests, then to the module.
+func (n *Node) applyListUpdate(e discovery.Update) {
+	n.metrics.EntriesSkipped.Add(int64(e.List.Skipped))
 	if e.Kind == balance.ListFailed {
-		n.countFailure(e.Failure)
+		n.countListFailure(e.Failure)
 		n.list.MarkSourceLost()
 		return
 	}
-	if e.Source != nil && !n.told {
-		n.told = true
-		close(n.heard)
+	if e.Source != nil && !n.hasList {
+		n.hasList = true
+		close(n.listReceived)
 	}
-	words, confirmed := n.list.PeerReports(), n.list.ReceivedAt()
-	n.noteDate(e.List.Date)
-	left := n.list.Apply(n.now(), listKinds[e.Kind], e.List.Generation, entriesOf(e.List))
-	n.sendWithdrawals(left)
-	n.fleetList(e)
+	reports, confirmed := n.list.PeerReports(), n.list.ReceivedAt()
+	n.updateSourceClock(e.List.Date)
+	left := n.list.Apply(n.now(), listKinds[e.Kind], e.List.Generation, membershipEntries(e.List))
+	n.announceDepartures(left)
+	n.reportListToFleet(e)
 	n.applyEntries(e.Kind, e.List.Instances, confirmed)
-	if words > 0 { // those that it does not confirm hold no more
+	// Peer reports that this update does not confirm expire.
+	if reports > 0 {
 		n.reapplyList()
 	}
-	n.fleetChanged()
+	n.reapplyIfFleetChanged()
 }
 
-// countFailure counts a call to discovery that brought no list.
-func (n *Node) countFailure(why discovery.Failure) {
-	switch why {
+// countListFailure counts a failed call to discovery.
+func (n *Node) countListFailure(failure discovery.Failure) {
+	switch failure {
 	case discovery.Unanswered, discovery.Rejected:
-		n.figures.ListsUnanswered.Add(1)
+		n.metrics.ListsUnanswered.Add(1)
 	case discovery.Truncated:
-		n.figures.ListsCutShort.Add(1)
+		n.metrics.ListsCutShort.Add(1)
 	case discovery.Unreadable:
-		n.figures.ListsUnreadable.Add(1)
+		n.metrics.ListsUnreadable.Add(1)
 	}
 }
 
 var (
-	listKinds = map[balance.ListKind]membership.UpdateKind{balance.ListChanges: membership.Changes, balance.ListFull: membership.Full, balance.ListCached: membership.Cached}
-	states    = map[string]membership.State{"up": membership.Up, "draining": membership.Draining, "removed": membership.Removed}
+	listKinds    = map[balance.ListKind]membership.UpdateKind{balance.ListChanges: membership.Changes, balance.ListFull: membership.Full, balance.ListCached: membership.Cached}
+	memberStates = map[string]membership.State{"up": membership.Up, "draining": membership.Draining, "removed": membership.Removed}
 )
 
-// entriesOf gives a list's entries in membership's form.
-func entriesOf(list discovery.List) (out []membership.Entry[discovery.Entry]) {
+// membershipEntries converts the entries of a list to the form of package membership.
+func membershipEntries(list discovery.List) (out []membership.Entry[discovery.Entry]) {
 	for _, e := range list.Instances {
-		out = append(out, membership.Entry[discovery.Entry]{Name: e.InstanceID, State: states[e.Lifecycle],
+		out = append(out, membership.Entry[discovery.Entry]{Name: e.InstanceID, State: memberStates[e.Lifecycle],
 			StartedAt: time.Duration(e.StartedAtMs) * time.Millisecond, Payload: e})
 	}
 	return out
 }
 
-// noteDate takes discovery's own time in an answer; zero: not told.
-func (n *Node) noteDate(date time.Time) {
-	n.sourceAhead = nil
+// updateSourceClock records the date of a response of discovery; zero means none.
+func (n *Node) updateSourceClock(date time.Time) {
+	n.sourceClockOffset = nil
 	if !date.IsZero() {
 		ahead := time.Duration(date.UnixNano()) - n.now()
-		n.sourceAhead = &ahead
+		n.sourceClockOffset = &ahead
 	}
 }
 
-// startOf is when a server started by an entry of the list, in the node's time. confirmed
-// is when the list was last told before.
-func (n *Node) startOf(e discovery.Entry, confirmed balance.Time) balance.Time {
+// serverStart returns when the server of a list entry started, in the node's time.
+// confirmed is when the list was last received before.
+func (n *Node) serverStart(e discovery.Entry, confirmed balance.Time) balance.Time {
 	clocks := membership.Clocks{Process: n.now(), Wall: wallclock.Now()}
-	if n.sourceAhead != nil {
-		clocks.Source = clocks.Process + *n.sourceAhead
+	if n.sourceClockOffset != nil {
+		clocks.Source = clocks.Process + *n.sourceClockOffset
 	}
-	told := max(time.Duration(e.StartedAtMs)*time.Millisecond, n.list.PeerReportedStart(e.InstanceID))
-	return n.starts.Resolve(e.InstanceID, told, confirmed, clocks)
+	startedAt := max(time.Duration(e.StartedAtMs)*time.Millisecond, n.list.PeerReportedStart(e.InstanceID))
+	return n.startTimes.Resolve(e.InstanceID, startedAt, confirmed, clocks)
 }
 
-// applyEntries tells of entries of the list as maintenance lets them be seen. confirmed is when
-// the list was last told before.
+// applyEntries applies list entries, with maintenance taken into account, to the pool and
+// the module. confirmed is when the list was last received before.
 func (n *Node) applyEntries(kind balance.ListKind, entries []discovery.Entry, confirmed balance.Time) {
 	now := time.Now()
 	update := balance.ListUpdate{Kind: kind, Version: n.list.Generation()}
 	listed := map[balance.ServerID]bool{}
 	for _, entry := range entries {
-		seen, b := n.applyEntry(entry, confirmed, now)
-		listed[b.ID] = true
-		update.Entries = append(update.Entries, seen)
+		effective, server := n.applyEntry(entry, confirmed, now)
+		listed[server.ID] = true
+		update.Entries = append(update.Entries, effective)
 	}
-	for id, b := range n.servers {
+	for id, server := range n.servers {
 		if kind != balance.ListChanges && !listed[id] {
-			b.Close(now)
-			b.Gone = true
-			n.byHand.SetListed(b.Name, false)
+			server.Close(now)
+			server.Gone = true
+			n.maintenance.SetListed(server.Name, false)
 		}
-		if b.Closed() {
-			n.pool.CloseIdle(b)
+		if server.Closed() {
+			n.pool.CloseIdle(server)
 		}
 	}
 	n.handle(update)
-	for _, b := range n.servers {
-		n.forgetServer(b)
+	for _, server := range n.servers {
+		n.removeServer(server)
 	}
-	n.starts.RemoveUnlisted(func(name string) bool { return n.servers[n.ids[name]] != nil })
-	n.keepAt = time.Time{} // what the list says is kept at once
+	n.startTimes.RemoveUnlisted(func(name string) bool { return n.servers[n.serverIDs[name]] != nil })
+	n.stateQueuedAt = time.Time{} // store a changed list at once
 	n.publish()
 }
 
-// applyEntry has the pool use a server as its entry says, and gives what the module is to
-// be told of it.
+// applyEntry updates the pool for one list entry, and returns the server as the module sees
+// it.
 func (n *Node) applyEntry(entry discovery.Entry, confirmed balance.Time, now time.Time) (balance.Server, *backend.Server) {
-	id := n.idOf(entry.InstanceID)
-	n.byHand.SetListed(entry.InstanceID, discovery.LifecycleStates[entry.Lifecycle] != balance.Removed)
-	seen := n.byHand.Apply(entry.InstanceID, balance.Server{ID: id, Zone: entry.Zone, Kind: entry.MachineType,
+	id := n.serverID(entry.InstanceID)
+	n.maintenance.SetListed(entry.InstanceID, discovery.LifecycleStates[entry.Lifecycle] != balance.Removed)
+	effective := n.maintenance.Apply(entry.InstanceID, balance.Server{ID: id, Zone: entry.Zone, Kind: entry.MachineType,
 		Cell: entry.Cell, State: discovery.LifecycleStates[entry.Lifecycle], Size: entry.Weight,
-		StartedAt: n.startOf(entry, confirmed)})
-	b := n.servers[id]
-	if seen.State == balance.Ready && (n.list.ExcludedByPeers(entry.InstanceID) || n.fleetOut(entry.InstanceID, b)) {
-		seen.State = balance.Draining
-	}
-	if b == nil {
-		b = &backend.Server{ID: id, Name: entry.InstanceID}
-		n.servers[id] = b
-		n.pool.Add(b)
-	}
-	b.Gone = seen.State == balance.Removed
-	if seen.State == balance.Ready {
-		b.Open()
+		StartedAt: n.serverStart(entry, confirmed)})
+	server := n.servers[id]
+	if effective.State == balance.Ready && (n.list.ExcludedByPeers(entry.InstanceID) || n.excludedByFleet(entry.InstanceID, server)) {
+		effective.State = balance.Draining
+	}
+	if server == nil {
+		server = &backend.Server{ID: id, Name: entry.InstanceID}
+		n.servers[id] = server
+		n.pool.Add(server)
+	}
+	server.Gone = effective.State == balance.Removed
+	if effective.State == balance.Ready {
+		server.Open()
 	} else {
-		b.Close(now)
+		server.Close(now)
 	}
-	if b.Place = seen.Location(); seen.State != balance.Removed {
-		n.pool.Update(b, entry.HostPort, seen.StartedAt)
+	if server.Place = effective.Location(); effective.State != balance.Removed {
+		n.pool.Update(server, entry.HostPort, effective.StartedAt)
 	}
-	return seen, b
+	return effective, server
 }
 
-// forgetServer forgets a server that is gone once nothing is out there: guards against
-// growth where servers are replaced all day.
-func (n *Node) forgetServer(b *backend.Server) {
-	if b.Gone && b.Out == 0 && n.servers[b.ID] == b {
-		delete(n.servers, b.ID)
-		delete(n.ids, b.Name)
-		n.pool.Remove(b)
+// removeServer drops a server that has been removed from the list and has nothing in
+// flight, so that replaced servers do not accumulate.
+func (n *Node) removeServer(server *backend.Server) {
+	if server.Gone && server.Out == 0 && n.servers[server.ID] == server {
+		delete(n.servers, server.ID)
+		delete(n.serverIDs, server.Name)
+		n.pool.Remove(server)
 	}
 }
 
-// idOf gives the module's number for a server: a hash of its name, so that
-// it is the same after a restart.
-func (n *Node) idOf(name string) balance.ServerID {
-	if id, known := n.ids[name]; known {
+// serverID returns the module's ID of a server. It is a hash of its name, so that it
+// survives a restart.
+func (n *Node) serverID(name string) balance.ServerID {
+	if id, known := n.serverIDs[name]; known {
 		return id
 	}
-	id := hashOf(name)
+	id := hashName(name)
 	for n.servers[id] != nil {
 		id++
 	}
-	n.ids[name] = id
+	n.serverIDs[name] = id
 	return id
 }
 
-func hashOf(name string) balance.ServerID {
+func hashName(name string) balance.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return balance.ServerID(h.Sum32())
