--- a/internal/bounded/answer.go
+++ b/internal/bounded/answer.go
@@ -1,5 +1,5 @@
-// Package bounded reads what a peer sends within stated bounds of size, of
-// time and of patience with what is no HTTP.
+// Package bounded reads HTTP responses with limits on size and time, and inspects
+// connections without blocking.
 package bounded
 
 import (
@@ -14,64 +14,64 @@
 )
 
 const (
-	// MaxBufferedBody is the most of a body that is held for as long as the request is
-	// open. Longer ones pass through in pieces (protocol and days pages).
+	// MaxBufferedBody is the size up to which a body is buffered for as long as its request
+	// is open. Longer bodies are streamed.
 	MaxBufferedBody = 64 << 10
-	// MaxBodyLength is the most that a body holds, in either direction: twice what
-	// occurs (days page).
+	// MaxBodyLength is the maximum length of a body in either direction.
 	MaxBodyLength = 64 << 20
-	// MaxHeaderBytes is the most that a client's head holds.
+	// MaxHeaderBytes is the maximum size of a request header.
 	MaxHeaderBytes = 8 << 10
-	// maxStart is what is read of an answer at most before it is passed on: its
-	// head, 1xx answers ahead of it, MaxBufferedBody and the framing of small chunks.
-	maxStart = 16 * MaxBufferedBody
+	// maxBufferedResponse limits what is read of a response before it is forwarded: its
+	// header, interim responses, MaxBufferedBody and the framing of small chunks.
+	maxBufferedResponse = 16 * MaxBufferedBody
 
-	answerTime = 500 * time.Millisecond // from one piece of an answer's start to the next: backends send them whole
-	restTime   = 10 * time.Second       // the same in what is passed on: a backend that stopped
-	maxInterim = 8                      // 1xx answers ahead of the answer
+	pieceTimeout        = 500 * time.Millisecond // between two reads up to the end of the prefix
+	streamPieceTimeout  = 10 * time.Second       // between two reads of a streamed body
+	maxInterimResponses = 8                      // 1xx responses before the final one
 )
 
-// ErrMalformedResponse says that an answer came, but none that may be passed on.
+// ErrMalformedResponse is returned for a response that is not valid HTTP, exceeds a limit
+// or stalls.
 var ErrMalformedResponse = errors.New("spoilt answer")
 
-// Reader reads answers from a connection.
+// Reader reads responses from a connection.
 type Reader struct {
-	conn    net.Conn
-	limit   io.LimitedReader // what may still be read: guards against an answer without end
-	r       *bufio.Reader
-	pause   time.Duration // the longest wait for the next piece; 0: no bound
-	stopped atomic.Bool   // Stop was called
-	armed   bool          // a read deadline is set
-	last    [1]byte       // for the read that ends a message
+	conn        net.Conn
+	limit       io.LimitedReader // bytes that may still be read of this response
+	r           *bufio.Reader
+	timeout     time.Duration // of the next read; 0: none
+	stopped     atomic.Bool   // Stop was called
+	deadlineSet bool          // a read deadline is set
+	endByte     [1]byte       // buffer for the read that reaches the end of a body
 }
 
-// NewReader makes one; nothing else may read from the connection or set its
+// NewReader returns a Reader for c. Nothing else may read from the connection or set its
 // read deadline.
 func NewReader(c net.Conn) *Reader {
 	r := &Reader{conn: c}
-	r.limit.R = pieces{r}
+	r.limit.R = timedReader{r}
 	r.r = bufio.NewReader(&r.limit)
 	return r
 }
 
-// pieces reads from the connection, each piece within the pause.
-type pieces struct{ *Reader }
+// timedReader reads from the connection with the Reader's timeout on each read.
+type timedReader struct{ *Reader }
 
-func (p pieces) Read(b []byte) (int, error) {
-	if p.pause > 0 {
-		p.armed = true
-		p.conn.SetReadDeadline(time.Now().Add(p.pause))
-		if p.stopped.Load() { // guards against a Stop that came just before
-			p.conn.SetReadDeadline(time.Unix(1, 0))
+func (t timedReader) Read(b []byte) (int, error) {
+	if t.timeout > 0 {
+		t.deadlineSet = true
+		t.conn.SetReadDeadline(time.Now().Add(t.timeout))
+		if t.stopped.Load() { // Stop was called just before the deadline was set
+			t.conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
-	return p.conn.Read(b)
+	return t.conn.Read(b)
 }
 
-// disarm takes back the read deadline, if one is set.
-func (r *Reader) disarm() {
-	if r.armed {
-		r.armed = false
+// clearDeadline removes the read deadline, if one is set.
+func (r *Reader) clearDeadline() {
+	if r.deadlineSet {
+		r.deadlineSet = false
 		r.conn.SetReadDeadline(time.Time{})
 		if r.stopped.Load() {
 			r.conn.SetReadDeadline(time.Unix(1, 0))
@@ -79,66 +79,64 @@
 	}
 }
 
-// Stop ends a read that waits, and all later ones. It may be called from
-// another goroutine.
+// Stop ends a pending read and all later ones. It may be called from another goroutine.
 func (r *Reader) Stop() {
 	r.stopped.Store(true)
 	r.conn.SetDeadline(time.Unix(1, 0))
 }
 
-// Stopped tells whether Stop was called.
+// Stopped reports whether Stop was called.
 func (r *Reader) Stopped() bool { return r.stopped.Load() }
 
-// BufferEmpty tells that nothing has been read past the last answer.
+// BufferEmpty reports whether nothing has been read beyond the last response.
 func (r *Reader) BufferEmpty() bool { return r.r.Buffered() == 0 }
 
-// Response is an answer, whole or begun.
+// Response is a response that has been read completely or up to its prefix.
 type Response struct {
 	*http.Response
-	Prefix      []byte // the body's first part; all of it if Whole
+	Prefix      []byte // first part of the body; all of it if Complete
 	Complete    bool
-	FirstByteAt time.Time // when its first byte was there
-	BodyLength  int64     // of the whole body; -1: not known before it ends
-	from        *Reader
+	FirstByteAt time.Time // when the first byte of the response arrived
+	BodyLength  int64     // of the whole body; -1 if unknown before its end
+	reader      *Reader
 }
 
-// Response reads one answer, past the 1xx ones ahead of it: all of one of up to
-// MaxBufferedBody, the start of a longer one. Once the first byte is there each piece
-// has 0.5 s: guards against one that is cut short, or noise, on a connection
-// that stays open. The error is ErrMalformedResponse if something came that is no answer,
-// else that of the connection. An answer with neither a length nor chunks is
-// whole when its connection is closed, and not reset, within that time.
+// ReadResponse reads one response and skips interim responses. A body of up to
+// MaxBufferedBody is read completely, of a longer one only a prefix. After the first byte
+// each read has a timeout, so that truncated responses and garbage on an open connection
+// are detected. The error is ErrMalformedResponse if the received bytes are no valid
+// response, otherwise that of the connection. A response with neither a length nor chunked
+// encoding is complete when its connection is closed, and not reset, within the timeout.
 func (r *Reader) ReadResponse(req *http.Request) (*Response, error) {
-	r.limit.N, r.pause = maxStart, 0
+	r.limit.N, r.timeout = maxBufferedResponse, 0
 	if _, err := r.r.Peek(1); err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	r.pause = answerTime
-	a, err := r.parse(req)
-	r.pause = 0
+	firstByteAt := time.Now()
+	r.timeout = pieceTimeout
+	resp, err := r.parse(req)
+	r.timeout = 0
 	if err == nil {
-		a.FirstByteAt = began
-		r.disarm()
-		return a, nil
+		resp.FirstByteAt = firstByteAt
+		r.clearDeadline()
+		return resp, nil
 	}
-	var broken *net.OpError
+	var opErr *net.OpError
 	switch {
-	case errors.As(err, &broken):
-		if broken.Timeout() && !r.stopped.Load() {
+	case errors.As(err, &opErr):
+		if opErr.Timeout() && !r.stopped.Load() {
 			return nil, ErrMalformedResponse
 		}
-		return nil, err // broken off, or called off
+		return nil, err // connection failed or Stop was called
 	case (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)) && r.limit.N > 0:
-		return nil, err // broken off
+		return nil, err // connection closed
 	}
 	return nil, ErrMalformedResponse
 }
 
-// parse does not wait for more than it takes to see that something is no
-// answer.
+// parse reads a response and fails as soon as the received bytes cannot be one.
 func (r *Reader) parse(req *http.Request) (*Response, error) {
-	for range maxInterim + 1 {
+	for range maxInterimResponses + 1 {
 		const version = "HTTP/1."
 		for n := 1; n <= len(version); n++ {
 			if start, err := r.r.Peek(n); err != nil {
@@ -147,52 +145,53 @@
 				return nil, ErrMalformedResponse
 			}
 		}
-		resp, err := http.ReadResponse(r.r, req)
+		httpResp, err := http.ReadResponse(r.r, req)
 		if err != nil {
 			return nil, err
 		}
-		if resp.StatusCode < 200 {
+		if httpResp.StatusCode < 200 {
 			continue
 		}
-		a := &Response{Response: resp, BodyLength: resp.ContentLength, from: r}
-		if a.BodyLength > MaxBodyLength {
+		resp := &Response{Response: httpResp, BodyLength: httpResp.ContentLength, reader: r}
+		if resp.BodyLength > MaxBodyLength {
 			return nil, ErrMalformedResponse
 		}
-		if a.BodyLength > MaxBufferedBody {
-			a.Prefix = make([]byte, 4096) // its first bytes are what counts: they are not held back for more
-			n, err := resp.Body.Read(a.Prefix)
-			if a.Prefix = a.Prefix[:n]; n == 0 && err != nil {
+		if resp.BodyLength > MaxBufferedBody {
+			// One read: the first bytes are forwarded without waiting for more.
+			resp.Prefix = make([]byte, 4096)
+			n, err := httpResp.Body.Read(resp.Prefix)
+			if resp.Prefix = resp.Prefix[:n]; n == 0 && err != nil {
 				return nil, err
 			}
-			return a, nil
+			return resp, nil
 		}
-		if a.BodyLength >= 0 {
-			a.Prefix = make([]byte, a.BodyLength)
-			_, err = io.ReadFull(resp.Body, a.Prefix)
+		if resp.BodyLength >= 0 {
+			resp.Prefix = make([]byte, resp.BodyLength)
+			_, err = io.ReadFull(httpResp.Body, resp.Prefix)
 			if err == nil {
-				_, err = resp.Body.Read(r.last[:]) // takes in what ends the message
+				_, err = httpResp.Body.Read(r.endByte[:]) // consumes the end of the body
 			}
 		} else {
-			a.Prefix, err = io.ReadAll(io.LimitReader(resp.Body, MaxBufferedBody+1))
-			if err == nil && len(a.Prefix) <= MaxBufferedBody {
+			resp.Prefix, err = io.ReadAll(io.LimitReader(httpResp.Body, MaxBufferedBody+1))
+			if err == nil && len(resp.Prefix) <= MaxBufferedBody {
 				err = io.EOF
 			}
 		}
-		if a.Complete = errors.Is(err, io.EOF); a.Complete || err == nil {
-			return a, nil
+		if resp.Complete = errors.Is(err, io.EOF); resp.Complete || err == nil {
+			return resp, nil
 		}
 		return nil, err
 	}
 	return nil, ErrMalformedResponse
 }
 
-// Read reads what comes after Start. A backend that stops for 10 s has failed.
-func (a *Response) Read(b []byte) (int, error) {
-	a.from.limit.N, a.from.pause = math.MaxInt64, restTime
-	n, err := a.Body.Read(b)
+// Read reads the body after Prefix. A stalled read fails after streamPieceTimeout.
+func (r *Response) Read(b []byte) (int, error) {
+	r.reader.limit.N, r.reader.timeout = math.MaxInt64, streamPieceTimeout
+	n, err := r.Body.Read(b)
 	if err != nil {
-		a.from.pause = 0
-		a.from.disarm() // guards against the next answer on this connection being timed by this one
+		r.reader.timeout = 0
+		r.reader.clearDeadline() // the deadline must not apply to the next response
 	}
 	return n, err
 }
--- a/internal/bounded/answer_test.go
+++ b/internal/bounded/answer_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// read gives what the reader makes of bytes that come in pieces of a size and
-// are followed by the connection's end.
+// read returns what a Reader reads if raw arrives in pieces of the given size and the
+// connection is then closed.
 func read(t *testing.T, raw []byte, piece int) (status int, body []byte, err error) {
 	t.Helper()
 	ours, theirs := net.Pipe()
@@ -41,10 +41,10 @@
 	return a.StatusCode, body, nil
 }
 
-// net/http's reading of the same bytes.
+// reference returns what net/http reads.
 func reference(raw []byte) (status int, body []byte, err error) {
 	r := bufio.NewReader(bytes.NewReader(raw))
-	for range maxInterim + 1 {
+	for range maxInterimResponses + 1 {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
 			return 0, nil, err
@@ -54,10 +54,10 @@
 			return resp.StatusCode, body, err
 		}
 	}
-	return 0, nil, errors.New("1xx without end")
+	return 0, nil, errors.New("endless interim responses")
 }
 
-var answers = []string{
+var sampleResponses = []string{
 	"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
 	"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
 	"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000),
@@ -77,15 +77,15 @@
 	"",
 }
 
-// What is read is what net/http reads in the same bytes, however they are cut,
-// and nothing that net/http finds broken is taken for whole.
-func compare(t *testing.T, raw []byte, piece int) {
+// compareWithNetHTTP checks that a Reader reads the same as net/http, however the bytes are
+// split, and accepts nothing that net/http rejects.
+func compareWithNetHTTP(t *testing.T, raw []byte, piece int) {
 	t.Helper()
 	wantStatus, want, wantErr := reference(raw)
 	status, got, err := read(t, raw, piece)
 	if (err == nil) != (wantErr == nil) {
 		if err != nil && wantErr == nil && (len(want) > MaxBodyLength || errors.Is(err, ErrMalformedResponse)) {
-			return // stricter is right: too long, or a head out of bounds
+			return // the Reader is stricter: body too long or invalid header
 		}
 		t.Fatalf("%.100q in pieces of %d: %v, net/http says %v", raw, piece, err, wantErr)
 	}
@@ -94,44 +94,44 @@
 	}
 }
 
-func TestAnswersAreReadAsNetHTTPReadsThem(t *testing.T) {
-	for _, text := range answers {
+func TestResponsesAreReadLikeNetHTTP(t *testing.T) {
+	for _, text := range sampleResponses {
 		for _, piece := range []int{1, 7, 4096, 1 << 20} {
 			if piece > 1 || len(text) < 1000 {
-				compare(t, []byte(text), piece)
+				compareWithNetHTTP(t, []byte(text), piece)
 			}
 		}
 	}
 }
 
-func FuzzAnswer(f *testing.F) {
-	for _, text := range answers {
+func FuzzReadResponse(f *testing.F) {
+	for _, text := range sampleResponses {
 		f.Add([]byte(text), 3)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, piece int) {
 		if len(raw) < 1<<18 {
-			began := time.Now()
-			compare(t, raw, 1+(piece&0xfff)+len(raw)/1000)
-			if took := time.Since(began); took > 5*time.Second {
-				t.Errorf("%v", took)
+			start := time.Now()
+			compareWithNetHTTP(t, raw, 1+(piece&0xfff)+len(raw)/1000)
+			if took := time.Since(start); took > 5*time.Second {
+				t.Errorf("took %v", took)
 			}
 		}
 	})
 }
 
-func TestAnAnswerThatStopsIsGivenUp(t *testing.T) {
+func TestStalledResponseTimesOut(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer ours.Close()
 	defer theirs.Close()
 	go io.WriteString(theirs, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")
-	began := time.Now()
+	start := time.Now()
 	if _, err := NewReader(ours).ReadResponse(nil); !errors.Is(err, ErrMalformedResponse) {
 		t.Errorf("got %v", err)
 	}
-	if took := time.Since(began); took < answerTime {
-		t.Errorf("given up after %v", took)
+	if took := time.Since(start); took < pieceTimeout {
+		t.Errorf("timed out after %v", took)
 	}
-	// Stop ends it at once, also when it comes between two pieces.
+	// Stop takes effect at once, also between two reads.
 	r := NewReader(ours)
 	r.Stop()
 	if _, err := r.ReadResponse(nil); err == nil || errors.Is(err, ErrMalformedResponse) {
@@ -139,21 +139,20 @@
 	}
 }
 
-// deadlines remembers the read deadline that was set last.
-type deadlines struct {
+// deadlineRecorder records the last read deadline.
+type deadlineRecorder struct {
 	net.Conn
 	last time.Time
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
 	d.last = t
 	return d.Conn.SetReadDeadline(t)
 }
 
-// Guards against a connection that is kept with the deadline of an earlier
-// answer: the next one would be cut off by it, in the middle of its work.
-func TestNoDeadlineOutlivesItsAnswer(t *testing.T) {
-	for _, text := range answers[:6] {
+// A deadline left on a kept connection would cut off the next response.
+func TestReadDeadlineIsClearedAfterResponse(t *testing.T) {
+	for _, text := range sampleResponses[:6] {
 		ours, theirs := net.Pipe()
 		go func() {
 			for i := range 5 { // several reads, so that a deadline is set
@@ -161,11 +160,11 @@
 			}
 			theirs.Close()
 		}()
-		d := &deadlines{Conn: ours}
+		d := &deadlineRecorder{Conn: ours}
 		a, err := NewReader(d).ReadResponse(nil)
 		if err == nil && !a.Complete {
 			if d.last.IsZero() == false {
-				t.Errorf("%.60q: a deadline is left after its start", text)
+				t.Errorf("%.60q: a deadline is left after the prefix", text)
 			}
 			_, err = io.ReadAll(a)
 		}
--- a/internal/bounded/quiet.go
+++ b/internal/bounded/quiet.go
@@ -6,23 +6,22 @@
 	"syscall"
 )
 
-// OpenAndIdle tells whether a connection stands and nothing has come on it that is
-// still unread. It does not wait, and may be asked while another goroutine
-// reads.
+// OpenAndIdle reports whether a connection is open and has no unread data. It does not
+// block, and may be called while another goroutine reads.
 func OpenAndIdle(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// HasUnread tells whether something has come on a connection that is still unread; its end
-// is nothing. It does not wait either.
+// HasUnread reports whether a connection has unread data. A closed connection has none. It
+// does not block.
 func HasUnread(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
 
-// PeerClosed tells whether the other side has closed or reset a connection, and nothing that is
-// unread came before that. It does not wait either.
+// PeerClosed reports whether the other side has closed or reset a connection and no unread
+// data precedes that. It does not block.
 func PeerClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n == 0 || errors.Is(err, syscall.ECONNRESET)
@@ -39,12 +38,12 @@
 	if err != nil {
 		return 0, err
 	}
-	told := raw.Control(func(fd uintptr) { // Read would wait for the one who reads
+	controlErr := raw.Control(func(fd uintptr) { // unlike Read, Control does not wait for a concurrent reader
 		var b [1]byte
 		n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	if told != nil {
-		return 0, told
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	return n, err
 }
