--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept keeps a listener accepting, with whatever errors the system fails an
-// accept. net/http and gRPC end their service at any error that does not call itself
-// temporary, and pause for up to a second after one that does.
+// Package accept provides a listener that keeps accepting after errors. net/http and gRPC
+// stop serving after an error that is not marked as temporary, and pause for up to a second
+// after one that is.
 package accept
 
 import (
@@ -13,35 +13,33 @@
 )
 
 const (
-	retryFirst = time.Millisecond     // after an accept that failed; it doubles
-	retryLast  = 5 * time.Millisecond // the longest such wait: clients wait meanwhile
-	logPause   = time.Second          // between two lines about accepts that fail
+	minRetryDelay = time.Millisecond     // after a failed accept; doubles each time
+	maxRetryDelay = 5 * time.Millisecond // kept short because clients are waiting
+	logInterval   = time.Second          // between two log lines about failed accepts
 )
 
-// Listener is a listener whose Accept fails only once it has been closed, or when a
-// deadline that was set has passed. Its methods may be called from several goroutines.
+// Listener is a listener whose Accept fails only after Close or when a deadline has passed.
+// Its methods are safe for concurrent use.
 type Listener struct {
 	net.Listener
-	failed func(error)
-	once   sync.Once
-	closed chan struct{}
+	onError func(error)
+	once    sync.Once
+	closed  chan struct{}
 
 	logMu    sync.Mutex
-	loggedAt time.Time // of the last line about accepts that fail
-	unlogged int       // that have failed since
+	loggedAt time.Time // last log line about failed accepts
+	unlogged int       // failed accepts since then
 }
 
-// New makes one of a listener. Each accept that fails is told to failed, if that is not
-// nil; it must not wait.
-func New(l net.Listener, failed func(error)) *Listener {
-	return &Listener{Listener: l, failed: failed, closed: make(chan struct{})}
+// New wraps l. onError, if not nil, is called for each failed accept and must not block.
+func New(l net.Listener, onError func(error)) *Listener {
+	return &Listener{Listener: l, onError: onError, closed: make(chan struct{})}
 }
 
-// Accept waits for a connection. An accept that fails is made again within some
-// milliseconds. The error is net.ErrClosed once the listener has been closed, or
-// os.ErrDeadlineExceeded.
+// Accept waits for a connection and retries failed accepts within milliseconds. The error
+// is net.ErrClosed after Close, or os.ErrDeadlineExceeded.
 func (l *Listener) Accept() (net.Conn, error) {
-	for pause := retryFirst; ; pause = min(2*pause, retryLast) {
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
 		nc, err := l.Listener.Accept()
 		switch {
 		case err == nil:
@@ -60,7 +58,8 @@
 	}
 }
 
-// SetDeadline bounds how long an accept waits; false if the listener has no such thing.
+// SetDeadline sets the deadline of Accept. It returns false if the listener does not
+// support deadlines.
 func (l *Listener) SetDeadline(t time.Time) bool {
 	inner, is := l.Listener.(interface{ SetDeadline(time.Time) error })
 	return is && inner.SetDeadline(t) == nil
@@ -81,16 +80,16 @@
 	}
 }
 
-// report tells of an accept that failed, and logs it now and then.
+// report counts a failed accept and logs at most one line per logInterval.
 func (l *Listener) report(err error) {
-	if l.failed != nil {
-		l.failed(err)
+	if l.onError != nil {
+		l.onError(err)
 	}
 	l.logMu.Lock()
 	defer l.logMu.Unlock()
-	if l.unlogged++; time.Since(l.loggedAt) < logPause {
+	if l.unlogged++; time.Since(l.loggedAt) < logInterval {
 		return
 	}
-	log.Printf("accept on %v: %v; it is made again; %d failed since the last such line", l.Addr(), err, l.unlogged)
+	log.Printf("accept on %v: %v; retrying; %d failures since the last such line", l.Addr(), err, l.unlogged)
 	l.loggedAt, l.unlogged = time.Now(), 0
 }
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -12,14 +12,14 @@
 	"ivylock/internal/nodetest"
 )
 
-// Whatever the system fails an accept with, the next connection is accepted within
-// milliseconds, and each failure is told.
-func TestAnAcceptThatFailsIsMadeAgain(t *testing.T) {
+// Whatever error an accept fails with, it is retried within milliseconds, and each failure
+// is reported.
+func TestFailedAcceptIsRetriedAndCounted(t *testing.T) {
 	inner := nodetest.NewFailingListener(t, 10)
-	var failed atomic.Int64
-	l := New(inner, func(error) { failed.Add(1) })
+	var failures atomic.Int64
+	l := New(inner, func(error) { failures.Add(1) })
 	defer l.Close()
-	for errno := syscall.Errno(1); errno < 134; errno++ { // each that Linux has
+	for errno := syscall.Errno(1); errno < 134; errno++ { // all error numbers of Linux
 		const times = 3
 		for range times {
 			inner.Errors <- errno
@@ -28,21 +28,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		failed.Store(0)
+		failures.Store(0)
 		ours, err := l.Accept()
 		if err != nil {
 			t.Fatalf("%v: %v", errno, err)
 		}
-		if failed.Load() != times {
-			t.Errorf("%v: %d failures were told", errno, failed.Load())
+		if failures.Load() != times {
+			t.Errorf("%v: %d failures were reported", errno, failures.Load())
 		}
 		ours.Close()
 		theirs.Close()
 	}
 }
 
-// A listener that fails for ever costs some hundred calls a second, and ends when it is closed.
-func TestAcceptsThatFailForEverEndWithTheListener(t *testing.T) {
+// A listener that keeps failing is retried some hundred times a second until it is closed.
+func TestPersistentAcceptErrorsEndWithTheListener(t *testing.T) {
 	inner := nodetest.NewFailingListener(t, 10_000)
 	for range cap(inner.Errors) {
 		inner.Errors <- syscall.EMFILE
@@ -64,15 +64,15 @@
 			t.Error(err)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Error("it goes on")
+		t.Error("Accept did not return")
 	}
 }
 
-func TestADeadlineIsPassedOn(t *testing.T) {
+func TestSetDeadlineAppliesToTheListener(t *testing.T) {
 	l := New(nodetest.NewFailingListener(t, 1), nil)
 	defer l.Close()
 	if !l.SetDeadline(time.Now()) {
-		t.Fatal("it has no deadline")
+		t.Fatal("SetDeadline is not supported")
 	}
 	if _, err := l.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
