--- a/cmd/ivylock/bodies_test.go
+++ b/cmd/ivylock/bodies_test.go
@@ -16,7 +16,7 @@
 	"ivylock/internal/nodetest"
 )
 
-// residentMB is the memory that a process has in use (VmHWM: the most so far).
+// residentMB returns the peak resident memory of a process in MB.
 func residentMB(t testing.TB, pid int) float64 {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -31,19 +31,19 @@
 	return kb / 1024
 }
 
-// manyBodies has so many answers of a size under way at once, every second one
-// to a client that reads at 64 kB a second, and small requests beside them. It
-// tells how much memory the node took and how long the small ones did.
-func manyBodies(t testing.TB, many int, size int64) (most float64, small time.Duration) {
+// measureLongResponses has count responses of the given size in progress at once, every
+// second one to a client that reads at 64 kB/s, together with small requests. It returns
+// the peak memory of the node and the longest time of a small request.
+func measureLongResponses(t testing.TB, count int, size int64) (peakMB float64, slowestSmall time.Duration) {
 	t.Helper()
-	piece := make([]byte, 64<<10)
+	chunk := make([]byte, 64<<10)
 	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !strings.HasPrefix(r.Header.Get("Request-Id"), "large") {
 			return
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(size))
-		for sent := int64(0); sent < size; sent += int64(len(piece)) {
-			if _, err := w.Write(piece[:min(size-sent, int64(len(piece)))]); err != nil {
+		for sent := int64(0); sent < size; sent += int64(len(chunk)) {
+			if _, err := w.Write(chunk[:min(size-sent, int64(len(chunk)))]); err != nil {
 				return
 			}
 		}
@@ -77,7 +77,7 @@
 	defer c.Wait()
 	defer c.Process.Kill()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	ask := func(id string, rate int64) error {
+	request := func(id string, rate int64) error {
 		req, _ := http.NewRequest(http.MethodGet, "http://"+l.Addr().String()+"/clip", nil)
 		req.Header.Set("Request-Id", id)
 		req.Header.Set("Request-Class", "clip")
@@ -94,57 +94,57 @@
 			_, err = io.Copy(io.Discard, resp.Body)
 			return err
 		}
-		for began := time.Now(); time.Since(began) < 2*time.Second; time.Sleep(100 * time.Millisecond) { // a slow reader, for a while
+		for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(100 * time.Millisecond) { // a slow reader
 			if _, err := io.CopyN(io.Discard, resp.Body, rate/10); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	for i := range 60 { // the node learns how many the servers can hold
-		if err := ask(fmt.Sprint("first", i), 0); err != nil {
+	for i := range 60 { // the node learns the servers' capacity
+		if err := request(fmt.Sprint("first", i), 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var all sync.WaitGroup
-	var whole atomic.Int64
-	for i := range many {
-		all.Add(1)
+	var clients sync.WaitGroup
+	var completed atomic.Int64
+	for i := range count {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			if err := ask(fmt.Sprint("large", i), int64(i%2)*64000); err != nil {
+			defer clients.Done()
+			if err := request(fmt.Sprint("large", i), int64(i%2)*64000); err != nil {
 				t.Error(err)
 			}
-			whole.Add(1)
+			completed.Add(1)
 		}()
 	}
-	for i := 0; whole.Load() < int64(many); i++ {
-		began := time.Now()
-		if err := ask(fmt.Sprint("small", i), 0); err != nil {
+	for i := 0; completed.Load() < int64(count); i++ {
+		start := time.Now()
+		if err := request(fmt.Sprint("small", i), 0); err != nil {
 			t.Error(err)
 		}
-		small = max(small, time.Since(began))
+		slowestSmall = max(slowestSmall, time.Since(start))
 		time.Sleep(10 * time.Millisecond)
 	}
-	all.Wait()
-	return residentMB(t, c.Process.Pid), small
+	clients.Wait()
+	return residentMB(t, c.Process.Pid), slowestSmall
 }
 
-// Many long answers at once, half of them to slow readers, under a memory
-// limit that they are far beyond.
-func TestLongAnswersTakeLittleMemory(t *testing.T) {
-	most, small := manyBodies(t, 24, 8<<20)
-	if most > 64 { // the race detector takes several times what the node does
-		t.Errorf("the node took %.0f MB", most)
+// Long responses that together far exceed the memory limit, half of them to slow readers,
+// must not be buffered.
+func TestLongResponsesUseLittleMemory(t *testing.T) {
+	peakMB, slowestSmall := measureLongResponses(t, 24, 8<<20)
+	if peakMB > 64 { // the race detector multiplies the memory use
+		t.Errorf("the node used %.0f MB", peakMB)
 	}
-	t.Logf("%.1f MB for 24 answers of 8 MB; the slowest small request beside them took %v", most, small)
+	t.Logf("%.1f MB for 24 responses of 8 MB; the slowest concurrent small request took %v", peakMB, slowestSmall)
 }
 
-// BenchmarkLongAnswers is the hard case in full: 64 answers of 32 MB.
-func BenchmarkLongAnswers(b *testing.B) {
+// BenchmarkLongResponses measures 64 concurrent responses of 32 MB.
+func BenchmarkLongResponses(b *testing.B) {
 	for b.Loop() {
-		most, small := manyBodies(b, 64, 32<<20)
-		b.ReportMetric(most, "MB")
-		b.ReportMetric(float64(small.Milliseconds()), "ms-small-max")
+		peakMB, slowestSmall := measureLongResponses(b, 64, 32<<20)
+		b.ReportMetric(peakMB, "MB")
+		b.ReportMetric(float64(slowestSmall.Milliseconds()), "ms-small-max")
 	}
 }
--- a/cmd/ivylock/descriptors_test.go
+++ b/cmd/ivylock/descriptors_test.go
@@ -16,10 +16,9 @@
 	"ivylock/internal/nodetest"
 )
 
-// While the system gives a process no descriptor clients wait; they are accepted within
-// milliseconds once it does, and the errors are counted. Connections to servers fail alike and
-// are made again.
-func TestAProcessWithoutDescriptorsGoesOnOnceItHasThem(t *testing.T) {
+// A process without file descriptors accepts the waiting clients as soon as it gets some,
+// counts the errors and retries connections to servers.
+func TestDescriptorExhaustionIsSurvived(t *testing.T) {
 	t.Parallel()
 	servers := newHangingServers(t, 3)
 	config := write(t, nodetest.ConfigJSON(nodetest.ClosedAddr(t), servers.addrs...))
@@ -45,7 +44,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		head, body := orderText("clip", "waits-"+string(rune('A'+i)), 10*time.Second)
+		head, body := requestText("clip", "waits-"+string(rune('A'+i)), 10*time.Second)
 		if _, err := io.WriteString(conn, head+body); err != nil {
 			t.Fatal(err)
 		}
@@ -57,7 +56,8 @@
 	var waits []time.Duration
 	for _, conn := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable { // a burst may be shed
+		// Load shedding of the burst is allowed.
+		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("got %v, %v", resp, err)
 			continue
 		}
--- a/cmd/ivylock/fleet_test.go
+++ b/cmd/ivylock/fleet_test.go
@@ -18,7 +18,7 @@
 	"ivylock/internal/nodetest"
 )
 
-// record asks a process's console what it has acted on.
+// record returns the fleet record of a process.
 func (proc *process) record(t *testing.T) version.Record {
 	t.Helper()
 	resp, err := http.Get(proc.console + "/fleet/record")
@@ -33,60 +33,60 @@
 	return r
 }
 
-// An upgrade while the old process stands still and a server drains: neither sends
-// there once it goes on, and the new process's record tells of the old one's.
-func TestAnUpgradeWhileTheOldProcessStandsStill(t *testing.T) {
+// A server drains while the old process is paused during an upgrade: neither process sends
+// to it afterwards, and the new process's record includes the old one's.
+func TestUpgradeWhileOldProcessIsPaused(t *testing.T) {
 	operator := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(operator, []byte("[fleet]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("IVYLOCK_OPERATOR", operator)
 	p := newPlatform(t)
-	p.discover(func(history.Event) {})
+	p.startDiscovery(func(history.Event) {})
 	raw, err := os.ReadFile(p.config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.config = write(t, strings.Replace(strings.Replace(string(raw), `"name":"n0"`, `"name":"n0","peer_listen":"127.0.0.1:0","peers":["127.0.0.1:9"],"peers_all":"127.0.0.1:9"`, 1),
 		`"retry_after":true`, `"retry_after":true,"peers":true`, 1))
-	old := p.up()
-	ask := func(what string, n int) {
+	old := p.startReady()
+	request := func(what string, n int) {
 		t.Helper()
 		for i := range n {
-			if err := p.ask("clip", fmt.Sprintf("%s-%d", what, i)); err != nil && !strings.HasPrefix(err.Error(), "503") {
+			if err := p.request("clip", fmt.Sprintf("%s-%d", what, i)); err != nil && !strings.HasPrefix(err.Error(), "503") {
 				t.Fatalf("%s %d: %v", what, i, err)
 			}
 		}
 	}
-	ask("first", 20)
+	request("first", 20)
 	if len(old.record(t).Servers) == 0 {
-		t.Error("its record does not name the servers that it sent to")
+		t.Error("the record does not name the servers that got requests")
 	}
-	time.Sleep(600 * time.Millisecond) // the state for the next process is written by then
+	time.Sleep(600 * time.Millisecond) // until the state for the next process is stored
 	old.Process.Signal(syscall.SIGSTOP)
-	next := p.up()
+	next := p.startReady()
 	p.hosts.SetNow(hosts.Entry{InstanceID: "s-0", Zone: "z", MachineType: "m", Lifecycle: hosts.Draining, Weight: 1})
 	drained := time.Now()
 	time.Sleep(1500 * time.Millisecond)
 	old.Process.Signal(syscall.SIGCONT)
-	ask("then", 60)
+	request("then", 60)
 	p.mu.Lock()
-	if last := p.last[0]; last.After(drained.Add(500 * time.Millisecond)) {
-		t.Errorf("a request went to the draining server %v after the word", last.Sub(drained))
+	if last := p.lastRequestAt[0]; last.After(drained.Add(500 * time.Millisecond)) {
+		t.Errorf("a request went to the draining server %v after the drain", last.Sub(drained))
 	}
 	p.mu.Unlock()
 	if stops := old.record(t).Pauses; len(stops) == 0 || stops[0].Duration < time.Second {
-		t.Errorf("the old process's stops: %+v", stops)
+		t.Errorf("pauses of the old process: %+v", stops)
 	}
-	old.end(t, syscall.SIGTERM)
+	old.terminate(t, syscall.SIGTERM)
 	if b := next.record(t).Predecessors; len(b) != 1 || b[0].Sends < 20 {
-		t.Errorf("the new process knows of the old one: %+v", b)
+		t.Errorf("predecessors in the new process's record: %+v", b)
 	}
 }
 
-// What is wrong with the operator's file is one line, and exit code 2, before anything
+// An error in the operator's file is reported in one line with exit code 2, before anything
 // listens.
-func TestABadOperatorsFileEndsTheNodeAtOnce(t *testing.T) {
+func TestInvalidOperatorFileExitsAtOnce(t *testing.T) {
 	for text, says := range map[string]string{
 		"[fleet]\nhelo = \"1s\"\n":                           ":2: unknown key fleet.helo",
 		"[fleet]\n\nnarrow_after = 3\n":                      ":3: narrow_after: nobody can tell what a bare number counts",
--- a/cmd/ivylock/log_test.go
+++ b/cmd/ivylock/log_test.go
@@ -12,7 +12,7 @@
 	"ivylock/internal/nodetest"
 )
 
-// pipe gives both ends of a pipe that holds one page.
+// pipe returns both ends of a pipe with a buffer of one page.
 func pipe(t *testing.T) (read, write *os.File) {
 	t.Helper()
 	read, write, err := os.Pipe()
@@ -30,8 +30,8 @@
 	return read, write
 }
 
-// isUp waits until the node at an address serves; false if it does not.
-func isUp(addr string) bool {
+// waitUp waits until the node at addr serves. It returns false on a timeout.
+func waitUp(addr string) bool {
 	client := http.Client{Timeout: time.Second}
 	for end := time.Now().Add(nodetest.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if resp, err := client.Get("http://" + addr + "/up"); err == nil {
@@ -44,11 +44,11 @@
 	return false
 }
 
-// A node whose log nobody reads starts, serves, reloads and ends as any other.
-func TestALogThatNobodyReadsHoldsUpNothing(t *testing.T) {
+// A node whose log is not read starts, serves, reloads and exits normally.
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	t.Parallel()
 	_, log := pipe(t)
-	if _, err := log.Write(make([]byte, os.Getpagesize())); err != nil { // it is full
+	if _, err := log.Write(make([]byte, os.Getpagesize())); err != nil { // fill the pipe
 		t.Fatal(err)
 	}
 	addr := nodetest.FreeAddr(t)
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Process.Kill() })
-	if !isUp(addr) {
-		t.Fatal("it does not serve")
+	if !waitUp(addr) {
+		t.Fatal("the node does not serve")
 	}
 	for range 5 {
 		c.Process.Signal(syscall.SIGHUP)
@@ -74,12 +74,12 @@
 			t.Error(err)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Error("it has not ended")
+		t.Error("the node has not exited")
 	}
 }
 
-// A node whose log has no reader any more goes on.
-func TestALogThatIsGoneEndsNothing(t *testing.T) {
+// A node whose log has been closed by the reader goes on serving.
+func TestClosedLogDoesNotEndProcess(t *testing.T) {
 	t.Parallel()
 	log, theirs := pipe(t)
 	c := command(write(t, nodetest.ConfigJSON(nodetest.ClosedAddr(t))))
@@ -95,13 +95,13 @@
 		_, addr, _ = strings.Cut(lines.Text(), " serves on ")
 	}
 	log.Close()
-	c.Process.Signal(syscall.SIGHUP) // which is logged
+	c.Process.Signal(syscall.SIGHUP) // causes a log line
 	time.Sleep(50 * time.Millisecond)
-	if !isUp(addr) {
-		t.Error("it serves no more")
+	if !waitUp(addr) {
+		t.Error("the node no longer serves")
 	}
 	c.Process.Signal(syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 }
--- a/cmd/ivylock/main.go
+++ b/cmd/ivylock/main.go
@@ -1,5 +1,5 @@
-// Command ivylock is one load-balancing proxy node. PROXY_CONFIG names its
-// configuration.
+// Command ivylock runs one load-balancing proxy node. The environment variable PROXY_CONFIG
+// names its configuration file.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	"ivylock/internal/wallclock"
 )
 
-const heapPart = 0.7 // of the memory limit: the rest is for stacks, the kernel's buffers and slack
+const heapFraction = 0.7 // of the memory limit; the rest is for stacks and kernel buffers
 
 func main() {
 	if err := run(); err != nil {
@@ -45,19 +45,19 @@
 	if err := wallclock.Check(); err != nil {
 		return &node.ConfigError{Text: err.Error()}
 	}
-	hup := make(chan os.Signal, 1) // one that waits stands for all: the file is read after it
+	hup := make(chan os.Signal, 1) // one pending signal suffices, as the file is read after it
 	signal.Notify(hup, syscall.SIGHUP)
 	cfg, err := node.LoadConfig(os.Getenv("PROXY_CONFIG"))
 	if err != nil {
 		return err
 	}
 	if path := os.Getenv("IVYLOCK_OPERATOR"); path != "" {
-		if err := switchOn(cfg, path); err != nil {
+		if err := applyOperatorFile(cfg, path); err != nil {
 			return err
 		}
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	debug.SetMemoryLimit(int64(heapPart * float64(cfg.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * (1 << 20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	listener, inherited, err := handover.Listen(cfg.Listen, os.Getenv(handover.InheritedFDEnv))
@@ -65,29 +65,29 @@
 		return fmt.Errorf("clients: %w", err)
 	}
 	n := node.New(cfg)
-	// A log that nobody reads any more must neither end the node nor hold it up.
-	lines := logsink.Stderr(&n.Metrics().LogLinesDropped)
-	log.SetOutput(lines)
-	defer lines.Flush(logsink.ExitTime)
+	// A log that is not read must neither end nor block the node.
+	logWriter := logsink.Stderr(&n.Metrics().LogLinesDropped)
+	log.SetOutput(logWriter)
+	defer logWriter.Flush(logsink.ExitTime)
 	var shared *handover.SharedDir
-	if inherited { // two processes of this node may run beside one another
-		if shared = join(n, cfg.Name); shared != nil {
+	if inherited { // another process of this node may run at the same time
+		if shared = openSharedDir(n, cfg.Name); shared != nil {
 			defer shared.Close()
 		}
 	}
-	if at := os.Getenv("PROXY_CONSOLE"); at != "" {
-		cfg.Console = at
+	if addr := os.Getenv("PROXY_CONSOLE"); addr != "" {
+		cfg.Console = addr
 	}
 	if cfg.Console != "" {
-		calls, err := net.Listen("tcp", cfg.Console)
+		consoleListener, err := net.Listen("tcp", cfg.Console)
 		if err != nil {
 			return fmt.Errorf("console: %w", err)
 		}
-		log.Printf("%s hears operators on %s", cfg.Name, calls.Addr())
-		c := console.New(calls, n)
-		defer c.Close()
+		log.Printf("%s hears operators on %s", cfg.Name, consoleListener.Addr())
+		server := console.New(consoleListener, n)
+		defer server.Close()
 		go func() {
-			if err := c.Serve(); err != nil {
+			if err := server.Serve(); err != nil {
 				log.Printf("console: %v", err)
 			}
 		}()
@@ -97,52 +97,52 @@
 			reload(n)
 		}
 	}()
-	f := front.New(n, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
-	f.SocketKept = inherited
+	frontEnd := front.New(n, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
+	frontEnd.SocketKept = inherited
 	if inherited {
-		sharing, end := context.WithCancel(context.Background())
-		followed := make(chan struct{})
+		shareCtx, stopSharing := context.WithCancel(context.Background())
+		sharingDone := make(chan struct{})
 		go func() {
-			defer close(followed)
-			share(sharing, shared, n, f, handover.Usage{Clients: cfg.ClientSockets(), Backends: cfg.BackendSockets()}, cfg.Name)
+			defer close(sharingDone)
+			shareConnections(shareCtx, shared, n, frontEnd, handover.Usage{Clients: cfg.ClientSockets(), Backends: cfg.BackendSockets()}, cfg.Name)
 		}()
 		defer func() {
-			end()
+			stopSharing()
 			select {
-			case <-followed:
-			case <-time.After(shareEnd): // guards against a disk that keeps the process from ending
+			case <-sharingDone:
+			case <-time.After(leaveTimeout): // a hanging disk must not block the exit
 			}
 		}()
 	}
-	return n.Run(ctx, f)
+	return n.Run(ctx, frontEnd)
 }
 
-// switchOn takes from the operator's file what of the node is switched on there.
-func switchOn(cfg *node.Config, path string) error {
+// applyOperatorFile enables the features that the operator's file configures.
+func applyOperatorFile(cfg *node.Config, path string) error {
 	file, err := operator.Load(path)
 	if err != nil {
 		return err
 	}
-	f := file.Fleet
-	if f == nil {
+	fleet := file.Fleet
+	if fleet == nil {
 		return nil
 	}
-	cfg.Fleet = &node.FleetConfig{Member: f.Member(), RecordFile: f.RecordFile, RecordInterval: f.RecordEvery.Duration}
-	m := &cfg.Fleet.Member
-	if len(m.AllowedPrefixes) == 0 {
+	cfg.Fleet = &node.FleetConfig{Member: fleet.Member(), RecordFile: fleet.RecordFile, RecordInterval: fleet.RecordEvery.Duration}
+	member := &cfg.Fleet.Member
+	if len(member.AllowedPrefixes) == 0 {
 		return nil
 	}
-	for _, p := range cfg.Peers {
-		a, err := netip.ParseAddrPort(p)
+	for _, peer := range cfg.Peers {
+		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			return file.Fault("fleet.strangers", fmt.Errorf("strangers wants the configuration's peers as numeric addresses, and %q is none; remove strangers", p))
+			return file.Fault("fleet.strangers", fmt.Errorf("strangers needs the configuration's peers as numeric addresses, and %q is not one; remove strangers", peer))
 		}
-		m.Peers = append(m.Peers, a)
+		member.Peers = append(member.Peers, addr)
 	}
 	return nil
 }
 
-// takeOver begins from what the process before this one left.
+// takeOver restores the state of the previous process.
 func takeOver(n *node.Node, shared *handover.SharedDir) {
 	found, err := shared.TakeOwnership()
 	switch {
@@ -154,7 +154,7 @@
 	n.TakeOver(found, shared)
 }
 
-// reload reads the configuration again. One that is malformed or not this node's changes
+// reload reads the configuration again. An invalid one, or that of another node, changes
 // nothing.
 func reload(n *node.Node) {
 	cfg, err := node.LoadConfig(os.Getenv("PROXY_CONFIG"))
--- a/cmd/ivylock/main_test.go
+++ b/cmd/ivylock/main_test.go
@@ -16,7 +16,7 @@
 	"ivylock/internal/wallclock"
 )
 
-// TestMain lets the tests start this program as a process of its own.
+// TestMain lets the tests run this program as a child process.
 func TestMain(m *testing.M) {
 	if sysfault.Launching() {
 		sysfault.Launch()
@@ -43,7 +43,7 @@
 	return path
 }
 
-func TestABadConfigurationEndsItWithOneLine(t *testing.T) {
+func TestInvalidConfigExitsWithOneLine(t *testing.T) {
 	for name, config := range map[string]string{
 		"not named": "", "missing": filepath.Join(t.TempDir(), "none"), "malformed": write(t, "{"), "empty": write(t, "{}"),
 		"wrong type": write(t, `{"seed":"1","listen":["x"]}`), "two lines": write(t, "{\n\n\"name\": nobody\n}"),
@@ -51,7 +51,7 @@
 		out, err := command(config).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 {
-			t.Errorf("%s: ended with %v", name, err)
+			t.Errorf("%s: exited with %v", name, err)
 		}
 		if strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "ivylock: ") {
 			t.Errorf("%s: printed %q", name, out)
@@ -59,9 +59,8 @@
 	}
 }
 
-// That it serves is the last line of its start: whoever has read it knows each other
-// address too, and loses none of its datagrams as a stranger's.
-func TestThatItServesIsSaidLast(t *testing.T) {
+// Whoever waits for the "serves on" line must find all other addresses logged before it.
+func TestServesLineIsLoggedLast(t *testing.T) {
 	path := write(t, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 		"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:1"],"peers_all":"127.0.0.1:2",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":{"balancers":1,"membership_mode":"on_request",
@@ -77,24 +76,24 @@
 		t.Fatal(err)
 	}
 	defer c.Process.Kill()
-	var said []string
+	var announced []string
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		for _, mark := range []string{" hears operators on ", " takes datagrams on ", " serves on "} {
 			if strings.Contains(lines.Text(), mark) {
-				said = append(said, strings.TrimSpace(mark))
+				announced = append(announced, strings.TrimSpace(mark))
 			}
 		}
-		if len(said) == 3 {
+		if len(announced) == 3 {
 			break
 		}
 	}
-	if want := []string{"hears operators on", "takes datagrams on", "serves on"}; !slices.Equal(said, want) {
-		t.Errorf("it said %q, want %q", said, want)
+	if want := []string{"hears operators on", "takes datagrams on", "serves on"}; !slices.Equal(announced, want) {
+		t.Errorf("logged %q, want %q", announced, want)
 	}
 }
 
-// Guards against a SIGHUP that ends the program, also with a file that can't be read.
-func TestItServesReloadsAndEndsOnTerm(t *testing.T) {
+// SIGHUP must not end the program, even if the configuration file is invalid.
+func TestServeReloadAndTerminate(t *testing.T) {
 	const good = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":{"balancers":1,"membership_mode":"on_request",
 		"caps":{"conn_idle_ns":60000000000,"connect_timeout_ns":250000000,"max_attempts":4,"most_held":100},
@@ -109,17 +108,17 @@
 		t.Fatal(err)
 	}
 	lines := bufio.NewReader(log)
-	said := func(mark string) string {
+	expectLine := func(mark string) string {
 		t.Helper()
 		line, err := lines.ReadString('\n')
 		_, rest, found := strings.Cut(strings.TrimSpace(line), mark)
 		if err != nil || !found {
 			c.Process.Kill()
-			t.Fatalf("it said %q, %v; want %q", line, err, mark)
+			t.Fatalf("logged %q, %v; want %q", line, err, mark)
 		}
 		return rest
 	}
-	addr := said(" serves on ")
+	addr := expectLine(" serves on ")
 	for _, step := range []struct{ config, mark string }{
 		{strings.Replace(good, "127.0.0.1:1", "127.0.0.1:2", 1), " reloaded: discovery is at 127.0.0.1:2"},
 		{"{", " not reloaded: "},
@@ -133,7 +132,7 @@
 		if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		said(step.mark)
+		expectLine(step.mark)
 	}
 	resp, err := http.Get("http://" + addr + "/up")
 	if err != nil {
@@ -146,17 +145,17 @@
 		t.Error(err)
 	}
 	if err := c.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("exited with %v", err)
 	}
 }
 
-// The ordinary build injects no faults, and does not pass over the wish for them.
-func TestAnOrdinaryBuildRefusesFaults(t *testing.T) {
+// An ordinary build rejects a request for fault injection.
+func TestOrdinaryBuildRejectsFaultInjection(t *testing.T) {
 	c := command(write(t, "{}"))
 	c.Env = append(c.Env, wallclock.StepsVariable+"=1s:1h")
 	out, err := c.CombinedOutput()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 2 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), wallclock.StepsVariable) {
-		t.Errorf("it ended with %v and said %q", err, out)
+		t.Errorf("exited with %v and printed %q", err, out)
 	}
 }
--- a/cmd/ivylock/share.go
+++ b/cmd/ivylock/share.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	joinEvery = time.Second           // while the folder for what processes share can't be written
-	shareEnd  = 50 * time.Millisecond // for leaving the others
+	reopenInterval = time.Second           // retry interval while the shared directory is not writable
+	leaveTimeout   = 50 * time.Millisecond // limit on leaving the shared directory at exit
 )
 
-// join joins the processes of the node that share a folder, and takes over from the one
-// before. It gives nil where the folder can't be written: the process serves all the
-// same, begins clean, and keeps nothing for the next one.
-func join(n *node.Node, name string) *handover.SharedDir {
+// openSharedDir joins the other processes of the node in the shared directory and takes
+// over the state of the previous one. It returns nil if the directory is not writable: the
+// process then starts without that state and stores none.
+func openSharedDir(n *node.Node, name string) *handover.SharedDir {
 	shared, err := handover.Open(os.TempDir(), name)
 	if err != nil {
-		log.Printf("%v; a clean start, with a part of the node's connections until it can be written", err)
+		log.Printf("%v; a clean start, with a reduced connection limit until it can be written", err)
 		return nil
 	}
 	takeOver(n, shared)
 	return shared
 }
 
-// share keeps this process to its part of the node's connections, until ctx ends. Where
-// it could not join the others, shared is nil, it holds the least part and tries again.
-func share(ctx context.Context, shared *handover.SharedDir, n *node.Node, f *front.HTTP, full handover.Usage, name string) {
-	set := func(most handover.Usage, _ bool) {
-		f.SetMost(most.Clients)
-		n.BackendPool().SetMost(most.Backends)
+// shareConnections keeps this process to its share of the node's connections until ctx
+// ends. If shared is nil it uses the minimum share and retries to open the directory.
+func shareConnections(ctx context.Context, shared *handover.SharedDir, n *node.Node, frontEnd *front.HTTP, full handover.Usage, name string) {
+	setLimits := func(limit handover.Usage, _ bool) {
+		frontEnd.SetMost(limit.Clients)
+		n.BackendPool().SetMost(limit.Backends)
 	}
 	if shared == nil {
-		set(handover.Usage{Clients: handoff.ConnectionLimit(full.Clients, full.Clients, false), Backends: handoff.ConnectionLimit(full.Backends, full.Backends, false)}, false)
-		if shared = joinLater(ctx, name); shared == nil {
+		setLimits(handover.Usage{Clients: handoff.ConnectionLimit(full.Clients, full.Clients, false), Backends: handoff.ConnectionLimit(full.Backends, full.Backends, false)}, false)
+		if shared = retryOpenSharedDir(ctx, name); shared == nil {
 			return
 		}
 		defer shared.Close()
 	}
 	shared.RunUsageExchange(ctx, full, func() handover.Usage {
-		return handover.Usage{Clients: f.Connections(), Backends: n.BackendPool().Open()}
-	}, set)
+		return handover.Usage{Clients: frontEnd.Connections(), Backends: n.BackendPool().Open()}
+	}, setLimits)
 }
 
-// joinLater tries to join the others until ctx ends; nil then.
-func joinLater(ctx context.Context, name string) *handover.SharedDir {
-	tick := time.NewTicker(joinEvery)
-	defer tick.Stop()
+// retryOpenSharedDir retries until it succeeds. It returns nil when ctx ends.
+func retryOpenSharedDir(ctx context.Context, name string) *handover.SharedDir {
+	ticker := time.NewTicker(reopenInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return nil
 		}
 		if shared, err := handover.Open(os.TempDir(), name); err == nil {
-			log.Printf("the folder for what processes share can be written again")
+			log.Printf("the shared directory can be written again")
 			return shared
 		}
 	}
--- a/cmd/ivylock/shutdown_test.go
+++ b/cmd/ivylock/shutdown_test.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	killMargin   = 700 * time.Millisecond // SIGKILL comes no sooner than this and the longest deadline after SIGTERM
-	longestGrace = 3 * time.Second        // of a deadline that counts for it
+	killMargin = 700 * time.Millisecond // SIGKILL follows SIGTERM no sooner than this plus the longest deadline
+	maxGrace   = 3 * time.Second        // upper limit on the deadline in that sum
 )
 
-// hangingServers are servers of which all but one take requests and answer none once they
-// hang. They know which requests they have seen.
+// hangingServers are servers that record the requests they receive. Once hang is set, all
+// but the first stop answering.
 type hangingServers struct {
 	addrs []string
 	hang  atomic.Bool
 	ended chan bool
-	seen  sync.Map // Request-Id
+	seen  sync.Map // by Request-Id
 }
 
 func newHangingServers(t *testing.T, count int) *hangingServers {
@@ -49,34 +49,34 @@
 	return s
 }
 
-// How far a client's connection has come before the node is told to end.
+// connectionKind is the state of a client's connection when the node is told to end.
 type connectionKind string
 
 const (
-	unused   connectionKind = "unused"    // it has carried nothing
-	used     connectionKind = "used"      // it has carried a request
-	late     connectionKind = "late"      // it is opened after SIGTERM
-	halfHead connectionKind = "half head" // it has carried the first half of a head
-	halfBody connectionKind = "half body" // it has carried a head and half of a body
+	unused        connectionKind = "unused"    // nothing sent
+	used          connectionKind = "used"      // one request completed
+	late          connectionKind = "late"      // opened after SIGTERM
+	partialHeader connectionKind = "half head" // half of a header sent
+	partialBody   connectionKind = "half body" // a header and half of a body sent
 )
 
-// lateRequest is a request that a client sends on one connection after SIGTERM.
+// lateRequest is a request that a client completes after SIGTERM.
 type lateRequest struct {
 	id       string
 	kind     connectionKind
 	conn     net.Conn
 	reader   *bufio.Reader
-	rest     string        // what of the request is still to be sent
-	after    time.Duration // when, from SIGTERM on
-	sent     time.Duration // when it was, from SIGTERM on
-	answered time.Duration // when its answer was whole; 0: never
+	unsent   string        // remainder of the request
+	sendAt   time.Duration // planned time after SIGTERM
+	sent     time.Duration // actual time after SIGTERM
+	answered time.Duration // when the response was complete; 0: never
 	status   int
-	skipped  bool // the node had ended the connection, or answered on it, before the request was whole
+	skipped  bool // the node closed the connection, or answered on it, before the request was complete
 	failure  error
 }
 
-// orderText words a request of a class that a test's configuration has.
-func orderText(class, id string, patience time.Duration) (head, body string) {
+// requestText returns a request of a class of the test configuration.
+func requestText(class, id string, clientTimeout time.Duration) (header, body string) {
 	body = "pay-" + id
 	method, key := "POST", ""
 	switch class {
@@ -85,27 +85,27 @@
 	case "tag":
 		key = "Idempotency-Key: key-" + id + "\r\n"
 	}
-	head = fmt.Sprintf("%s /%s/a HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n%s", method, class, id, class, patience.Milliseconds(), key)
+	header = fmt.Sprintf("%s /%s/a HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n%s", method, class, id, class, clientTimeout.Milliseconds(), key)
 	if body != "" {
-		head += fmt.Sprintf("Content-Length: %d\r\n", len(body))
+		header += fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	}
-	return head + "\r\n", body
+	return header + "\r\n", body
 }
 
-// open connects and brings the connection to where its kind wants it.
-func (r *lateRequest) open(addr, class string, patience time.Duration) error {
+// open connects and sends as much as the connection's kind requires.
+func (r *lateRequest) open(addr, class string, clientTimeout time.Duration) error {
 	c, err := net.DialTimeout("tcp", addr, nodetest.Patience)
 	if err != nil {
 		return err
 	}
 	r.conn, r.reader = c, bufio.NewReader(c)
-	head, body := orderText(class, r.id, patience)
-	r.rest = head + body
-	begun := 0
+	header, body := requestText(class, r.id, clientTimeout)
+	r.unsent = header + body
+	sentBytes := 0
 	switch r.kind {
 	case used:
-		head, body := orderText(class, "first-"+r.id, patience)
-		if _, err := io.WriteString(c, head+body); err != nil {
+		header, body := requestText(class, "first-"+r.id, clientTimeout)
+		if _, err := io.WriteString(c, header+body); err != nil {
 			return err
 		}
 		resp, err := http.ReadResponse(r.reader, nil)
@@ -115,33 +115,33 @@
 		defer resp.Body.Close()
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
-	case halfHead:
-		begun = len(head) / 2
-	case halfBody:
-		begun = len(head) + len(body)/2
+	case partialHeader:
+		sentBytes = len(header) / 2
+	case partialBody:
+		sentBytes = len(header) + len(body)/2
 	}
-	_, err = io.WriteString(c, r.rest[:begun])
-	r.rest = r.rest[begun:]
+	_, err = io.WriteString(c, r.unsent[:sentBytes])
+	r.unsent = r.unsent[sentBytes:]
 	return err
 }
 
-// send sends the request, if its connection still stands, and waits for the answer.
-func (r *lateRequest) send(told time.Time, until time.Time) {
-	if !bounded.OpenAndIdle(r.conn) { // the connection has ended, or an answer has come before the request was whole
+// send sends the remainder, if the connection is still open, and waits for the response.
+func (r *lateRequest) send(signalledAt time.Time, until time.Time) {
+	if !bounded.OpenAndIdle(r.conn) { // closed, or answered before the request was complete
 		r.skipped = true
 		if r.kind == unused || r.kind == used {
 			r.conn.SetReadDeadline(time.Now().Add(time.Second))
 			if b, err := r.reader.ReadByte(); err == nil {
-				r.skipped, r.failure = false, fmt.Errorf("an answer, beginning with %q, came unasked", b)
+				r.skipped, r.failure = false, fmt.Errorf("an unexpected response, beginning with %q", b)
 			}
 		}
 		return
 	}
-	if _, err := io.WriteString(r.conn, r.rest); err != nil {
+	if _, err := io.WriteString(r.conn, r.unsent); err != nil {
 		r.skipped = true
 		return
 	}
-	r.sent = time.Since(told)
+	r.sent = time.Since(signalledAt)
 	r.conn.SetReadDeadline(until)
 	resp, err := http.ReadResponse(r.reader, nil)
 	if err == nil {
@@ -152,24 +152,24 @@
 		r.failure = err
 		return
 	}
-	r.status, r.answered = resp.StatusCode, time.Since(told)
+	r.status, r.answered = resp.StatusCode, time.Since(signalledAt)
 }
 
-// lost tells whether the request was lost: it was whole, has no whole answer, and no client
-// may send it once more, as a server has seen it or the node had begun to read it.
+// lost reports whether a complete request got no complete response and must not be retried,
+// because a server received it or the node had begun to read it.
 func (r *lateRequest) lost(s *hangingServers) bool {
 	if r.skipped || r.answered > 0 {
 		return false
 	}
 	_, seen := s.seen.Load(r.id)
-	return seen || r.kind == halfHead || r.kind == halfBody
+	return seen || r.kind == partialHeader || r.kind == partialBody
 }
 
-// startServing starts the program and tells where it serves.
+// startServing starts the program and returns the address that it serves on.
 func startServing(t *testing.T, config string, env ...string) (c *exec.Cmd, addr string, log *syncLog) {
 	t.Helper()
 	c, log = command(config), &syncLog{}
-	c.Env = append(append(c.Env, env...), "GORACE=atexit_sleep_ms=0") // the race detector's own wait at the end is no part of a shutdown
+	c.Env = append(append(c.Env, env...), "GORACE=atexit_sleep_ms=0") // skip the race detector's delay at exit
 	c.Stderr = log
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -182,12 +182,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("it does not serve: %s", log)
+			t.Fatalf("the node does not serve: %s", log)
 		}
 	}
 }
 
-// syncLog keeps what a process has logged.
+// syncLog collects the log of a process.
 type syncLog struct {
 	mu   sync.Mutex
 	text []byte
@@ -206,32 +206,31 @@
 	return string(l.text)
 }
 
-// lateRequests draws up requests of each kind of connection, sent at times over the whole
-// shutdown, two at each.
-func lateRequests(life time.Duration) (all []*lateRequest) {
+// lateRequests returns two requests per kind of connection for each of several times during
+// the shutdown.
+func lateRequests(killAfter time.Duration) (requests []*lateRequest) {
 	times := []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 590 * time.Millisecond, 610 * time.Millisecond, 650 * time.Millisecond, 690 * time.Millisecond}
-	for at := 750 * time.Millisecond; at < life-200*time.Millisecond; at += 150 * time.Millisecond {
+	for at := 750 * time.Millisecond; at < killAfter-200*time.Millisecond; at += 150 * time.Millisecond {
 		times = append(times, at)
 	}
-	times = append(times, life-150*time.Millisecond, life-100*time.Millisecond, life-50*time.Millisecond)
-	for _, kind := range []connectionKind{unused, used, late, halfHead, halfBody} {
+	times = append(times, killAfter-150*time.Millisecond, killAfter-100*time.Millisecond, killAfter-50*time.Millisecond)
+	for _, kind := range []connectionKind{unused, used, late, partialHeader, partialBody} {
 		for i, at := range times {
 			if kind == late && at < 500*time.Millisecond {
 				continue
 			}
 			for k := range 2 {
-				all = append(all, &lateRequest{id: fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(string(kind), " ", "-"), i, k), kind: kind, after: at})
+				requests = append(requests, &lateRequest{id: fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(string(kind), " ", "-"), i, k), kind: kind, sendAt: at})
 			}
 		}
 	}
-	return all
+	return requests
 }
 
-// No request that a node reads after SIGTERM is lost, on whatever connection it comes, up to
-// a SIGKILL that comes as early as the settings allow, while most servers hang: it is served,
-// refused or failed before that, or its connection ends before it was read. And the process
-// has ended by then.
-func TestNoRequestIsLostInAShutdown(t *testing.T) {
+// No request that a node reads after SIGTERM is lost, even if most servers hang and SIGKILL
+// follows as early as the settings allow. Each is answered before that, or its connection
+// closes before it is read. The process has exited by then.
+func TestShutdownLosesNoRequest(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, 750 * time.Millisecond, 1250 * time.Millisecond, 2430 * time.Millisecond, 6 * time.Second} {
 		t.Run(fmt.Sprint(longest), func(t *testing.T) {
 			t.Parallel()
@@ -241,51 +240,51 @@
 				config = strings.Replace(config, `"give_up_ns":`+deadline, fmt.Sprintf(`"give_up_ns":%d`, longest), 1)
 			}
 			c, addr, log := startServing(t, write(t, config))
-			life := killMargin + min(longest, longestGrace)
-			patience := longest * 77 / 100
-			all := lateRequests(life)
+			killAfter := killMargin + min(longest, maxGrace)
+			clientTimeout := longest * 77 / 100
+			requests := lateRequests(killAfter)
 			classes := []string{"clip", "tag", "order"}
 			var opened sync.WaitGroup
-			for i, r := range all {
+			for i, r := range requests {
 				if r.kind != late && r.kind != unused {
 					opened.Go(func() {
 						class := classes[i%3]
-						if r.kind == halfBody {
+						if r.kind == partialBody {
 							class = "order"
 						}
-						if err := r.open(addr, class, patience); err != nil {
+						if err := r.open(addr, class, clientTimeout); err != nil {
 							t.Errorf("%s: %v", r.id, err)
 						}
 					})
 				}
 			}
 			opened.Wait()
-			for i, r := range all { // last, so that the longest silence that a node allows is not over
+			for i, r := range requests { // opened last, so that they do not reach the idle timeout
 				if r.kind == unused {
-					if err := r.open(addr, classes[i%3], patience); err != nil {
+					if err := r.open(addr, classes[i%3], clientTimeout); err != nil {
 						t.Fatalf("%s: %v", r.id, err)
 					}
 				}
 			}
 			servers.hang.Store(true)
 			time.Sleep(100 * time.Millisecond)
-			told := time.Now()
+			signalledAt := time.Now()
 			if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 			var sent sync.WaitGroup
-			for i, r := range all {
+			for i, r := range requests {
 				sent.Go(func() {
 					if r.kind == late {
-						time.Sleep(time.Until(told.Add(time.Duration(i%4+1) * 100 * time.Millisecond)))
-						if err := r.open(addr, classes[i%3], patience); err != nil {
+						time.Sleep(time.Until(signalledAt.Add(time.Duration(i%4+1) * 100 * time.Millisecond)))
+						if err := r.open(addr, classes[i%3], clientTimeout); err != nil {
 							r.skipped = true
 							return
 						}
 					}
 					defer r.conn.Close()
-					time.Sleep(time.Until(told.Add(r.after)))
-					r.send(told, told.Add(life+time.Second))
+					time.Sleep(time.Until(signalledAt.Add(r.sendAt)))
+					r.send(signalledAt, signalledAt.Add(killAfter+time.Second))
 				})
 			}
 			ended := make(chan error, 1)
@@ -293,38 +292,38 @@
 			select {
 			case err := <-ended:
 				if err != nil {
-					t.Errorf("it ended with %v", err)
+					t.Errorf("exited with %v", err)
 				}
-				t.Logf("it ended %v after SIGTERM, %v before SIGKILL would come", time.Since(told), life-time.Since(told))
-			case <-time.After(time.Until(told.Add(life))):
+				t.Logf("exited %v after SIGTERM, %v before SIGKILL", time.Since(signalledAt), killAfter-time.Since(signalledAt))
+			case <-time.After(time.Until(signalledAt.Add(killAfter))):
 				c.Process.Kill()
-				t.Errorf("it still ran %v after SIGTERM", life)
+				t.Errorf("still running %v after SIGTERM", killAfter)
 			}
 			sent.Wait()
-			crossed, answered := 0, map[int]int{}
-			for _, r := range all {
+			unread, answered := 0, map[int]int{}
+			for _, r := range requests {
 				switch {
 				case r.lost(servers):
 					t.Errorf("lost: sent %v after SIGTERM on a connection of kind %q: %v", r.sent, r.kind, r.failure)
-				case r.answered > r.sent+patience+500*time.Millisecond:
+				case r.answered > r.sent+clientTimeout+500*time.Millisecond:
 					t.Errorf("late: sent %v after SIGTERM on a connection of kind %q, answered %d at %v", r.sent, r.kind, r.status, r.answered)
 				case r.skipped:
 				case r.answered > 0:
 					answered[r.status]++
 				default:
-					crossed++ // it was never read
-					t.Logf("crossed: sent %v after SIGTERM on a connection of kind %q: %v", r.sent, r.kind, r.failure)
+					unread++ // the node did not read it
+					t.Logf("not read: sent %v after SIGTERM on a connection of kind %q: %v", r.sent, r.kind, r.failure)
 				}
 			}
-			if crossed > len(all)/20 {
-				t.Errorf("%d of %d requests crossed the end of their connections", crossed, len(all))
+			if unread > len(requests)/20 {
+				t.Errorf("%d of %d requests were not read before their connections closed", unread, len(requests))
 			}
 			if strings.Contains(log.String(), "invariant broken") {
-				t.Error("the process says that it broke an invariant")
+				t.Error("the process logged a broken invariant")
 			}
-			t.Logf("%d requests, answered by status %v", len(all), answered)
+			t.Logf("%d requests, responses by status %v", len(requests), answered)
 			if t.Failed() {
-				t.Logf("its log:\n%s", log)
+				t.Logf("log:\n%s", log)
 			}
 		})
 	}
--- a/cmd/ivylock/upgrade_test.go
+++ b/cmd/ivylock/upgrade_test.go
@@ -25,20 +25,20 @@
 	"ivylock/internal/nodetest"
 )
 
-// platform is what the platform gives to a node: a listening socket, a folder,
-// and here two backends that count what they run.
+// platform provides the environment of a node: a listening socket, a directory and two
+// backends that count the requests they execute.
 type platform struct {
-	t        *testing.T
-	socket   *os.File
-	url      string
-	folder   string
-	config   string
-	mu       sync.Mutex
-	runs     map[string]int // by Request-Id
-	last     [2]time.Time   // when each backend last began a request
-	backends [2]atomic.Int64
-	hosts    *hosts.Service // discovery, if the platform has one
-	client   *http.Client
+	t             *testing.T
+	socket        *os.File
+	url           string
+	dir           string
+	config        string
+	mu            sync.Mutex
+	executions    map[string]int // by Request-Id
+	lastRequestAt [2]time.Time   // when each backend last began a request
+	requestCounts [2]atomic.Int64
+	hosts         *hosts.Service // discovery service; may be nil
+	client        *http.Client
 }
 
 func newPlatform(t *testing.T) *platform {
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &platform{t: t, url: "http://" + l.Addr().String(), folder: t.TempDir(), runs: map[string]int{},
+	p := &platform{t: t, url: "http://" + l.Addr().String(), dir: t.TempDir(), executions: map[string]int{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: nodetest.Patience}}
 	if p.socket, err = l.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	l.Close()
 	t.Cleanup(func() { p.socket.Close() })
 	var addrs []string
-	for i := range p.backends {
+	for i := range p.requestCounts {
 		b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
 			id := r.Header.Get("Request-Id")
@@ -63,10 +63,10 @@
 				return // a probe
 			}
 			p.mu.Lock()
-			p.runs[id]++
-			p.last[i] = time.Now()
+			p.executions[id]++
+			p.lastRequestAt[i] = time.Now()
 			p.mu.Unlock()
-			p.backends[i].Add(1)
+			p.requestCounts[i].Add(1)
 			if strings.HasPrefix(id, "slow") {
 				time.Sleep(1200 * time.Millisecond)
 			}
@@ -79,9 +79,9 @@
 	return p
 }
 
-// discover gives the platform a discovery. It tells told of each word that is
-// written to a node.
-func (p *platform) discover(told func(history.Event)) {
+// startDiscovery starts a discovery service. onEvent is called for each message that it
+// writes to a node.
+func (p *platform) startDiscovery(onEvent func(history.Event)) {
 	var addrs []string
 	raw, err := os.ReadFile(p.config)
 	if err != nil {
@@ -98,7 +98,7 @@
 		addrs = append(addrs, e.HostPort)
 	}
 	start := time.Now()
-	p.hosts = hosts.NewService(c.Known.Generation-uint64(len(addrs)), func() time.Duration { return time.Since(start) }, told,
+	p.hosts = hosts.NewService(c.Known.Generation-uint64(len(addrs)), func() time.Duration { return time.Since(start) }, onEvent,
 		func(_, id string) string { i, _ := strconv.Atoi(strings.TrimPrefix(id, "s-")); return addrs[i] })
 	p.t.Cleanup(p.hosts.Close)
 	for _, e := range c.Known.Instances {
@@ -111,25 +111,25 @@
 	p.config = write(p.t, strings.Replace(string(raw), c.Discovery, at, 1))
 }
 
-// process is one run of the program.
+// process is a running instance of the program.
 type process struct {
 	*exec.Cmd
 	console string
 	ended   chan error
 }
 
-// start starts the program on the platform's socket and waits until it hears
-// operators; that is before it says yes.
+// start starts the program on the platform's socket and waits until its console listens,
+// which is before it is ready.
 func (p *platform) start(config string) (*process, error) {
 	c := command(config)
-	c.ExtraFiles = []*os.File{nil, nil, nil, nil, p.socket} // the fifth is descriptor 7
+	c.ExtraFiles = []*os.File{nil, nil, nil, nil, p.socket} // the fifth extra file is descriptor 7
 	return p.run(c, c.Start)
 }
 
-// run starts a command that has the platform's socket as descriptor 7, and waits until it
-// hears operators.
+// run starts a command with the platform's socket as descriptor 7 and waits until its
+// console listens.
 func (p *platform) run(c *exec.Cmd, start func() error) (*process, error) {
-	c.Env = append(c.Env, "PROXY_CONSOLE=127.0.0.1:0", "PROXY_INHERITED_FD=7", "TMPDIR="+p.folder)
+	c.Env = append(c.Env, "PROXY_CONSOLE=127.0.0.1:0", "PROXY_INHERITED_FD=7", "TMPDIR="+p.dir)
 	log, err := c.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -138,47 +138,47 @@
 		return nil, err
 	}
 	proc := &process{Cmd: c, ended: make(chan error, 1)}
-	heard := make(chan string, 1)
+	consoleAddr := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(log)
 		for lines.Scan() {
 			if _, at, found := strings.Cut(lines.Text(), " hears operators on "); found {
-				heard <- at
+				consoleAddr <- at
 			}
 		}
-		close(heard)
+		close(consoleAddr)
 		proc.ended <- c.Wait()
 	}()
 	p.t.Cleanup(func() { c.Process.Kill() })
-	at, ok := <-heard
+	at, ok := <-consoleAddr
 	if !ok {
-		return nil, fmt.Errorf("it ended: %w", <-proc.ended)
+		return nil, fmt.Errorf("exited: %w", <-proc.ended)
 	}
 	proc.console = "http://" + at
 	return proc, nil
 }
 
-// up starts the program and waits for its yes.
-func (p *platform) up() *process {
+// startReady starts the program and waits until it is ready.
+func (p *platform) startReady() *process {
 	p.t.Helper()
 	proc, err := p.start(p.config)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.waitForYes(proc)
+	p.waitReady(proc)
 	return proc
 }
 
-func (p *platform) waitForYes(proc *process) {
+func (p *platform) waitReady(proc *process) {
 	p.t.Helper()
-	for end := time.Now().Add(nodetest.Patience); !proc.yes(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); !proc.ready(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatal("no yes")
+			p.t.Fatal("the process is not ready")
 		}
 	}
 }
 
-func (proc *process) yes() bool {
+func (proc *process) ready() bool {
 	resp, err := http.Get(proc.console + "/status")
 	if err != nil {
 		return false
@@ -187,7 +187,7 @@
 	return resp.StatusCode == 200
 }
 
-func (proc *process) figures() string {
+func (proc *process) metrics() string {
 	resp, err := http.Get(proc.console + "/status/metrics")
 	if err != nil {
 		return err.Error()
@@ -197,9 +197,9 @@
 	return string(raw)
 }
 
-func (proc *process) maintain(t *testing.T, word, id string) int {
+func (proc *process) setMaintenance(t *testing.T, operation, id string) int {
 	t.Helper()
-	req, _ := http.NewRequest(http.MethodPut, proc.console+"/maintenance/"+word, strings.NewReader(id))
+	req, _ := http.NewRequest(http.MethodPut, proc.console+"/maintenance/"+operation, strings.NewReader(id))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -208,18 +208,18 @@
 	return resp.StatusCode
 }
 
-func (proc *process) end(t *testing.T, with syscall.Signal) {
+func (proc *process) terminate(t *testing.T, sig syscall.Signal) {
 	t.Helper()
-	proc.Process.Signal(with)
+	proc.Process.Signal(sig)
 	select {
 	case <-proc.ended:
 	case <-time.After(nodetest.Patience):
-		t.Fatalf("it goes on after %v", with)
+		t.Fatalf("still running after %v", sig)
 	}
 }
 
-// ask sends one request and tells how it ended.
-func (p *platform) ask(class, id string) error {
+// request sends one request and returns an error unless it was served.
+func (p *platform) request(class, id string) error {
 	method := http.MethodPost
 	if class == "clip" {
 		method = http.MethodGet
@@ -243,18 +243,18 @@
 	return err
 }
 
-// Two upgrades in a row under load, with a build in between that does not
-// start: each request gets its one answer, nothing runs twice, and who was out
-// by hand stays out until the word at the newest process.
+// Two upgrades in a row under load, with a build in between that fails to start: each
+// request gets one response, nothing is executed twice, and a server in maintenance stays
+// there until the command to the newest process.
 func TestUpgradesUnderLoad(t *testing.T) {
 	p := newPlatform(t)
-	old := p.up()
-	if code := old.maintain(t, "enter", "s-0"); code != 200 {
+	old := p.startReady()
+	if code := old.setMaintenance(t, "enter", "s-0"); code != 200 {
 		t.Fatalf("enter: %d", code)
 	}
 	stop := make(chan bool)
 	var load sync.WaitGroup
-	var asked, served atomic.Int64
+	var sent, served atomic.Int64
 	for c := range 8 {
 		load.Add(1)
 		go func() {
@@ -266,23 +266,23 @@
 				default:
 				}
 				class := []string{"clip", "order", "tag"}[i%3]
-				// One server for all: a busy moment may refuse, which is an answer too.
-				if err := p.ask(class, fmt.Sprint(class, "-", c, "-", i)); err != nil && !strings.HasPrefix(err.Error(), "503 ") {
+				// With one server left, a refusal during a burst is acceptable.
+				if err := p.request(class, fmt.Sprint(class, "-", c, "-", i)); err != nil && !strings.HasPrefix(err.Error(), "503 ") {
 					t.Errorf("%s %d of client %d: %v", class, i, c, err)
 				} else if err == nil {
 					served.Add(1)
 				}
-				asked.Add(1)
+				sent.Add(1)
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
 	}
 	for round := range 2 {
 		slow := make(chan error, 1)
-		go func() { slow <- p.ask("order", fmt.Sprint("slow-", round)) }()
-		for { // it is in flight at the old process
+		go func() { slow <- p.request("order", fmt.Sprint("slow-", round)) }()
+		for { // wait until it is in flight at the old process
 			p.mu.Lock()
-			n := p.runs[fmt.Sprint("slow-", round)]
+			n := p.executions[fmt.Sprint("slow-", round)]
 			p.mu.Unlock()
 			if n > 0 {
 				break
@@ -290,59 +290,58 @@
 			time.Sleep(time.Millisecond)
 		}
 		if _, err := p.start(write(t, "{}")); err == nil {
-			t.Error("a build that does not start went on")
+			t.Error("an invalid build started")
 		}
-		next := p.up()
-		if code := old.maintain(t, "exit", "s-0"); code != 503 {
-			t.Errorf("the old process said %d to a word that the new one must hear", code)
+		next := p.startReady()
+		if code := old.setMaintenance(t, "exit", "s-0"); code != 503 {
+			t.Errorf("the old process answered %d to a command for the new one", code)
 		}
-		old.end(t, syscall.SIGTERM)
+		old.terminate(t, syscall.SIGTERM)
 		if err := <-slow; err != nil {
 			t.Errorf("the order in flight: %v", err)
 		}
 		old = next
 	}
-	if n := p.backends[0].Load(); n > 0 {
-		t.Errorf("the backend that was out got %d requests", n)
+	if n := p.requestCounts[0].Load(); n > 0 {
+		t.Errorf("the backend in maintenance got %d requests", n)
 	}
-	if text := old.figures(); !strings.Contains(text, "app.out_of_rotation:1|g") || !strings.Contains(text, "app.registry_entries:2|g") {
-		t.Errorf("the figures say\n%s", text)
+	if text := old.metrics(); !strings.Contains(text, "app.out_of_rotation:1|g") || !strings.Contains(text, "app.registry_entries:2|g") {
+		t.Errorf("the metrics are\n%s", text)
 	}
-	if code := old.maintain(t, "exit", "s-0"); code != 200 {
+	if code := old.setMaintenance(t, "exit", "s-0"); code != 200 {
 		t.Errorf("exit: %d", code)
 	}
-	for end := time.Now().Add(nodetest.Patience); p.backends[0].Load() == 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); p.requestCounts[0].Load() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the backend that is back gets nothing")
+			t.Fatal("the backend that returned from maintenance gets no requests")
 		}
 	}
 	close(stop)
 	load.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, n := range p.runs {
+	for id, n := range p.executions {
 		if n > 1 && !strings.HasPrefix(id, "clip") && !strings.HasPrefix(id, "tag") {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("%s was executed %d times", id, n)
 		}
 	}
-	if served.Load() < asked.Load()*9/10 {
-		t.Errorf("only %d of %d were served", served.Load(), asked.Load())
+	if served.Load() < sent.Load()*9/10 {
+		t.Errorf("only %d of %d were served", served.Load(), sent.Load())
 	}
-	t.Logf("%d requests, %d served, two upgrades", asked.Load(), served.Load())
+	t.Logf("%d requests, %d served, two upgrades", sent.Load(), served.Load())
 }
 
-// A drain is told to the old process just before the new one says yes, and the
-// new one can not ask: discovery is down by then. Nothing new goes to the
-// backend later than the grace after the word, from either process.
-func TestADrainToldJustBeforeTheYesIsKeptByBoth(t *testing.T) {
+// The old process receives a drain just before the new one is ready, and discovery then
+// fails. Neither process may send a new request to the backend after the grace period.
+func TestDrainJustBeforeReadinessIsKeptByBothProcesses(t *testing.T) {
 	p := newPlatform(t)
-	told := make(chan time.Time, 100)
-	p.discover(func(e history.Event) {
+	notified := make(chan time.Time, 100)
+	p.startDiscovery(func(e history.Event) {
 		if e.Kind == history.Told && e.Lifecycle == hosts.Draining {
-			told <- time.Now()
+			notified <- time.Now()
 		}
 	})
-	old := p.up()
+	old := p.startReady()
 	stop := make(chan bool)
 	var load sync.WaitGroup
 	for c := range 6 {
@@ -353,43 +352,43 @@
 					return
 				default:
 				}
-				// Half of the servers are gone, so some are refused.
-				if err := p.ask("order", fmt.Sprint("order-", c, "-", i)); err != nil && !strings.HasPrefix(err.Error(), "503 ") {
+				// With half of the servers gone, some requests are refused.
+				if err := p.request("order", fmt.Sprint("order-", c, "-", i)); err != nil && !strings.HasPrefix(err.Error(), "503 ") {
 					t.Errorf("order %d of client %d: %v", i, c, err)
 				}
 				time.Sleep(3 * time.Millisecond)
 			}
 		})
 	}
-	for end := time.Now().Add(nodetest.Patience); p.backends[0].Load() < 20 || p.backends[1].Load() < 20; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); p.requestCounts[0].Load() < 20 || p.requestCounts[1].Load() < 20; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the backends get no work")
+			t.Fatal("the backends get no requests")
 		}
 	}
-	next, err := p.start(p.config) // it is about to say yes
+	next, err := p.start(p.config) // about to become ready
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.hosts.SetNow(hosts.Entry{InstanceID: "s-0", Zone: "z", MachineType: "m", Lifecycle: hosts.Draining, Weight: 1})
-	var word time.Time
+	var notifiedAt time.Time
 	select {
-	case word = <-told:
+	case notifiedAt = <-notified:
 	case <-time.After(nodetest.Patience):
-		t.Fatal("the drain was not told")
+		t.Fatal("the drain was not delivered")
 	}
 	p.hosts.SetDown(true)
-	for end := time.Now().Add(nodetest.Patience); !next.yes(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); !next.ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no yes")
+			t.Fatal("the process is not ready")
 		}
 	}
-	yes := time.Now()
-	time.Sleep(200 * time.Millisecond) // both serve
-	old.end(t, syscall.SIGTERM)
-	third := p.up() // who knows of the drain only from the state
-	served := p.backends[1].Load()
-	next.end(t, syscall.SIGTERM)
-	for end := time.Now().Add(nodetest.Patience); p.backends[1].Load() < served+50; time.Sleep(time.Millisecond) {
+	readyAt := time.Now()
+	time.Sleep(200 * time.Millisecond) // both processes serve
+	old.terminate(t, syscall.SIGTERM)
+	third := p.startReady() // it knows of the drain only from the stored state
+	served := p.requestCounts[1].Load()
+	next.terminate(t, syscall.SIGTERM)
+	for end := time.Now().Add(nodetest.Patience); p.requestCounts[1].Load() < served+50; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the third process serves nothing")
 		}
@@ -397,20 +396,20 @@
 	close(stop)
 	load.Wait()
 	p.mu.Lock()
-	late := p.last[0].Sub(word)
+	delay := p.lastRequestAt[0].Sub(notifiedAt)
 	p.mu.Unlock()
-	if late > 500*time.Millisecond {
-		t.Errorf("the draining backend got a request %v after the word", late)
+	if delay > 500*time.Millisecond {
+		t.Errorf("the draining backend got a request %v after the notification", delay)
 	}
-	if text := third.figures(); !strings.Contains(text, "app.registry_entries:2|g") {
-		t.Errorf("the third process's figures say\n%s", text)
+	if text := third.metrics(); !strings.Contains(text, "app.registry_entries:2|g") {
+		t.Errorf("the third process's metrics are\n%s", text)
 	}
-	t.Logf("the word %v before the yes; the last new request %v after it", yes.Sub(word), late)
+	t.Logf("drain %v before readiness; last new request %v after the drain", readyAt.Sub(notifiedAt), delay)
 }
 
-// Either side dies at each step of an upgrade: what is left serves, or the
-// next process does, and the operators' word holds.
-func TestEitherSideDiesAtEachStep(t *testing.T) {
+// If either process is killed at any step of an upgrade, the remaining or the next process
+// serves and maintenance stays in force.
+func TestUpgradeSurvivesKillAtEachStep(t *testing.T) {
 	started := func(p *platform) *process {
 		proc, err := p.start(p.config)
 		if err != nil {
@@ -420,92 +419,92 @@
 	}
 	for _, c := range []struct {
 		name string
-		play func(t *testing.T, p *platform, old *process) *process // gives the one that is left, if any
+		run  func(t *testing.T, p *platform, old *process) *process // returns the remaining process, if any
 	}{
-		{"the new one, before its yes", func(t *testing.T, p *platform, old *process) *process {
-			started(p).end(t, syscall.SIGKILL)
+		{"new process before it is ready", func(t *testing.T, p *platform, old *process) *process {
+			started(p).terminate(t, syscall.SIGKILL)
 			return old
 		}},
-		{"the new one, after its yes", func(t *testing.T, p *platform, old *process) *process {
-			p.up().end(t, syscall.SIGKILL)
+		{"new process after it is ready", func(t *testing.T, p *platform, old *process) *process {
+			p.startReady().terminate(t, syscall.SIGKILL)
 			return old
 		}},
-		{"the old one, before the new one starts", func(t *testing.T, p *platform, old *process) *process {
-			old.end(t, syscall.SIGKILL)
+		{"old process before the new one starts", func(t *testing.T, p *platform, old *process) *process {
+			old.terminate(t, syscall.SIGKILL)
 			return nil
 		}},
-		{"the old one, before the new one's yes", func(t *testing.T, p *platform, old *process) *process {
+		{"old process before the new one is ready", func(t *testing.T, p *platform, old *process) *process {
 			next := started(p)
-			old.end(t, syscall.SIGKILL)
+			old.terminate(t, syscall.SIGKILL)
 			return next
 		}},
-		{"the old one, after the new one's yes", func(t *testing.T, p *platform, old *process) *process {
-			next := p.up()
-			old.end(t, syscall.SIGKILL)
+		{"old process after the new one is ready", func(t *testing.T, p *platform, old *process) *process {
+			next := p.startReady()
+			old.terminate(t, syscall.SIGKILL)
 			return next
 		}},
-		{"the old one, while it drains", func(t *testing.T, p *platform, old *process) *process {
-			next := p.up()
+		{"old process while it drains", func(t *testing.T, p *platform, old *process) *process {
+			next := p.startReady()
 			old.Process.Signal(syscall.SIGTERM)
 			time.Sleep(100 * time.Millisecond)
-			old.end(t, syscall.SIGKILL)
+			old.terminate(t, syscall.SIGKILL)
 			return next
 		}},
-		{"the new one, while the old one drains", func(t *testing.T, p *platform, old *process) *process {
-			next := p.up()
+		{"new process while the old one drains", func(t *testing.T, p *platform, old *process) *process {
+			next := p.startReady()
 			old.Process.Signal(syscall.SIGTERM)
-			next.end(t, syscall.SIGKILL)
-			old.end(t, syscall.SIGTERM)
+			next.terminate(t, syscall.SIGKILL)
+			old.terminate(t, syscall.SIGTERM)
 			return nil
 		}},
-		{"both", func(t *testing.T, p *platform, old *process) *process {
-			next := p.up()
-			old.end(t, syscall.SIGKILL)
-			next.end(t, syscall.SIGKILL)
+		{"both processes", func(t *testing.T, p *platform, old *process) *process {
+			next := p.startReady()
+			old.terminate(t, syscall.SIGKILL)
+			next.terminate(t, syscall.SIGKILL)
 			return nil
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlatform(t)
-			old := p.up()
-			if code := old.maintain(t, "enter", "s-0"); code != 200 {
+			old := p.startReady()
+			if code := old.setMaintenance(t, "enter", "s-0"); code != 200 {
 				t.Fatalf("enter: %d", code)
 			}
-			left := c.play(t, p, old)
-			if left == nil {
-				left = p.up()
+			remaining := c.run(t, p, old)
+			if remaining == nil {
+				remaining = p.startReady()
 			}
 			for i := range 6 {
-				if err := p.ask("order", fmt.Sprint("after-", i)); err != nil {
-					t.Errorf("after it: %v", err)
+				if err := p.request("order", fmt.Sprint("after-", i)); err != nil {
+					t.Errorf("after the kill: %v", err)
 				}
 			}
-			if n := p.backends[0].Load(); n != 0 {
-				t.Errorf("the backend that is out got %d requests", n)
+			if n := p.requestCounts[0].Load(); n != 0 {
+				t.Errorf("the backend in maintenance got %d requests", n)
 			}
-			if code := left.maintain(t, "enter", "s-1"); code != 200 {
-				t.Errorf("a word to the one that is left: %d", code)
+			if code := remaining.setMaintenance(t, "enter", "s-1"); code != 200 {
+				t.Errorf("command to the remaining process: %d", code)
 			}
-			last := p.up()
-			if code := last.maintain(t, "exit", "s-1"); code != 200 {
-				t.Errorf("a word to the next one: %d", code)
+			last := p.startReady()
+			if code := last.setMaintenance(t, "exit", "s-1"); code != 200 {
+				t.Errorf("command to the next process: %d", code)
 			}
-			if text := last.figures(); !strings.Contains(text, "app.out_of_rotation:1|g") {
-				t.Errorf("the next one's figures say\n%s", text)
+			if text := last.metrics(); !strings.Contains(text, "app.out_of_rotation:1|g") {
+				t.Errorf("the next process's metrics are\n%s", text)
 			}
-			if files, _ := filepath.Glob(filepath.Join(p.folder, "ivylock.state.*")); len(files) > 1 { // one may be written just now
-				t.Errorf("left behind: %v", files)
+			if files, _ := filepath.Glob(filepath.Join(p.dir, "ivylock.state.*")); len(files) > 1 { // one may be being written
+				t.Errorf("leftover files: %v", files)
 			}
 		})
 	}
 }
 
-// Clients hold every connection that they can get, with half a request each,
-// and callers do so at the console: operators are answered all the same.
-func TestOperatorsAreAnsweredWhoeverHoldsOn(t *testing.T) {
+// Operators are answered even if clients occupy every connection with partial requests, at
+// the service and at the console.
+func TestConsoleAnswersDuringConnectionExhaustion(t *testing.T) {
 	p := newPlatform(t)
-	proc := p.up()
+	proc := p.startReady()
 	hold := func(addr, text string, n int) {
 		for range n {
 			c, err := net.DialTimeout("tcp", strings.TrimPrefix(addr, "http://"), nodetest.Patience)
@@ -516,37 +515,37 @@
 			io.WriteString(c, text)
 		}
 	}
-	hold(p.url, "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: half", 700) // more than there are
+	hold(p.url, "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: half", 700) // more than the limit
 	hold(proc.console, "GET /status HTTP", 200)
 	slowest := time.Duration(0)
 	for range 20 {
 		began := time.Now()
-		if text := proc.figures(); !strings.HasPrefix(text, "app.operations.") {
+		if text := proc.metrics(); !strings.HasPrefix(text, "app.operations.") {
 			t.Errorf("got %q", text)
 		}
 		slowest = max(slowest, time.Since(began))
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Logf("the slowest of 20 answers took %v", slowest)
+	t.Logf("the slowest of 20 responses took %v", slowest)
 }
 
-// Where the folder that the processes of a node share can't be written they start and serve all
-// the same, and join one another once it can.
-func TestAFolderThatCantBeWrittenHoldsUpNobody(t *testing.T) {
+// Processes of a node start and serve even if their shared directory is not writable, and
+// join once it is.
+func TestUnwritableSharedDirBlocksNobody(t *testing.T) {
 	p := newPlatform(t)
-	p.folder = filepath.Join(t.TempDir(), "missing")
-	one := p.up()
-	two := p.up()
+	p.dir = filepath.Join(t.TempDir(), "missing")
+	one := p.startReady()
+	two := p.startReady()
 	for i := range 5 {
-		if err := p.ask("order", fmt.Sprint("order-", i)); err != nil {
+		if err := p.request("order", fmt.Sprint("order-", i)); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := os.Mkdir(p.folder, 0o700); err != nil {
+	if err := os.Mkdir(p.dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	joined := func() int {
-		files, err := filepath.Glob(filepath.Join(p.folder, "ivylock-*.run"))
+		files, err := filepath.Glob(filepath.Join(p.dir, "ivylock-*.run"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -554,13 +553,13 @@
 	}
 	for end := time.Now().Add(nodetest.Patience); joined() < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of two have joined", joined())
+			t.Fatalf("%d of two processes have joined", joined())
 		}
 	}
 	for _, proc := range []*process{one, two} {
-		proc.end(t, syscall.SIGTERM)
+		proc.terminate(t, syscall.SIGTERM)
 	}
-	if left := joined(); left != 0 {
-		t.Errorf("%d files are left behind", left)
+	if remaining := joined(); remaining != 0 {
+		t.Errorf("%d leftover files", remaining)
 	}
 }
