--- a/cmd/ivylock/bodies_test.go
+++ b/cmd/ivylock/bodies_test.go
@@ -94,7 +94,8 @@
 			_, err = io.Copy(io.Discard, resp.Body)
 			return err
 		}
-		for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(100 * time.Millisecond) { // a slow reader
+		// Read slowly.
+		for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(100 * time.Millisecond) {
 			if _, err := io.CopyN(io.Discard, resp.Body, rate/10); err != nil {
 				return err
 			}
--- a/cmd/ivylock/disk_test.go
+++ b/cmd/ivylock/disk_test.go
@@ -35,7 +35,7 @@
 }
 
 // excludedBackends sends some requests and reports which backends got none.
-func (p *platform) excludedBackends(name string) (out [2]bool) {
+func (p *platform) excludedBackends(name string) (excluded [2]bool) {
 	p.t.Helper()
 	before := [2]int64{p.requestCounts[0].Load(), p.requestCounts[1].Load()}
 	served := 0
@@ -47,10 +47,10 @@
 	if served == 0 {
 		return [2]bool{true, true}
 	}
-	for i := range out {
-		out[i] = p.requestCounts[i].Load() == before[i]
+	for i := range excluded {
+		excluded[i] = p.requestCounts[i].Load() == before[i]
 	}
-	return out
+	return excluded
 }
 
 // Whatever disk call fails, requests are served, a maintenance command that was not stored
@@ -72,8 +72,8 @@
 					t.Fatal(err)
 				}
 				rules.Add(rule)
-				if out := p.excludedBackends("before"); out != [2]bool{true, false} {
-					t.Errorf("excluded while the disk fails: %v", out)
+				if excluded := p.excludedBackends("before"); excluded != [2]bool{true, false} {
+					t.Errorf("excluded while the disk fails: %v", excluded)
 				}
 				if code := first.setMaintenance(t, "enter", "s-1"); code == http.StatusOK {
 					t.Error("a command that was not stored was acknowledged")
@@ -83,8 +83,8 @@
 				}
 				first.terminate(t, syscall.SIGKILL)
 				second := p.startReady()
-				if out := p.excludedBackends("after"); out != [2]bool{true, false} {
-					t.Errorf("excluded by the next process: %v", out)
+				if excluded := p.excludedBackends("after"); excluded != [2]bool{true, false} {
+					t.Errorf("excluded by the next process: %v", excluded)
 				}
 				second.terminate(t, syscall.SIGTERM)
 			})
@@ -97,12 +97,12 @@
 func TestKillsWithIntermittentDiskErrors(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	p := newPlatform(t)
-	certain, out := true, false // whether the state of s-0 is certain, and that state
+	certain, inMaintenance := true, false // whether the state of s-0 is certain, and that state
 	for run := range 10 {
 		rules := sysfault.NewRules(int64(run))
 		proc := p.startFaulty(rules)
 		if certain {
-			want := map[bool]string{true: "app.out_of_rotation:1|g", false: "app.out_of_rotation:0|g"}[out]
+			want := map[bool]string{true: "app.out_of_rotation:1|g", false: "app.out_of_rotation:0|g"}[inMaintenance]
 			for end := time.Now().Add(nodetest.Patience); !strings.Contains(proc.metrics(), want); time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("process %d: no %s in\n%s", run, want, proc.metrics())
@@ -120,8 +120,8 @@
 		for range 3 + rng.IntN(10) {
 			operation := []string{"enter", "exit"}[rng.IntN(2)]
 			if code := proc.setMaintenance(t, operation, "s-0"); code == http.StatusOK {
-				certain, out = true, operation == "enter"
-			} else if operation == "enter" != out {
+				certain, inMaintenance = true, operation == "enter"
+			} else if operation == "enter" != inMaintenance {
 				certain = false
 			}
 		}
--- a/cmd/ivylock/fleet_test.go
+++ b/cmd/ivylock/fleet_test.go
@@ -87,7 +87,7 @@
 // An error in the operator's file is reported in one line with exit code 2, before anything
 // listens.
 func TestInvalidOperatorFileExitsAtOnce(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"[fleet]\nhelo = \"1s\"\n":                           ":2: unknown key fleet.helo",
 		"[fleet]\n\nnarrow_after = 3\n":                      ":3: narrow_after: nobody can tell what a bare number counts",
 		"[fleet]\nclose_after = \"1s\"\n":                    ":2: close_after must be longer than narrow_after",
@@ -107,7 +107,7 @@
 		if x, ok := err.(*exec.ExitError); ok {
 			code = x.ExitCode()
 		}
-		if line := string(out); code != 2 || strings.Count(line, "\n") != 1 || !strings.Contains(line, operator+says) {
+		if line := string(out); code != 2 || strings.Count(line, "\n") != 1 || !strings.Contains(line, operator+want) {
 			t.Errorf("%q: exit code %d, %q", text, code, line)
 		}
 	}
--- a/cmd/ivylock/log_test.go
+++ b/cmd/ivylock/log_test.go
@@ -81,15 +81,15 @@
 // A node whose log has been closed by the reader goes on serving.
 func TestClosedLogDoesNotEndProcess(t *testing.T) {
 	t.Parallel()
-	log, theirs := pipe(t)
+	log, childLog := pipe(t)
 	c := command(write(t, nodetest.ConfigJSON(nodetest.ClosedAddr(t))))
 	c.Env = append(c.Env, "GORACE=atexit_sleep_ms=0")
-	c.Stderr = theirs
+	c.Stderr = childLog
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Process.Kill() })
-	theirs.Close()
+	childLog.Close()
 	addr := ""
 	for lines := bufio.NewScanner(log); addr == "" && lines.Scan(); {
 		_, addr, _ = strings.Cut(lines.Text(), " serves on ")
--- a/cmd/ivylock/upgrade_test.go
+++ b/cmd/ivylock/upgrade_test.go
@@ -493,7 +493,8 @@
 			if text := last.metrics(); !strings.Contains(text, "app.out_of_rotation:1|g") {
 				t.Errorf("the next process's metrics are\n%s", text)
 			}
-			if files, _ := filepath.Glob(filepath.Join(p.dir, "ivylock.state.*")); len(files) > 1 { // one may be being written
+			// One may be in the course of being written.
+			if files, _ := filepath.Glob(filepath.Join(p.dir, "ivylock.state.*")); len(files) > 1 {
 				t.Errorf("leftover files: %v", files)
 			}
 		})
@@ -519,11 +520,11 @@
 	hold(proc.console, "GET /status HTTP", 200)
 	slowest := time.Duration(0)
 	for range 20 {
-		began := time.Now()
+		start := time.Now()
 		if text := proc.metrics(); !strings.HasPrefix(text, "app.operations.") {
 			t.Errorf("got %q", text)
 		}
-		slowest = max(slowest, time.Since(began))
+		slowest = max(slowest, time.Since(start))
 		time.Sleep(100 * time.Millisecond)
 	}
 	t.Logf("the slowest of 20 responses took %v", slowest)
@@ -534,8 +535,8 @@
 func TestUnwritableSharedDirBlocksNobody(t *testing.T) {
 	p := newPlatform(t)
 	p.dir = filepath.Join(t.TempDir(), "missing")
-	one := p.startReady()
-	two := p.startReady()
+	first := p.startReady()
+	second := p.startReady()
 	for i := range 5 {
 		if err := p.request("order", fmt.Sprint("order-", i)); err != nil {
 			t.Error(err)
@@ -556,7 +557,7 @@
 			t.Fatalf("%d of two processes have joined", joined())
 		}
 	}
-	for _, proc := range []*process{one, two} {
+	for _, proc := range []*process{first, second} {
 		proc.terminate(t, syscall.SIGTERM)
 	}
 	if remaining := joined(); remaining != 0 {
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// report counts a failed accept and logs at most one line per logInterval.
+// report passes a failed accept to onError and logs at most one line per logInterval.
 func (l *Listener) report(err error) {
 	if l.onError != nil {
 		l.onError(err)
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -24,20 +24,20 @@
 		for range times {
 			inner.Errors <- errno
 		}
-		theirs, err := net.Dial("tcp", l.Addr().String())
+		dialled, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		failures.Store(0)
-		ours, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			t.Fatalf("%v: %v", errno, err)
 		}
 		if failures.Load() != times {
 			t.Errorf("%v: %d failures were reported", errno, failures.Load())
 		}
-		ours.Close()
-		theirs.Close()
+		accepted.Close()
+		dialled.Close()
 	}
 }
 
--- a/internal/bounded/answer.go
+++ b/internal/bounded/answer.go
@@ -38,7 +38,7 @@
 type Reader struct {
 	conn        net.Conn
 	limit       io.LimitedReader // bytes that may still be read of this response
-	r           *bufio.Reader
+	buf         *bufio.Reader
 	timeout     time.Duration // of the next read; 0: none
 	stopped     atomic.Bool   // Stop was called
 	deadlineSet bool          // a read deadline is set
@@ -50,7 +50,7 @@
 func NewReader(c net.Conn) *Reader {
 	r := &Reader{conn: c}
 	r.limit.R = timedReader{r}
-	r.r = bufio.NewReader(&r.limit)
+	r.buf = bufio.NewReader(&r.limit)
 	return r
 }
 
@@ -89,7 +89,7 @@
 func (r *Reader) Stopped() bool { return r.stopped.Load() }
 
 // BufferEmpty reports whether nothing has been read beyond the last response.
-func (r *Reader) BufferEmpty() bool { return r.r.Buffered() == 0 }
+func (r *Reader) BufferEmpty() bool { return r.buf.Buffered() == 0 }
 
 // Response is a response that has been read completely or up to its prefix.
 type Response struct {
@@ -104,12 +104,12 @@
 // ReadResponse reads one response and skips interim responses. A body of up to
 // MaxBufferedBody is read completely, of a longer one only a prefix. After the first byte
 // each read has a timeout, so that truncated responses and garbage on an open connection
-// are detected. The error is ErrMalformedResponse if the received bytes are no valid
+// are detected. The error is ErrMalformedResponse if the received bytes are not a valid
 // response, otherwise that of the connection. A response with neither a length nor chunked
 // encoding is complete when its connection is closed, and not reset, within the timeout.
 func (r *Reader) ReadResponse(req *http.Request) (*Response, error) {
 	r.limit.N, r.timeout = maxBufferedResponse, 0
-	if _, err := r.r.Peek(1); err != nil {
+	if _, err := r.buf.Peek(1); err != nil {
 		return nil, err
 	}
 	firstByteAt := time.Now()
@@ -139,13 +139,13 @@
 	for range maxInterimResponses + 1 {
 		const version = "HTTP/1."
 		for n := 1; n <= len(version); n++ {
-			if start, err := r.r.Peek(n); err != nil {
+			if start, err := r.buf.Peek(n); err != nil {
 				return nil, err
 			} else if start[n-1] != version[n-1] {
 				return nil, ErrMalformedResponse
 			}
 		}
-		httpResp, err := http.ReadResponse(r.r, req)
+		httpResp, err := http.ReadResponse(r.buf, req)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/bounded/answer_test.go
+++ b/internal/bounded/answer_test.go
@@ -16,29 +16,29 @@
 // connection is then closed.
 func read(t *testing.T, raw []byte, piece int) (status int, body []byte, err error) {
 	t.Helper()
-	ours, theirs := net.Pipe()
-	defer ours.Close()
+	local, remote := net.Pipe()
+	defer local.Close()
 	go func() {
-		defer theirs.Close()
+		defer remote.Close()
 		for len(raw) > 0 {
 			n := min(piece, len(raw))
-			if _, err := theirs.Write(raw[:n]); err != nil {
+			if _, err := remote.Write(raw[:n]); err != nil {
 				return
 			}
 			raw = raw[n:]
 		}
 	}()
-	ours.SetDeadline(time.Now().Add(20 * time.Second))
-	a, err := NewReader(ours).ReadResponse(nil)
+	local.SetDeadline(time.Now().Add(20 * time.Second))
+	resp, err := NewReader(local).ReadResponse(nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	body = a.Prefix
-	if !a.Complete {
-		rest, err := io.ReadAll(a)
-		return a.StatusCode, append(body, rest...), err
+	body = resp.Prefix
+	if !resp.Complete {
+		rest, err := io.ReadAll(resp)
+		return resp.StatusCode, append(body, rest...), err
 	}
-	return a.StatusCode, body, nil
+	return resp.StatusCode, body, nil
 }
 
 // reference returns what net/http reads.
@@ -120,19 +120,19 @@
 }
 
 func TestStalledResponseTimesOut(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer ours.Close()
-	defer theirs.Close()
-	go io.WriteString(theirs, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")
+	local, remote := net.Pipe()
+	defer local.Close()
+	defer remote.Close()
+	go io.WriteString(remote, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")
 	start := time.Now()
-	if _, err := NewReader(ours).ReadResponse(nil); !errors.Is(err, ErrMalformedResponse) {
+	if _, err := NewReader(local).ReadResponse(nil); !errors.Is(err, ErrMalformedResponse) {
 		t.Errorf("got %v", err)
 	}
 	if took := time.Since(start); took < pieceTimeout {
 		t.Errorf("timed out after %v", took)
 	}
 	// Stop takes effect at once, also between two reads.
-	r := NewReader(ours)
+	r := NewReader(local)
 	r.Stop()
 	if _, err := r.ReadResponse(nil); err == nil || errors.Is(err, ErrMalformedResponse) {
 		t.Errorf("after Stop: %v", err)
@@ -153,24 +153,24 @@
 // A deadline left on a kept connection would cut off the next response.
 func TestReadDeadlineIsClearedAfterResponse(t *testing.T) {
 	for _, text := range sampleResponses[:6] {
-		ours, theirs := net.Pipe()
+		local, remote := net.Pipe()
 		go func() {
 			for i := range 5 { // several reads, so that a deadline is set
-				io.WriteString(theirs, text[i*len(text)/5:(i+1)*len(text)/5])
+				io.WriteString(remote, text[i*len(text)/5:(i+1)*len(text)/5])
 			}
-			theirs.Close()
+			remote.Close()
 		}()
-		d := &deadlineRecorder{Conn: ours}
-		a, err := NewReader(d).ReadResponse(nil)
-		if err == nil && !a.Complete {
+		d := &deadlineRecorder{Conn: local}
+		resp, err := NewReader(d).ReadResponse(nil)
+		if err == nil && !resp.Complete {
 			if d.last.IsZero() == false {
 				t.Errorf("%.60q: a deadline is left after the prefix", text)
 			}
-			_, err = io.ReadAll(a)
+			_, err = io.ReadAll(resp)
 		}
 		if err == nil && !d.last.IsZero() {
 			t.Errorf("%.60q: a deadline is left", text)
 		}
-		ours.Close()
+		local.Close()
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -33,8 +33,8 @@
 const (
 	pollsPerNarrowing  = 3 // watch polls that complete within the narrowing time
 	staleRetryAfter    = time.Second
-	finalRecordTimeout = 100 * time.Millisecond // limit on writing the last record; SIGKILL follows 0.2 s after
-	backlogTime        = 150 * time.Millisecond // after a process pause, in which queued requests are read
+	finalRecordTimeout = 100 * time.Millisecond // limit on writing the last record, 0.2 s before SIGKILL
+	backlogTime        = 150 * time.Millisecond // time after a process pause in which queued requests are read
 	minSpareTime       = 120 * time.Millisecond // time that a held request must have left; longer than a tick
 )
 
@@ -43,8 +43,8 @@
 type fleet struct {
 	cfg          *FleetConfig
 	member       *member.Member
-	agent        *follow.Agent // the member's agent
-	waiting      []*Request    // held until the node knows whether its state is current
+	agent        *follow.Agent
+	waiting      []*Request // held until the node knows whether its state is current
 	changed      bool
 	usedDigest   uint64 // digest of the servers that are usable after narrowing
 	lastTurn     atomic.Int64
@@ -244,12 +244,12 @@
 func (n *Node) admit(r *Request) bool {
 	f := n.fleet
 	until := f.agent.HoldUntil()
-	holds := until > 0 && n.now() < until
-	if holds && time.Until(r.Deadline) > minSpareTime && len(f.waiting) < n.cfg.Settings.MaxOpenRequests {
+	holding := until > 0 && n.now() < until
+	if holding && time.Until(r.Deadline) > minSpareTime && len(f.waiting) < n.cfg.Settings.MaxOpenRequests {
 		f.waiting = append(f.waiting, r)
 		return false
 	}
-	if !holds && f.agent.AcceptsRequests() {
+	if !holding && f.agent.AcceptsRequests() {
 		return true
 	}
 	f.agent.Recorder().CountStaleRefusal()
@@ -269,15 +269,15 @@
 		return
 	}
 	until := f.agent.HoldUntil()
-	holds := !end && until > 0 && n.now() < until
+	holding := !end && until > 0 && n.now() < until
 	waiting := f.waiting
 	f.waiting = nil
 	for _, r := range waiting {
 		switch {
 		case r.isOver(): // the client has disconnected
-		case holds && time.Until(r.Deadline) > minSpareTime:
+		case holding && time.Until(r.Deadline) > minSpareTime:
 			f.waiting = append(f.waiting, r)
-		case holds || end || time.Until(r.Deadline) <= 0:
+		case holding || end || time.Until(r.Deadline) <= 0:
 			n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale})
 		default:
 			n.acceptRequest(r)
@@ -334,16 +334,16 @@
 	if n.fleet == nil {
 		return version.Record{}, console.ErrOff
 	}
-	want := make(recordRequest, 1)
+	reply := make(recordRequest, 1)
 	select {
-	case n.events <- want:
+	case n.events <- reply:
 	case <-n.done:
 		return version.Record{}, errBusy
 	case <-ctx.Done():
 		return version.Record{}, errBusy
 	}
 	select {
-	case r := <-want:
+	case r := <-reply:
 		return r, nil
 	case <-n.done:
 		return version.Record{}, errBusy
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -22,9 +22,9 @@
 		<-hangs
 		return nil
 	}
-	began := time.Now()
+	start := time.Now()
 	n.writeFinalRecord()
-	if took := time.Since(began); took > 10*finalRecordTimeout {
+	if took := time.Since(start); took > 10*finalRecordTimeout {
 		t.Errorf("the exit took %v", took)
 	}
 }
--- a/internal/node/neighbours.go
+++ b/internal/node/neighbours.go
@@ -21,25 +21,25 @@
 
 // announceDepartures notifies the nodes that use departing servers. It must be called
 // before the module processes the departures, as it forgets their users then.
-func (n *Node) announceDepartures(left []string) {
+func (n *Node) announceDepartures(departures []string) {
 	if n.peers == nil || n.fleet != nil {
 		return
 	}
 	keys := map[int]membership.Departures{}
-	for _, name := range left {
+	for _, name := range departures {
 		id := n.serverIDs[name]
 		for _, user := range n.module.NodesUsing(id) {
 			keys[user] = append(keys[user], uint32(id))
 		}
 	}
-	for user, of := range keys {
-		n.sendDepartures(user, of)
+	for user, departures := range keys {
+		n.sendDepartures(user, departures)
 	}
 }
 
 func (n *Node) sendDepartures(to int, keys membership.Departures) {
-	for part := range slices.Chunk(keys, membership.MaxDepartures) {
-		n.peers.send(balance.SendMessage{To: to, Data: membership.Encode(part)})
+	for batch := range slices.Chunk(keys, membership.MaxDepartures) {
+		n.peers.send(balance.SendMessage{To: to, Data: membership.Encode(batch)})
 	}
 }
 
@@ -50,7 +50,7 @@
 		return
 	}
 	n.lastQueryAt = time.Now()
-	question := membership.Encode(membership.ChangesQuery{Generation: n.list.Generation()})
+	query := membership.Encode(membership.ChangesQuery{Generation: n.list.Generation()})
 	others := len(n.peers.addrs) - 1
 	for range min(queryFanout, others) {
 		to := rand.IntN(others)
@@ -58,7 +58,7 @@
 			to++
 		}
 		n.metrics.QuestionsAsked.Add(1)
-		n.peers.send(balance.SendMessage{To: to, Data: question})
+		n.peers.send(balance.SendMessage{To: to, Data: query})
 	}
 }
 
@@ -94,13 +94,13 @@
 
 // applyRestarts applies a peer's report that servers have restarted.
 func (n *Node) applyRestarts(servers membership.Restarts) {
-	var restarted []membership.Change
+	var restarts []membership.Change
 	for _, r := range servers {
 		if server := n.servers[balance.ServerID(r.Key)]; server != nil {
-			restarted = append(restarted, membership.Change{Name: server.Name, StartedAt: r.StartedAt})
+			restarts = append(restarts, membership.Change{Name: server.Name, StartedAt: r.StartedAt})
 		}
 	}
-	if n.list.ApplyPeerRestarts(n.now(), restarted) {
+	if n.list.ApplyPeerRestarts(n.now(), restarts) {
 		n.applyPeerReport()
 	}
 }
@@ -113,8 +113,8 @@
 
 // reviewPeerReports checks whether discovery has confirmed the reports of peers.
 func (n *Node) reviewPeerReports() {
-	doubt, changed := n.list.ReviewPeerReports(n.now())
-	if doubt && n.source != nil {
+	hedge, changed := n.list.ReviewPeerReports(n.now())
+	if hedge && n.source != nil {
 		n.source.HedgeWatch()
 	}
 	if changed {
@@ -124,30 +124,30 @@
 
 // replyToQuery sends a node the changes that it missed, if there are any, at a limited
 // rate.
-func (n *Node) replyToQuery(to int, question membership.ChangesQuery) {
+func (n *Node) replyToQuery(to int, query membership.ChangesQuery) {
 	if n.peers == nil || to < 0 || time.Since(n.lastReplyAt[to]) < replyInterval {
 		return
 	}
-	var left membership.Departures
-	var restarted membership.Restarts
-	for _, c := range n.list.ChangesSince(question.Generation) {
+	var departures membership.Departures
+	var restarts membership.Restarts
+	for _, c := range n.list.ChangesSince(query.Generation) {
 		id, known := n.serverIDs[c.Name]
 		if !known { // the server has been removed
 			id = hashName(c.Name)
 		}
 		if c.StartedAt == 0 {
-			left = append(left, uint32(id))
+			departures = append(departures, uint32(id))
 		} else {
-			restarted = append(restarted, membership.Restart{Key: uint32(id), StartedAt: c.StartedAt})
+			restarts = append(restarts, membership.Restart{Key: uint32(id), StartedAt: c.StartedAt})
 		}
 	}
-	if len(left) == 0 && len(restarted) == 0 {
+	if len(departures) == 0 && len(restarts) == 0 {
 		return
 	}
 	n.lastReplyAt[to] = time.Now()
 	n.metrics.QuestionsAnswered.Add(1)
-	n.sendDepartures(to, left)
-	for part := range slices.Chunk(restarted, membership.MaxRestarts) {
-		n.peers.send(balance.SendMessage{To: to, Data: membership.Encode(part)})
+	n.sendDepartures(to, departures)
+	for batch := range slices.Chunk(restarts, membership.MaxRestarts) {
+		n.peers.send(balance.SendMessage{To: to, Data: membership.Encode(batch)})
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,7 +144,7 @@
 	n.discover(n.cfg.Discovery, membership.InitialState{Generation: n.list.Generation(), HaveList: true, Stagger: true})
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	go n.loop(loopCtx)
-	// An agent pushes its list, so that list is current from the start.
+	// With an agent that pushes the list, the first request must already see that list.
 	if !n.cfg.Settings.ListOnDemand {
 		select {
 		case <-n.listReceived:
@@ -167,9 +167,9 @@
 	case err = <-served:
 	case <-ctx.Done():
 		n.lifecycle.beginShutdown(time.Now())
-		answer := time.AfterFunc(time.Until(n.lifecycle.stepTime(n.lifecycle.schedule.AnswerBy)), func() { n.post(answerDeadline{}) })
+		answerTimer := time.AfterFunc(time.Until(n.lifecycle.stepTime(n.lifecycle.schedule.AnswerBy)), func() { n.post(answerDeadline{}) })
 		err = front.Drain()
-		answer.Stop()
+		answerTimer.Stop()
 	}
 	stopLoop()
 	<-n.done
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -18,7 +18,7 @@
 	balance.RequestArrived
 	Method, URI, Key string // as forwarded to a server; Key is the Idempotency-Key
 	Body             []byte
-	BodyStream       BodyStream // of a body that is not buffered; nil if Body is complete
+	BodyStream       BodyStream // remainder of a long body; nil if Body is complete
 	Deadline         time.Time
 	ReadAt           time.Time                  // when the last byte was read, or the header if the body is streamed
 	ClientGone       func() bool                // checks whether the client has disconnected; nil: unknown
@@ -60,7 +60,7 @@
 type Response struct {
 	Status     int // HTTP status: 200 served, 429 and 503 refused, any other failed
 	Body       []byte
-	BodyStream *backend.Stream // of a streamed 200; nil if Body is complete
+	BodyStream *backend.Stream // remainder of a long 200; nil if Body is complete
 	RetryAfter time.Duration   // hint to a refused client; 0: none
 	Reason     figures.Turned  // why the response is not a server's; unused with status 200
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -16,12 +16,12 @@
 
 // discover starts watching the discovery service at addr.
 func (n *Node) discover(addr string, from membership.InitialState) {
-	s := n.cfg.Settings
-	set := membership.Settings{Pushed: !s.ListOnDemand, AskWithin: s.ListPollInterval, Nodes: n.discoveryNodes, Seed: n.cfg.Seed}
+	cfg := n.cfg.Settings
+	settings := membership.Settings{Pushed: !cfg.ListOnDemand, AskWithin: cfg.ListPollInterval, Nodes: n.discoveryNodes, Seed: n.cfg.Seed}
 	if n.fleet != nil {
-		set.PollWait = n.fleet.pollWait()
+		settings.PollWait = n.fleet.pollWait()
 	}
-	n.source = discovery.New(addr, set, from, func(update discovery.Update) { n.post(update) })
+	n.source = discovery.New(addr, settings, from, func(update discovery.Update) { n.post(update) })
 }
 
 // switchDiscovery moves to the discovery service at another address. Later updates from the
@@ -50,8 +50,8 @@
 	}
 	reports, confirmed := n.list.PeerReports(), n.list.ReceivedAt()
 	n.updateSourceClock(e.List.Date)
-	left := n.list.Apply(n.now(), listKinds[e.Kind], e.List.Generation, membershipEntries(e.List))
-	n.announceDepartures(left)
+	departures := n.list.Apply(n.now(), listKinds[e.Kind], e.List.Generation, membershipEntries(e.List))
+	n.announceDepartures(departures)
 	n.reportListToFleet(e)
 	n.applyEntries(e.Kind, e.List.Instances, confirmed)
 	// Peer reports that this update does not confirm expire.
@@ -176,8 +176,8 @@
 	}
 }
 
-// serverID returns the module's ID of a server. It is a hash of its name, so that it
-// survives a restart.
+// serverID returns the module's ID of a server. It is a hash of the name and so the same
+// after a restart.
 func (n *Node) serverID(name string) balance.ServerID {
 	if id, known := n.serverIDs[name]; known {
 		return id
