--- a/cmd/ivylock/main.go
+++ b/cmd/ivylock/main.go
@@ -98,7 +98,7 @@
 		}
 	}()
 	frontEnd := front.New(n, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
-	frontEnd.SocketKept = inherited
+	frontEnd.SharedListener = inherited
 	if inherited {
 		shareCtx, stopSharing := context.WithCancel(context.Background())
 		sharingDone := make(chan struct{})
--- a/cmd/ivylock/share.go
+++ b/cmd/ivylock/share.go
@@ -34,8 +34,8 @@
 // ends. If shared is nil it uses the minimum share and retries to open the directory.
 func shareConnections(ctx context.Context, shared *handover.SharedDir, n *node.Node, frontEnd *front.HTTP, full handover.Usage, name string) {
 	setLimits := func(limit handover.Usage, _ bool) {
-		frontEnd.SetMost(limit.Clients)
-		n.BackendPool().SetMost(limit.Backends)
+		frontEnd.SetMaxConns(limit.Clients)
+		n.BackendPool().SetMaxConns(limit.Backends)
 	}
 	if shared == nil {
 		setLimits(handover.Usage{Clients: handoff.ConnectionLimit(full.Clients, full.Clients, false), Backends: handoff.ConnectionLimit(full.Backends, full.Backends, false)}, false)
@@ -45,7 +45,7 @@
 		defer shared.Close()
 	}
 	shared.RunUsageExchange(ctx, full, func() handover.Usage {
-		return handover.Usage{Clients: frontEnd.Connections(), Backends: n.BackendPool().Open()}
+		return handover.Usage{Clients: frontEnd.Connections(), Backends: n.BackendPool().OpenConns()}
 	}, setLimits)
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -184,7 +184,7 @@
 	}
 	p.Exchange(context.Background(), two, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: yes})
 	p.idleTime = 0
-	p.Reap()
+	p.CloseExpired()
 	if p.open != 0 {
 		t.Errorf("%d connections left after their idle time", p.open)
 	}
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -61,8 +61,8 @@
 		if took := time.Since(began); took > 2*time.Second {
 			t.Errorf("%v: it took %v", c.errno, took)
 		}
-		if want := map[bool]int{true: 1}[c.want == balance.OK]; p.Open() != want {
-			t.Errorf("%v: %d connections are counted, want %d", c.errno, p.Open(), want)
+		if want := map[bool]int{true: 1}[c.want == balance.OK]; p.OpenConns() != want {
+			t.Errorf("%v: %d connections are counted, want %d", c.errno, p.OpenConns(), want)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	if res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != balance.OK {
 		t.Errorf("outcome %d", res.Code)
 	}
-	if len(idle.idle) != 0 || p.Open() != 1 {
-		t.Errorf("%d idle at the other, %d open", len(idle.idle), p.Open())
+	if len(idle.idle) != 0 || p.OpenConns() != 1 {
+		t.Errorf("%d idle at the other, %d open", len(idle.idle), p.OpenConns())
 	}
 }
 
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -22,10 +22,10 @@
 
 // Result is how an exchange with a server ended.
 type Result struct {
-	Code   balance.OutcomeCode
-	Body   []byte          // of a 200 that was read whole
-	Report *balance.Report // nil if none came
-	Began  time.Time       // when the answer's first byte came; zero if none was read
+	Code        balance.OutcomeCode
+	Body        []byte          // of a 200 that was read whole
+	Report      *balance.Report // nil if none came
+	FirstByteAt time.Time       // when the answer's first byte came; zero if none was read
 }
 
 // Call is one message to a server. All but Request may be nil.
@@ -33,24 +33,24 @@
 	// Request is sent once. Its body may come from elsewhere in pieces, and
 	// need not be whole when the sending begins.
 	Request *http.Request
-	// Word is called once a connection is up, just before the message is
+	// Prepare is called once a connection is up, just before the message is
 	// worded: it sets what depends on the time.
-	Word func(*http.Request)
+	Prepare func(*http.Request)
 	// MayWrite is asked just before the first byte: guards against sending to
 	// a backend that has begun to drain, or for a request that is over, while
 	// the connection came up.
 	MayWrite func() bool
-	// Wrote is called once the last byte is written: from then on it may run.
-	Wrote func()
-	// Begun is called with a 200 that is too long to be held. Whoever takes it
+	// OnWritten is called once the last byte is written: from then on it may run.
+	OnWritten func()
+	// OnStream is called with a 200 that is too long to be held. Whoever takes it
 	// reads it to its end and then calls its Done; until then the exchange
 	// goes on.
-	Begun func(*Stream)
+	OnStream func(*Stream)
 }
 
 // Stream is an answer that is passed on in pieces.
 type Stream struct {
-	Start  []byte // read already
+	Prefix []byte // read already
 	Length int64  // of all; -1: not known before it ends
 	answer *bounded.Response
 	ended  func(error)
@@ -60,7 +60,7 @@
 func NewStream(answer *bounded.Response, ended func(error)) *Stream {
 	s := &Stream{Length: -1, answer: answer, ended: ended}
 	if answer != nil {
-		s.Start, s.Length = answer.Prefix, answer.BodyLength
+		s.Prefix, s.Length = answer.Prefix, answer.BodyLength
 	}
 	return s
 }
@@ -73,9 +73,9 @@
 // what kept it from that. It is called once.
 func (s *Stream) Done(err error) { s.ended(err) }
 
-// ErrUnread is for Done: the client takes no more, through no fault of the
+// ErrAbandoned is for Done: the client takes no more, through no fault of the
 // backend.
-var ErrUnread = errors.New("the client takes no more")
+var ErrAbandoned = errors.New("the client takes no more")
 
 // Exchange sends one message once and reads the answer, within ctx. If ctx is
 // cancelled with the cause context.DeadlineExceeded it has timed out.
@@ -95,8 +95,8 @@
 		}
 		c = &conn{Conn: nc, r: bounded.NewReader(nc), addr: addr, startedAt: startedAt}
 	}
-	if call.Word != nil {
-		call.Word(call.Request)
+	if call.Prepare != nil {
+		call.Prepare(call.Request)
 	}
 	first, err := render(call.Request)
 	if err != nil {
@@ -145,8 +145,8 @@
 		}
 		return Result{Code: balance.ConnectFailed}, false // its last byte was never written: it has not run
 	}
-	if call.Wrote != nil {
-		call.Wrote()
+	if call.OnWritten != nil {
+		call.OnWritten()
 	}
 	a, err := c.r.ReadResponse(call.Request)
 	c.spoilt = errors.Is(err, bounded.ErrMalformedResponse)
@@ -156,18 +156,18 @@
 	if err != nil {
 		return Result{Code: balance.Reset}, false
 	}
-	res.Began, res.Body, res.Report = a.FirstByteAt, a.Prefix, loadreport.Parse(a.Header.Get("Server-Load"))
+	res.FirstByteAt, res.Body, res.Report = a.FirstByteAt, a.Prefix, loadreport.Parse(a.Header.Get("Server-Load"))
 	switch {
 	case a.StatusCode == http.StatusOK && a.Complete:
 		res.Code = balance.OK
-	case a.StatusCode == http.StatusOK && call.Begun != nil:
+	case a.StatusCode == http.StatusOK && call.OnStream != nil:
 		ended := make(chan error, 1)
-		call.Begun(NewStream(a, func(err error) { ended <- err }))
+		call.OnStream(NewStream(a, func(err error) { ended <- err }))
 		err := <-ended
 		switch {
 		case err == nil:
 			res.Code = balance.OK
-		case errors.Is(err, ErrUnread):
+		case errors.Is(err, ErrAbandoned):
 			return Result{Code: balance.Cancelled}, false
 		default:
 			return Result{Code: balance.Reset}, false
@@ -243,7 +243,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), p.connectTimeout+probeTimeout)
 	defer cancel()
 	res := p.Exchange(ctx, b, Call{Request: NewRequest(http.MethodGet, "/metrics/load", nil),
-		MayWrite: func() bool { return !b.Closed() }})
+		MayWrite: func() bool { return !b.Disabled() }})
 	if res.Code == balance.OK {
 		res.Report = loadreport.Parse(string(res.Body))
 	}
@@ -263,9 +263,9 @@
 	return req
 }
 
-// NewStreamed makes one whose body is read as it is sent; its length is -1 if
+// NewStreamedRequest makes one whose body is read as it is sent; its length is -1 if
 // it is not known before the end.
-func NewStreamed(method, uri string, body io.Reader, length int64) *http.Request {
+func NewStreamedRequest(method, uri string, body io.Reader, length int64) *http.Request {
 	req := newRequest(method, uri)
 	req.Body, req.ContentLength = &elsewhere{Reader: body}, length
 	return req
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -27,30 +27,30 @@
 // Server is one server. Its owner, a single goroutine, writes it; idle
 // connections are the pool's.
 type Server struct {
-	ID        balance.ServerID
-	Name      string                    // discovery's
-	Gone      bool                      // not on the list any more
-	Out       int                       // attempts and probes whose outcome is to come
-	Place     guard.Location            // the loop's
-	closed    atomic.Pointer[time.Time] // since when it drains or is gone: nothing new may be sent; nil: neither
-	Answered  balance.Time              // when it last answered an attempt or a probe; the loop's
-	addr      string
-	startedAt balance.Time
-	idle      []*conn // the warmest last
+	ID             balance.ServerID
+	Name           string                    // discovery's
+	Removed        bool                      // not on the list any more
+	InFlight       int                       // attempts and probes whose outcome is to come
+	Location       guard.Location            // the loop's
+	closed         atomic.Pointer[time.Time] // since when it drains or is gone: nothing new may be sent; nil: neither
+	LastResponseAt balance.Time              // when it last answered an attempt or a probe; the loop's
+	addr           string
+	startedAt      balance.Time
+	idle           []*conn // the warmest last
 }
 
-// Close notes that the server drains or is gone: nothing new may be sent. Open takes it
+// Disable notes that the server drains or is gone: nothing new may be sent. Open takes it
 // back.
-func (b *Server) Close(now time.Time) { b.closed.CompareAndSwap(nil, &now) }
+func (b *Server) Disable(now time.Time) { b.closed.CompareAndSwap(nil, &now) }
 
-// Open notes that the server may be used.
-func (b *Server) Open() { b.closed.Store(nil) }
+// Enable notes that the server may be used.
+func (b *Server) Enable() { b.closed.Store(nil) }
 
-// Closed tells whether nothing new may be sent.
-func (b *Server) Closed() bool { return b.closed.Load() != nil }
+// Disabled tells whether nothing new may be sent.
+func (b *Server) Disabled() bool { return b.closed.Load() != nil }
 
-// ClosedAt tells since when; zero if the server may be used.
-func (b *Server) ClosedAt() time.Time {
+// DisabledAt tells since when; zero if the server may be used.
+func (b *Server) DisabledAt() time.Time {
 	if at := b.closed.Load(); at != nil {
 		return *at
 	}
@@ -118,16 +118,16 @@
 	}
 }
 
-// Servers tells how many servers the pool knows.
-func (p *Pool) Servers() int {
+// ServerCount tells how many servers the pool knows.
+func (p *Pool) ServerCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.servers)
 }
 
-// SetMost changes how many connections there may be. Idle ones above it are
+// SetMaxConns changes how many connections there may be. Idle ones above it are
 // closed; those in use go on.
-func (p *Pool) SetMost(most int) {
+func (p *Pool) SetMaxConns(most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.most = most
@@ -135,15 +135,15 @@
 	}
 }
 
-// SetIdle changes how long connections are kept idle.
-func (p *Pool) SetIdle(keep time.Duration) {
+// SetIdleTimeout changes how long connections are kept idle.
+func (p *Pool) SetIdleTimeout(keep time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleTime = keep
 }
 
-// Open tells how many connections there are.
-func (p *Pool) Open() int {
+// Enable tells how many connections there are.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
@@ -233,7 +233,7 @@
 func (p *Pool) put(b *Server, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if b.Closed() || c.addr != b.addr || c.startedAt != b.startedAt {
+	if b.Disabled() || c.addr != b.addr || c.startedAt != b.startedAt {
 		c.Close()
 		p.open--
 		return
@@ -252,9 +252,9 @@
 	p.open--
 }
 
-// Reap closes connections that have been idle for so long that their backend
+// CloseExpired closes connections that have been idle for so long that their backend
 // may soon close them: guards against a request crossing that close.
-func (p *Pool) Reap() {
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for b := range p.servers {
--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -158,7 +158,7 @@
 	hang := make(chan bool)
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { <-hang; return nodetest.Reply(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
-	n.front.SetMost(1)
+	n.front.SetMaxConns(1)
 	open := dial(t, n.url)
 	io.WriteString(open, get("open"))
 	wait(t, "it is open", func() bool { return n.Metrics().Open.Load() == 1 })
@@ -212,7 +212,7 @@
 	n := node.New(cfg)
 	n.SetShutdownSchedule(quickSchedule)
 	f := New(n, l, cfg.Settings.Classes, 1, cfg.BodyBudget())
-	f.SocketKept = true
+	f.SharedListener = true
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, f) }()
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// MaxHeld is the most of one body that is held, where the room for all
+	// MaxBudgetedBody is the most of one body that is held, where the room for all
 	// bodies allows it: a request whose body is held can be sent again.
-	MaxHeld = 256 << 10
+	MaxBudgetedBody = 256 << 10
 
 	lingerTime = 2 * time.Second // for what still comes after an early answer
 
@@ -28,7 +28,7 @@
 var errTooLong = &badRequest{http.StatusRequestEntityTooLarge, "the body is too long"}
 
 // bodies reads clients' bodies. Up to MaxBody of each is held; more, up to
-// MaxHeld, while there is room in a budget for all; the rest passes through.
+// MaxBudgetedBody, while there is room in a budget for all; the rest passes through.
 type bodies struct{ room atomic.Int64 }
 
 func newBodies(room int64) *bodies {
@@ -70,12 +70,12 @@
 	in.held = make([]byte, 0, size)
 	for {
 		if len(in.held) == most {
-			if most == MaxHeld || r.ContentLength > MaxHeld || !b.reserve(MaxHeld-bounded.MaxBufferedBody) {
+			if most == MaxBudgetedBody || r.ContentLength > MaxBudgetedBody || !b.reserve(MaxBudgetedBody-bounded.MaxBufferedBody) {
 				in.rest = u
 				return in, nil
 			}
-			in.release = sync.OnceFunc(func() { b.room.Add(MaxHeld - bounded.MaxBufferedBody) })
-			most = MaxHeld
+			in.release = sync.OnceFunc(func() { b.room.Add(MaxBudgetedBody - bounded.MaxBufferedBody) })
+			most = MaxBudgetedBody
 		}
 		if len(in.held) == cap(in.held) {
 			in.held = append(in.held, 0)[:len(in.held)]
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -289,9 +289,9 @@
 			t.Errorf("beside it: %d", status)
 		}
 	}
-	for end := time.Now().Add(nodetest.Patience); n.BackendPool().Open() > 1; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); n.BackendPool().OpenConns() > 1; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections to the server are still held", n.BackendPool().Open())
+			t.Fatalf("%d connections to the server are still held", n.BackendPool().OpenConns())
 		}
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err == nil || errors.Is(err, io.EOF) {
@@ -328,7 +328,7 @@
 	if err := <-got; err != nil {
 		t.Errorf("the one in flight: %v", err)
 	}
-	for end := time.Now().Add(nodetest.Patience); n.BackendPool().Open() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); n.BackendPool().OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection to it is kept")
 		}
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -118,7 +118,7 @@
 		}
 		switch what {
 		case "room":
-			n.front.SetMost(1)
+			n.front.SetMaxConns(1)
 			n.front.clients.room(time.Now().Add(time.Minute)) // all have been silent for long
 		case "shutdown":
 			n.stop()
@@ -249,7 +249,7 @@
 			io.WriteString(c, get("crossing"))
 			<-h.reached // it has been read, and nobody was told yet
 			if end == "room" {
-				h.front.SetMost(1)
+				h.front.SetMaxConns(1)
 				h.front.clients.room(time.Now().Add(time.Minute)) // all have been silent for long
 			} else {
 				h.stop()
@@ -321,7 +321,7 @@
 		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != "served" || err != nil {
 			t.Errorf("%s: %d %q, %v", id, resp.StatusCode, body, err)
 		}
-		n.front.SetMost(1) // of which the first, which rests, has all from here on
+		n.front.SetMaxConns(1) // of which the first, which rests, has all from here on
 	}
 }
 
@@ -419,7 +419,7 @@
 		n.ask(context.Background(), "clip", "one", 10*time.Second)
 		answered <- time.Now()
 	}()
-	wait(t, "the attempt dials", func() bool { return n.BackendPool().Open() == 1 })
+	wait(t, "the attempt dials", func() bool { return n.BackendPool().OpenConns() == 1 })
 	server.LetGo(t) // the kernel knocks again 1 s after the first time
 	go http.Serve(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		told <- r.Header.Get("Request-Timeout-Ms")
@@ -522,7 +522,7 @@
 					key = "Idempotency-Key: k\r\n"
 				}
 				fmt.Fprintf(c, "%s /%s/a HTTP/1.1\r\nHost: h\r\nRequest-Id: one\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: 9000\r\n%sContent-Length: 0\r\n\r\n", method, class, class, key)
-				wait(t, "it dials", func() bool { return n.BackendPool().Open() == 1 })
+				wait(t, "it dials", func() bool { return n.BackendPool().OpenConns() == 1 })
 				switch what {
 				case "drain":
 					tell <- true
@@ -603,7 +603,7 @@
 	})
 	cfg := nodeConfig(t, addr(l.Server))
 	n := startNode(t, cfg)
-	n.front.SetMost(20)
+	n.front.SetMaxConns(20)
 	var idle []net.Conn
 	for range 60 { // three times as many as there is room for
 		idle = append(idle, dial(t, n.url))
@@ -676,9 +676,9 @@
 		}
 		all.Wait()
 		wait(t, "all connections have ended", func() bool { return n.front.Connections() == 0 && n.Metrics().Open.Load() == 0 })
-		n.BackendPool().SetMost(0) // closes what rests
-		wait(t, "those to servers too", func() bool { return n.BackendPool().Open() == 0 })
-		n.BackendPool().SetMost(n.cfg.BackendSockets())
+		n.BackendPool().SetMaxConns(0) // closes what rests
+		wait(t, "those to servers too", func() bool { return n.BackendPool().OpenConns() == 0 })
+		n.BackendPool().SetMaxConns(n.cfg.BackendSockets())
 	}
 	left := func() (goroutines, descriptors int, heap uint64) {
 		runtime.GC()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -50,9 +50,9 @@
 
 // HTTP is the front. Its methods may be called from several goroutines.
 type HTTP struct {
-	// SocketKept says that the platform holds the listening socket: what waits at it when this
+	// SharedListener says that the platform holds the listening socket: what waits at it when this
 	// process closes it is not reset, and the next process takes it. It is set before Serve.
-	SocketKept bool
+	SharedListener bool
 
 	node      *node.Node
 	classes   map[string]balance.Class
@@ -104,7 +104,7 @@
 	defer close(f.drained)
 	f.logStep("draining")
 	time.Sleep(time.Until(f.node.ShutdownStepTime(schedule.AcceptUntil)))
-	if !f.SocketKept {
+	if !f.SharedListener {
 		f.clients.empty(schedule.BacklogTime())
 	}
 	f.clients.Close()
@@ -165,8 +165,8 @@
 // Addr is where clients connect.
 func (f *HTTP) Addr() net.Addr { return f.clients.Addr() }
 
-// SetMost changes how many client connections there may be.
-func (f *HTTP) SetMost(most int) { f.clients.setMost(most) }
+// SetMaxConns changes how many client connections there may be.
+func (f *HTTP) SetMaxConns(most int) { f.clients.setMost(most) }
 
 // Connections tells how many client connections there are.
 func (f *HTTP) Connections() int { return f.clients.count() }
@@ -353,7 +353,7 @@
 			err = c.Flush()
 		}
 		if err != nil {
-			a.BodyStream.Done(backend.ErrUnread)
+			a.BodyStream.Done(backend.ErrAbandoned)
 			cut()
 		}
 		n, err := a.BodyStream.Read(buf)
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -62,7 +62,7 @@
 	a.timer = time.AfterFunc(timeout, func() { cancel(context.DeadlineExceeded) })
 	r.attempts = append(r.attempts, a)
 	r.outstanding++
-	server.Out++
+	server.InFlight++
 	if a.number > 0 {
 		n.metrics.AttemptsRepeated.Add(1)
 	}
@@ -76,8 +76,8 @@
 		res := n.attempt(ctx, a)
 		elapsed := time.Since(a.sentAt)
 		// The server's work ends with its first byte; the rest depends on the network.
-		if !res.Began.IsZero() {
-			elapsed = res.Began.Sub(a.sentAt)
+		if !res.FirstByteAt.IsZero() {
+			elapsed = res.FirstByteAt.Sub(a.sentAt)
 		}
 		n.post(attemptDone{a, res, elapsed})
 	}()
@@ -86,7 +86,7 @@
 // failUnknownServer ends an attempt at a server that the node does not know (any more).
 func (n *Node) failUnknownServer(r *Request, id balance.ServerID) {
 	now := time.Now()
-	a := &attempt{request: r, number: len(r.attempts), server: &backend.Server{ID: id, Gone: true, Out: 1}, chosenAt: now, sentAt: now, cancel: func() {}}
+	a := &attempt{request: r, number: len(r.attempts), server: &backend.Server{ID: id, Removed: true, InFlight: 1}, chosenAt: now, sentAt: now, cancel: func() {}}
 	r.attempts = append(r.attempts, a)
 	r.outstanding++
 	go n.post(attemptDone{a, backend.Result{Code: balance.Moot}, 0})
@@ -99,7 +99,7 @@
 	if r.BodyStream == nil {
 		req = backend.NewRequest(r.Method, r.URI, r.Body)
 	} else {
-		req = backend.NewStreamed(r.Method, r.URI, io.MultiReader(bytes.NewReader(r.Body), r.BodyStream), r.BodyStream.Length())
+		req = backend.NewStreamedRequest(r.Method, r.URI, io.MultiReader(bytes.NewReader(r.Body), r.BodyStream), r.BodyStream.Length())
 	}
 	req.Header.Set("Request-Id", string(r.ID))
 	if r.Key != "" {
@@ -108,7 +108,7 @@
 	return n.pool.Exchange(ctx, server, backend.Call{
 		Request: req,
 		// Computed now because connecting may have taken long.
-		Word: func(req *http.Request) {
+		Prepare: func(req *http.Request) {
 			left := time.Until(a.deadline)
 			if r.BodyStream != nil {
 				left = min(left, r.BodyStream.Timeout())
@@ -127,7 +127,7 @@
 			}
 			return true
 		},
-		Wrote: func() {
+		OnWritten: func() {
 			n.metrics.Relayed.Add(1)
 			n.logEvent(a, eventlog.AttemptWritten, "")
 			n.checkWritten(a)
@@ -137,7 +137,7 @@
 				a.timer.Reset(time.Until(r.BodyStream.Deadline()))
 			}
 		},
-		Begun: func(s *backend.Stream) {
+		OnStream: func(s *backend.Stream) {
 			a.timer.Stop() // a streamed response has no further time limit
 			n.post(responseStarted{a, s, time.Since(a.sentAt)})
 		},
@@ -156,14 +156,14 @@
 	n.metrics.AttemptsEnded.Add(int(e.Code))
 	n.logEvent(e.attempt, eventlog.AttemptEnded, n.metrics.AttemptsEnded.Word(int(e.Code)))
 	if e.Code == balance.OK {
-		e.server.Answered = n.now()
+		e.server.LastResponseAt = n.now()
 		n.finish(r, Response{Status: http.StatusOK, Body: e.Body})
 	}
 	n.outcome = balance.AttemptEnded{ID: r.ID, Attempt: e.number, Server: e.server.ID, RequestDone: r.isOver(),
 		Elapsed: e.elapsed, Code: e.Code, Report: e.Report, BodyConsumed: r.bodyConsumed.Load()}
 	n.handle(&n.outcome)
 	n.removeRequest(r)
-	e.server.Out--
+	e.server.InFlight--
 	n.removeServer(e.server)
 }
 
@@ -171,8 +171,8 @@
 // of its request, which cannot be retried afterwards.
 func (n *Node) startStream(e responseStarted) {
 	r := e.request
-	if !n.finish(r, Response{Status: http.StatusOK, Body: e.Start, BodyStream: e.Stream}) {
-		e.Stream.Done(backend.ErrUnread)
+	if !n.finish(r, Response{Status: http.StatusOK, Body: e.Prefix, BodyStream: e.Stream}) {
+		e.Stream.Done(backend.ErrAbandoned)
 		return
 	}
 	n.handle(balance.StreamStarted{ID: r.ID, Attempt: e.number, Server: e.server.ID, Elapsed: e.elapsed})
@@ -183,7 +183,7 @@
 	if server == nil {
 		return
 	}
-	server.Out++
+	server.InFlight++
 	go func() {
 		res := n.pool.Probe(server)
 		n.post(probeDone{server, balance.ProbeEnded{Server: server.ID, Code: res.Code, Elapsed: time.Since(sentAt), Report: res.Report}})
--- a/internal/node/carry.go
+++ b/internal/node/carry.go
@@ -81,7 +81,7 @@
 	fleet, servers := n.module.Learned()
 	state.Fleet = fleet
 	for id, learned := range servers {
-		if server := n.servers[id]; server != nil && !server.Gone {
+		if server := n.servers[id]; server != nil && !server.Removed {
 			state.Servers = append(state.Servers, handoff.ServerMeasurements{InstanceID: server.Name, LearnedServer: learned})
 		}
 	}
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -40,7 +40,7 @@
 	cfg := testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	n := New(cfg)
 	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
-	closed := func(n *Node, name string) bool { b := n.servers[n.serverIDs[name]]; return b == nil || b.Closed() }
+	closed := func(n *Node, name string) bool { b := n.servers[n.serverIDs[name]]; return b == nil || b.Disabled() }
 	if err := setMaintenance(n, "nobody", true); !errors.Is(err, maintenance.ErrUnknown) {
 		t.Errorf("unknown ID: %v", err)
 	}
@@ -96,7 +96,7 @@
 	next := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"))
 	next.TakeOver(s, &memoryStore{})
 	next.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: next.cfg.InitialList})
-	if b := next.servers[next.serverIDs["s-0"]]; !b.Closed() {
+	if b := next.servers[next.serverIDs["s-0"]]; !b.Disabled() {
 		t.Error("the drain was lost")
 	}
 	_, servers := next.module.Learned()
--- a/internal/node/checks.go
+++ b/internal/node/checks.go
@@ -17,7 +17,7 @@
 func (n *Node) checkBeforeWrite(ctx context.Context, a *attempt) guard.WithholdReason {
 	r := a.request
 	state := guard.Attempt{Now: time.Now(), Deadline: r.Deadline, DedupWindowEnd: a.writeBy, RequestDone: r.isOver() || r.ClientGone != nil && r.ClientGone(),
-		Cancelled: ctx.Err() != nil, ServerUnavailable: a.server.Closed(), ProcessPaused: n.fleet != nil && n.fleet.paused(n.now())}
+		Cancelled: ctx.Err() != nil, ServerUnavailable: a.server.Disabled(), ProcessPaused: n.fleet != nil && n.fleet.paused(n.now())}
 	reason := state.CheckWrite()
 	if reason == guard.Permitted && r.BodyStream != nil && r.bodyConsumed.Swap(true) { // it can be read once
 		state.BodyConsumed = true
@@ -29,7 +29,7 @@
 // checkWritten checks the invariants of an attempt that has been written.
 func (n *Node) checkWritten(a *attempt) {
 	r := a.request
-	written := invariant.Written{Request: string(r.ID), At: time.Now(), Deadline: r.Deadline, ServerClosed: a.server.ClosedAt(),
+	written := invariant.Written{Request: string(r.ID), At: time.Now(), Deadline: r.Deadline, ServerClosed: a.server.DisabledAt(),
 		DrainGrace: n.cfg.Settings.DrainGrace, Told: a.forwardedTimeout, TooLate: a.number == 0 && !n.lifecycle.mayServe(r.ReadAt)}
 	if end := r.ended.Load(); end != nil {
 		written.Over = end.at
@@ -49,7 +49,7 @@
 		if !earlier.mayHaveRun {
 			continue
 		}
-		if !n.retryRules[r.Class].MayRetry(earlier.server.Place, earlier.chosenAt.Sub(n.start), a.server.Place, a.chosenAt.Sub(n.start)) {
+		if !n.retryRules[r.Class].MayRetry(earlier.server.Location, earlier.chosenAt.Sub(n.start), a.server.Location, a.chosenAt.Sub(n.start)) {
 			n.checker.Broken(invariant.RepeatedUnsafely, string(r.ID), "attempt %d at %s although attempt %d at %s may have run", a.number, a.server.Name, earlier.number, earlier.server.Name)
 			return true
 		}
--- a/internal/node/checks_test.go
+++ b/internal/node/checks_test.go
@@ -26,8 +26,8 @@
 // A retry that the class does not allow is not written, and a refusal of a request that may
 // have run becomes a failure. Both are counted.
 func TestUnsafeRetriesAndRefusalsAreBlockedAndCounted(t *testing.T) {
-	first, sameCell, elsewhere := &backend.Server{ID: 1, Name: "a", Place: guard.Location{Cell: 1}},
-		&backend.Server{ID: 2, Name: "b", Place: guard.Location{Cell: 1}}, &backend.Server{ID: 3, Name: "c", Place: guard.Location{Cell: 2}}
+	first, sameCell, elsewhere := &backend.Server{ID: 1, Name: "a", Location: guard.Location{Cell: 1}},
+		&backend.Server{ID: 2, Name: "b", Location: guard.Location{Cell: 1}}, &backend.Server{ID: 3, Name: "c", Location: guard.Location{Cell: 2}}
 	for _, c := range []struct {
 		class         string
 		to            *backend.Server
@@ -111,7 +111,7 @@
 		t.Fatal("the request has a response already")
 	}
 	n.Abandon(r)
-	if ended != backend.ErrUnread {
+	if ended != backend.ErrAbandoned {
 		t.Errorf("the stream ended with %v", ended)
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -236,7 +236,7 @@
 		return false
 	}
 	oldest := n.fleet.agent.MinAnswerTime(n.now())
-	return n.fleet.agent.Withdrawn(name) || oldest > 0 && (server == nil || server.Answered < oldest)
+	return n.fleet.agent.Withdrawn(name) || oldest > 0 && (server == nil || server.LastResponseAt < oldest)
 }
 
 // admit reports whether a request may go to the module now. Otherwise the request is held
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -235,7 +235,7 @@
 			n.detectPause()
 			n.handleEvent(e)
 		case <-reap.C:
-			n.pool.Reap()
+			n.pool.CloseExpired()
 			n.maintenance.PruneRecords(n.now(), n.cfg.Settings.WarmupTime)
 		case <-ctx.Done():
 			n.answerAll()
@@ -262,10 +262,10 @@
 		n.startStream(e)
 	case probeDone:
 		if e.Code == balance.OK {
-			e.Server.Answered = n.now()
+			e.Server.LastResponseAt = n.now()
 		}
 		n.handle(e.ProbeEnded)
-		e.Server.Out--
+		e.Server.InFlight--
 		n.removeServer(e.Server)
 	case discovery.Update:
 		if e.Source == nil || e.Source == n.source { // ignores updates from a former address
@@ -383,7 +383,7 @@
 				n.pool.CloseIdle(b)
 			}
 		case balance.SetConnIdleTimeout:
-			n.pool.SetIdle(min(a.Timeout, n.cfg.Settings.ConnIdleTimeout))
+			n.pool.SetIdleTimeout(min(a.Timeout, n.cfg.Settings.ConnIdleTimeout))
 		case balance.Log:
 			log.Print(a.Line)
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -129,7 +129,7 @@
 	n.applyListUpdate(discovery.Update{Kind: balance.ListChanges, List: draining})
 	closed := func(name string) bool {
 		b := n.servers[n.serverIDs[name]]
-		return b == nil || b.Closed()
+		return b == nil || b.Disabled()
 	}
 	for i, want := range []bool{true, true, false} {
 		if got := closed(fmt.Sprintf("s-%d", i)); got != want {
@@ -156,19 +156,19 @@
 	for i := range 100 {
 		n.applyListUpdate(list(i, fmt.Sprintf("s-%d", i)))
 	}
-	if len(n.servers) != 1 || len(n.serverIDs) != 1 || n.pool.Servers() != 1 {
-		t.Errorf("%d backends, %d names, %d in the pool are left", len(n.servers), len(n.serverIDs), n.pool.Servers())
+	if len(n.servers) != 1 || len(n.serverIDs) != 1 || n.pool.ServerCount() != 1 {
+		t.Errorf("%d backends, %d names, %d in the pool are left", len(n.servers), len(n.serverIDs), n.pool.ServerCount())
 	}
 	old := n.servers[n.serverIDs["s-99"]]
-	old.Out++
+	old.InFlight++
 	n.applyListUpdate(list(100, "s-new"))
 	if n.servers[old.ID] != old {
 		t.Fatal("dropped with an attempt in flight")
 	}
 	r := &Request{RequestArrived: balance.RequestArrived{ID: "r"}, response: make(chan Response, 1), outstanding: 1}
 	n.attemptEnded(attemptDone{attempt: &attempt{request: r, server: old}, Result: backend.Result{Code: balance.Reset}})
-	if len(n.servers) != 1 || len(n.serverIDs) != 1 || n.pool.Servers() != 1 {
-		t.Errorf("after the last outcome: %d servers, %d names, %d in the pool", len(n.servers), len(n.serverIDs), n.pool.Servers())
+	if len(n.servers) != 1 || len(n.serverIDs) != 1 || n.pool.ServerCount() != 1 {
+		t.Errorf("after the last outcome: %d servers, %d names, %d in the pool", len(n.servers), len(n.serverIDs), n.pool.ServerCount())
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 	n.applyListUpdate(discovery.Update{Kind: balance.ListChanges, List: discovery.List{Generation: version, Skipped: 3}})
 	for name, b := range map[string]*backend.Server{"first": n.servers[n.serverIDs[n.cfg.InitialList.Instances[0].InstanceID]], "second": n.servers[n.serverIDs[n.cfg.InitialList.Instances[1].InstanceID]]} {
-		if b == nil || b.Closed() || b.Gone {
+		if b == nil || b.Disabled() || b.Removed {
 			t.Errorf("the %s server is no longer used: %+v", name, b)
 		}
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -109,7 +109,7 @@
 func (n *Node) Abandon(r *Request) {
 	if !r.end(false) && r.ended.Load().answered { // the response is available or will be at once
 		if resp := <-r.response; resp.BodyStream != nil {
-			resp.BodyStream.Done(backend.ErrUnread)
+			resp.BodyStream.Done(backend.ErrAbandoned)
 		}
 	}
 	n.post(clientGone{r})
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -120,11 +120,11 @@
 	}
 	for id, server := range n.servers {
 		if kind != balance.ListChanges && !listed[id] {
-			server.Close(now)
-			server.Gone = true
+			server.Disable(now)
+			server.Removed = true
 			n.maintenance.SetListed(server.Name, false)
 		}
-		if server.Closed() {
+		if server.Disabled() {
 			n.pool.CloseIdle(server)
 		}
 	}
@@ -154,13 +154,13 @@
 		n.servers[id] = server
 		n.pool.Add(server)
 	}
-	server.Gone = effective.State == balance.Removed
+	server.Removed = effective.State == balance.Removed
 	if effective.State == balance.Ready {
-		server.Open()
+		server.Enable()
 	} else {
-		server.Close(now)
+		server.Disable(now)
 	}
-	if server.Place = effective.Location(); effective.State != balance.Removed {
+	if server.Location = effective.Location(); effective.State != balance.Removed {
 		n.pool.Update(server, entry.HostPort, effective.StartedAt)
 	}
 	return effective, server
@@ -169,7 +169,7 @@
 // removeServer drops a server that has been removed from the list and has nothing in
 // flight, so that replaced servers do not accumulate.
 func (n *Node) removeServer(server *backend.Server) {
-	if server.Gone && server.Out == 0 && n.servers[server.ID] == server {
+	if server.Removed && server.InFlight == 0 && n.servers[server.ID] == server {
 		delete(n.servers, server.ID)
 		delete(n.serverIDs, server.Name)
 		n.pool.Remove(server)
--- a/internal/node/words_test.go
+++ b/internal/node/words_test.go
@@ -39,7 +39,7 @@
 		}
 		return n
 	}
-	closed := func(name string) bool { return uninformed.servers[uninformed.serverIDs[name]].Closed() }
+	closed := func(name string) bool { return uninformed.servers[uninformed.serverIDs[name]].Disabled() }
 	receive := func() { t.Helper(); handleNextEvent(t, uninformed) }
 	lost := discovery.Update{Kind: balance.ListFailed, Failure: discovery.Rejected}
 	informed.applyListUpdate(lost)
@@ -158,7 +158,7 @@
 	handleNextEvent(t, uninformed)
 	handleNextEvent(t, uninformed)
 	for i, name := range names {
-		if closed := uninformed.servers[uninformed.serverIDs[name]].Closed(); closed != (i < 2) {
+		if closed := uninformed.servers[uninformed.serverIDs[name]].Disabled(); closed != (i < 2) {
 			t.Errorf("%s, number %d, is closed: %v", name, i, closed)
 		}
 	}
@@ -171,7 +171,7 @@
 	uninformed.list.ReviewPeerReports(uninformed.now() + membership.NotifiedAfter)
 	uninformed.reapplyList()
 	back := uninformed.servers[uninformed.serverIDs[names[1]]]
-	if back.Closed() || uninformed.serverStart(uninformed.list.Entries()[names[1]].Payload, 0) < started {
-		t.Errorf("%s: closed %v", names[1], back.Closed())
+	if back.Disabled() || uninformed.serverStart(uninformed.list.Entries()[names[1]].Payload, 0) < started {
+		t.Errorf("%s: closed %v", names[1], back.Disabled())
 	}
 }
