--- a/steer/api.go
+++ b/steer/api.go
@@ -1,14 +1,12 @@
-// Package steer decides for proxies that ask a control service what they
-// should do: the weight of each server, which are draining or excluded, what
-// to drop, how halls stand in for one another, and how much a cold server
-// gets. It does no I/O, reads no clock and starts no goroutine: the caller
-// feeds it events and hands what it publishes to the proxies.
+// Package steer makes the load-balancing decisions of an xDS control service: the weight and
+// health of each endpoint, the endpoints each proxy sees, drop ratios, failover between zones and
+// the load of servers that warm up. It does no I/O, reads no clock and starts no goroutine: the
+// caller feeds it events and delivers the states it publishes.
 //
-// The rule for servers is that of package balance (three modes with
-// hysteresis that lapse, q split into q1 and q2, blocked servers skipped, the
-// expected delay decides among the rest). The difference is that the requests
-// are not seen one by one: what is known of a server is the sum of what all
-// proxies report of it.
+// Servers are rated as in package balance: three modes with hysteresis, separate drop ratios
+// for priority and other requests, less weight for overloaded and blocking servers, and more
+// for short delays. Unlike there, single requests are not visible: all that is known of a
+// server is the sum of the proxies' load reports.
 package steer
 
 import (
@@ -22,88 +20,87 @@
 // Time is a reading of the caller's monotonic clock. Its zero has no meaning.
 type Time = time.Duration
 
-// ServerID names a server for as long as it is listed, ProxyID a proxy's
-// identity. Both are opaque.
 type (
+	// ServerID identifies a server while it is listed. It is opaque.
 	ServerID string
-	ProxyID  string
+	// ProxyID identifies a proxy. It is opaque.
+	ProxyID string
 )
 
-// Settings is what the operator states. Zero values take the default that is
-// named with each.
+// Settings configures a Module. Zero values select the defaults given with each field.
 type Settings struct {
-	Classes []balance.Class // at least one; their aims bound the delay
+	Classes []balance.Class // at least one; the shortest target latency bounds the delay
 
-	WarmupStartFraction float64       // part of its capacity a started server has; (0, 1], default 0.32
-	WarmupTime          time.Duration // it is warm after this time; default 8.3 s
-	OverloadFactor      float64       // a cold server falls over beyond this multiple of its present capacity; default 2.5
+	WarmupStartFraction float64       // fraction of its capacity that a server starts with, in (0, 1]; default 0.32
+	WarmupTime          time.Duration // time until a started server has its full capacity; default 8.3 s
+	OverloadFactor      float64       // multiple of its current capacity at which a cold server fails; default 2.5
 
-	WeightInterval  time.Duration // a server's weight changes at most this often; default 1 s
-	MaxWeightFactor float64       // and by at most this factor; over 1, default 1.25
+	WeightInterval  time.Duration // minimum time between two weight changes of a server; default 1 s
+	MaxWeightFactor float64       // largest factor of one weight change, over 1; default 1.25
 
-	// SubsetSize is how many servers of a hall a proxy is told of where there are
-	// more, about; 0: all. Where no weights give each server its part that way,
-	// all are told.
+	// SubsetSize is the approximate number of servers that a proxy sees of a zone that has more; 0
+	// disables subsetting. A zone for which no weights keep the load balanced is not subsetted.
 	SubsetSize int
 
-	MaxServers int // entries of the list; more are left out and counted; default 4,096
-	MaxProxies int // default 4,096
+	MaxServers int // listed servers; further ones are discarded and counted; default 4,096
+	MaxProxies int // connected proxies; default 4,096
 }
 
-// Server is an entry of the list.
+// Server is an entry of the server list.
 type Server struct {
 	ID           ServerID
 	Addr         string // host:port
-	Zone         string // the hall
-	Cell         int    // the pod, within which keys are known
+	Zone         string
+	Cell         int // pod; a deduplication key is known within one pod only
 	RelativeSize float64
 	Draining     bool
 	StartedAt    Time // 0: long ago
 }
 
-// Event is something that happened; the types below are all there are.
+// Event is an input of the module; the types below implement it.
 type Event interface{ event() }
 
-// ListKind says what a list is.
+// ListKind tells how complete and how fresh a server list is.
 type ListKind int
 
 const (
-	// ListFull is all servers, fresh from the source; who is not in it is gone.
+	// ListFull is a complete list from the source; a server that is missing has been removed.
 	ListFull ListKind = iota
-	// ListCached is a full list that was kept from an earlier run; it may be old.
+	// ListCached is a complete list saved by an earlier run; it may be out of date.
 	ListCached
-	// ListFailed has no servers: the source can't be reached.
+	// ListFailed has no entries: the source could not be reached.
 	ListFailed
 )
 
-// Load is what one proxy reports of one server since its last report.
+// Load is one proxy's report of one server since the proxy's previous report.
 type Load struct {
 	Server   ServerID
-	Addr     string // names the server where Server is empty
-	Issued   uint64 // requests sent
-	OK       uint64 // answered
-	Errors   uint64 // failed
-	InFlight uint64 // out at the moment of the report
-
-	// Utilisation is the server's own account (ORCA), 1 for full; 0: none.
+	Addr     string // identifies the server if Server is empty
+	Issued   uint64
+	OK       uint64 // successful responses
+	Errors   uint64 // failed requests
+	InFlight uint64 // open requests at the time of the report
+
+	// Utilisation is the load that the server itself reports (ORCA), 1 when full; 0 if it reports
+	// none.
 	Utilisation float64
 }
 
-// Events.
 type (
-	// ListReceived is news of the servers.
+	// ListReceived reports an update of the server list.
 	ListReceived struct {
 		Kind    ListKind
 		Servers []Server
 	}
-	// ProxyJoined says that a proxy of a hall is connected; Left that it is not.
+	// ProxyJoined reports that a proxy of a zone connected.
 	ProxyJoined struct {
 		Proxy ProxyID
 		Zone  string
 	}
+	// ProxyLeft reports that a proxy disconnected.
 	ProxyLeft struct{ Proxy ProxyID }
-	// ProxyReliability says whether what a proxy reports may be learnt from: one that does
-	// not act on what it is told shows nothing of what a server can do.
+	// ProxyReliability tells whether to learn from a proxy's reports. A proxy that does not apply
+	// what it receives shows nothing of what a server can do.
 	ProxyReliability struct {
 		Proxy    ProxyID
 		Reliable bool
@@ -111,21 +108,21 @@
 	// LoadReported is a proxy's load report.
 	LoadReported struct {
 		Proxy            ProxyID
-		Interval         time.Duration // over which the counts were taken
+		Interval         time.Duration // time that the counts cover
 		Loads            []Load
-		PriorityArrivals uint64 // arrivals of priority requests, dropped ones too
-		OtherArrivals    uint64 // arrivals of the others
+		PriorityArrivals uint64 // priority requests that arrived, dropped ones included
+		OtherArrivals    uint64 // other requests that arrived, dropped ones included
 	}
-	// ProbeResult is the result of a Probe.
+	// ProbeResult is the outcome of a Probe.
 	ProbeResult struct {
 		Server  ServerID
 		OK      bool
 		Elapsed time.Duration
 	}
-	// ProcessPaused says that the caller has stood still for so long that it may have
-	// missed a drain: nothing is confirmed until the next full list.
+	// ProcessPaused reports a process pause so long that a drain may have been missed: nothing is
+	// confirmed until the next full list.
 	ProcessPaused struct{}
-	// Tick comes every TickInterval.
+	// Tick is due every TickInterval.
 	Tick struct{}
 )
 
@@ -141,20 +138,19 @@
 // TickInterval is the time between two Ticks.
 const TickInterval = 100 * time.Millisecond
 
-// Action is what is to be done; the types below are all there are.
+// Action is an output of the module; the types below implement it.
 type Action interface{ action() }
 
-// Actions.
 type (
-	// Publish hands a new state to all proxies. Urgent ones carry a drain, an
-	// exclusion or a server that is gone, and go before all else.
+	// Publish delivers a new state to all proxies. Urgent states contain a drain, an exclusion or
+	// a removal and are sent first.
 	Publish struct {
 		State  *State
 		Urgent bool
 	}
-	// Probe asks for a Probed.
+	// Probe requests a health check of a server; its outcome is a ProbeResult.
 	Probe struct{ Server ServerID }
-	// Log is a line for the operator.
+	// Log is a log line for operators.
 	Log struct{ Line string }
 )
 
@@ -162,15 +158,15 @@
 func (Probe) action()   {}
 func (Log) action()     {}
 
-// Health is what proxies are told of a server.
+// Health is a server's health as proxies see it.
 type Health int
 
 const (
-	// Healthy servers take requests by their weight.
+	// Healthy servers receive requests according to their weight.
 	Healthy Health = iota
-	// Draining ones finish what they have.
+	// Draining servers finish their open requests and receive no new ones.
 	Draining
-	// Excluded ones do not answer, or are given nothing for now.
+	// Excluded servers do not respond or are ejected for now.
 	Excluded
 )
 
@@ -182,76 +178,75 @@
 	Addr   string
 	Cell   int
 	Health Health
-	Weight uint32          // 1 to MaxWeight within its locality
-	Groups subset.GroupSet // of proxies that are told of it
+	Weight uint32          // 1 to MaxWeight, relative within the locality
+	Groups subset.GroupSet // proxy groups that see it; 0: all
 }
 
-// MaxWeight is the greatest weight of an endpoint or a locality.
+// MaxWeight is the largest weight of an endpoint or a locality.
 const MaxWeight = 10_000
 
-// Locality is a hall within a View.
+// Locality holds the endpoints of one zone within a View.
 type Locality struct {
 	Zone      string
-	Priority  uint32 // 0 first
-	Weight    uint32 // among those of the same priority; 1 to MaxWeight
+	Priority  uint32 // 0 is the highest
+	Weight    uint32 // 1 to MaxWeight, relative among localities of the same priority
 	Endpoints []Endpoint
 }
 
-// View is what the proxies of one hall are told.
+// View is the configuration for the proxies of one zone.
 type View struct {
 	Zone            string
-	Localities      []Locality // by priority, then zone
-	DropPriorityPPM uint32     // parts of a million of the priority requests to refuse
-	DropOtherPPM    uint32     // the same for the others
-	MaxRequests     uint32     // that one proxy may have out at once
+	Localities      []Locality // sorted by priority, then zone
+	DropPriorityPPM uint32     // priority requests to drop, in parts per million
+	DropOtherPPM    uint32     // other requests to drop, in parts per million
+	MaxRequests     uint32     // limit of open requests of one proxy
 }
 
-// State is all that is decided at one time. It is never changed once
-// published.
+// State is a complete set of decisions. It is immutable once published.
 type State struct {
-	Version         uint64 // grows by one with each state of this run
-	Confirmed       bool   // a list has come fresh from its source in this run
+	Version         uint64 // increases by one with each state of this run
+	Confirmed       bool   // the source delivered a list since the start or the last process pause
 	Views           map[string]*View
-	Subsetted       bool      // some servers are told of to a part of the proxies only
-	FullViewProxies []ProxyID // that are told of all servers, in order: each sends much of all there is
+	Subsetted       bool      // at least one server is visible to some proxies only
+	FullViewProxies []ProxyID // proxies with much traffic, which see all servers; sorted
 }
 
-// GroupOf gives the group of a proxy, or subset.AllServers.
+// GroupOf returns a proxy's group, or subset.AllServers if it sees all servers.
 func (s *State) GroupOf(p ProxyID) int {
-	if _, whole := slices.BinarySearch(s.FullViewProxies, p); whole {
+	if _, fullView := slices.BinarySearch(s.FullViewProxies, p); fullView {
 		return subset.AllServers
 	}
 	return subset.GroupOf(string(p))
 }
 
-// ForGroup gives a view as a group is told it.
+// ForGroup returns the view restricted to the servers that a group sees.
 func (v *View) ForGroup(group int) *View {
 	if v == nil || group == subset.AllServers {
 		return v
 	}
 	out := *v
 	out.Localities = make([]Locality, len(v.Localities))
-	for i, l := range v.Localities {
-		all := true
-		for _, e := range l.Endpoints {
-			all = all && e.Groups == 0
+	for i, locality := range v.Localities {
+		forAll := true
+		for _, e := range locality.Endpoints {
+			forAll = forAll && e.Groups == 0
 		}
-		if !all {
-			mine := make([]Endpoint, 0, len(l.Endpoints)/4)
-			for _, e := range l.Endpoints {
+		if !forAll {
+			visible := make([]Endpoint, 0, len(locality.Endpoints)/4)
+			for _, e := range locality.Endpoints {
 				if e.Groups.Has(group) {
-					mine = append(mine, e)
+					visible = append(visible, e)
 				}
 			}
-			l.Endpoints = mine
+			locality.Endpoints = visible
 		}
-		out.Localities[i] = l
+		out.Localities[i] = locality
 	}
 	return &out
 }
 
-// View gives the view of a hall; proxies of a hall that is not listed get the
-// view of "", in which all halls are equal.
+// View returns the view of a zone. Zones that are not listed get the view of "", in which all
+// zones are equal.
 func (s *State) View(zone string) *View {
 	if v := s.Views[zone]; v != nil {
 		return v
--- a/steer/retry.go
+++ b/steer/retry.go
@@ -6,29 +6,27 @@
 	"ivylock/balance"
 )
 
-// MaxAttempts is how many attempts of a request proxies may make in all.
+// MaxAttempts limits the attempts of one request, the first included.
 const MaxAttempts = 3
 
-// Of the requests that a proxy has out, so many may be further attempts, in
-// parts of a hundred, and MinRetryConcurrency at least: guards against a storm of them at
-// servers that are full.
+// Retry budget of a proxy: further attempts as a percentage of its open requests, and the number
+// always allowed. Guards against retry storms at overloaded servers.
 const (
 	RetryBudgetPercent  = 20
 	MinRetryConcurrency = 3
 )
 
-// RetryRule says when a proxy may make another attempt of a request of a class.
+// RetryRule tells when a proxy may retry a request.
 type RetryRule struct {
-	MayHaveRun     bool          // also after an attempt that may have run; without it only if no server can have begun it
+	MayHaveRun     bool          // retry even if a server may have run the request, not only if none can have started it
 	SamePod        bool          // all attempts go to one pod
-	TotalTimeout   time.Duration // for all attempts together; 0: no limit
-	AttemptTimeout time.Duration // for one attempt; 0: no limit but All's
+	TotalTimeout   time.Duration // for all attempts together; 0: none
+	AttemptTimeout time.Duration // for one attempt; 0: none
 }
 
-// RetryRuleFor gives a class's rule by its effect. Unsafe requests get another
-// attempt only if no server can have begun the one before. Keyed ones may be
-// repeated where the key is known, in one pod and within its window; without
-// a window they are unsafe.
+// RetryRuleFor returns the rule for the class's effect. Unsafe requests are retried only if no
+// server can have started the previous attempt. Keyed requests may be retried where the key is
+// known, that is in one pod and within the deduplication window; without a window they are unsafe.
 func RetryRuleFor(c balance.Class) RetryRule {
 	r := RetryRule{TotalTimeout: c.Deadline}
 	switch {
@@ -41,7 +39,7 @@
 		}
 	}
 	if r.MayHaveRun {
-		r.AttemptTimeout = r.TotalTimeout / MaxAttempts // guards against a silent server that takes all the time there is
+		r.AttemptTimeout = r.TotalTimeout / MaxAttempts // leaves time to retry when a server does not respond
 	}
 	return r
 }
--- a/steer/steer.go
+++ b/steer/steer.go
@@ -13,173 +13,173 @@
 )
 
 const (
-	validity     = 3 * time.Second         // what a proxy reported counts this long
-	memoryTau    = 60.0                    // s; in which a learnt rate or base delay is forgotten
-	baseTau      = 10.0                    // s; in which the base delay falls at most
-	rateTau      = 2.0                     // s; of a server's smoothed rate of answers
-	aimPart      = 0.45                    // of the shortest aim that a server's delay may take
-	queueFactor  = 4.0                     // delay a normal server may have, in its work without a queue
-	leastHigh    = 8.0                     // H of a server at least, over all proxies
-	lowPart      = 0.7                     // L as part of H
-	blockPart    = 2.0                     // R as part of H
-	learnCount   = 30                      // answers before a server's delay is believed
-	suspectPart  = 0.5                     // of answers that are errors, from which a server is excluded
-	suspectLeast = 8                       // answers and errors to judge that by
-	silentAfter  = 1500 * time.Millisecond // requests out and none ended for so long: it is silent
-	excludeMost  = 0.34                    // part of a hall that may be excluded on reports alone
-	doubtFor     = 2 * time.Second
-	excludeMin   = 2 * time.Second // an exclusion lasts at least so long; doubles
-	excludeMax   = 30 * time.Second
-	probeEvery   = 500 * time.Millisecond // of excluded servers
-	fullUse      = 0.95                   // of a server, by its own word, from which it is overloaded
-	probesOK     = 2                      // good probes in a row that bring a server back
+	reportTTL           = 3 * time.Second         // how long a proxy's report counts
+	decayTau            = 60.0                    // s; decay of peak rates, growth of the base delay
+	baseTau             = 10.0                    // s; fall of the base delay
+	rateTau             = 2.0                     // s; smoothing of rates and of requests in flight
+	targetFraction      = 0.45                    // fraction of the shortest target latency that a server's delay may take
+	queueFactor         = 4.0                     // longest delay of a normal server, in multiples of the base delay
+	minHighMark         = 8.0                     // least high mark of a server, in requests over all proxies
+	lowFraction         = 0.7                     // low mark, as a fraction of the high mark
+	blockFactor         = 2.0                     // blocking mark, as a multiple of the high mark
+	minAnswered         = 30                      // ended requests before a server's estimates are used
+	maxErrorFraction    = 0.5                     // error ratio from which a server is excluded
+	minErrorSamples     = 8                       // ended requests needed for the error ratio
+	silenceTimeout      = 1500 * time.Millisecond // time without a response to open requests until a server is silent
+	maxExcludedFraction = 0.34                    // fraction of a zone's servers that load reports alone may exclude
+	suspicionTime       = 2 * time.Second
+	minExclusion        = 2 * time.Second // doubled for each further one in a row
+	maxExclusion        = 30 * time.Second
+	probeInterval       = 500 * time.Millisecond // for suspected and excluded servers
+	fullUtilisation     = 0.95                   // reported utilisation from which a server is overloaded
+	requiredProbes      = 2                      // successful ones in a row that end an exclusion
 )
 
-// server is what is known of an entry.
+// server is a listed server with the estimates for it.
 type server struct {
 	Server
-	fresh    bool   // its weight is not set yet
-	pod      string // by which it is in groups
-	groups   subset.GroupRanking
-	coldFrom Time // when its warm-up began; meaningless unless cold
-	cold     bool
-
-	n       float64 // in flight, over all proxies, as they last said
-	flow    float64 // answers and errors a second, the same
-	rate    float64 // answers a second, smoothed
-	peak    float64 // the most of that, slowly forgotten
-	answers float64
-	load    float64 // n, smoothed as the rate is
-	silent  Time    // since when requests are out and none has been answered; 0: not
-	judged  struct{ ok, errors float64 }
-
-	mode   balance.Mode
-	told   Time    // until then it counts as overloaded by its own word
-	size   float64 // see sizes
-	weight float64 // before cold caps; 1 is the fleet's mean
-
-	doubt    Time // until then it is probed
-	excluded bool
-	until    Time // it is not tried before
-	holds    int  // exclusions in a row
-	probedAt Time
-	probesOK int
+	weightUnset  bool   // set at the end of the list update
+	podName      string // zone and pod, the input of groupRanking
+	groupRanking subset.GroupRanking
+	warmupFrom   Time // start of the warm-up; valid only if cold
+	cold         bool
+
+	inFlight         float64 // sum of the proxies' last reports
+	answerRate       float64 // successful responses per second; sum of the last reports
+	smoothedRate     float64 // answerRate, smoothed
+	peakRate         float64 // highest smoothedRate, scaled to a warm server; decays
+	answeredCount    float64 // ended requests, errors included
+	smoothedInFlight float64 // inFlight, smoothed
+	silentSince      Time    // since when requests are open without a response; 0: not silent
+	recent           struct{ ok, errors float64 }
+
+	mode            balance.Mode
+	overloadedUntil Time    // the server reported itself as full
+	baseWeight      float64 // see updateBaseWeights
+	weight          float64 // without the limit for cold servers; 1 is the mean
+
+	suspectUntil  Time // probed until then
+	excluded      bool
+	excludedUntil Time // no return before then
+	exclusions    int  // consecutive ones
+	probedAt      Time
+	goodProbes    int
 }
 
-// proxy is what one proxy last said.
+// proxy is a connected proxy and its last report.
 type proxy struct {
-	id       ProxyID
-	zone     string
-	group    int
-	whole    bool // it sends so much that it is told of all servers
-	at       Time // of its last report; 0: none
-	rate     float64
-	in1, in2 float64 // arrivals a second
-	said     map[*server]said
-	// uncounted: it does not act on what it is told, so its reports show nothing of
-	// what servers can do.
-	uncounted bool
+	id                      ProxyID
+	zone                    string
+	group                   int
+	fullView                bool // it has enough traffic to see all servers
+	reportedAt              Time // time of the last report; 0: none
+	sendRate                float64
+	priorityRate, otherRate float64 // arrivals per second
+	reported                map[*server]serverReport
+	// The proxy does not apply what it receives, so its reports do not show what servers can do.
+	unreliable bool
 }
 
-// said is what a proxy last said of a server; it counts until the next report,
-// so that what is in flight and what is answered are of the same time.
-type said struct{ n, flow float64 }
+// serverReport is a proxy's last report of a server. It counts until the proxy's next report, so
+// that requests in flight and response rate belong to the same interval.
+type serverReport struct{ inFlight, answerRate float64 }
 
 // Module makes the decisions. It is not safe for concurrent use.
 type Module struct {
-	set Settings
-	now Time
-	out []Action
-
-	servers   map[ServerID]*server
-	order     []*server // by id
-	byAddr    map[string]*server
-	proxies   map[ProxyID]*proxy
-	present   []*proxy // by id: sums do not depend on a map's order
-	confirmed bool     // a list has come fresh since this run began, or last stood still
-	heard     bool     // a list has come fresh in this run
-
-	unit      float64              // peak rate of warm servers by their size; outlives them
-	base      float64              // s; the least mean delay, slowly growing
-	mean      float64              // s; the present one
-	aimed     float64              // s; delay that the aims allow
-	shed      map[string]*shedding // by hall
-	keep      map[string]float64   // parts that halls which are short keep of their own requests
-	shared    Time                 // when those were last changed
-	moved     Time                 // when weights were last changed
-	composing map[string]*hall     // while a state is composed
-	last      *State
-	lastAt    Time // of the last publication that was not urgent
-	dirty     bool // something changed that waits for WeightInterval
-	urgent    bool
-
-	// ProxyLeft counts what was left out at a bound.
+	settings Settings
+	now      Time
+	actions  []Action
+
+	servers       map[ServerID]*server
+	sortedServers []*server // by ID
+	byAddr        map[string]*server
+	proxies       map[ProxyID]*proxy
+	sortedProxies []*proxy // by ID, so that sums do not depend on map order
+	confirmed     bool     // a full list was received since the start or the last process pause
+	listReceived  bool     // a full list was received in this run
+
+	unitPeakRate   float64 // peak rate of warm servers per base weight; kept when they are gone
+	baseDelay      float64 // s; lowest mean delay, growing slowly
+	meanDelay      float64 // s; current mean delay
+	targetDelay    float64 // s; longest delay that the target latencies allow
+	sheddingByZone map[string]*zoneShedding
+	localFraction  map[string]float64    // fraction of their own requests that overloaded zones keep
+	spilloverAt    Time                  // last update of localFraction
+	weightsAt      Time                  // last update of the weights
+	composingZones map[string]*zoneState // set while a state is composed
+	lastState      *State
+	publishedAt    Time // last publication that was not urgent
+	dirty          bool // a change waits for WeightInterval
+	urgent         bool
+
+	// Discarded counts servers, proxies and loads that exceeded a limit or were unknown.
 	Discarded struct{ Servers, Proxies, Loads uint64 }
 }
 
-// New gives a module that knows no server. It errs on settings out of range.
-func New(set Settings) (*Module, error) {
-	def := func(v *float64, d float64) {
-		if *v == 0 {
-			*v = d
+// New returns a Module that knows no servers. It returns an error for settings out of range.
+func New(settings Settings) (*Module, error) {
+	setDefault := func(value *float64, defaultValue float64) {
+		if *value == 0 {
+			*value = defaultValue
 		}
 	}
-	def(&set.WarmupStartFraction, 0.32)
-	def(&set.OverloadFactor, 2.5)
-	def(&set.MaxWeightFactor, 1.25)
-	if set.WarmupTime == 0 {
-		set.WarmupTime = 8300 * time.Millisecond
+	setDefault(&settings.WarmupStartFraction, 0.32)
+	setDefault(&settings.OverloadFactor, 2.5)
+	setDefault(&settings.MaxWeightFactor, 1.25)
+	if settings.WarmupTime == 0 {
+		settings.WarmupTime = 8300 * time.Millisecond
 	}
-	if set.WeightInterval == 0 {
-		set.WeightInterval = time.Second
+	if settings.WeightInterval == 0 {
+		settings.WeightInterval = time.Second
 	}
-	if set.MaxServers == 0 {
-		set.MaxServers = 4096
+	if settings.MaxServers == 0 {
+		settings.MaxServers = 4096
 	}
-	if set.MaxProxies == 0 {
-		set.MaxProxies = 4096
+	if settings.MaxProxies == 0 {
+		settings.MaxProxies = 4096
 	}
 	switch {
-	case len(set.Classes) == 0:
+	case len(settings.Classes) == 0:
 		return nil, fmt.Errorf("steer: no request class")
-	case !(set.WarmupStartFraction > 0 && set.WarmupStartFraction <= 1):
-		return nil, fmt.Errorf("steer: ColdFrom %v is not in (0, 1]", set.WarmupStartFraction)
-	case !(set.OverloadFactor >= 1):
-		return nil, fmt.Errorf("steer: OverloadFactor %v is under 1", set.OverloadFactor)
-	case !(set.MaxWeightFactor > 1):
-		return nil, fmt.Errorf("steer: ChangeBy %v is not over 1", set.MaxWeightFactor)
-	case set.SubsetSize < 0:
-		return nil, fmt.Errorf("steer: Subset %d is under 0", set.SubsetSize)
-	case set.WarmupTime < 0, set.WeightInterval < 0, set.MaxServers < 0, set.MaxProxies < 0:
-		return nil, fmt.Errorf("steer: a negative time or bound")
-	}
-	m := &Module{set: set, servers: map[ServerID]*server{}, byAddr: map[string]*server{}, proxies: map[ProxyID]*proxy{}, keep: map[string]float64{}, shed: map[string]*shedding{}}
-	m.aimed = math.Inf(1)
-	for _, c := range set.Classes {
+	case !(settings.WarmupStartFraction > 0 && settings.WarmupStartFraction <= 1):
+		return nil, fmt.Errorf("steer: WarmupStartFraction %v is not in (0, 1]", settings.WarmupStartFraction)
+	case !(settings.OverloadFactor >= 1):
+		return nil, fmt.Errorf("steer: OverloadFactor %v is less than 1", settings.OverloadFactor)
+	case !(settings.MaxWeightFactor > 1):
+		return nil, fmt.Errorf("steer: MaxWeightFactor %v is not over 1", settings.MaxWeightFactor)
+	case settings.SubsetSize < 0:
+		return nil, fmt.Errorf("steer: SubsetSize %d is negative", settings.SubsetSize)
+	case settings.WarmupTime < 0, settings.WeightInterval < 0, settings.MaxServers < 0, settings.MaxProxies < 0:
+		return nil, fmt.Errorf("steer: negative duration or limit")
+	}
+	m := &Module{settings: settings, servers: map[ServerID]*server{}, byAddr: map[string]*server{},
+		proxies: map[ProxyID]*proxy{}, localFraction: map[string]float64{}, sheddingByZone: map[string]*zoneShedding{}}
+	m.targetDelay = math.Inf(1)
+	for _, c := range settings.Classes {
 		if c.TargetLatency > 0 {
-			m.aimed = math.Min(m.aimed, aimPart*c.TargetLatency.Seconds())
+			m.targetDelay = math.Min(m.targetDelay, targetFraction*c.TargetLatency.Seconds())
 		}
 	}
 	return m, nil
 }
 
-// Handle takes an event and returns what is to be done about it, in order.
-// The slice is valid until the next call.
+// Handle processes an event and returns the resulting actions in order. The slice is valid until
+// the next call.
 func (m *Module) Handle(now Time, e Event) []Action {
-	m.now, m.out = now, m.out[:0]
+	m.now, m.actions = now, m.actions[:0]
 	switch e := e.(type) {
 	case ListReceived:
-		m.listed(e)
+		m.handleList(e)
 	case ProxyReliability:
-		m.counted(e)
+		m.setReliability(e)
 	case ProxyJoined:
-		m.joined(e)
+		m.addProxy(e)
 	case ProxyLeft:
-		m.left(e.Proxy)
+		m.removeProxy(e.Proxy)
 	case LoadReported:
-		m.loaded(e)
+		m.handleLoadReport(e)
 	case ProbeResult:
-		m.probed(e)
+		m.handleProbeResult(e)
 	case ProcessPaused:
 		m.urgent = m.urgent || m.confirmed
 		m.confirmed = false
@@ -187,413 +187,417 @@
 		m.tick()
 	}
 	m.publish()
-	return m.out
+	return m.actions
 }
 
-// sizes gives each server the size by which it is weighed first: the list's,
-// or 1 for all where any has none.
-func (m *Module) sizes() {
-	known := true
-	for _, s := range m.order {
-		known = known && s.RelativeSize > 0
+// updateBaseWeights sets each server's base weight: its relative size from the list, or 1 for all
+// if any server has none.
+func (m *Module) updateBaseWeights() {
+	allSized := true
+	for _, s := range m.sortedServers {
+		allSized = allSized && s.RelativeSize > 0
 	}
-	for _, s := range m.order {
-		if s.size = 1; known {
-			s.size = s.RelativeSize
+	for _, s := range m.sortedServers {
+		if s.baseWeight = 1; allSized {
+			s.baseWeight = s.RelativeSize
 		}
 	}
 }
 
-// ServerCount and Proxies are how many are known.
+// ServerCount returns the number of known servers.
 func (m *Module) ServerCount() int { return len(m.servers) }
-func (m *Module) ProxyCount() int  { return len(m.proxies) }
+
+// ProxyCount returns the number of connected proxies.
+func (m *Module) ProxyCount() int { return len(m.proxies) }
 
 func (m *Module) log(format string, args ...any) {
-	m.out = append(m.out, Log{fmt.Sprintf(format, args...)})
+	m.actions = append(m.actions, Log{fmt.Sprintf(format, args...)})
 }
 
-// listed takes a list. A drain is never undone by a list that may be old, and
-// a list that may be old confirms nothing.
-func (m *Module) listed(e ListReceived) {
+// handleList applies a list. A list that may be out of date neither confirms anything nor ends a
+// drain.
+func (m *Module) handleList(e ListReceived) {
 	switch {
 	case e.Kind == ListFailed:
-		return // what is known stays: nobody can have been told of a drain
-	case e.Kind == ListCached && m.heard:
-		return // older than what this run has seen itself
+		return // keep the known servers: no drain can have been announced
+	case e.Kind == ListCached && m.listReceived:
+		return // out of date: this run has received a full list
 	}
-	first := !m.heard
+	first := !m.listReceived
 	seen := make(map[ServerID]bool, len(e.Servers))
-	for _, x := range e.Servers {
-		if seen[x.ID] {
+	for _, entry := range e.Servers {
+		if seen[entry.ID] {
 			continue
 		}
-		s := m.servers[x.ID]
-		if s == nil && len(m.servers) >= m.set.MaxServers {
+		srv := m.servers[entry.ID]
+		if srv == nil && len(m.servers) >= m.settings.MaxServers {
 			m.Discarded.Servers++
 			continue
 		}
-		seen[x.ID] = true
+		seen[entry.ID] = true
 		switch {
-		case s == nil:
-			s = &server{Server: x, weight: 1, fresh: true}
-			m.servers[x.ID] = s
+		case srv == nil:
+			srv = &server{Server: entry, weight: 1, weightUnset: true}
+			m.servers[entry.ID] = srv
 			m.dirty = true
-			// What is new in a run that knew the list has just been started,
-			// whatever it says; in the first list its word is all there is.
-			if x.StartedAt > 0 && m.now-x.StartedAt < m.set.WarmupTime {
-				m.startCold(s, x.StartedAt)
+			// A server that appears after the first full list has just started, whatever its
+			// StartedAt says. For the first list only StartedAt is known.
+			if entry.StartedAt > 0 && m.now-entry.StartedAt < m.settings.WarmupTime {
+				m.startWarmup(srv, entry.StartedAt)
 			} else if !first {
-				m.startCold(s, m.now)
+				m.startWarmup(srv, m.now)
 			}
-		case s.Addr != x.Addr || x.StartedAt > s.StartedAt:
-			s.Server, s.excluded = x, s.excluded && s.Addr == x.Addr
-			m.startCold(s, max(x.StartedAt, m.now-m.set.WarmupTime))
+		case srv.Addr != entry.Addr || entry.StartedAt > srv.StartedAt:
+			srv.Server, srv.excluded = entry, srv.excluded && srv.Addr == entry.Addr
+			m.startWarmup(srv, max(entry.StartedAt, m.now-m.settings.WarmupTime))
 			m.urgent = true
 		default:
-			if x.Draining && !s.Draining {
+			if entry.Draining && !srv.Draining {
 				m.urgent = true
 			}
-			if s.Draining && !x.Draining {
+			if srv.Draining && !entry.Draining {
 				m.dirty = true
 			}
-			if s.Zone != x.Zone || s.Cell != x.Cell || s.RelativeSize != x.RelativeSize {
+			if srv.Zone != entry.Zone || srv.Cell != entry.Cell || srv.RelativeSize != entry.RelativeSize {
 				m.dirty = true
 			}
-			s.Server = x
+			srv.Server = entry
 		}
 	}
 	for id := range m.servers {
 		if !seen[id] {
-			m.forget(id)
+			m.removeServer(id)
 			m.urgent = true
 		}
 	}
-	m.order = m.order[:0]
-	for _, s := range m.servers {
-		m.order = append(m.order, s)
+	m.sortedServers = m.sortedServers[:0]
+	for _, srv := range m.servers {
+		m.sortedServers = append(m.sortedServers, srv)
 	}
-	sort.Slice(m.order, func(i, j int) bool { return m.order[i].ID < m.order[j].ID })
+	sort.Slice(m.sortedServers, func(i, j int) bool { return m.sortedServers[i].ID < m.sortedServers[j].ID })
 	clear(m.byAddr)
-	for _, s := range m.order {
-		m.byAddr[s.Addr] = s
+	for _, srv := range m.sortedServers {
+		m.byAddr[srv.Addr] = srv
 	}
-	for _, s := range m.order {
-		if name := fmt.Sprint(s.Zone, "/", s.Cell); m.set.SubsetSize > 0 && name != s.pod {
-			s.pod, s.groups = name, subset.RankGroups(name)
+	for _, srv := range m.sortedServers {
+		if podName := fmt.Sprint(srv.Zone, "/", srv.Cell); m.settings.SubsetSize > 0 && podName != srv.podName {
+			srv.podName, srv.groupRanking = podName, subset.RankGroups(podName)
 		}
 	}
-	m.sizes()
+	m.updateBaseWeights()
 	mean := 0.0
-	for _, s := range m.order {
-		mean += s.size / float64(len(m.order))
+	for _, srv := range m.sortedServers {
+		mean += srv.baseWeight / float64(len(m.sortedServers))
 	}
-	for _, s := range m.order {
-		if s.fresh {
-			s.fresh, s.weight = false, math.Min(mostPart, math.Max(leastPart, s.size/mean))
+	for _, srv := range m.sortedServers {
+		if srv.weightUnset {
+			srv.weightUnset, srv.weight =
+				false, math.Min(maxRelativeWeight, math.Max(minRelativeWeight, srv.baseWeight/mean))
 		}
 	}
 	if e.Kind == ListFull && !m.confirmed {
-		m.confirmed, m.heard, m.urgent = true, true, true
+		m.confirmed, m.listReceived, m.urgent = true, true, true
 	}
 }
 
-func (m *Module) forget(id ServerID) {
+func (m *Module) removeServer(id ServerID) {
 	s := m.servers[id]
-	for _, p := range m.present {
-		delete(p.said, s)
+	for _, p := range m.sortedProxies {
+		delete(p.reported, s)
 	}
 	delete(m.servers, id)
 }
 
-func (m *Module) startCold(s *server, at Time) {
-	s.cold, s.coldFrom, s.fresh, s.silent = true, at, true, 0
-	s.n, s.flow, s.load, s.rate, s.answers = 0, 0, 0, 0, 0 // its peak is of a warm server, and stays
-	for _, p := range m.present {
-		delete(p.said, s)
+func (m *Module) startWarmup(s *server, since Time) {
+	s.cold, s.warmupFrom, s.weightUnset, s.silentSince = true, since, true, 0
+	// peakRate is that of the warm server and stays.
+	s.inFlight, s.answerRate, s.smoothedInFlight, s.smoothedRate, s.answeredCount = 0, 0, 0, 0, 0
+	for _, p := range m.sortedProxies {
+		delete(p.reported, s)
 	}
 }
 
-// warmth is the part of its capacity that a server has now.
-func (m *Module) warmth(s *server) float64 {
+// warmupFraction returns the fraction of its capacity that a server has now.
+func (m *Module) warmupFraction(s *server) float64 {
 	if !s.cold {
 		return 1
 	}
-	f := m.set.WarmupStartFraction + (1-m.set.WarmupStartFraction)*float64(m.now-s.coldFrom)/float64(m.set.WarmupTime)
-	return math.Min(1, math.Max(m.set.WarmupStartFraction, f))
+	fraction := m.settings.WarmupStartFraction +
+		(1-m.settings.WarmupStartFraction)*float64(m.now-s.warmupFrom)/float64(m.settings.WarmupTime)
+	return math.Min(1, math.Max(m.settings.WarmupStartFraction, fraction))
 }
 
-func (m *Module) joined(e ProxyJoined) {
+func (m *Module) addProxy(e ProxyJoined) {
 	if p := m.proxies[e.Proxy]; p != nil {
 		p.zone = e.Zone
 		return
 	}
-	if len(m.proxies) >= m.set.MaxProxies {
+	if len(m.proxies) >= m.settings.MaxProxies {
 		m.Discarded.Proxies++
 		return
 	}
-	p := &proxy{id: e.Proxy, zone: e.Zone, group: subset.GroupOf(string(e.Proxy)), said: map[*server]said{}}
+	p := &proxy{id: e.Proxy, zone: e.Zone, group: subset.GroupOf(string(e.Proxy)), reported: map[*server]serverReport{}}
 	m.proxies[e.Proxy] = p
-	i, _ := slices.BinarySearchFunc(m.present, p, byID)
-	m.present = slices.Insert(m.present, i, p)
-	m.dirty = m.dirty || m.anyCold() // it may send to them: the others get less
+	i, _ := slices.BinarySearchFunc(m.sortedProxies, p, byID)
+	m.sortedProxies = slices.Insert(m.sortedProxies, i, p)
+	m.dirty = m.dirty || m.anyWarmingUp() // the new proxy adds traffic to cold servers
 }
 
-func (m *Module) left(id ProxyID) {
+func (m *Module) removeProxy(id ProxyID) {
 	if p := m.proxies[id]; p != nil {
-		m.unlearn(p)
-		m.silence(p)
+		m.discountPeakRates(p)
+		m.clearReport(p)
 		delete(m.proxies, id)
-		i, _ := slices.BinarySearchFunc(m.present, p, byID)
-		m.present = slices.Delete(m.present, i, i+1)
+		i, _ := slices.BinarySearchFunc(m.sortedProxies, p, byID)
+		m.sortedProxies = slices.Delete(m.sortedProxies, i, i+1)
 	}
 }
 
-// unlearn takes from the rates that servers have shown what they have shown to
-// a proxy. Guards against two control services that both count on all of a
-// server since its proxies have moved from one to the other: a cold server
-// would be sent what both think that it can do.
-func (m *Module) unlearn(p *proxy) {
-	for s, x := range p.said {
-		if s.flow > 0 {
-			s.peak *= 1 - math.Min(1, x.flow/s.flow)
+// discountPeakRates reduces the servers' peak rates by the proxy's fraction of their traffic.
+// Guards against two control services that both count on a server's whole capacity after its
+// proxies moved from one to the other, and overload it together while it is cold.
+func (m *Module) discountPeakRates(p *proxy) {
+	for srv, report := range p.reported {
+		if srv.answerRate > 0 {
+			srv.peakRate *= 1 - math.Min(1, report.answerRate/srv.answerRate)
 		}
 	}
 }
 
 func byID(a, b *proxy) int { return strings.Compare(string(a.id), string(b.id)) }
 
-// unsay takes back what a proxy said of servers.
-func (m *Module) unsay(p *proxy) {
-	for s, x := range p.said {
-		s.n, s.flow = math.Max(0, s.n-x.n), math.Max(0, s.flow-x.flow)
+// withdrawReport subtracts a proxy's last report from the servers' sums.
+func (m *Module) withdrawReport(p *proxy) {
+	for srv, report := range p.reported {
+		srv.inFlight, srv.answerRate =
+			math.Max(0, srv.inFlight-report.inFlight), math.Max(0, srv.answerRate-report.answerRate)
 	}
-	clear(p.said)
+	clear(p.reported)
 }
 
-// counted takes whether a proxy's reports are learnt from.
-func (m *Module) counted(e ProxyReliability) {
-	if p := m.proxies[e.Proxy]; p != nil && p.uncounted == e.Reliable {
-		p.uncounted = !e.Reliable
-		if p.uncounted {
-			m.unlearn(p)
-			for s, x := range p.said {
-				s.flow = math.Max(0, s.flow-x.flow)
-				p.said[s] = said{n: x.n}
+// setReliability sets whether a proxy's reports are learned from.
+func (m *Module) setReliability(e ProxyReliability) {
+	if p := m.proxies[e.Proxy]; p != nil && p.unreliable == e.Reliable {
+		p.unreliable = !e.Reliable
+		if p.unreliable {
+			m.discountPeakRates(p)
+			for srv, report := range p.reported {
+				srv.answerRate = math.Max(0, srv.answerRate-report.answerRate)
+				p.reported[srv] = serverReport{inFlight: report.inFlight}
 			}
 		}
 	}
 }
 
-// silence takes back what a proxy has reported.
-func (m *Module) silence(p *proxy) {
-	m.unsay(p)
-	p.at, p.rate, p.in1, p.in2 = 0, 0, 0, 0
+// clearReport discards all that a proxy has reported.
+func (m *Module) clearReport(p *proxy) {
+	m.withdrawReport(p)
+	p.reportedAt, p.sendRate, p.priorityRate, p.otherRate = 0, 0, 0, 0
 }
 
-// loaded takes a report. Counts of servers that are not listed are left out.
-func (m *Module) loaded(e LoadReported) {
+// handleLoadReport applies a load report. Loads of unknown servers are discarded.
+func (m *Module) handleLoadReport(e LoadReported) {
 	p := m.proxies[e.Proxy]
 	if p == nil || e.Interval <= 0 {
 		m.Discarded.Loads++
 		return
 	}
-	sec := math.Max(e.Interval.Seconds(), 0.01)
-	m.unsay(p)
-	rate := 0.0
-	for _, l := range e.Loads {
-		s := m.servers[l.Server]
-		if l.Server == "" {
-			s = m.byAddr[l.Addr]
+	seconds := math.Max(e.Interval.Seconds(), 0.01)
+	m.withdrawReport(p)
+	sendRate := 0.0
+	for _, load := range e.Loads {
+		srv := m.servers[load.Server]
+		if load.Server == "" {
+			srv = m.byAddr[load.Addr]
 		}
-		if s == nil {
+		if srv == nil {
 			m.Discarded.Loads++
 			continue
 		}
-		// Guards against one liar: no proxy has more out than a server can hold.
-		n := math.Min(float64(l.InFlight), 1e5)
-		flow := float64(l.OK) / sec // errors are no answers: a full server gives them fast
-		if p.uncounted {
-			flow = 0
+		// Guards against absurd reports of a single proxy.
+		inFlight := math.Min(float64(load.InFlight), 1e5)
+		answerRate := float64(load.OK) / seconds // without errors: a full server returns those fast
+		if p.unreliable {
+			answerRate = 0
 		}
-		x := p.said[s]
-		p.said[s] = said{x.n + n, x.flow + flow}
-		s.n += n
-		s.flow += flow
-		rate += float64(l.Issued) / sec
-		if p.uncounted { // what it has out weighs on a server all the same
+		previous := p.reported[srv]
+		p.reported[srv] = serverReport{previous.inFlight + inFlight, previous.answerRate + answerRate}
+		srv.inFlight += inFlight
+		srv.answerRate += answerRate
+		sendRate += float64(load.Issued) / seconds
+		if p.unreliable { // its open requests still load the server
 			continue
 		}
-		s.answers += float64(l.OK + l.Errors)
-		s.judged.ok += float64(l.OK)
-		s.judged.errors += float64(l.Errors)
-		if l.Utilisation >= fullUse {
-			s.told = m.now + validity // its own word, which lapses
+		srv.answeredCount += float64(load.OK + load.Errors)
+		srv.recent.ok += float64(load.OK)
+		srv.recent.errors += float64(load.Errors)
+		if load.Utilisation >= fullUtilisation {
+			srv.overloadedUntil = m.now + reportTTL // expires unless reported again
 		}
-		if l.OK > 0 {
-			s.silent = 0
-		} else if l.InFlight > 0 && s.silent == 0 {
-			s.silent = m.now
+		if load.OK > 0 {
+			srv.silentSince = 0
+		} else if load.InFlight > 0 && srv.silentSince == 0 {
+			srv.silentSince = m.now
 		}
 	}
-	p.at, p.rate = m.now, rate
-	p.in1, p.in2 = float64(e.PriorityArrivals)/sec, float64(e.OtherArrivals)/sec
+	p.reportedAt, p.sendRate = m.now, sendRate
+	p.priorityRate, p.otherRate = float64(e.PriorityArrivals)/seconds, float64(e.OtherArrivals)/seconds
 }
 
-// probed takes a probe. A server in doubt is excluded when it fails one; good
-// ones bring an excluded server back, as a cold one, since it may have been
+// handleProbeResult applies the outcome of a probe. A failed one excludes a suspected server.
+// Successful ones end an exclusion; the server then counts as cold, since it may have been
 // restarted.
-func (m *Module) probed(e ProbeResult) {
+func (m *Module) handleProbeResult(e ProbeResult) {
 	s := m.servers[e.Server]
 	switch {
 	case s == nil:
-	case !s.excluded && m.now < s.doubt && !e.OK:
-		m.exclude(s, "answers neither requests nor a probe")
+	case !s.excluded && m.now < s.suspectUntil && !e.OK:
+		m.exclude(s, "responds neither to requests nor to a probe")
 	case !s.excluded:
 	case !e.OK:
-		s.probesOK = 0
-		s.until = max(s.until, m.now+probeEvery)
+		s.goodProbes = 0
+		s.excludedUntil = max(s.excludedUntil, m.now+probeInterval)
 	default:
-		if s.probesOK++; s.probesOK < probesOK || m.now < s.until {
+		if s.goodProbes++; s.goodProbes < requiredProbes || m.now < s.excludedUntil {
 			return
 		}
-		s.excluded, s.probesOK = false, 0
-		m.startCold(s, m.now)
-		s.fresh, s.weight, m.dirty = false, math.Min(1, s.weight), true
-		m.log("server %s answers again", s.ID)
+		s.excluded, s.goodProbes = false, 0
+		m.startWarmup(s, m.now)
+		s.weightUnset, s.weight, m.dirty = false, math.Min(1, s.weight), true
+		m.log("server %s responds again", s.ID)
 	}
 }
 
-func (m *Module) anyCold() bool {
-	return slices.ContainsFunc(m.order, func(s *server) bool { return s.cold })
+func (m *Module) anyWarmingUp() bool {
+	return slices.ContainsFunc(m.sortedServers, func(s *server) bool { return s.cold })
 }
 
-// tick renews what is known of all servers, then decides.
+// tick updates the estimates for all servers and decides.
 func (m *Module) tick() {
-	for _, p := range m.present {
-		if p.at != 0 && m.now-p.at > validity {
-			m.silence(p)
+	for _, p := range m.sortedProxies {
+		if p.reportedAt != 0 && m.now-p.reportedAt > reportTTL {
+			m.clearReport(p)
 		}
 	}
-	m.survey()
-	m.suspect()
-	m.move()
-	m.divide()
-	m.share()
-	if m.last != nil && m.limit() != m.last.View("").MaxRequests {
+	m.updateEstimates()
+	m.detectFailures()
+	m.updateWeights()
+	m.updateShedding()
+	m.updateSpillover()
+	if m.lastState != nil && m.requestLimit() != m.lastState.View("").MaxRequests {
 		m.dirty = true
 	}
-	for _, s := range m.order {
-		if (s.excluded || m.now < s.doubt) && m.now-s.probedAt >= probeEvery {
+	for _, s := range m.sortedServers {
+		if (s.excluded || m.now < s.suspectUntil) && m.now-s.probedAt >= probeInterval {
 			s.probedAt = m.now
-			m.out = append(m.out, Probe{s.ID})
+			m.actions = append(m.actions, Probe{s.ID})
 		}
 		if s.cold {
 			m.dirty = true
-			if m.now-s.coldFrom >= m.set.WarmupTime {
+			if m.now-s.warmupFrom >= m.settings.WarmupTime {
 				s.cold = false
 			}
 		}
 	}
 }
 
-// survey renews rates, delays and modes.
-func (m *Module) survey() {
-	step := TickInterval.Seconds()
-	n, rate := 0.0, 0.0
-	for _, s := range m.order {
-		s.rate += (s.flow - s.rate) * step / rateTau
-		s.load += (s.n - s.load) * step / rateTau
-		s.peak = math.Max(s.peak*(1-step/memoryTau), s.rate/m.warmth(s))
-		if !s.excluded && s.answers >= learnCount {
-			n, rate = n+s.load, rate+s.rate
+// updateEstimates updates rates, delays and modes.
+func (m *Module) updateEstimates() {
+	seconds := TickInterval.Seconds()
+	inFlight, answerRate := 0.0, 0.0
+	for _, s := range m.sortedServers {
+		s.smoothedRate += (s.answerRate - s.smoothedRate) * seconds / rateTau
+		s.smoothedInFlight += (s.inFlight - s.smoothedInFlight) * seconds / rateTau
+		s.peakRate = math.Max(s.peakRate*(1-seconds/decayTau), s.smoothedRate/m.warmupFraction(s))
+		if !s.excluded && s.answeredCount >= minAnswered {
+			inFlight, answerRate = inFlight+s.smoothedInFlight, answerRate+s.smoothedRate
 		}
 	}
-	if rate > 0 && n > 0 {
-		m.mean = n / rate // Little's law
-		if m.base == 0 {
-			m.base = m.mean
+	if answerRate > 0 && inFlight > 0 {
+		m.meanDelay = inFlight / answerRate // Little's law
+		if m.baseDelay == 0 {
+			m.baseDelay = m.meanDelay
 		}
-		// It follows downwards too by steps: a backlog that is worked off looks
-		// like quick answers for a moment.
-		m.base = math.Max(math.Min(m.base*(1+step/memoryTau), m.mean), m.base*(1-step/baseTau))
-	}
-	peak, size := 0.0, 0.0
-	for _, s := range m.order {
-		if s.answers >= learnCount && !s.cold {
-			peak, size = peak+s.peak, size+s.size
+		// The decrease is limited too: a backlog being worked off looks like fast responses for a
+		// moment.
+		m.baseDelay = math.Max(math.Min(m.baseDelay*(1+seconds/decayTau), m.meanDelay), m.baseDelay*(1-seconds/baseTau))
+	}
+	peakSum, weightSum := 0.0, 0.0
+	for _, s := range m.sortedServers {
+		if s.answeredCount >= minAnswered && !s.cold {
+			peakSum, weightSum = peakSum+s.peakRate, weightSum+s.baseWeight
 		}
 	}
-	if size > 0 && peak > 0 { // what was learnt holds while there is nobody to learn from
-		m.unit = peak / size
+	if weightSum > 0 && peakSum > 0 { // keep the last value while no warm server is known
+		m.unitPeakRate = peakSum / weightSum
 	}
-	for _, s := range m.order {
-		if s.answers < learnCount || m.base == 0 {
-			s.mode = balance.Normal // nothing is held against what is not known
+	for _, s := range m.sortedServers {
+		if s.answeredCount < minAnswered || m.baseDelay == 0 {
+			s.mode = balance.Normal // not enough data to judge it
 			continue
 		}
-		h := m.high(s)
-		s.mode = balance.NextMode(s.mode, s.n, lowPart*h, h, blockPart*h+1)
-		if m.now < s.told {
+		high := m.highMark(s)
+		s.mode = balance.NextMode(s.mode, s.inFlight, lowFraction*high, high, blockFactor*high+1)
+		if m.now < s.overloadedUntil {
 			s.mode = max(s.mode, balance.Overloaded)
 		}
 	}
 }
 
-// high is H of a server: by Little's law, the requests that it may have while
-// its answers come as fast as the aims want.
-func (m *Module) high(s *server) float64 {
-	return math.Max(leastHigh, s.peak*math.Min(queueFactor*m.base, m.aimed))
+// highMark returns the requests in flight from which a server is overloaded: by Little's law those
+// that it can hold while its responses meet the target latency.
+func (m *Module) highMark(s *server) float64 {
+	return math.Max(minHighMark, s.peakRate*math.Min(queueFactor*m.baseDelay, m.targetDelay))
 }
 
-// delay is what a request sent there now has to expect, in seconds; 0 where
-// that is not known.
-func (m *Module) delay(s *server) float64 {
-	if s.answers < learnCount || s.load <= 0 {
+// expectedDelay returns the delay in seconds of a request sent to the server now, 0 if unknown.
+func (m *Module) expectedDelay(s *server) float64 {
+	if s.answeredCount < minAnswered || s.smoothedInFlight <= 0 {
 		return 0
 	}
-	return s.load / math.Max(s.rate, 0.1)
+	return s.smoothedInFlight / math.Max(s.smoothedRate, 0.1)
 }
 
-// suspect looks for servers that fail or are silent. On reports alone no more
-// than a part of a hall is excluded: when all fail at once, it may not be the
-// servers. Whoever is in doubt is probed, and goes when that fails too.
-func (m *Module) suspect() {
-	total, out := map[string]int{}, map[string]int{}
-	for _, s := range m.order {
+// detectFailures looks for servers that fail or are silent. Reports alone exclude only a fraction
+// of a zone, since failures of all servers at once may have another cause. Suspected servers are
+// probed and excluded when the probe fails as well.
+func (m *Module) detectFailures() {
+	total, excluded := map[string]int{}, map[string]int{}
+	for _, s := range m.sortedServers {
 		total[s.Zone]++
 		if s.excluded {
-			out[s.Zone]++
+			excluded[s.Zone]++
 		}
 	}
-	for _, s := range m.order {
-		done := s.judged.ok + s.judged.errors
-		// Guards against taking out, one after the other, servers that turn
-		// requests away because they are full.
-		bad := done >= suspectLeast && s.judged.errors >= suspectPart*done && s.mode == balance.Normal
-		silent := s.silent > 0 && m.now-s.silent >= silentAfter
-		if done >= suspectLeast || silent {
-			s.judged.ok, s.judged.errors = 0, 0
+	for _, s := range m.sortedServers {
+		ended := s.recent.ok + s.recent.errors
+		// Guards against excluding one server after the other for rejecting requests because they
+		// are full.
+		failing := ended >= minErrorSamples && s.recent.errors >= maxErrorFraction*ended && s.mode == balance.Normal
+		silent := s.silentSince > 0 && m.now-s.silentSince >= silenceTimeout
+		if ended >= minErrorSamples || silent {
+			s.recent.ok, s.recent.errors = 0, 0
 		}
 		if s.excluded {
 			continue
 		}
 		switch {
-		case bad || s.silent > 0:
-			s.doubt = m.now + doubtFor
-		case done >= suspectLeast:
-			s.holds, s.doubt = max(0, s.holds-1), 0
+		case failing || s.silentSince > 0:
+			s.suspectUntil = m.now + suspicionTime
+		case ended >= minErrorSamples:
+			s.exclusions, s.suspectUntil = max(0, s.exclusions-1), 0
 		}
-		if (bad || silent) && float64(out[s.Zone]+1) <= math.Max(1, excludeMost*float64(total[s.Zone])) {
-			out[s.Zone]++
-			m.exclude(s, map[bool]string{true: "fails", false: "is silent"}[bad])
+		if (failing || silent) && float64(excluded[s.Zone]+1) <= math.Max(1, maxExcludedFraction*float64(total[s.Zone])) {
+			excluded[s.Zone]++
+			m.exclude(s, map[bool]string{true: "fails", false: "is silent"}[failing])
 		}
 	}
 }
 
-func (m *Module) exclude(s *server, why string) {
-	s.excluded, s.doubt, s.probesOK, s.silent = true, 0, 0, 0
-	s.until = m.now + min(excludeMax, excludeMin<<min(s.holds, 4))
-	s.holds++
+func (m *Module) exclude(s *server, reason string) {
+	s.excluded, s.suspectUntil, s.goodProbes, s.silentSince = true, 0, 0, 0
+	s.excludedUntil = m.now + min(maxExclusion, minExclusion<<min(s.exclusions, 4))
+	s.exclusions++
 	m.urgent = true
-	m.log("server %s %s: excluded", s.ID, why)
+	m.log("server %s %s: excluded", s.ID, reason)
 }
--- a/steer/steer_test.go
+++ b/steer/steer_test.go
@@ -11,127 +11,128 @@
 	"ivylock/balance"
 )
 
-// world is a fleet and its proxies in one process: each proxy sends by the
-// state that it was last told, servers answer by a queue with their capacity,
-// and reports come each second, at another moment from each proxy.
-type world struct {
-	t       *testing.T
-	m       *Module
-	now     Time
-	state   *State
-	list    []Server
-	rate    map[ServerID]float64 // requests a second that it can answer
-	queue   map[ServerID]float64
-	proxies []*sender
-	offered float64 // requests a second of all proxies
-	prio    float64 // part of them of priority
-	probes  map[ServerID]bool
-	deaf    map[ServerID]bool
-	failing map[ServerID]bool
-	well    bool // servers pass probes whatever else they do
-	rand    *rand.Rand
-
-	published []*State
-	urgent    int
-	lines     []string
-	flow      map[ServerID]float64 // what it was sent in the last step, a second
-	peak      map[ServerID]float64 // the most that a server was sent in a step, a second
-	dropped   float64
-	sent      float64
-}
-
-type sender struct {
-	id     ProxyID
-	zone   string
-	share  float64 // of what is offered
-	loads  map[ServerID]*Load
-	in1    float64
-	in2    float64
-	due    Time
-	frac   map[ServerID]float64
-	silent bool
+// testFleet simulates servers and proxies. Proxies send by the last published state, servers
+// answer from a queue at their capacity, and each proxy reports once per second at its own offset.
+type testFleet struct {
+	t                *testing.T
+	module           *Module
+	now              Time
+	state            *State
+	servers          []Server
+	capacity         map[ServerID]float64 // requests/s it can answer
+	queue            map[ServerID]float64
+	proxies          []*testProxy
+	offered          float64 // requests/s of all proxies
+	priorityFraction float64 // fraction of priority requests
+	probes           map[ServerID]bool
+	silent           map[ServerID]bool
+	failing          map[ServerID]bool
+	probesPass       bool // servers pass probes even if silent or failing
+	rng              *rand.Rand
+
+	states      []*State
+	urgentCount int
+	logLines    []string
+	lastRate    map[ServerID]float64 // requests/s in the last step
+	peakRate    map[ServerID]float64 // highest requests/s in a step
+	dropped     float64
+	sent        float64
+}
+
+type testProxy struct {
+	id               ProxyID
+	zone             string
+	shareOfLoad      float64 // fraction of the offered load
+	loads            map[ServerID]*Load
+	priorityArrivals float64
+	otherArrivals    float64
+	nextReport       Time
+	remainder        map[ServerID]float64
+	silent           bool
 }
 
 const (
-	step = 20 * time.Millisecond
-	work = 0.03 // s that a request takes without a queue
+	step        = 20 * time.Millisecond
+	requestTime = 0.03 // s; without a queue
 )
 
-func newWorld(t *testing.T, servers, proxies int, zones ...string) *world {
+func newTestFleet(t *testing.T, servers, proxies int, zones ...string) *testFleet {
 	t.Helper()
-	m, err := New(Settings{Classes: []balance.Class{{Name: "clip", TargetLatency: time.Second}}})
+	module, err := New(Settings{Classes: []balance.Class{{Name: "clip", TargetLatency: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, m: m, now: time.Hour, rate: map[ServerID]float64{}, queue: map[ServerID]float64{},
-		probes: map[ServerID]bool{}, deaf: map[ServerID]bool{}, failing: map[ServerID]bool{}, flow: map[ServerID]float64{}, peak: map[ServerID]float64{},
-		rand: rand.New(rand.NewPCG(1, 2)), prio: 0.3}
+	fleet := &testFleet{t: t, module: module, now: time.Hour,
+		capacity: map[ServerID]float64{}, queue: map[ServerID]float64{},
+		probes: map[ServerID]bool{}, silent: map[ServerID]bool{}, failing: map[ServerID]bool{},
+		lastRate: map[ServerID]float64{}, peakRate: map[ServerID]float64{}, rng: rand.New(rand.NewPCG(1, 2)), priorityFraction: 0.3}
 	for i := range servers {
 		id := ServerID(fmt.Sprintf("s%02d", i))
-		w.list = append(w.list, Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:80", i+1), Zone: zones[i%len(zones)], Cell: i / 3, RelativeSize: 1})
-		w.rate[id] = 100
+		fleet.servers = append(fleet.servers, Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:80", i+1),
+			Zone: zones[i%len(zones)], Cell: i / 3, RelativeSize: 1})
+		fleet.capacity[id] = 100
 	}
 	for i := range proxies {
-		p := &sender{id: ProxyID(fmt.Sprintf("p%d", i)), zone: zones[i%len(zones)], share: 1 / float64(proxies),
-			loads: map[ServerID]*Load{}, frac: map[ServerID]float64{}, due: w.now + time.Second + time.Duration(i)*37*time.Millisecond}
-		w.proxies = append(w.proxies, p)
-		w.feed(ProxyJoined{p.id, p.zone})
-	}
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	return w
+		proxy := &testProxy{id: ProxyID(fmt.Sprintf("p%d", i)), zone: zones[i%len(zones)], shareOfLoad: 1 / float64(proxies),
+			loads: map[ServerID]*Load{}, remainder: map[ServerID]float64{},
+			nextReport: fleet.now + time.Second + time.Duration(i)*37*time.Millisecond}
+		fleet.proxies = append(fleet.proxies, proxy)
+		fleet.feed(ProxyJoined{proxy.id, proxy.zone})
+	}
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	return fleet
 }
 
-func (w *world) feed(e Event) {
-	for _, a := range w.m.Handle(w.now, e) {
+func (f *testFleet) feed(e Event) {
+	for _, a := range f.module.Handle(f.now, e) {
 		switch a := a.(type) {
 		case Publish:
-			if w.state != nil && a.State.Version <= w.state.Version {
-				w.t.Errorf("version %d after %d", a.State.Version, w.state.Version)
+			if f.state != nil && a.State.Version <= f.state.Version {
+				f.t.Errorf("version %d published after %d", a.State.Version, f.state.Version)
 			}
-			w.state = a.State
-			w.published = append(w.published, a.State)
+			f.state = a.State
+			f.states = append(f.states, a.State)
 			if a.Urgent {
-				w.urgent++
+				f.urgentCount++
 			}
 		case Probe:
-			w.probes[a.Server] = true
+			f.probes[a.Server] = true
 		case Log:
-			w.lines = append(w.lines, a.Line)
+			f.logLines = append(f.logLines, a.Line)
 		}
 	}
 }
 
-// parts gives the part of a view's requests that each server gets, by the
-// rules of the published protocol: the first priority with a healthy server,
-// localities by weight, endpoints by weight within them.
-func parts(v *View) map[ServerID]float64 {
-	for p := range uint32(4) {
-		if out := partsOf(v, p); len(out) > 0 {
+// serverFractions returns the fraction of a view's requests that each server gets under the xDS
+// rules: the first priority with a healthy server, then locality weights, then endpoint weights.
+func serverFractions(view *View) map[ServerID]float64 {
+	for priority := range uint32(4) {
+		if out := priorityFractions(view, priority); len(out) > 0 {
 			return out
 		}
 	}
 	return nil
 }
 
-// partsOf gives the same for one priority.
-func partsOf(v *View, p uint32) map[ServerID]float64 {
+// priorityFractions is like serverFractions for a single priority.
+func priorityFractions(view *View, priority uint32) map[ServerID]float64 {
 	out := map[ServerID]float64{}
 	for range 1 {
 		total := 0.0
-		for _, l := range v.Localities {
+		for _, locality := range view.Localities {
 			sum := 0.0
-			for _, e := range l.Endpoints {
+			for _, e := range locality.Endpoints {
 				if e.Health == Healthy {
 					sum += float64(e.Weight)
 				}
 			}
-			if l.Priority != p || sum == 0 {
+			if locality.Priority != priority || sum == 0 {
 				continue
 			}
-			total += float64(l.Weight)
-			for _, e := range l.Endpoints {
+			total += float64(locality.Weight)
+			for _, e := range locality.Endpoints {
 				if e.Health == Healthy {
-					out[e.ID] = float64(l.Weight) * float64(e.Weight) / sum
+					out[e.ID] = float64(locality.Weight) * float64(e.Weight) / sum
 				}
 			}
 		}
@@ -145,448 +146,456 @@
 	return out
 }
 
-// run lets time pass.
-func (w *world) run(length time.Duration) {
-	sec := step.Seconds()
-	for end := w.now + length; w.now < end; {
-		w.now += step
+// run advances the simulation.
+func (f *testFleet) run(length time.Duration) {
+	seconds := step.Seconds()
+	for end := f.now + length; f.now < end; {
+		f.now += step
 		arrived := map[ServerID]float64{}
-		for _, p := range w.proxies {
-			v := w.state.View(p.zone)
-			in := w.offered * p.share * sec
-			p.in1, p.in2 = p.in1+in*w.prio, p.in2+in*(1-w.prio)
-			pass := in*w.prio*(1-float64(v.DropPriorityPPM)/1e6) + in*(1-w.prio)*(1-float64(v.DropOtherPPM)/1e6)
-			w.dropped, w.sent = w.dropped+in-pass, w.sent+pass
-			for id, part := range parts(v) {
-				arrived[id] += pass * part
-				p.load(id).Issued += p.whole(id, pass*part)
+		for _, proxy := range f.proxies {
+			view := f.state.View(proxy.zone)
+			arrivals := f.offered * proxy.shareOfLoad * seconds
+			proxy.priorityArrivals, proxy.otherArrivals =
+				proxy.priorityArrivals+arrivals*f.priorityFraction, proxy.otherArrivals+arrivals*(1-f.priorityFraction)
+			admitted := arrivals*f.priorityFraction*(1-float64(view.DropPriorityPPM)/1e6) +
+				arrivals*(1-f.priorityFraction)*(1-float64(view.DropOtherPPM)/1e6)
+			f.dropped, f.sent = f.dropped+arrivals-admitted, f.sent+admitted
+			for id, fraction := range serverFractions(view) {
+				arrived[id] += admitted * fraction
+				proxy.load(id).Issued += proxy.wholeRequests(id, admitted*fraction)
 			}
 		}
-		for _, s := range w.list {
-			n := arrived[s.ID]
-			w.peak[s.ID], w.flow[s.ID] = math.Max(w.peak[s.ID], n/sec), n/sec
-			q := w.queue[s.ID] + n
-			done := 0.0
-			if !w.deaf[s.ID] {
-				done = math.Min(q, w.rate[s.ID]*sec)
+		for _, s := range f.servers {
+			requests := arrived[s.ID]
+			f.peakRate[s.ID], f.lastRate[s.ID] = math.Max(f.peakRate[s.ID], requests/seconds), requests/seconds
+			queue := f.queue[s.ID] + requests
+			answered := 0.0
+			if !f.silent[s.ID] {
+				answered = math.Min(queue, f.capacity[s.ID]*seconds)
 			}
-			if n > 0 && q > 200 { // clients give up
-				q = 200
+			if requests > 0 && queue > 200 { // clients time out
+				queue = 200
 			}
-			w.queue[s.ID] = q - done
-			// The answers go to proxies by what they sent; shares of the total do.
-			for _, p := range w.proxies {
-				l := p.load(s.ID)
-				if w.failing[s.ID] {
-					l.Errors += p.whole(s.ID+"!", done*p.share)
+			f.queue[s.ID] = queue - answered
+			// Each proxy gets answers in proportion to its share of the load.
+			for _, proxy := range f.proxies {
+				load := proxy.load(s.ID)
+				if f.failing[s.ID] {
+					load.Errors += proxy.wholeRequests(s.ID+"!", answered*proxy.shareOfLoad)
 				} else {
-					l.OK += p.whole(s.ID+"+", done*p.share)
+					load.OK += proxy.wholeRequests(s.ID+"+", answered*proxy.shareOfLoad)
 				}
 			}
 		}
-		for _, p := range w.proxies {
-			if w.now < p.due {
+		for _, proxy := range f.proxies {
+			if f.now < proxy.nextReport {
 				continue
 			}
-			p.due += time.Second
-			e := LoadReported{Proxy: p.id, Interval: time.Second, PriorityArrivals: uint64(p.in1 + 0.5), OtherArrivals: uint64(p.in2 + 0.5)}
-			for _, s := range w.list {
-				l := p.load(s.ID)
-				l.Server = s.ID
-				l.InFlight = uint64((w.queue[s.ID]+w.flow[s.ID]*work)*p.share + w.rand.Float64())
-				if l.Issued+l.OK+l.Errors+l.InFlight > 0 {
-					e.Loads = append(e.Loads, *l)
+			proxy.nextReport += time.Second
+			report := LoadReported{Proxy: proxy.id, Interval: time.Second,
+				PriorityArrivals: uint64(proxy.priorityArrivals + 0.5), OtherArrivals: uint64(proxy.otherArrivals + 0.5)}
+			for _, s := range f.servers {
+				load := proxy.load(s.ID)
+				load.Server = s.ID
+				load.InFlight = uint64((f.queue[s.ID]+f.lastRate[s.ID]*requestTime)*proxy.shareOfLoad + f.rng.Float64())
+				if load.Issued+load.OK+load.Errors+load.InFlight > 0 {
+					report.Loads = append(report.Loads, *load)
 				}
-				*l = Load{}
+				*load = Load{}
 			}
-			p.in1, p.in2 = 0, 0
-			if !p.silent {
-				w.feed(e)
+			proxy.priorityArrivals, proxy.otherArrivals = 0, 0
+			if !proxy.silent {
+				f.feed(report)
 			}
 		}
-		if w.now%TickInterval == 0 {
-			w.feed(Tick{})
+		if f.now%TickInterval == 0 {
+			f.feed(Tick{})
 		}
-		for id := range w.probes {
-			delete(w.probes, id)
-			w.feed(ProbeResult{Server: id, OK: w.well || !w.deaf[id] && !w.failing[id]})
+		for id := range f.probes {
+			delete(f.probes, id)
+			f.feed(ProbeResult{Server: id, OK: f.probesPass || !f.silent[id] && !f.failing[id]})
 		}
 	}
 }
 
-func (p *sender) load(id ServerID) *Load {
+func (p *testProxy) load(id ServerID) *Load {
 	if p.loads[id] == nil {
 		p.loads[id] = &Load{}
 	}
 	return p.loads[id]
 }
 
-// whole turns parts of requests into whole ones over time.
-func (p *sender) whole(id ServerID, n float64) uint64 {
-	p.frac[id] += n
-	k := math.Floor(p.frac[id])
-	p.frac[id] -= k
-	return uint64(k)
+// wholeRequests converts fractional requests to whole ones, carrying the remainder over.
+func (p *testProxy) wholeRequests(id ServerID, amount float64) uint64 {
+	p.remainder[id] += amount
+	whole := math.Floor(p.remainder[id])
+	p.remainder[id] -= whole
+	return uint64(whole)
 }
 
-func (w *world) endpoint(id ServerID) Endpoint {
-	w.t.Helper()
-	for _, l := range w.state.View("").Localities {
+func (f *testFleet) endpoint(id ServerID) Endpoint {
+	f.t.Helper()
+	for _, l := range f.state.View("").Localities {
 		for _, e := range l.Endpoints {
 			if e.ID == id {
 				return e
 			}
 		}
 	}
-	w.t.Fatalf("%s is not told", id)
+	f.t.Fatalf("%s is not in the published state", id)
 	return Endpoint{}
 }
 
-func TestADrainIsPublishedAtOnceAndARelistedServerComesBack(t *testing.T) {
-	w := newWorld(t, 6, 4, "a")
-	w.offered = 200
-	w.run(5 * time.Second)
-	before := w.urgent
-	w.list[2].Draining = true
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	if w.urgent != before+1 || w.endpoint("s02").Health != Draining {
-		t.Errorf("%d urgent states, health %v", w.urgent-before, w.endpoint("s02").Health)
-	}
-	w.list[2].Draining = false
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	w.run(2 * time.Second)
-	if w.endpoint("s02").Health != Healthy {
-		t.Errorf("after its return: %v", w.endpoint("s02").Health)
-	}
-	w.feed(ListReceived{Kind: ListFull, Servers: append(slices.Clone(w.list[:2]), w.list[3:]...)})
-	for _, l := range w.state.View("").Localities {
+func TestDrainIsPublishedAtOnceAndRelistedServerReturns(t *testing.T) {
+	fleet := newTestFleet(t, 6, 4, "a")
+	fleet.offered = 200
+	fleet.run(5 * time.Second)
+	urgentBefore := fleet.urgentCount
+	fleet.servers[2].Draining = true
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	if fleet.urgentCount != urgentBefore+1 || fleet.endpoint("s02").Health != Draining {
+		t.Errorf("%d urgent states, health %v", fleet.urgentCount-urgentBefore, fleet.endpoint("s02").Health)
+	}
+	fleet.servers[2].Draining = false
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	fleet.run(2 * time.Second)
+	if fleet.endpoint("s02").Health != Healthy {
+		t.Errorf("after the end of the drain: %v", fleet.endpoint("s02").Health)
+	}
+	fleet.feed(ListReceived{Kind: ListFull, Servers: append(slices.Clone(fleet.servers[:2]), fleet.servers[3:]...)})
+	for _, l := range fleet.state.View("").Localities {
 		for _, e := range l.Endpoints {
 			if e.ID == "s02" {
-				t.Error("a removed server is still told")
+				t.Error("a removed server is still published")
 			}
 		}
 	}
 }
 
-func TestAnOldListConfirmsNothingAndUndoesNoDrain(t *testing.T) {
+func TestCachedListNeitherConfirmsNorUndoesDrain(t *testing.T) {
 	m, err := New(Settings{Classes: []balance.Class{{Name: "clip", TargetLatency: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := []Server{{ID: "a", Addr: "h:1", Zone: "z", RelativeSize: 1}, {ID: "b", Addr: "h:2", Zone: "z", RelativeSize: 1}}
-	last := func(out []Action) *State {
-		var st *State
-		for _, a := range out {
+	list := []Server{{ID: "a", Addr: "h:1", Zone: "z", RelativeSize: 1},
+		{ID: "b", Addr: "h:2", Zone: "z", RelativeSize: 1}}
+	lastState := func(actions []Action) *State {
+		var state *State
+		for _, a := range actions {
 			if p, ok := a.(Publish); ok {
-				st = p.State
+				state = p.State
 			}
 		}
-		return st
+		return state
 	}
-	if st := last(m.Handle(time.Hour, ListReceived{Kind: ListCached, Servers: list})); st == nil || st.Confirmed {
-		t.Fatalf("of a kept list: %+v", st)
+	if state := lastState(m.Handle(time.Hour, ListReceived{Kind: ListCached, Servers: list})); state == nil ||
+		state.Confirmed {
+		t.Fatalf("cached list: state %+v", state)
 	}
 	drained := slices.Clone(list)
 	drained[0].Draining = true
-	if st := last(m.Handle(time.Hour, ListReceived{Kind: ListFull, Servers: drained})); st == nil || !st.Confirmed {
-		t.Fatalf("of a fresh one: %+v", st)
+	if state := lastState(m.Handle(time.Hour, ListReceived{Kind: ListFull, Servers: drained})); state == nil ||
+		!state.Confirmed {
+		t.Fatalf("full list: state %+v", state)
 	}
 	m.Handle(time.Hour+time.Second, ListReceived{Kind: ListCached, Servers: list})
 	m.Handle(time.Hour+2*time.Second, ListReceived{Kind: ListFailed})
 	if !m.servers["a"].Draining {
-		t.Error("a kept list undid a drain")
+		t.Error("a cached list undid a drain")
 	}
 }
 
-func TestFasterServersGetMore(t *testing.T) {
-	w := newWorld(t, 4, 3, "a")
-	w.rate["s00"], w.rate["s01"] = 50, 50
-	w.offered = 220 // of 300
-	w.run(60 * time.Second)
-	slow, fast := float64(w.endpoint("s00").Weight), float64(w.endpoint("s03").Weight)
-	if r := fast / slow; r < 1.2 {
+func TestFasterServersGetHigherWeight(t *testing.T) {
+	fleet := newTestFleet(t, 4, 3, "a")
+	fleet.capacity["s00"], fleet.capacity["s01"] = 50, 50
+	fleet.offered = 220 // capacity 300
+	fleet.run(60 * time.Second)
+	slow, fast := float64(fleet.endpoint("s00").Weight), float64(fleet.endpoint("s03").Weight)
+	if ratio := fast / slow; ratio < 1.2 {
 		t.Errorf("weights %v and %v", slow, fast)
 	}
-	if w.queue["s00"] > 30 {
-		t.Errorf("%v wait at the slow one", w.queue["s00"])
+	if fleet.queue["s00"] > 30 {
+		t.Errorf("%v requests queued at the slow server", fleet.queue["s00"])
 	}
 }
 
-// Weights may not flap: each server's changes at most once a second, and by at
-// most the stated factor.
-func TestWeightsChangeSeldomAndLittle(t *testing.T) {
-	w := newWorld(t, 6, 5, "a")
-	w.offered = 400
-	w.run(20 * time.Second)
-	from := len(w.published)
-	start := w.now
-	w.rate["s00"] = 30
-	w.run(30 * time.Second)
-	n := len(w.published) - from
-	if most := int((w.now-start)/time.Second) + 1; n > most {
-		t.Errorf("%d states in %v", n, w.now-start)
-	}
-	if n == 0 {
+// Guards against oscillation: a weight changes at most once per second and by a limited factor.
+func TestWeightChangesAreLimitedInRateAndSize(t *testing.T) {
+	fleet := newTestFleet(t, 6, 5, "a")
+	fleet.offered = 400
+	fleet.run(20 * time.Second)
+	first := len(fleet.states)
+	start := fleet.now
+	fleet.capacity["s00"] = 30
+	fleet.run(30 * time.Second)
+	published := len(fleet.states) - first
+	if limit := int((fleet.now-start)/time.Second) + 1; published > limit {
+		t.Errorf("%d states in %v", published, fleet.now-start)
+	}
+	if published == 0 {
 		t.Fatal("nothing changed")
 	}
-	for i := from; i < len(w.published); i++ {
-		a, b := parts(w.published[i-1].View("a")), parts(w.published[i].View("a"))
-		for id := range b {
-			// A part moves with all the others too; a blocked server's two steps.
-			if r := b[id] / a[id]; r > 1.25*1.25*1.02 || r < 1/(1.25*1.25*1.25*1.02) {
-				t.Errorf("state %d: the part of %s went from %.3f to %.3f", i, id, a[id], b[id])
+	for i := first; i < len(fleet.states); i++ {
+		before, after := serverFractions(fleet.states[i-1].View("a")), serverFractions(fleet.states[i].View("a"))
+		for id := range after {
+			// A fraction also moves with the other weights, and a blocking server's by two steps.
+			if ratio := after[id] / before[id]; ratio > 1.25*1.25*1.02 || ratio < 1/(1.25*1.25*1.25*1.02) {
+				t.Errorf("state %d: the fraction of %s went from %.3f to %.3f", i, id, before[id], after[id])
 			}
 		}
 	}
 }
 
-// TotalTimeout proxies together stay under the stated multiple of what a cold server
-// can do at that moment, with as few as all proxies silent on their loads.
-func TestAColdServerIsNotPushedOver(t *testing.T) {
+// All proxies together stay below OverloadFactor times a cold server's current capacity, even if
+// half of them report nothing.
+func TestColdServerIsNotOverloaded(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		w := newWorld(t, 6, 8, "a")
-		w.offered = 500
-		w.run(20 * time.Second)
+		fleet := newTestFleet(t, 6, 8, "a")
+		fleet.offered = 500
+		fleet.run(20 * time.Second)
 		if silent {
-			for _, p := range w.proxies[:4] {
+			for _, p := range fleet.proxies[:4] {
 				p.silent = true
 			}
-			w.run(4 * time.Second)
-		}
-		w.list = append(w.list, Server{ID: "new", Addr: "10.0.0.99:80", Zone: "a", RelativeSize: 1, StartedAt: w.now})
-		w.rate["new"] = 100
-		began := w.now
-		w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-		clear(w.peak)
+			fleet.run(4 * time.Second)
+		}
+		fleet.servers = append(fleet.servers, Server{ID: "new", Addr: "10.0.0.99:80", Zone: "a", RelativeSize: 1,
+			StartedAt: fleet.now})
+		fleet.capacity["new"] = 100
+		began := fleet.now
+		fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+		clear(fleet.peakRate)
 		worst := 0.0
-		for w.now < began+10*time.Second {
-			warm := math.Min(1, 0.32+0.68*(w.now-began).Seconds()/8.3)
-			w.rate["new"] = 100 * warm
-			w.run(step)
-			worst = math.Max(worst, w.peak["new"]/(100*warm))
-			clear(w.peak)
+		for fleet.now < began+10*time.Second {
+			warmth := math.Min(1, 0.32+0.68*(fleet.now-began).Seconds()/8.3)
+			fleet.capacity["new"] = 100 * warmth
+			fleet.run(step)
+			worst = math.Max(worst, fleet.peakRate["new"]/(100*warmth))
+			clear(fleet.peakRate)
 		}
 		if worst > 2.5 || worst == 0 {
-			t.Errorf("silent %v: %.2f times its capacity", silent, worst)
+			t.Errorf("silent proxies %v: %.2f times the cold server's capacity", silent, worst)
 		}
-		if part := parts(w.state.View("a"))["new"]; part < 0.05 {
-			t.Errorf("silent %v: warm, and its part is %.3f", silent, part)
+		if fraction := serverFractions(fleet.state.View("a"))["new"]; fraction < 0.05 {
+			t.Errorf("silent proxies %v: warm server gets a fraction of %.3f", silent, fraction)
 		}
 	}
 }
 
-// With none but cold servers the rest is refused, other requests first.
-func TestAColdHallTakesOnlyWhatItCan(t *testing.T) {
-	w := newWorld(t, 4, 4, "a")
-	w.offered = 300
-	w.run(20 * time.Second)
-	for i := range w.list {
-		w.list[i].ID += "'"
-		w.list[i].StartedAt = w.now
-		w.rate[w.list[i].ID] = 32
+// If only cold servers are left, the excess is dropped, other requests first.
+func TestZoneOfColdServersShedsLoad(t *testing.T) {
+	fleet := newTestFleet(t, 4, 4, "a")
+	fleet.offered = 300
+	fleet.run(20 * time.Second)
+	for i := range fleet.servers {
+		fleet.servers[i].ID += "'"
+		fleet.servers[i].StartedAt = fleet.now
+		fleet.capacity[fleet.servers[i].ID] = 32
 	}
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	v := w.state.View("a")
-	if v.DropOtherPPM == 0 || v.DropPriorityPPM > v.DropOtherPPM {
-		t.Errorf("drops %d and %d of a million", v.DropPriorityPPM, v.DropOtherPPM)
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	view := fleet.state.View("a")
+	if view.DropOtherPPM == 0 || view.DropPriorityPPM > view.DropOtherPPM {
+		t.Errorf("drops %d and %d ppm", view.DropPriorityPPM, view.DropOtherPPM)
 	}
-	clear(w.peak)
-	w.run(200 * time.Millisecond)
-	for _, s := range w.list {
-		if w.peak[s.ID] > 2.5*32 {
-			t.Errorf("%s got %.0f a second", s.ID, w.peak[s.ID])
+	clear(fleet.peakRate)
+	fleet.run(200 * time.Millisecond)
+	for _, s := range fleet.servers {
+		if fleet.peakRate[s.ID] > 2.5*32 {
+			t.Errorf("%s got %.0f requests/s", s.ID, fleet.peakRate[s.ID])
 		}
 	}
 }
 
-func TestOverloadShedsOthersFirstAndLapses(t *testing.T) {
-	w := newWorld(t, 4, 4, "a")
-	w.offered = 300
-	w.run(15 * time.Second)
-	if v := w.state.View("a"); v.DropOtherPPM != 0 {
-		t.Fatalf("dropped at three quarters of the capacity: %d", v.DropOtherPPM)
+func TestOverloadShedsOtherRequestsFirstAndRecovers(t *testing.T) {
+	fleet := newTestFleet(t, 4, 4, "a")
+	fleet.offered = 300
+	fleet.run(15 * time.Second)
+	if view := fleet.state.View("a"); view.DropOtherPPM != 0 {
+		t.Fatalf("drops %d ppm at three quarters of the capacity", view.DropOtherPPM)
 	}
-	w.offered = 800
-	w.run(40 * time.Second)
-	v := w.state.View("a")
-	if v.DropOtherPPM < 500_000 || v.DropPriorityPPM >= v.DropOtherPPM {
-		t.Errorf("at twice the capacity: drops %d and %d of a million", v.DropPriorityPPM, v.DropOtherPPM)
+	fleet.offered = 800
+	fleet.run(40 * time.Second)
+	view := fleet.state.View("a")
+	if view.DropOtherPPM < 500_000 || view.DropPriorityPPM >= view.DropOtherPPM {
+		t.Errorf("at twice the capacity: drops %d and %d ppm", view.DropPriorityPPM, view.DropOtherPPM)
 	}
-	w.offered = 200
-	w.run(40 * time.Second)
-	if v := w.state.View("a"); v.DropOtherPPM != 0 || v.DropPriorityPPM != 0 {
-		t.Errorf("afterwards: drops %d and %d", v.DropPriorityPPM, v.DropOtherPPM)
+	fleet.offered = 200
+	fleet.run(40 * time.Second)
+	if view := fleet.state.View("a"); view.DropOtherPPM != 0 || view.DropPriorityPPM != 0 {
+		t.Errorf("after the overload: drops %d and %d ppm", view.DropPriorityPPM, view.DropOtherPPM)
 	}
 }
 
-func TestASilentServerAndAFailingOneAreExcludedAndComeBack(t *testing.T) {
-	for _, how := range []string{"silent", "failing"} {
-		w := newWorld(t, 6, 4, "a")
-		w.offered = 300
-		w.run(10 * time.Second)
-		bad := w.deaf
-		if how == "failing" {
-			bad = w.failing
+func TestSilentAndFailingServersAreExcludedAndReturn(t *testing.T) {
+	for _, mode := range []string{"silent", "failing"} {
+		fleet := newTestFleet(t, 6, 4, "a")
+		fleet.offered = 300
+		fleet.run(10 * time.Second)
+		faulty := fleet.silent
+		if mode == "failing" {
+			faulty = fleet.failing
 		}
-		bad["s01"] = true
-		w.run(5 * time.Second)
-		if w.endpoint("s01").Health != Excluded {
-			t.Errorf("%s: %v after 5 s", how, w.endpoint("s01").Health)
+		faulty["s01"] = true
+		fleet.run(5 * time.Second)
+		if fleet.endpoint("s01").Health != Excluded {
+			t.Errorf("%s: %v after 5 s", mode, fleet.endpoint("s01").Health)
 		}
-		bad["s01"] = false
-		w.queue["s01"] = 0
-		w.run(10 * time.Second)
-		if w.endpoint("s01").Health != Healthy {
-			t.Errorf("%s: %v after its return", how, w.endpoint("s01").Health)
+		faulty["s01"] = false
+		fleet.queue["s01"] = 0
+		fleet.run(10 * time.Second)
+		if fleet.endpoint("s01").Health != Healthy {
+			t.Errorf("%s: %v after recovery", mode, fleet.endpoint("s01").Health)
 		}
 	}
 }
 
-// When all fail at once and pass their probes it is not the servers: most stay
-// in use.
-func TestNoMoreThanAPartIsExcluded(t *testing.T) {
-	w := newWorld(t, 6, 4, "a")
-	w.well = true
-	w.offered = 300
-	w.run(10 * time.Second)
-	for _, s := range w.list {
-		w.failing[s.ID] = true
+// If all servers fail at once but pass their probes, most of them stay in use.
+func TestExcludedFractionIsLimited(t *testing.T) {
+	fleet := newTestFleet(t, 6, 4, "a")
+	fleet.probesPass = true
+	fleet.offered = 300
+	fleet.run(10 * time.Second)
+	for _, s := range fleet.servers {
+		fleet.failing[s.ID] = true
 	}
-	w.run(10 * time.Second)
-	out := 0
-	for _, s := range w.list {
-		if w.endpoint(s.ID).Health == Excluded {
-			out++
+	fleet.run(10 * time.Second)
+	excluded := 0
+	for _, s := range fleet.servers {
+		if fleet.endpoint(s.ID).Health == Excluded {
+			excluded++
 		}
 	}
-	if out > 2 {
-		t.Errorf("%d of 6 are excluded", out)
+	if excluded > 2 {
+		t.Errorf("%d of 6 are excluded", excluded)
 	}
 }
 
-// A hall that is lost is left alone once its servers fail their probes too.
-func TestALostHallIsLeftToTheOthers(t *testing.T) {
-	w := newWorld(t, 9, 6, "a", "b", "c")
-	w.offered = 300
-	w.run(15 * time.Second)
-	for _, s := range w.list {
-		w.deaf[s.ID] = s.Zone == "a"
+// A lost zone gets no requests once its servers fail their probes as well.
+func TestLostZoneGetsNoRequests(t *testing.T) {
+	fleet := newTestFleet(t, 9, 6, "a", "b", "c")
+	fleet.offered = 300
+	fleet.run(15 * time.Second)
+	for _, s := range fleet.servers {
+		fleet.silent[s.ID] = s.Zone == "a"
 	}
-	w.run(4 * time.Second)
-	for id, part := range parts(w.state.View("a")) {
-		if w.deaf[id] && part > 0 {
-			t.Errorf("%s is lost and gets %.2f", id, part)
+	fleet.run(4 * time.Second)
+	for id, fraction := range serverFractions(fleet.state.View("a")) {
+		if fleet.silent[id] && fraction > 0 {
+			t.Errorf("%s is lost and gets a fraction of %.2f", id, fraction)
 		}
 	}
 }
 
-func TestHallsStandInForOneAnother(t *testing.T) {
-	w := newWorld(t, 6, 6, "a", "b", "c")
-	w.offered = 240
-	w.run(15 * time.Second)
-	v := w.state.View("a")
-	if v.Localities[0].Zone != "a" || v.Localities[0].Priority != 0 || v.Localities[1].Priority != 1 {
-		t.Fatalf("at peace: %+v", v.Localities)
+func TestZonesTakeOverForDrainingZone(t *testing.T) {
+	fleet := newTestFleet(t, 6, 6, "a", "b", "c")
+	fleet.offered = 240
+	fleet.run(15 * time.Second)
+	view := fleet.state.View("a")
+	if view.Localities[0].Zone != "a" || view.Localities[0].Priority != 0 || view.Localities[1].Priority != 1 {
+		t.Fatalf("all zones healthy: %+v", view.Localities)
 	}
-	for i := range w.list {
-		if w.list[i].Zone == "a" {
-			w.list[i].Draining = true
+	for i := range fleet.servers {
+		if fleet.servers[i].Zone == "a" {
+			fleet.servers[i].Draining = true
 		}
 	}
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	got := parts(w.state.View("a"))
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	fractions := serverFractions(fleet.state.View("a"))
 	sum := 0.0
-	for id, part := range got {
+	for id, fraction := range fractions {
 		if id == "s00" || id == "s03" {
-			t.Errorf("%s drains and gets %.2f", id, part)
+			t.Errorf("%s drains and gets a fraction of %.2f", id, fraction)
 		}
-		sum += part
+		sum += fraction
 	}
 	if math.Abs(sum-1) > 0.01 {
-		t.Errorf("parts sum to %.2f", sum)
+		t.Errorf("fractions sum to %.2f", sum)
 	}
-	for _, l := range w.state.View("a").Localities {
+	for _, l := range fleet.state.View("a").Localities {
 		if l.Zone != "a" && l.Priority != 0 {
-			t.Errorf("%s stands in with priority %d", l.Zone, l.Priority)
+			t.Errorf("%s takes over with priority %d", l.Zone, l.Priority)
 		}
 	}
 }
 
-// A hall that is short keeps what it can take and spreads the rest; when its
-// load is back to normal it takes all again, and it does not swing meanwhile.
-func TestAShortHallSpillsOver(t *testing.T) {
-	w := newWorld(t, 9, 6, "a", "b", "c")
-	w.offered = 600 // 200 a hall, of 300
-	w.run(20 * time.Second)
-	for _, p := range w.proxies {
-		p.share = map[string]float64{"a": 0.35, "b": 0.075, "c": 0.075}[p.zone] // 420, 90 and 90
+// An overloaded zone keeps what it can serve and spills the rest. When its load is back to normal
+// it keeps all requests again, without oscillation.
+func TestOverloadedZoneSpillsOver(t *testing.T) {
+	fleet := newTestFleet(t, 9, 6, "a", "b", "c")
+	fleet.offered = 600 // 200 per zone with capacity 300
+	fleet.run(20 * time.Second)
+	for _, p := range fleet.proxies {
+		p.shareOfLoad = map[string]float64{"a": 0.35, "b": 0.075, "c": 0.075}[p.zone] // 420, 90 and 90 requests/s
 	}
-	own := func() float64 {
+	localFraction := func() float64 {
 		sum := 0.0
-		for id, part := range parts(w.state.View("a")) {
-			for _, s := range w.list {
+		for id, fraction := range serverFractions(fleet.state.View("a")) {
+			for _, s := range fleet.servers {
 				if s.ID == id && s.Zone == "a" {
-					sum += part
+					sum += fraction
 				}
 			}
 		}
 		return sum
 	}
-	w.run(15 * time.Second)
+	fleet.run(15 * time.Second)
 	for range 30 {
-		w.run(time.Second)
-		if part := own(); part > 0.9 || part < 0.3 {
-			t.Errorf("at 1.4 times its capacity it keeps %.2f", part)
+		fleet.run(time.Second)
+		if fraction := localFraction(); fraction > 0.9 || fraction < 0.3 {
+			t.Errorf("at 1.4 times its capacity the zone keeps %.2f", fraction)
 		}
 	}
-	for _, s := range w.list {
-		if w.queue[s.ID] > 150 {
-			t.Errorf("%.0f wait at %s", w.queue[s.ID], s.ID)
+	for _, s := range fleet.servers {
+		if fleet.queue[s.ID] > 150 {
+			t.Errorf("%.0f requests queued at %s", fleet.queue[s.ID], s.ID)
 		}
 	}
-	for _, p := range w.proxies {
-		p.share = 1.0 / 6
+	for _, p := range fleet.proxies {
+		p.shareOfLoad = 1.0 / 6
 	}
-	w.offered = 300
-	w.run(90 * time.Second)
-	if part := own(); part < 0.99 {
-		t.Errorf("at a third of its capacity it keeps %.2f", part)
+	fleet.offered = 300
+	fleet.run(90 * time.Second)
+	if fraction := localFraction(); fraction < 0.99 {
+		t.Errorf("at a third of its capacity the zone keeps %.2f", fraction)
 	}
-	swings, before := 0, w.short("a")
+	swings, spilling := 0, fleet.spillsOver("a")
 	for range 60 {
-		w.run(time.Second)
-		if now := w.short("a"); now != before {
-			swings, before = swings+1, now
+		fleet.run(time.Second)
+		if now := fleet.spillsOver("a"); now != spilling {
+			swings, spilling = swings+1, now
 		}
 	}
 	if swings > 1 {
-		t.Errorf("%d swings in a minute", swings)
+		t.Errorf("%d changes of spillover in a minute", swings)
 	}
 }
 
-// short says whether others stand in for a hall.
-func (w *world) short(zone string) bool { _, short := w.m.keep[zone]; return short }
+// spillsOver reports whether other zones take requests of a zone.
+func (f *testFleet) spillsOver(zone string) bool {
+	_, spilling := f.module.localFraction[zone]
+	return spilling
+}
 
-// The limit of one proxy is its part of what all servers may hold, or what it
-// sends in some seconds, and changes by powers of two.
-func TestLimitsFollowWhatServersHold(t *testing.T) {
-	w := newWorld(t, 6, 4, "a")
-	if n := w.state.View("a").MaxRequests; n != firstOut {
-		t.Errorf("before anything is known: %d", n)
+// The request limit of a proxy is its share of what servers can hold or what it sends in a few
+// seconds, rounded up to a power of two.
+func TestRequestLimitFollowsServerCapacity(t *testing.T) {
+	fleet := newTestFleet(t, 6, 4, "a")
+	if n := fleet.state.View("a").MaxRequests; n != initialRequestLimit {
+		t.Errorf("initial limit: %d", n)
 	}
-	w.offered = 400
-	w.run(30 * time.Second)
-	if n := w.state.View("a").MaxRequests; n != 512 { // 100 a second each for 3 s
-		t.Errorf("for each of 4 proxies: %d", n)
+	fleet.offered = 400
+	fleet.run(30 * time.Second)
+	if n := fleet.state.View("a").MaxRequests; n != 512 { // 100 requests/s each for 3 s
+		t.Errorf("limit of each of 4 proxies: %d", n)
 	}
-	w.offered = 40
-	w.run(30 * time.Second)
-	if n := w.state.View("a").MaxRequests; n >= 512 || n < leastOut || n&(n-1) != 0 {
-		t.Errorf("at a tenth of the load: %d", n)
+	fleet.offered = 40
+	fleet.run(30 * time.Second)
+	if n := fleet.state.View("a").MaxRequests; n >= 512 || n < minRequestLimit || n&(n-1) != 0 {
+		t.Errorf("limit at a tenth of the load: %d", n)
 	}
 }
 
-func TestBoundsAreKeptAndCounted(t *testing.T) {
+func TestBoundsAreEnforcedAndDiscardsCounted(t *testing.T) {
 	m, err := New(Settings{Classes: []balance.Class{{TargetLatency: time.Second}}, MaxServers: 2, MaxProxies: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -596,19 +605,21 @@
 	m.Handle(time.Hour, ProxyJoined{Proxy: "q"})
 	m.Handle(time.Hour, LoadReported{Proxy: "q", Interval: time.Second})
 	m.Handle(time.Hour, LoadReported{Proxy: "p", Interval: time.Second, Loads: []Load{{Server: "x", Issued: 1}}})
-	if m.ServerCount() != 2 || m.ProxyCount() != 1 || m.Discarded.Servers != 1 || m.Discarded.Proxies != 1 || m.Discarded.Loads != 2 {
-		t.Errorf("%d servers, %d proxies, left out %+v", m.ServerCount(), m.ProxyCount(), m.Discarded)
+	if m.ServerCount() != 2 || m.ProxyCount() != 1 || m.Discarded.Servers != 1 ||
+		m.Discarded.Proxies != 1 || m.Discarded.Loads != 2 {
+		t.Errorf("%d servers, %d proxies, discarded %+v", m.ServerCount(), m.ProxyCount(), m.Discarded)
 	}
-	for _, bad := range []Settings{{}, {Classes: []balance.Class{{}}, WarmupStartFraction: 2}, {Classes: []balance.Class{{}}, MaxWeightFactor: 0.5},
+	for _, settings := range []Settings{{}, {Classes: []balance.Class{{}}, WarmupStartFraction: 2},
+		{Classes: []balance.Class{{}}, MaxWeightFactor: 0.5},
 		{Classes: []balance.Class{{}}, OverloadFactor: 0.5}, {Classes: []balance.Class{{}}, WarmupTime: -1}} {
-		if _, err := New(bad); err == nil {
-			t.Errorf("%+v is taken", bad)
+		if _, err := New(settings); err == nil {
+			t.Errorf("settings accepted: %+v", settings)
 		}
 	}
 }
 
-// What a proxy reported is forgotten when it leaves or falls silent.
-func TestASilentProxysLoadLapses(t *testing.T) {
+// A proxy's load is forgotten when it leaves or stops reporting.
+func TestReportsExpireWhenProxyIsSilentOrLeaves(t *testing.T) {
 	m, _ := New(Settings{Classes: []balance.Class{{TargetLatency: time.Second}}})
 	m.Handle(time.Hour, ListReceived{Kind: ListFull, Servers: []Server{{ID: "a"}}})
 	m.Handle(time.Hour, ProxyJoined{Proxy: "p"})
@@ -617,28 +628,28 @@
 		m.Handle(time.Hour, LoadReported{Proxy: p, Interval: time.Second, Loads: []Load{{Server: "a", InFlight: 5}}})
 	}
 	m.Handle(time.Hour, ProxyLeft{Proxy: "q"})
-	if n := m.servers["a"].n; n != 5 {
-		t.Errorf("after one left: %v", n)
+	if n := m.servers["a"].inFlight; n != 5 {
+		t.Errorf("in flight after one proxy left: %v", n)
 	}
-	m.Handle(time.Hour+validity+time.Second, Tick{})
-	if n := m.servers["a"].n; n != 0 {
-		t.Errorf("after silence: %v", n)
+	m.Handle(time.Hour+reportTTL+time.Second, Tick{})
+	if n := m.servers["a"].inFlight; n != 0 {
+		t.Errorf("in flight without reports: %v", n)
 	}
 }
 
-// The same events give the same states, whatever the order of maps.
-func TestItIsDeterministic(t *testing.T) {
+// The same events lead to the same states, regardless of map order.
+func TestDecisionsAreDeterministic(t *testing.T) {
 	run := func() []string {
-		w := newWorld(t, 9, 6, "a", "b", "c")
-		w.offered = 500
-		w.run(10 * time.Second)
-		w.list[4].Draining = true
-		w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-		w.run(5 * time.Second)
+		fleet := newTestFleet(t, 9, 6, "a", "b", "c")
+		fleet.offered = 500
+		fleet.run(10 * time.Second)
+		fleet.servers[4].Draining = true
+		fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+		fleet.run(5 * time.Second)
 		var out []string
-		for _, st := range w.published {
-			for _, z := range []string{"", "a", "b", "c"} {
-				out = append(out, fmt.Sprintf("%d %+v", st.Version, *st.View(z)))
+		for _, state := range fleet.states {
+			for _, zone := range []string{"", "a", "b", "c"} {
+				out = append(out, fmt.Sprintf("%d %+v", state.Version, *state.View(zone)))
 			}
 		}
 		return out
@@ -648,129 +659,128 @@
 	}
 }
 
-// Drops come before the choice of a hall. So where one hall takes nearly
-// nothing and another all that is meant for it, each gets what it may have: the
-// weights are by what is let in.
-func TestDropsAndHallsAreJoined(t *testing.T) {
-	w := newWorld(t, 6, 4, "a", "b")
-	w.offered = 300 // of 600
-	w.run(20 * time.Second)
-	for _, p := range w.m.present { // now many more come, of which the other hall has seen none yet
-		p.in1, p.in2 = 5*p.in1, 5*p.in2
+// Proxies drop before they choose a zone. Zone weights must account for it where one zone drops
+// nearly everything and another nothing.
+func TestZoneWeightsAccountForDrops(t *testing.T) {
+	fleet := newTestFleet(t, 6, 4, "a", "b")
+	fleet.offered = 300 // capacity 600
+	fleet.run(20 * time.Second)
+	for _, p := range fleet.module.sortedProxies { // arrivals rise fivefold before the next report
+		p.priorityRate, p.otherRate = 5*p.priorityRate, 5*p.otherRate
 	}
-	w.offered = 1500
-	for i := range w.list {
-		if w.list[i].Zone == "b" { // all of them come back cold, and others stand in for a part
-			w.list[i].ID += "'"
-			w.list[i].StartedAt = w.now
+	fleet.offered = 1500
+	for i := range fleet.servers {
+		if fleet.servers[i].Zone == "b" { // all servers of the zone restart, and others take part of its requests
+			fleet.servers[i].ID += "'"
+			fleet.servers[i].StartedAt = fleet.now
 		}
 	}
-	w.m.keep["b"] = 0.6
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	flow := map[ServerID]float64{}
-	for _, p := range w.proxies {
-		v := w.state.View(p.zone)
-		in := w.offered * p.share
-		pass := in*w.prio*(1-float64(v.DropPriorityPPM)/1e6) + in*(1-w.prio)*(1-float64(v.DropOtherPPM)/1e6)
-		for id, part := range parts(v) {
-			flow[id] += pass * part
+	fleet.module.localFraction["b"] = 0.6
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	sent := map[ServerID]float64{}
+	for _, p := range fleet.proxies {
+		view := fleet.state.View(p.zone)
+		arrivals := fleet.offered * p.shareOfLoad
+		admitted := arrivals*fleet.priorityFraction*(1-float64(view.DropPriorityPPM)/1e6) +
+			arrivals*(1-fleet.priorityFraction)*(1-float64(view.DropOtherPPM)/1e6)
+		for id, fraction := range serverFractions(view) {
+			sent[id] += admitted * fraction
 		}
 	}
-	for _, s := range w.list {
-		if f := flow[s.ID]; s.Zone == "b" && (f > 1.1*32 || f < 10) {
-			t.Errorf("%s may have 32 a second and is sent %.0f", s.ID, f)
+	for _, s := range fleet.servers {
+		if rate := sent[s.ID]; s.Zone == "b" && (rate > 1.1*32 || rate < 10) {
+			t.Errorf("%s has a capacity of 32 requests/s and is sent %.0f", s.ID, rate)
 		}
 	}
 }
 
-// A service that has learnt nothing, as all its proxies have just come from
-// another one, does not take cold servers for servers without a bound.
-func TestColdServersAreBoundedBeforeAnythingIsLearnt(t *testing.T) {
-	w := newWorld(t, 4, 4, "a")
-	w.offered = 300
-	w.run(2 * time.Second)
-	for i := range w.list {
-		w.list[i].ID += "'"
-		w.list[i].StartedAt = w.now
-		w.rate[w.list[i].ID] = 100
+// Without any learned rate, as after all proxies moved from another control service, cold servers
+// must not count as unlimited.
+func TestColdServersAreLimitedBeforeRatesAreKnown(t *testing.T) {
+	fleet := newTestFleet(t, 4, 4, "a")
+	fleet.offered = 300
+	fleet.run(2 * time.Second)
+	for i := range fleet.servers {
+		fleet.servers[i].ID += "'"
+		fleet.servers[i].StartedAt = fleet.now
+		fleet.capacity[fleet.servers[i].ID] = 100
 	}
-	for _, s := range w.m.servers {
-		s.peak, s.answers = 0, 0
+	for _, s := range fleet.module.servers {
+		s.peakRate, s.answeredCount = 0, 0
 	}
-	w.m.unit = 0
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
-	if v := w.state.View("a"); v.DropOtherPPM < 900_000 {
-		t.Errorf("with four cold servers that nothing is known of it drops %d of a million", v.DropOtherPPM)
+	fleet.module.unitPeakRate = 0
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
+	if v := fleet.state.View("a"); v.DropOtherPPM < 900_000 {
+		t.Errorf("with four cold servers of unknown rate: drops %d ppm", v.DropOtherPPM)
 	}
-	w.run(12 * time.Second)
-	for _, s := range w.list {
-		if w.flow[s.ID] < 10 {
-			t.Errorf("%s is warm and gets %.1f a second", s.ID, w.flow[s.ID])
+	fleet.run(12 * time.Second)
+	for _, s := range fleet.servers {
+		if fleet.lastRate[s.ID] < 10 {
+			t.Errorf("%s is warm and gets %.1f requests/s", s.ID, fleet.lastRate[s.ID])
 		}
 	}
 }
 
-// ProxyCount that come or report later than others are no crowd: while a server is
-// normal nothing is refused, however much more comes from one second to the next.
-func TestMoreThanBeforeIsNoCrowd(t *testing.T) {
-	w := newWorld(t, 6, 8, "a")
-	w.offered = 60 // a tenth of what they can do
-	w.run(10 * time.Second)
-	w.offered = 400 // two thirds, at once
+// While a server is normal, a sudden increase of arrivals is not shed, for example when proxies
+// join or report late.
+func TestLoadIncreaseIsNotShed(t *testing.T) {
+	fleet := newTestFleet(t, 6, 8, "a")
+	fleet.offered = 60 // a tenth of the capacity
+	fleet.run(10 * time.Second)
+	fleet.offered = 400 // two thirds of it
 	for range 20 {
-		w.run(time.Second)
-		if v := w.state.View("a"); v.DropOtherPPM > 0 || v.DropPriorityPPM > 0 {
-			t.Fatalf("dropped at two thirds of the capacity: %d and %d of a million", v.DropPriorityPPM, v.DropOtherPPM)
+		fleet.run(time.Second)
+		if v := fleet.state.View("a"); v.DropOtherPPM > 0 || v.DropPriorityPPM > 0 {
+			t.Fatalf("drops %d and %d ppm at two thirds of the capacity", v.DropPriorityPPM, v.DropOtherPPM)
 		}
 	}
 }
 
-// A clock that steps forward makes all reports old, and nothing else: nobody is
-// excluded and nothing refused for it, and the next reports are believed.
-func TestAClockThatStepsExcludesNobody(t *testing.T) {
-	w := newWorld(t, 6, 4, "a", "b")
-	w.offered = 300
-	w.run(20 * time.Second)
-	before := len(w.lines)
-	w.now += time.Hour
-	for _, p := range w.proxies {
-		p.due = w.now + time.Second
-	}
-	w.run(10 * time.Second)
-	for _, s := range w.list {
-		if e := w.endpoint(s.ID); e.Health != Healthy {
+// A forward clock jump expires all reports but excludes no server and sheds nothing; later reports
+// count again.
+func TestClockJumpExcludesNoServer(t *testing.T) {
+	fleet := newTestFleet(t, 6, 4, "a", "b")
+	fleet.offered = 300
+	fleet.run(20 * time.Second)
+	linesBefore := len(fleet.logLines)
+	fleet.now += time.Hour
+	for _, p := range fleet.proxies {
+		p.nextReport = fleet.now + time.Second
+	}
+	fleet.run(10 * time.Second)
+	for _, s := range fleet.servers {
+		if e := fleet.endpoint(s.ID); e.Health != Healthy {
 			t.Errorf("%s is %v", s.ID, e.Health)
 		}
 	}
-	if v := w.state.View("a"); v.DropOtherPPM > 0 {
-		t.Errorf("drops %d of a million", v.DropOtherPPM)
+	if v := fleet.state.View("a"); v.DropOtherPPM > 0 {
+		t.Errorf("drops %d ppm", v.DropOtherPPM)
 	}
-	if len(w.lines) != before {
-		t.Errorf("it says %q", w.lines[before:])
+	if len(fleet.logLines) != linesBefore {
+		t.Errorf("unexpected log lines: %q", fleet.logLines[linesBefore:])
 	}
 }
 
-// A hall of which all servers drain is still told, so that proxies know of the
-// drains.
-func TestAHallThatDrainsAsAWholeIsStillTold(t *testing.T) {
-	w := newWorld(t, 4, 4, "a", "b")
-	w.offered = 100
-	w.run(10 * time.Second)
-	for i := range w.list {
-		w.list[i].Draining = w.list[i].Zone == "a"
+// A zone whose servers all drain stays published, so that proxies learn of the drains.
+func TestFullyDrainingZoneIsStillPublished(t *testing.T) {
+	fleet := newTestFleet(t, 4, 4, "a", "b")
+	fleet.offered = 100
+	fleet.run(10 * time.Second)
+	for i := range fleet.servers {
+		fleet.servers[i].Draining = fleet.servers[i].Zone == "a"
 	}
-	w.feed(ListReceived{Kind: ListFull, Servers: w.list})
+	fleet.feed(ListReceived{Kind: ListFull, Servers: fleet.servers})
 	for _, zone := range []string{"", "a", "b"} {
-		told := 0
-		for _, l := range w.state.View(zone).Localities {
+		draining := 0
+		for _, l := range fleet.state.View(zone).Localities {
 			for _, e := range l.Endpoints {
 				if e.Health == Draining {
-					told++
+					draining++
 				}
 			}
 		}
-		if told != 2 {
-			t.Errorf("view %q tells of %d drains of 2", zone, told)
+		if draining != 2 {
+			t.Errorf("view %q has %d of 2 draining servers", zone, draining)
 		}
 	}
 }
--- a/steer/view.go
+++ b/steer/view.go
@@ -11,554 +11,567 @@
 )
 
 const (
-	coldPart   = 1.0      // of what a cold server can do now, that it is sent: what the stated multiple allows beyond that is for what reports do not say yet
-	subsetOff  = 0.05     // by which a server's part may be off where proxies know a part of the servers
-	wholeFrom  = 1.0 / 16 // of all requests, from which on a proxy is told of all servers
-	coldStart  = 4.0      // requests a second that a warm server is taken to answer while none has shown it
-	fullPart   = 0.85     // of a hall's capacity up to which it stands in for others
-	keepFirst  = 0.95     // of its requests that a hall keeps when it gets short: what it answers lags too much to go by
-	keepLess   = 0.95     // of that part, each step while none of its servers is normal
-	keepMore   = 1.03     // each step while one is
-	keepLeast  = 0.05
-	fillWeight = 1.5  // of a hall's requests in parts of its servers' H, from which on they tell of no room
-	spare      = 2.0  // times a proxy's even part of all that may be out
-	silentFor  = 3.0  // s in which a silent server holds what it is sent, until it is excluded
-	firstOut   = 1024 // before anything is known
-	leastOut   = 8    // requests that a proxy may have out at least
+	// Fraction of its current capacity that a cold server is sent. The margin up to OverloadFactor
+	// covers traffic that has not been reported yet.
+	coldLoadFraction = 1.0
+
+	maxSubsetDeviation = 0.05     // relative deviation of a server's load that subsetting may cause
+	fullViewFraction   = 1.0 / 16 // fraction of all requests from which a proxy sees all servers
+	assumedPeakRate    = 4.0      // requests/s of a warm server while no peak rate is known
+	maxFillFraction    = 0.85     // fraction of a zone's capacity up to which it takes other zones' requests
+
+	// Fraction of its own requests that a zone keeps when it starts to spill over. Response rates
+	// lag too much to be used for it.
+	initialLocalFraction = 0.95
+
+	localDecrease        = 0.95 // factor per step while none of the zone's servers is normal
+	localIncrease        = 1.03 // factor per step while one is
+	minLocalFraction     = 0.05
+	fillWeight           = 1.5  // a zone filled to 1/fillWeight of its high marks has no headroom
+	requestLimitHeadroom = 2.0  // multiple of a proxy's even share of the total
+	silentHoldSeconds    = 3.0  // time that requests to a silent server stay open until its exclusion
+	initialRequestLimit  = 1024 // while no base delay is known
+	minRequestLimit      = 8
 )
 
-// publish composes a state when one is due and differs from the last.
+// publish composes a state if one is due, and publishes it if it differs from the last.
 func (m *Module) publish() {
-	due := m.urgent || m.dirty && (m.last == nil || m.now-m.lastAt >= m.set.WeightInterval)
-	if !due || len(m.order) == 0 && m.last == nil && !m.confirmed {
+	due := m.urgent || m.dirty && (m.lastState == nil || m.now-m.publishedAt >= m.settings.WeightInterval)
+	if !due || len(m.sortedServers) == 0 && m.lastState == nil && !m.confirmed {
 		return
 	}
 	urgent := m.urgent
 	m.urgent, m.dirty = false, false
-	st := m.compose()
+	state := m.compose()
 	if !urgent {
-		m.lastAt = m.now
+		m.publishedAt = m.now
 	}
-	if m.last != nil {
-		st.Version = m.last.Version
-		if reflect.DeepEqual(st, m.last) {
+	if m.lastState != nil {
+		state.Version = m.lastState.Version
+		if reflect.DeepEqual(state, m.lastState) {
 			return
 		}
 	}
-	st.Version++
-	m.last = st
-	m.out = append(m.out, Publish{State: st, Urgent: urgent})
+	state.Version++
+	m.lastState = state
+	m.actions = append(m.actions, Publish{State: state, Urgent: urgent})
 }
 
-// hall is what a view needs to know of one.
-type hall struct {
-	zone     string
-	servers  []*server
-	usable   int
-	capacity float64            // requests a second; infinite where nothing is known
-	demand   float64            // of the proxies in it, with a reserve for those that have not reported
-	asked    float64            // requests a second that come to the proxies in it, dropped ones too
-	traffic  float64            // the most that all proxies together may send to it
-	share    map[string]float64 // of its requests, where they go
-	next     map[string]float64 // of their further attempts, where the first did not go; it adds up to 1, or is empty
+// zoneState summarizes a zone while a state is composed.
+type zoneState struct {
+	name       string
+	servers    []*server
+	usable     int
+	capacity   float64            // requests/s; infinite if unknown
+	demand     float64            // requests/s that its proxies send, estimated for proxies without a report
+	arrivals   float64            // requests/s that arrive at its proxies, dropped ones included
+	maxTraffic float64            // requests/s that all proxies together may send to it at most
+	split      map[string]float64 // fraction of its requests by destination zone
+	retrySplit map[string]float64 // fraction of its retries by zone that split leaves out; sums to 1 or is empty
 }
 
-// halls sums up each hall and says which part of its requests goes where.
-func (m *Module) halls() map[string]*hall {
-	halls := map[string]*hall{}
-	of := func(z string) *hall {
-		h := halls[z]
-		if h == nil {
-			h = &hall{zone: z, share: map[string]float64{}, next: map[string]float64{}}
-			halls[z] = h
-		}
-		return h
-	}
-	for _, s := range m.order {
-		h := of(s.Zone)
-		h.servers = append(h.servers, s)
+// zoneStates summarizes each zone and splits its requests among zones.
+func (m *Module) zoneStates() map[string]*zoneState {
+	zones := map[string]*zoneState{}
+	zoneOf := func(name string) *zoneState {
+		zone := zones[name]
+		if zone == nil {
+			zone = &zoneState{name: name, split: map[string]float64{}, retrySplit: map[string]float64{}}
+			zones[name] = zone
+		}
+		return zone
+	}
+	for _, s := range m.sortedServers {
+		zone := zoneOf(s.Zone)
+		zone.servers = append(zone.servers, s)
 		if m.usable(s) {
-			h.usable++
-			if p := m.peakOf(s); p > 0 {
-				h.capacity += p * m.warmth(s)
+			zone.usable++
+			if peak := m.peakRateOf(s); peak > 0 {
+				zone.capacity += peak * m.warmupFraction(s)
 			} else {
-				h.capacity = math.Inf(1)
+				zone.capacity = math.Inf(1)
 			}
 		}
 	}
-	rate, asked, told := 0.0, 0.0, 0.0
-	var untold []string
-	for _, p := range m.present {
-		if p.at == 0 {
-			untold = append(untold, p.zone)
+	sendRate, arrivals, reporting := 0.0, 0.0, 0.0
+	var silentZones []string
+	for _, proxy := range m.sortedProxies {
+		if proxy.reportedAt == 0 {
+			silentZones = append(silentZones, proxy.zone)
 			continue
 		}
-		in := p.asked()
-		rate, asked, told = rate+p.rate, asked+in, told+1
-		of(p.zone).demand += p.rate
-		of(p.zone).asked += in
+		arrivalRate := proxy.arrivalRate()
+		sendRate, arrivals, reporting = sendRate+proxy.sendRate, arrivals+arrivalRate, reporting+1
+		zoneOf(proxy.zone).demand += proxy.sendRate
+		zoneOf(proxy.zone).arrivals += arrivalRate
 	}
-	if told > 0 {
-		for _, z := range untold {
-			of(z).demand += rate / told
-			of(z).asked += asked / told
+	if reporting > 0 {
+		for _, name := range silentZones {
+			zoneOf(name).demand += sendRate / reporting
+			zoneOf(name).arrivals += arrivals / reporting
 		}
 	}
-	zones := make([]string, 0, len(halls))
-	for z := range halls {
-		zones = append(zones, z)
+	names := make([]string, 0, len(zones))
+	for name := range zones {
+		names = append(names, name)
 	}
-	slices.Sort(zones)
-	for _, z := range zones {
-		m.spill(halls[z], halls, zones)
+	slices.Sort(names)
+	for _, name := range names {
+		m.splitRequests(zones[name], zones, names)
 	}
-	for _, z := range zones {
-		m.stand(halls[z], halls, zones)
+	for _, name := range names {
+		m.splitRetries(zones[name], zones, names)
 	}
-	for _, z := range zones {
-		for _, to := range zones {
-			// What is dropped now may be let in at any time, and comes on top of
-			// itself where attempts are made again.
-			halls[to].traffic += halls[z].asked * (halls[z].share[to]*(1+RetryBudgetPercent/100.0) + halls[z].next[to]*RetryBudgetPercent/100)
+	for _, name := range names {
+		for _, to := range names {
+			// Requests dropped now may be admitted at any time, and retries come on top of them.
+			zones[to].maxTraffic += zones[name].arrivals *
+				(zones[name].split[to]*(1+RetryBudgetPercent/100.0) + zones[name].retrySplit[to]*RetryBudgetPercent/100)
 		}
 	}
-	return halls
+	return zones
 }
 
-// stand says which halls take the further attempts of a hall's requests: those
-// that its first attempts do not go to, by the room that they have. Those with
-// none but cold servers do not: nobody could drop for their sake.
-func (m *Module) stand(h *hall, halls map[string]*hall, zones []string) {
-	all := 0.0
-	for _, z := range zones {
-		o := halls[z]
-		if h.share[z] > 0 || !slices.ContainsFunc(o.servers, func(s *server) bool { return m.usable(s) && !s.cold }) {
+// splitRetries splits the retries of a zone's requests among the zones that its first attempts do
+// not go to, by spare capacity. Zones with only cold servers are left out, as no drop ratio would
+// protect them.
+func (m *Module) splitRetries(from *zoneState, zones map[string]*zoneState, names []string) {
+	total := 0.0
+	for _, name := range names {
+		to := zones[name]
+		if from.split[name] > 0 || !slices.ContainsFunc(to.servers, func(s *server) bool { return m.usable(s) && !s.cold }) {
 			continue
 		}
-		h.next[z] = math.Max(1, m.spare(o))
-		all += h.next[z]
+		from.retrySplit[name] = math.Max(1, m.spareCapacity(to))
+		total += from.retrySplit[name]
 	}
-	for z := range h.next {
-		h.next[z] /= all
+	for name := range from.retrySplit {
+		from.retrySplit[name] /= total
 	}
 }
 
-// spill says which part of a hall's requests other halls take. A hall that is
-// short keeps what it can carry; the rest goes where there is room.
-func (m *Module) spill(h *hall, halls map[string]*hall, zones []string) {
-	keep, short := m.keep[h.zone]
-	if h.usable == 0 {
-		keep, short = 0, true
-	}
-	if !short {
-		h.share[h.zone] = 1
+// splitRequests splits a zone's requests. An overloaded zone keeps its local fraction; the rest
+// goes to zones with spare capacity.
+func (m *Module) splitRequests(from *zoneState, zones map[string]*zoneState, names []string) {
+	local, spilling := m.localFraction[from.name]
+	if from.usable == 0 {
+		local, spilling = 0, true
+	}
+	if !spilling {
+		from.split[from.name] = 1
 		return
 	}
-	room, all := map[string]float64{}, 0.0
-	for _, z := range zones {
-		o := halls[z]
-		if z == h.zone || o.usable == 0 {
+	room, total := map[string]float64{}, 0.0
+	for _, name := range names {
+		to := zones[name]
+		if name == from.name || to.usable == 0 {
 			continue
 		}
-		r := m.spare(o)
-		if h.usable == 0 {
-			r = math.Max(r, 1) // somebody must, whoever has room
+		spare := m.spareCapacity(to)
+		if from.usable == 0 {
+			spare = math.Max(spare, 1) // a zone without usable servers needs a destination
 		}
-		room[z], all = r, all+r
+		room[name], total = spare, total+spare
 	}
-	if all == 0 {
-		keep = 1 // nobody has room
+	if total == 0 {
+		local = 1 // no spare capacity anywhere
 	}
-	if keep > 0 {
-		h.share[h.zone] = keep
+	if local > 0 {
+		from.split[from.name] = local
 	}
-	for _, z := range zones {
-		if r := room[z]; r > 0 && keep < 1 {
-			h.share[z] = (1 - keep) * r / all
+	for _, name := range names {
+		if spare := room[name]; spare > 0 && local < 1 {
+			from.split[name] = (1 - local) * spare / total
 		}
 	}
 }
 
-// spare is how many more requests a second a hall can take in.
-func (m *Module) spare(o *hall) float64 {
-	return math.Max(0, fullPart*math.Min(o.capacity*m.room(o), 1e9)-o.demand)
+// spareCapacity returns how many more requests per second a zone can take.
+func (m *Module) spareCapacity(zone *zoneState) float64 {
+	return math.Max(0, maxFillFraction*math.Min(zone.capacity*m.headroom(zone), 1e9)-zone.demand)
 }
 
-// room is how far a hall may be filled beyond the rates that were seen: those
-// are what its servers were sent, not what they can do, while one is normal. How
-// much more that is shows in how far its servers are from their H.
-func (m *Module) room(h *hall) float64 {
-	if !m.calm(h) {
+// headroom returns the factor by which a zone's load may exceed the rates seen so far. While a
+// server is normal, those rates show what the servers were sent, not what they can do; the
+// distance to their high marks shows how much more they can take.
+func (m *Module) headroom(zone *zoneState) float64 {
+	if !m.uncongested(zone) {
 		return 1
 	}
-	held, most := 0.0, 0.0
-	for _, s := range h.servers {
+	inFlight, highSum := 0.0, 0.0
+	for _, s := range zone.servers {
 		if m.usable(s) {
-			held, most = held+s.load, most+m.high(s)
+			inFlight, highSum = inFlight+s.smoothedInFlight, highSum+m.highMark(s)
 		}
 	}
-	return 1 + math.Max(0, 1-fillWeight*held/math.Max(1, most))
+	return 1 + math.Max(0, 1-fillWeight*inFlight/math.Max(1, highSum))
 }
 
-// calm says whether a warm server of a hall is normal and nothing is shed for
-// the hall's sake: it may be that alone which keeps them normal.
-func (m *Module) calm(h *hall) bool {
-	if d := m.shed[h.zone]; d != nil && d.q2 > 0 {
+// uncongested reports whether a warm server of the zone is normal and no requests are shed for the
+// zone: shedding may be the only reason that servers are normal.
+func (m *Module) uncongested(zone *zoneState) bool {
+	if shedding := m.sheddingByZone[zone.name]; shedding != nil && shedding.dropOther > 0 {
 		return false
 	}
-	return slices.ContainsFunc(h.servers, func(s *server) bool { return m.usable(s) && s.mode == balance.Normal && !s.cold })
+	return slices.ContainsFunc(zone.servers, func(s *server) bool {
+		return m.usable(s) && s.mode == balance.Normal && !s.cold
+	})
 }
 
-// share renews, once in WeightInterval, the parts that halls keep of their own
-// requests, by steps: less while none of its servers is normal, more while one
-// is. It is short until it keeps all.
-func (m *Module) share() {
-	if m.shared != 0 && m.now-m.shared < m.set.WeightInterval {
+// updateSpillover adjusts, once per WeightInterval, the fraction of its own requests that each
+// zone keeps: it decreases while none of the zone's servers is normal and increases while one is.
+// A zone spills over until it keeps all of them.
+func (m *Module) updateSpillover() {
+	if m.spilloverAt != 0 && m.now-m.spilloverAt < m.settings.WeightInterval {
 		return
 	}
-	m.shared = m.now
-	halls := m.halls()
-	for z, h := range halls {
-		if h.usable == 0 || h.demand == 0 {
+	m.spilloverAt = m.now
+	zones := m.zoneStates()
+	for name, zone := range zones {
+		if zone.usable == 0 || zone.demand == 0 {
 			continue
 		}
-		room := false
-		for other, o := range halls {
-			room = room || other != z && o.usable > 0 && m.spare(o) > 0
+		otherHasRoom := false
+		for otherName, otherZone := range zones {
+			otherHasRoom = otherHasRoom || otherName != name && otherZone.usable > 0 && m.spareCapacity(otherZone) > 0
 		}
-		keep, short := m.keep[z]
-		before := keep
-		switch calm := m.calm(h); {
-		case calm && !short:
+		local, spilling := m.localFraction[name]
+		before := local
+		switch uncongested := m.uncongested(zone); {
+		case uncongested && !spilling:
 			continue
-		case !calm && !room:
-			continue // guards against a part that falls for nothing and then comes down on others at once
-		case calm:
-			keep *= keepMore
-		case !short:
-			keep = keepFirst
+		case !uncongested && !otherHasRoom:
+			continue // guards against a fraction that falls without effect and then shifts load all at once
+		case uncongested:
+			local *= localIncrease
+		case !spilling:
+			local = initialLocalFraction
 		default:
-			keep *= keepLess
+			local *= localDecrease
 		}
-		if keep = math.Max(keepLeast, keep); keep >= 1 {
-			delete(m.keep, z)
+		if local = math.Max(minLocalFraction, local); local >= 1 {
+			delete(m.localFraction, name)
 		} else {
-			m.keep[z] = keep
+			m.localFraction[name] = local
 		}
-		m.dirty = m.dirty || keep != before
+		m.dirty = m.dirty || local != before
 	}
 }
 
-// peakOf is the rate of a warm server: its own, or that of the others by its
-// size where it has shown none yet; 0 where nothing is known, but for a cold one,
-// which must not be taken for one without a bound.
-func (m *Module) peakOf(s *server) float64 {
-	if s.peak > 0 && s.answers >= learnCount {
-		return s.peak
-	}
-	p := math.Max(m.unit*s.size, s.peak)
-	if p == 0 && s.cold {
-		p = coldStart
-	}
-	return p
+// peakRateOf returns a server's rate when warm: its own, or if it has shown none yet that of the
+// others by base weight. If no rate is known it returns 0, but assumedPeakRate for a cold server,
+// which must not count as unlimited.
+func (m *Module) peakRateOf(s *server) float64 {
+	if s.peakRate > 0 && s.answeredCount >= minAnswered {
+		return s.peakRate
+	}
+	peak := math.Max(m.unitPeakRate*s.baseWeight, s.peakRate)
+	if peak == 0 && s.cold {
+		peak = assumedPeakRate
+	}
+	return peak
 }
 
-// locality gives the endpoints of a hall, and the part of its requests that
-// must be dropped as only cold servers are left for them. What all proxies
-// together may send to a cold server, dropped requests let in again and further
-// attempts included, is what it can do now by the rates of warm ones: so it falls
-// over only if OverloadFactor times as much comes as was reported.
-func (m *Module) locality(h *hall) ([]Endpoint, float64) {
-	weights := make([]float64, len(h.servers))
-	most := make([]float64, len(h.servers)) // part of the traffic
-	total, parts := 0.0, 0.0
-	for i, s := range h.servers {
-		if !m.usable(s) {
+// locality returns a zone's endpoints, and the fraction of its requests to drop because only cold
+// servers are left. Cold servers are sent at most their current capacity, estimated from the rates
+// of warm ones and counting dropped requests and retries. So one fails only if OverloadFactor
+// times the reported traffic arrives.
+func (m *Module) locality(zone *zoneState) ([]Endpoint, float64) {
+	weights := make([]float64, len(zone.servers))
+	limits := make([]float64, len(zone.servers)) // as fractions of the zone's traffic
+	total, limitSum := 0.0, 0.0
+	for i, srv := range zone.servers {
+		if !m.usable(srv) {
 			continue
 		}
-		weights[i], most[i] = s.weight*m.warmth(s), math.Inf(1)
-		if p := m.peakOf(s); s.cold && p > 0 && h.traffic > 0 {
-			most[i] = coldPart * m.warmth(s) * p / h.traffic
+		weights[i], limits[i] = srv.weight*m.warmupFraction(srv), math.Inf(1)
+		if peak := m.peakRateOf(srv); srv.cold && peak > 0 && zone.maxTraffic > 0 {
+			limits[i] = coldLoadFraction * m.warmupFraction(srv) * peak / zone.maxTraffic
 		}
-		total, parts = total+weights[i], parts+most[i]
+		total, limitSum = total+weights[i], limitSum+limits[i]
 	}
 	drop := 0.0
-	if parts < 1 && h.usable > 0 { // none is warm, and together they may not take all
-		copy(weights, most)
-		drop = 1 - parts
+	if limitSum < 1 && zone.usable > 0 { // no warm server, and the cold ones cannot take all
+		copy(weights, limits)
+		drop = 1 - limitSum
 	} else {
-		fill(weights, most)
+		capWeights(weights, limits)
 	}
-	sets := m.divideServers(h, weights)
-	top := 0.0
+	groups := m.assignGroups(zone, weights)
+	maxWeight := 0.0
 	for _, w := range weights {
-		top = math.Max(top, w)
+		maxWeight = math.Max(maxWeight, w)
 	}
-	var out []Endpoint
-	for i, s := range h.servers {
-		e := Endpoint{ID: s.ID, Addr: s.Addr, Cell: s.Cell, Weight: 1}
-		if sets != nil {
-			e.Groups = sets[i]
+	var endpoints []Endpoint
+	for i, srv := range zone.servers {
+		endpoint := Endpoint{ID: srv.ID, Addr: srv.Addr, Cell: srv.Cell, Weight: 1}
+		if groups != nil {
+			endpoint.Groups = groups[i]
 		}
 		switch {
-		case s.Draining:
-			e.Health = Draining
-		case s.excluded:
-			e.Health = Excluded
+		case srv.Draining:
+			endpoint.Health = Draining
+		case srv.excluded:
+			endpoint.Health = Excluded
 		default:
-			// Cold ones are rounded down and others up, so that a cold server's
-			// part does not grow by it.
-			w := weights[i] / top * MaxWeight
-			if s.cold {
+			// Rounding down cold servers and up the others keeps a cold server's fraction from
+			// growing.
+			w := weights[i] / maxWeight * MaxWeight
+			if srv.cold {
 				w = math.Floor(w)
 			}
-			e.Weight = uint32(math.Min(MaxWeight, math.Max(1, math.Ceil(w))))
+			endpoint.Weight = uint32(math.Min(MaxWeight, math.Max(1, math.Ceil(w))))
 		}
-		out = append(out, e)
+		endpoints = append(endpoints, endpoint)
 	}
-	return out, drop
+	return endpoints, drop
 }
 
-// divideServers says which groups of proxies are told of which servers of a
-// hall, and changes the weights so that each server still gets its part. nil:
-// all are told of all, as the hall is small, or no weights would do.
-func (m *Module) divideServers(h *hall, weights []float64) []subset.GroupSet {
-	n := subset.GroupsPerServer(len(h.servers), m.set.SubsetSize)
-	if m.set.SubsetSize == 0 || n == subset.GroupCount {
+// assignGroups returns which proxy groups see which servers of a zone, and adjusts the weights so
+// that each server keeps its fraction of the load. It returns nil if all proxies see all servers:
+// the zone is small, or no weights keep the balance.
+func (m *Module) assignGroups(zone *zoneState, weights []float64) []subset.GroupSet {
+	groupCount := subset.GroupsPerServer(len(zone.servers), m.settings.SubsetSize)
+	if m.settings.SubsetSize == 0 || groupCount == subset.GroupCount {
 		return nil
 	}
-	var share [subset.GroupCount + 1]float64
-	all, sum := 0.0, 0.0
-	for _, p := range m.present {
-		x := p.asked() * m.shareOf(p.zone, h.zone)
-		if all += x; p.whole {
-			share[subset.GroupCount] += x
+	var groupShares [subset.GroupCount + 1]float64
+	total, sum := 0.0, 0.0
+	for _, p := range m.sortedProxies {
+		rate := p.arrivalRate() * m.zoneFraction(p.zone, zone.name)
+		if total += rate; p.fullView {
+			groupShares[subset.GroupCount] += rate
 		} else {
-			share[p.group] += x
+			groupShares[p.group] += rate
 		}
 	}
 	for _, w := range weights {
 		sum += w
 	}
-	if all == 0 || sum == 0 {
+	if total == 0 || sum == 0 {
 		return nil
 	}
-	for g := range share {
-		share[g] /= all
+	for g := range groupShares {
+		groupShares[g] /= total
 	}
-	sets, want := make([]subset.GroupSet, len(weights)), make([]float64, len(weights))
-	for i, s := range h.servers {
-		sets[i], want[i] = s.groups.First(n), weights[i]/sum
+	groups, wanted := make([]subset.GroupSet, len(weights)), make([]float64, len(weights))
+	for i, s := range zone.servers {
+		groups[i], wanted[i] = s.groupRanking.First(groupCount), weights[i]/sum
 	}
-	balanced, worst := subset.BalanceGroups(sets, want, share)
-	if worst > subsetOff {
+	balanced, worst := subset.BalanceGroups(groups, wanted, groupShares)
+	if worst > maxSubsetDeviation {
 		return nil
 	}
 	copy(weights, balanced)
-	return sets
+	return groups
 }
 
-// shareOf is what part of a hall's requests goes to another, as it was decided
-// for the state that is being composed.
-func (m *Module) shareOf(from, to string) float64 {
-	if h := m.composing[from]; h != nil {
-		return h.share[to]
+// zoneFraction returns the fraction of one zone's requests that goes to another in the state being
+// composed.
+func (m *Module) zoneFraction(from, to string) float64 {
+	if zone := m.composingZones[from]; zone != nil {
+		return zone.split[to]
 	}
 	return 0
 }
 
-// asked is what comes to a proxy a second, as it said last.
-func (p *proxy) asked() float64 { return math.Max(p.in1+p.in2, p.rate/(1+RetryBudgetPercent/100.0)) }
+// arrivalRate returns the requests per second arriving at a proxy by its last report.
+func (p *proxy) arrivalRate() float64 {
+	return math.Max(p.priorityRate+p.otherRate, p.sendRate/(1+RetryBudgetPercent/100.0))
+}
 
-// wholes says which proxies are told of all servers.
-func (m *Module) wholes() []ProxyID {
-	if m.set.SubsetSize == 0 {
+// fullViewProxies returns the proxies that see all servers. Two thresholds keep a proxy from
+// switching back and forth.
+func (m *Module) fullViewProxies() []ProxyID {
+	if m.settings.SubsetSize == 0 {
 		return nil
 	}
-	all := 0.0
-	for _, p := range m.present {
-		all += p.asked()
+	total := 0.0
+	for _, p := range m.sortedProxies {
+		total += p.arrivalRate()
 	}
-	var out []ProxyID
-	for _, p := range m.present {
-		if part := p.asked() / math.Max(1, all); part > wholeFrom {
-			p.whole = true
-		} else if part < wholeFrom/2 {
-			p.whole = false
+	var ids []ProxyID
+	for _, p := range m.sortedProxies {
+		if fraction := p.arrivalRate() / math.Max(1, total); fraction > fullViewFraction {
+			p.fullView = true
+		} else if fraction < fullViewFraction/2 {
+			p.fullView = false
 		}
-		if p.whole {
-			out = append(out, p.id)
+		if p.fullView {
+			ids = append(ids, p.id)
 		}
 	}
-	return out
+	return ids
 }
 
-// fill lowers weights until none is more than its most, a part of their sum:
-// what one may not have, the others get. The parts add up to 1 or more.
-func fill(weights, most []float64) {
+// capWeights lowers weights until none exceeds its limit, which is a fraction of their sum; the
+// other weights get the difference. The limits sum to 1 or more.
+func capWeights(weights, limits []float64) {
 	order := make([]int, 0, len(weights))
-	rest := 0.0 // the weights of those that keep theirs
+	uncapped := 0.0 // sum of the weights that are not lowered
 	for i, w := range weights {
-		if rest += w; w > 0 && !math.IsInf(most[i], 1) {
+		if uncapped += w; w > 0 && !math.IsInf(limits[i], 1) {
 			order = append(order, i)
 		}
 	}
-	// Whoever is furthest over its part first; ties by place, so that the same
-	// weights give the same result.
+	// The weight furthest over its limit comes first. The sort is stable, so that the same weights
+	// give the same result.
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Compare(weights[b]*most[a], weights[a]*most[b])
+		return cmp.Compare(weights[b]*limits[a], weights[a]*limits[b])
 	})
-	held := 0.0 // parts of those that have their most
-	n := 0
-	for ; n < len(order); n++ {
-		i := order[n]
-		if weights[i]*(1-held) <= most[i]*rest {
+	capped := 0.0 // sum of the limits that are reached
+	cappedCount := 0
+	for ; cappedCount < len(order); cappedCount++ {
+		i := order[cappedCount]
+		if weights[i]*(1-capped) <= limits[i]*uncapped {
 			break
 		}
-		held, rest = held+most[i], rest-weights[i]
+		capped, uncapped = capped+limits[i], uncapped-weights[i]
 	}
-	for _, i := range order[:n] {
-		weights[i] = most[i] * rest / math.Max(1e-9, 1-held)
+	for _, i := range order[:cappedCount] {
+		weights[i] = limits[i] * uncapped / math.Max(1e-9, 1-capped)
 	}
 }
 
-// compose gives the state as it is decided now.
+// compose builds the state from the current decisions.
 func (m *Module) compose() *State {
-	st := &State{Confirmed: m.confirmed, Views: map[string]*View{}, FullViewProxies: m.wholes()}
-	halls := m.halls()
-	m.composing = halls
-	type built struct {
-		endpoints []Endpoint
-		q1, q2    float64 // of the requests meant for it that are dropped
-	}
-	parts, zones := map[string]built{}, make([]string, 0, len(halls))
-	for z, h := range halls {
-		e, cold := m.locality(h)
-		x := built{endpoints: e}
-		x.q1, x.q2 = m.drops(z, cold, halls)
-		parts[z] = x
-		if len(h.servers) > 0 {
-			zones = append(zones, z)
-		}
-	}
-	slices.Sort(zones)
-	limit := m.limit()
-	view := func(zone string, share, next map[string]float64) {
-		v := &View{Zone: zone, MaxRequests: limit}
-		in1, in2, all := m.into(zone)
-		// ProxyCount drop before they choose a hall. So the halls' weights are by
-		// what is let in to each, and the drops are what is let in to none.
-		sum, pass1, pass2, top := 0.0, 0.0, 0.0, 0.0
+	state := &State{Confirmed: m.confirmed, Views: map[string]*View{}, FullViewProxies: m.fullViewProxies()}
+	zones := m.zoneStates()
+	m.composingZones = zones
+	type zoneParts struct {
+		endpoints               []Endpoint
+		dropPriority, dropOther float64 // fractions of the zone's requests to drop
+	}
+	parts, names := map[string]zoneParts{}, make([]string, 0, len(zones))
+	for name, zone := range zones {
+		endpoints, coldDrop := m.locality(zone)
+		built := zoneParts{endpoints: endpoints}
+		built.dropPriority, built.dropOther = m.dropFractions(name, coldDrop, zones)
+		parts[name] = built
+		if len(zone.servers) > 0 {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	limit := m.requestLimit()
+	addView := func(zone string, split, retrySplit map[string]float64) {
+		view := &View{Zone: zone, MaxRequests: limit}
+		priorityRate, otherRate, total := m.zoneArrivals(zone)
+		// Proxies drop before they choose a zone. So zone weights count admitted requests, and the
+		// drop ratios are those admitted to no zone.
+		sum, passPriority, passOther, maxPass := 0.0, 0.0, 0.0, 0.0
 		pass := map[string]float64{}
-		for _, z := range zones {
-			p1, p2 := share[z]*(1-parts[z].q1), share[z]*(1-parts[z].q2)
-			sum, pass1, pass2 = sum+share[z], pass1+p1, pass2+p2
-			pass[z] = (in1*p1 + in2*p2) / all
-			top = math.Max(top, pass[z])
+		for _, name := range names {
+			priorityPart, otherPart := split[name]*(1-parts[name].dropPriority), split[name]*(1-parts[name].dropOther)
+			sum, passPriority, passOther = sum+split[name], passPriority+priorityPart, passOther+otherPart
+			pass[name] = (priorityRate*priorityPart + otherRate*otherPart) / total
+			maxPass = math.Max(maxPass, pass[name])
 		}
 		if sum > 0 {
-			v.DropPriorityPPM, v.DropOtherPPM = percent(1-pass1/sum), percent(1-pass2/sum)
+			view.DropPriorityPPM, view.DropOtherPPM = ceilPercentPPM(1-passPriority/sum), ceilPercentPPM(1-passOther/sum)
 		}
-		for _, p := range []uint32{0, 1} {
-			for _, z := range zones {
-				part := share[z]
-				if (part > 0) != (p == 0) || p == 1 && next[z] == 0 && halls[z].usable > 0 {
+		for _, priority := range []uint32{0, 1} {
+			for _, name := range names {
+				fraction := split[name]
+				if (fraction > 0) != (priority == 0) || priority == 1 && retrySplit[name] == 0 && zones[name].usable > 0 {
 					continue
 				}
-				l := Locality{Zone: z, Priority: p, Weight: 1, Endpoints: parts[z].endpoints}
+				locality := Locality{Zone: name, Priority: priority, Weight: 1, Endpoints: parts[name].endpoints}
 				switch {
-				case p == 0 && top > 0:
-					l.Weight = uint32(math.Max(1, pass[z]/top*MaxWeight))
-				case p == 1:
-					l.Weight = uint32(math.Max(1, next[z]*MaxWeight))
+				case priority == 0 && maxPass > 0:
+					locality.Weight = uint32(math.Max(1, pass[name]/maxPass*MaxWeight))
+				case priority == 1:
+					locality.Weight = uint32(math.Max(1, retrySplit[name]*MaxWeight))
 				}
-				v.Localities = append(v.Localities, l)
+				view.Localities = append(view.Localities, locality)
 			}
 		}
-		// Guards against priorities that do not begin with 0.
-		if len(v.Localities) > 0 && v.Localities[0].Priority != 0 {
-			for i := range v.Localities {
-				v.Localities[i].Priority = 0
+		// Guards against priorities that do not start at 0.
+		if len(view.Localities) > 0 && view.Localities[0].Priority != 0 {
+			for i := range view.Localities {
+				view.Localities[i].Priority = 0
 			}
 		}
-		st.Views[zone] = v
+		state.Views[zone] = view
 	}
-	for _, x := range parts {
-		for _, e := range x.endpoints {
-			st.Subsetted = st.Subsetted || e.Groups != 0
+	for _, built := range parts {
+		for _, endpoint := range built.endpoints {
+			state.Subsetted = state.Subsetted || endpoint.Groups != 0
 		}
 	}
 	even := map[string]float64{}
-	for _, z := range zones {
-		even[z] = float64(halls[z].usable)
+	for _, name := range names {
+		even[name] = float64(zones[name].usable)
 	}
-	view("", even, nil)
-	for z, h := range halls {
-		if z != "" {
-			view(z, h.share, h.next)
+	addView("", even, nil)
+	for name, zone := range zones {
+		if name != "" {
+			addView(name, zone.split, zone.retrySplit)
 		}
 	}
-	return st
+	return state
 }
 
-// into gives the requests a second that come to the proxies of a hall, or to
-// all where none has reported any, and their sum, which is above 0.
-func (m *Module) into(zone string) (in1, in2, all float64) {
-	for _, p := range m.present {
+// zoneArrivals returns the requests per second arriving at a zone's proxies, or at all proxies if
+// none there has reported any, and their sum, which is always positive.
+func (m *Module) zoneArrivals(zone string) (priorityRate, otherRate, total float64) {
+	for _, p := range m.sortedProxies {
 		if p.zone == zone {
-			in1, in2 = in1+p.in1, in2+p.in2
+			priorityRate, otherRate = priorityRate+p.priorityRate, otherRate+p.otherRate
 		}
 	}
-	if in1+in2 == 0 {
-		for _, p := range m.present {
-			in1, in2 = in1+p.in1, in2+p.in2
+	if priorityRate+otherRate == 0 {
+		for _, p := range m.sortedProxies {
+			priorityRate, otherRate = priorityRate+p.priorityRate, otherRate+p.otherRate
 		}
 	}
-	if in1+in2 == 0 {
-		in2 = 1
+	if priorityRate+otherRate == 0 {
+		otherRate = 1
 	}
-	return in1, in2, in1 + in2
+	return priorityRate, otherRate, priorityRate + otherRate
 }
 
-// drops gives the parts of priority and other requests meant for a hall that
-// are dropped: what is shed for its sake, and what its servers can't take while
-// all of them are cold.
-func (m *Module) drops(zone string, cold float64, halls map[string]*hall) (q1, q2 float64) {
-	if d := m.shed[zone]; d != nil {
-		q1, q2 = d.q1, d.q2
-	}
-	if cold > 0 {
-		in1, in2 := m.arrivals(zone, halls)
-		if in1+in2 == 0 {
-			in2 = 1
-		}
-		c1, c2 := balance.ShedSplit(cold, in1, in2)
-		q1, q2 = math.Max(q1, c1), math.Max(q2, c2)
-	}
-	return q1, q2
+// dropFractions returns the fractions of priority and other requests for a zone to drop: for load
+// shedding, and for what its servers cannot take while all of them are cold.
+func (m *Module) dropFractions(
+	zone string, coldDrop float64, zones map[string]*zoneState,
+) (dropPriority, dropOther float64) {
+	if shedding := m.sheddingByZone[zone]; shedding != nil {
+		dropPriority, dropOther = shedding.dropPriority, shedding.dropOther
+	}
+	if coldDrop > 0 {
+		priorityRate, otherRate := m.arrivals(zone, zones)
+		if priorityRate+otherRate == 0 {
+			otherRate = 1
+		}
+		coldPriority, coldOther := balance.ShedSplit(coldDrop, priorityRate, otherRate)
+		dropPriority, dropOther = math.Max(dropPriority, coldPriority), math.Max(dropOther, coldOther)
+	}
+	return dropPriority, dropOther
 }
 
-// percent is a part in parts of a million, by steps of one per cent, upwards.
-func percent(q float64) uint32 {
-	return uint32(math.Ceil(math.Min(1, math.Max(0, q))*100-1e-9)) * 10_000
+// ceilPercentPPM rounds a fraction up to whole per cent and returns it in parts per million.
+func ceilPercentPPM(fraction float64) uint32 {
+	return uint32(math.Ceil(math.Min(1, math.Max(0, fraction))*100-1e-9)) * 10_000
 }
 
-// limit is what one proxy may have out: its even part of what all servers may
-// hold, with room for chance, and not less than what it sends while a silent
-// server is still in use; by powers of two so that it seldom changes.
-func (m *Module) limit() uint32 {
-	if m.base == 0 {
-		return firstOut
-	}
-	hold, rate := 0.0, 0.0
-	for _, s := range m.order {
+// requestLimit returns the limit of open requests of one proxy: its even share of what all servers
+// can hold, with headroom for random variation, and at least what it sends until a silent server
+// is excluded. Powers of two keep it from changing often.
+func (m *Module) requestLimit() uint32 {
+	if m.baseDelay == 0 {
+		return initialRequestLimit
+	}
+	capacity, sendRate := 0.0, 0.0
+	for _, s := range m.sortedServers {
 		if m.usable(s) {
-			hold += blockPart*m.high(s) + 1
+			capacity += blockFactor*m.highMark(s) + 1
 		}
 	}
-	for _, p := range m.present {
-		rate += p.rate
+	for _, p := range m.sortedProxies {
+		sendRate += p.sendRate
 	}
-	each := math.Max(leastOut, math.Max(spare*hold, silentFor*rate)/math.Max(1, float64(len(m.present))))
-	return uint32(math.Exp2(math.Ceil(math.Log2(math.Min(each, 1<<20)))))
+	perProxy := math.Max(minRequestLimit,
+		math.Max(requestLimitHeadroom*capacity, silentHoldSeconds*sendRate)/math.Max(1, float64(len(m.sortedProxies))))
+	return uint32(math.Exp2(math.Ceil(math.Log2(math.Min(perProxy, 1<<20)))))
 }
--- a/steer/weights.go
+++ b/steer/weights.go
@@ -9,175 +9,177 @@
 )
 
 const (
-	stopPart  = 0.7  // of its weight that a blocked server goes towards: more would push over the others
-	fallMost  = 0.8  // a delay over the typical one lowers a weight by no more, or weights swing
-	overPart  = 0.9  // of its weight that an overloaded server goes towards while any is normal
-	riseMost  = 1.25 // a delay under the typical one raises a weight by no more: it may only be idle
-	deadBand  = 0.15 // a delay so near to the mean moves nothing
-	leastPart = 0.05 // of the mean weight; proxies know no server without weight
-	mostPart  = 4.0
-	flowPart  = 0.9  // of what is answered, that is let in while no server is normal
-	flowGrow  = 1.05 // a second, when one is again
-	flowLeast = 0.02 // part of the arrivals that is let in at least: to learn how it goes
+	blockedFactor     = 0.7  // target weight of a blocking server; less would overload the others
+	minDelayFactor    = 0.8  // least factor for a delay above the median; less makes weights oscillate
+	overloadedFactor  = 0.9  // target weight of an overloaded server while any is normal
+	maxDelayFactor    = 1.25 // largest factor for a delay below the median; the server may just be idle
+	deadBand          = 0.15 // relative deviation from the median delay that is ignored
+	minRelativeWeight = 0.05 // multiple of the mean weight; proxies ignore servers with weight 0
+	maxRelativeWeight = 4.0
+	admitFraction     = 0.9  // fraction of the response rate admitted while no server is normal
+	admitGrowth       = 1.05 // factor per WeightInterval while a server is normal
+	minAdmitFraction  = 0.02 // fraction of arrivals always admitted, to detect recovery
 )
 
-// move changes the weights, at most once every WeightInterval, each by at most
-// MaxWeightFactor. Normal servers are weighed by their size and their delay;
-// overloaded ones go down while any is normal, blocked ones two steps at once.
-// None goes at a stroke: its requests would push over the others.
-func (m *Module) move() {
-	if m.moved != 0 && m.now-m.moved < m.set.WeightInterval {
+// updateWeights adjusts the weights, at most once per WeightInterval and each by at most
+// MaxWeightFactor. Normal servers are weighted by size and delay. Overloaded servers get less
+// while any server is normal; blocking ones fall by two steps at once. No weight drops to zero at
+// once, as the requests would overload the other servers.
+func (m *Module) updateWeights() {
+	if m.weightsAt != 0 && m.now-m.weightsAt < m.settings.WeightInterval {
 		return
 	}
-	m.moved = m.now
-	normal := false
-	for _, s := range m.order {
-		normal = normal || m.usable(s) && s.mode == balance.Normal
+	m.weightsAt = m.now
+	anyNormal := false
+	for _, s := range m.sortedServers {
+		anyNormal = anyNormal || m.usable(s) && s.mode == balance.Normal
 	}
 	mean, count := 0.0, 0.0
-	for _, s := range m.order {
+	for _, s := range m.sortedServers {
 		if m.usable(s) {
-			mean, count = mean+s.size, count+1
+			mean, count = mean+s.baseWeight, count+1
 		}
 	}
 	mean /= math.Max(1, count)
-	typical := m.typical()
-	for _, s := range m.order {
+	median := m.medianDelay()
+	for _, s := range m.sortedServers {
 		if !m.usable(s) {
 			continue
 		}
-		target := s.size / mean
-		if d := m.delay(s); d > 0 && typical > 0 {
-			if r := typical / d; r < 1-deadBand || r > 1+deadBand {
-				target *= math.Min(riseMost, math.Max(fallMost, math.Sqrt(r)))
+		target := s.baseWeight / mean
+		if delay := m.expectedDelay(s); delay > 0 && median > 0 {
+			if ratio := median / delay; ratio < 1-deadBand || ratio > 1+deadBand {
+				target *= math.Min(maxDelayFactor, math.Max(minDelayFactor, math.Sqrt(ratio)))
 			}
 		}
-		down := s.weight / m.set.MaxWeightFactor
+		floor := s.weight / m.settings.MaxWeightFactor
 		switch {
 		case s.mode == balance.Blocking:
-			target, down = target*stopPart, down/m.set.MaxWeightFactor
-		case s.mode == balance.Overloaded && normal:
-			target *= overPart
+			target, floor = target*blockedFactor, floor/m.settings.MaxWeightFactor
+		case s.mode == balance.Overloaded && anyNormal:
+			target *= overloadedFactor
 		}
-		target = math.Min(mostPart, math.Max(leastPart, target))
-		next := math.Min(s.weight*m.set.MaxWeightFactor, math.Max(down, target))
+		target = math.Min(maxRelativeWeight, math.Max(minRelativeWeight, target))
+		next := math.Min(s.weight*m.settings.MaxWeightFactor, math.Max(floor, target))
 		if next != s.weight {
 			s.weight, m.dirty = next, true
 		}
 	}
 }
 
-// typical is the delay that half of the answers come within: one slow server
-// does not change what the others are held against.
-func (m *Module) typical() float64 {
-	type one struct{ delay, rate float64 }
-	var all []one
+// medianDelay returns the delay that half of the responses stay within. Unlike the mean it is not
+// moved by one slow server.
+func (m *Module) medianDelay() float64 {
+	type sample struct{ delay, rate float64 }
+	var samples []sample
 	sum := 0.0
-	for _, s := range m.order {
-		if d := m.delay(s); d > 0 && m.usable(s) {
-			all, sum = append(all, one{d, s.rate}), sum+s.rate
+	for _, s := range m.sortedServers {
+		if delay := m.expectedDelay(s); delay > 0 && m.usable(s) {
+			samples, sum = append(samples, sample{delay, s.smoothedRate}), sum+s.smoothedRate
 		}
 	}
-	slices.SortFunc(all, func(a, b one) int { return cmp.Compare(a.delay, b.delay) })
-	for _, x := range all {
-		if sum -= 2 * x.rate; sum <= 0 {
-			return x.delay
+	slices.SortFunc(samples, func(a, b sample) int { return cmp.Compare(a.delay, b.delay) })
+	for _, sample := range samples {
+		if sum -= 2 * sample.rate; sum <= 0 {
+			return sample.delay
 		}
 	}
 	return 0
 }
 
-// usable servers get requests.
+// usable reports whether a server may receive requests.
 func (m *Module) usable(s *server) bool { return !s.Draining && !s.excluded }
 
-// shedding is the flow that is let in to a hall while none of its servers is
-// normal.
-type shedding struct {
-	at      Time
-	ticks   float64
-	crowded float64 // ticks at which none was normal
-	flow    float64 // requests a second, if binds
-	binds   bool
-	q1, q2  float64
+// zoneShedding limits the requests admitted to a zone while none of its servers is normal.
+type zoneShedding struct {
+	updatedAt               Time
+	ticks                   float64
+	congestedTicks          float64 // ticks without a normal server
+	admitRate               float64 // requests/s; valid if limiting
+	limiting                bool
+	dropPriority, dropOther float64
 }
 
-// divide renews q1 and q2 of each hall once a second: while none of its servers
-// is normal the flow falls below what is answered, and grows again by steps;
-// other requests go first. One hall's crowd is no reason to refuse another's
-// requests, and a hall that is idle does not help one that can't send there.
-func (m *Module) divide() {
-	type sum struct {
-		any, normal bool
-		answered    float64
+// updateShedding updates the drop ratios of each zone once per WeightInterval. While none of the
+// zone's servers is normal, the admitted rate falls below the response rate; afterwards it grows
+// step by step. Other requests are dropped first. Zones are independent: an overloaded zone is no
+// reason to drop another zone's requests, and idle capacity does not help a zone that cannot send
+// there.
+func (m *Module) updateShedding() {
+	type zoneSum struct {
+		anyUsable, anyNormal bool
+		answerRate           float64
 	}
-	sums := map[string]*sum{}
-	for _, s := range m.order {
-		x := sums[s.Zone]
-		if x == nil {
-			x = &sum{}
-			sums[s.Zone] = x
+	sums := map[string]*zoneSum{}
+	for _, s := range m.sortedServers {
+		sum := sums[s.Zone]
+		if sum == nil {
+			sum = &zoneSum{}
+			sums[s.Zone] = sum
 		}
 		if m.usable(s) {
-			x.answered += s.rate
-			x.any, x.normal = true, x.normal || s.mode == balance.Normal
+			sum.answerRate += s.smoothedRate
+			sum.anyUsable, sum.anyNormal = true, sum.anyNormal || s.mode == balance.Normal
 		}
 	}
-	for z := range m.shed {
-		if sums[z] == nil {
-			delete(m.shed, z)
+	for zone := range m.sheddingByZone {
+		if sums[zone] == nil {
+			delete(m.sheddingByZone, zone)
 		}
 	}
-	var halls map[string]*hall
-	for z, x := range sums {
-		d := m.shed[z]
-		if d == nil {
-			d = &shedding{}
-			m.shed[z] = d
-		}
-		d.ticks++
-		if x.any && !x.normal {
-			d.crowded++
-		}
-		if d.at != 0 && m.now-d.at < m.set.WeightInterval {
+	var zones map[string]*zoneState
+	for zone, sum := range sums {
+		shedding := m.sheddingByZone[zone]
+		if shedding == nil {
+			shedding = &zoneShedding{}
+			m.sheddingByZone[zone] = shedding
+		}
+		shedding.ticks++
+		if sum.anyUsable && !sum.anyNormal {
+			shedding.congestedTicks++
+		}
+		if shedding.updatedAt != 0 && m.now-shedding.updatedAt < m.settings.WeightInterval {
 			continue
 		}
-		if halls == nil {
-			halls = m.halls()
-		}
-		in1, in2 := m.arrivals(z, halls)
-		q1, q2 := 0.0, 0.0
-		if in := in1 + in2; in > 0 {
-			switch crowded := 2*d.crowded >= d.ticks; {
-			case crowded: // what is answered now is what can be; a part of it, so that queues go
-				from := in
-				if d.binds {
-					from = math.Min(in, d.flow)
+		if zones == nil {
+			zones = m.zoneStates()
+		}
+		priorityRate, otherRate := m.arrivals(zone, zones)
+		dropPriority, dropOther := 0.0, 0.0
+		if arrivals := priorityRate + otherRate; arrivals > 0 {
+			switch congested := 2*shedding.congestedTicks >= shedding.ticks; {
+			case congested: // a fraction of the current response rate, so that queues shrink
+				limit := arrivals
+				if shedding.limiting {
+					limit = math.Min(arrivals, shedding.admitRate)
 				}
-				d.flow, d.binds = math.Max(flowLeast*in, math.Min(from, x.answered*flowPart)), true
-			case d.binds:
-				d.flow = math.Max(flowLeast*in, d.flow*flowGrow)
+				shedding.admitRate, shedding.limiting =
+					math.Max(minAdmitFraction*arrivals, math.Min(limit, sum.answerRate*admitFraction)), true
+			case shedding.limiting:
+				shedding.admitRate = math.Max(minAdmitFraction*arrivals, shedding.admitRate*admitGrowth)
 			}
-			// Guards against refusing what nobody is too full for: a flow that was
-			// let in holds after a crowd only, and no longer once all comes in. Else
-			// proxies that come or report later than others would be a crowd.
-			if d.binds = d.binds && d.flow < in; d.binds {
-				q1, q2 = balance.ShedSplit(1-d.flow/in, in1, in2)
+			// Guards against dropping requests that no server is too full for: the limit applies
+			// only after congestion, until all arrivals fit under it. Otherwise proxies that join
+			// or report late would look like congestion.
+			if shedding.limiting = shedding.limiting && shedding.admitRate < arrivals; shedding.limiting {
+				dropPriority, dropOther = balance.ShedSplit(1-shedding.admitRate/arrivals, priorityRate, otherRate)
 			}
 		}
-		if q1 != d.q1 || q2 != d.q2 {
-			d.q1, d.q2, m.dirty = q1, q2, true
+		if dropPriority != shedding.dropPriority || dropOther != shedding.dropOther {
+			shedding.dropPriority, shedding.dropOther, m.dirty = dropPriority, dropOther, true
 		}
-		d.at, d.ticks, d.crowded = m.now, 0, 0
+		shedding.updatedAt, shedding.ticks, shedding.congestedTicks = m.now, 0, 0
 	}
 }
 
-// arrivals gives the requests a second that are meant for a hall, priority and
-// others, as the proxies' reports have them.
-func (m *Module) arrivals(zone string, halls map[string]*hall) (in1, in2 float64) {
-	for _, p := range m.present {
-		if h := halls[p.zone]; h != nil {
-			in1, in2 = in1+p.in1*h.share[zone], in2+p.in2*h.share[zone]
+// arrivals returns the priority and other requests per second destined for a zone, by the proxies'
+// reports.
+func (m *Module) arrivals(zone string, zones map[string]*zoneState) (priorityRate, otherRate float64) {
+	for _, proxy := range m.sortedProxies {
+		if from := zones[proxy.zone]; from != nil {
+			priorityRate, otherRate =
+				priorityRate+proxy.priorityRate*from.split[zone], otherRate+proxy.otherRate*from.split[zone]
 		}
 	}
-	return in1, in2
+	return priorityRate, otherRate
 }
