--- a/cmd/ivylock-control/main.go
+++ b/cmd/ivylock-control/main.go
@@ -1,6 +1,6 @@
-// Command ivylock-control hands ivylock's decisions to other proxies over xDS.
-// It is set in the section [control] of the operator's file; SIGHUP has it
-// read certificates and services again.
+// Command ivylock-control serves ivylock's load-balancing decisions to other proxies over xDS. It
+// is configured by the [control] section of the operator's file. SIGHUP reloads certificates and
+// services.
 package main
 
 import (
@@ -20,13 +20,13 @@
 	"ivylock/internal/operator"
 )
 
-// errConfig is a fault in the operator's file: exit 2.
+// errConfig marks errors in the operator's file; the command exits with status 2.
 var errConfig = errors.New("configuration")
 
 func main() {
-	path := flag.String("config", "deploy/operator.toml", "the operator's file")
+	configPath := flag.String("config", "deploy/operator.toml", "the operator's file")
 	flag.Parse()
-	if err := run(*path); err != nil {
+	if err := run(*configPath); err != nil {
 		if errors.Is(err, errConfig) {
 			fmt.Fprintln(os.Stderr, errors.Unwrap(err))
 			os.Exit(2)
@@ -36,45 +36,46 @@
 	}
 }
 
-// faulty marks an error as one of the operator's file.
-type faulty struct{ error }
+// configError wraps an error in the operator's file.
+type configError struct{ error }
 
-func (f faulty) Unwrap() error     { return f.error }
-func (f faulty) Is(err error) bool { return err == errConfig }
+func (e configError) Unwrap() error     { return e.error }
+func (e configError) Is(err error) bool { return err == errConfig }
 
 func run(path string) error {
-	hup := make(chan os.Signal, 1) // one that waits stands for all: the files are read after it
-	signal.Notify(hup, syscall.SIGHUP)
+	// One slot is enough, since a reload reads the files after the signal.
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	f, err := operator.Load(path)
+	file, err := operator.Load(path)
 	if err != nil {
-		return faulty{err}
+		return configError{err}
 	}
-	if f.Control == nil {
-		return faulty{fmt.Errorf("%s:1: there is no section [control]; add one, see docs/xds.md", path)}
+	if file.Control == nil {
+		return configError{fmt.Errorf("%s:1: there is no section [control]; add one, see docs/xds.md", path)}
 	}
 	var dropped atomic.Int64
-	lines := logsink.Stderr(&dropped)
-	defer lines.Flush(logsink.ExitTime)
-	log := slog.New(slog.NewTextHandler(lines, nil))
-	s, err := control.New(f.Control, f.Fleet, log)
+	sink := logsink.Stderr(&dropped)
+	defer sink.Flush(logsink.ExitTime)
+	log := slog.New(slog.NewTextHandler(sink, nil))
+	service, err := control.New(file.Control, file.Fleet, log)
 	if err != nil {
-		if f.Control.Cert != "" {
-			return faulty{f.Fault("control.cert", err)}
+		if file.Control.Cert != "" {
+			return configError{file.Fault("control.cert", err)}
 		}
-		return faulty{f.Fault("control", err)}
+		return configError{file.Fault("control", err)}
 	}
-	l, err := net.Listen("tcp", f.Control.Listen)
+	listener, err := net.Listen("tcp", file.Control.Listen)
 	if err != nil {
 		return err
 	}
-	log.Info("serves", "addr", l.Addr().String(), "discovery", f.Control.Discovery)
+	log.Info("serves", "addr", listener.Addr().String(), "discovery", file.Control.Discovery)
 	go func() {
-		for range hup {
-			f, err := operator.Load(path)
+		for range reloads {
+			file, err := operator.Load(path)
 			if err == nil {
-				err = s.Reload(f.Control)
+				err = service.Reload(file.Control)
 			}
 			if err != nil {
 				log.Error("not reloaded", "err", err)
@@ -83,5 +84,5 @@
 			log.Info("reloaded")
 		}
 	}()
-	return s.Run(ctx, l)
+	return service.Run(ctx, listener)
 }
--- a/cmd/ivylock-control/main_test.go
+++ b/cmd/ivylock-control/main_test.go
@@ -17,9 +17,9 @@
 	healthv1 "google.golang.org/grpc/health/grpc_health_v1"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-const good = `[control]
+const minimalConfig = `[control]
 listen = "127.0.0.1:0"
 plain_text = true
 discovery = "127.0.0.1:1"
@@ -50,46 +50,49 @@
 	os.Exit(code)
 }
 
-func file(t *testing.T, text string) string {
+func writeConfig(t *testing.T, config string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-func TestABadFileIsOneLineAndExitCodeTwo(t *testing.T) {
-	secure := strings.Replace(good, "plain_text = true", "cert = \"/none/cert\"\nkey = \"/none/key\"\nclient_ca = \"/none/ca\"", 1)
+func TestInvalidConfigPrintsOneLineAndExitsWithTwo(t *testing.T) {
+	secure := strings.Replace(minimalConfig, "plain_text = true",
+		"cert = \"/none/cert\"\nkey = \"/none/key\"\nclient_ca = \"/none/ca\"", 1)
 	secure = strings.Replace(secure, "name = \"clips\"", "name = \"clips\"\nproxies = [\"*\"]", 1)
 	for _, c := range []struct {
-		text string
-		line int
-		says string
+		config string
+		line   int
+		want   string
 	}{
 		{"", 1, "[control]"},
-		{strings.Replace(good, "effect", "efect", 1), 11, "unknown key"},
-		{strings.Replace(good, "127.0.0.1:0", "0.0.0.0:0", 1), 2, "loopback"},
+		{strings.Replace(minimalConfig, "effect", "efect", 1), 11, "unknown key"},
+		{strings.Replace(minimalConfig, "127.0.0.1:0", "0.0.0.0:0", 1), 2, "loopback"},
 		{secure, 3, "/none/cert"},
 	} {
-		path := file(t, c.text)
+		path := writeConfig(t, c.config)
 		out, err := exec.Command(program, "-config", path).CombinedOutput()
-		code := -1
-		if x, ok := err.(*exec.ExitError); ok {
-			code = x.ExitCode()
+		exitCode := -1
+		if exitErr, ok := err.(*exec.ExitError); ok {
+			exitCode = exitErr.ExitCode()
 		}
-		text := strings.TrimSuffix(string(out), "\n")
-		if code != 2 || strings.Contains(text, "\n") || !strings.HasPrefix(text, fmt.Sprintf("%s:%d: ", path, c.line)) || !strings.Contains(text, c.says) {
-			t.Errorf("exit code %d, %q; wanted line %d and %q", code, text, c.line, c.says)
+		output := strings.TrimSuffix(string(out), "\n")
+		if exitCode != 2 || strings.Contains(output, "\n") ||
+			!strings.HasPrefix(output, fmt.Sprintf("%s:%d: ", path, c.line)) ||
+			!strings.Contains(output, c.want) {
+			t.Errorf("exit code %d, output %q; want line %d and %q", exitCode, output, c.line, c.want)
 		}
 	}
 }
 
-// A bad file on SIGHUP changes nothing; SIGTERM ends it with 0.
-func TestReloadAndEnd(t *testing.T) {
-	path := file(t, good)
+// An invalid file on SIGHUP changes nothing; SIGTERM ends the process with status 0.
+func TestReloadAndShutdown(t *testing.T) {
+	path := writeConfig(t, minimalConfig)
 	cmd := exec.Command(program, "-config", path)
-	said, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,77 +102,77 @@
 	defer cmd.Process.Kill()
 	lines := make(chan string, 100)
 	go func() {
-		for s := bufio.NewScanner(said); s.Scan(); {
-			lines <- s.Text()
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+			lines <- scanner.Text()
 		}
 		close(lines)
 	}()
-	wait := func(what string) string {
+	waitForLog := func(what string) string {
 		t.Helper()
-		for end := time.After(patience); ; {
+		for timeout := time.After(waitTimeout); ; {
 			select {
-			case l, ok := <-lines:
+			case line, ok := <-lines:
 				if !ok {
-					t.Fatalf("it ended without %q", what)
+					t.Fatalf("process ended without logging %q", what)
 				}
-				if strings.Contains(l, what) {
-					return l
+				if strings.Contains(line, what) {
+					return line
 				}
-			case <-end:
-				t.Fatalf("it does not say %q", what)
+			case <-timeout:
+				t.Fatalf("%q is not logged", what)
 			}
 		}
 	}
-	_, addr, _ := strings.Cut(wait("addr="), "addr=")
+	_, addr, _ := strings.Cut(waitForLog("addr="), "addr=")
 	addr, _, _ = strings.Cut(addr, " ")
-	for _, c := range []struct{ text, says string }{{"[control", "not reloaded"}, {good, "msg=reloaded"}} {
-		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+	for _, c := range []struct{ config, logged string }{{"[control", "not reloaded"}, {minimalConfig, "msg=reloaded"}} {
+		if err := os.WriteFile(path, []byte(c.config), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
-		wait(c.says)
+		waitForLog(c.logged)
 		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		if _, err := healthv1.NewHealthClient(conn).Check(ctx, &healthv1.HealthCheckRequest{}); err != nil {
-			t.Errorf("after %q: %v", c.says, err)
+			t.Errorf("after %q: %v", c.logged, err)
 		}
 		cancel()
 		conn.Close()
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("exit: %v", err)
 	}
 }
 
-// A log whose reader is gone ends nothing: it reloads, and ends at SIGTERM with 0.
-func TestALogThatIsGoneEndsNothing(t *testing.T) {
-	path := file(t, good)
-	said, theirs, err := os.Pipe()
+// Without a reader of its log the service still handles reloads, and exits with status 0 on SIGTERM.
+func TestClosedLogReaderDoesNotStopService(t *testing.T) {
+	path := writeConfig(t, minimalConfig)
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(program, "-config", path)
-	cmd.Stderr = theirs
+	cmd.Stderr = writer
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	theirs.Close()
+	writer.Close()
 	serves := false
-	for s := bufio.NewScanner(said); !serves && s.Scan(); {
-		serves = strings.Contains(s.Text(), "msg=serves")
+	for scanner := bufio.NewScanner(reader); !serves && scanner.Scan(); {
+		serves = strings.Contains(scanner.Text(), "msg=serves")
 	}
-	said.Close()
+	reader.Close()
 	for range 3 {
-		cmd.Process.Signal(syscall.SIGHUP) // which is logged
+		cmd.Process.Signal(syscall.SIGHUP) // each reload writes a log line
 		time.Sleep(20 * time.Millisecond)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil || !serves {
-		t.Errorf("served: %v; it ended with %v", serves, err)
+		t.Errorf("served: %v; exit: %v", serves, err)
 	}
 }
--- a/cmd/ivylock-control/process_test.go
+++ b/cmd/ivylock-control/process_test.go
@@ -14,16 +14,16 @@
 	"ivylock/fleet/version"
 )
 
-// service is a control service that runs as a process.
-type service struct {
-	cmd           *exec.Cmd
-	addr, console string
-	mu            sync.Mutex
-	log           []string
+// controlProcess is a running ivylock-control process.
+type controlProcess struct {
+	cmd               *exec.Cmd
+	addr, consoleAddr string
+	mu                sync.Mutex
+	log               []string
 }
 
-// free gives a loopback address that nobody listens on.
-func free(t *testing.T) string {
+// freeAddr returns an unused loopback address.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,12 +33,11 @@
 	return l.Addr().String()
 }
 
-// serve starts a control service with the text of an operator's file, and waits until
-// it listens.
-func serve(t *testing.T, text string) *service {
+// startControl starts a control service with the given configuration and waits until it listens.
+func startControl(t *testing.T, config string) *controlProcess {
 	t.Helper()
-	s := &service{cmd: exec.Command(program, "-config", file(t, text))}
-	said, err := s.cmd.StderrPipe()
+	s := &controlProcess{cmd: exec.Command(program, "-config", writeConfig(t, config))}
+	stderr, err := s.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,57 +45,57 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.kill)
-	told := make(chan [2]string, 2)
+	addrs := make(chan [2]string, 2)
 	go func() {
-		for lines := bufio.NewScanner(said); lines.Scan(); {
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
 			s.mu.Lock()
-			s.log = append(s.log, lines.Text())
+			s.log = append(s.log, scanner.Text())
 			s.mu.Unlock()
 			for _, key := range []string{"addr=", "console="} {
-				if _, a, found := strings.Cut(lines.Text(), key); found {
-					a, _, _ = strings.Cut(a, " ")
+				if _, addr, found := strings.Cut(scanner.Text(), key); found {
+					addr, _, _ = strings.Cut(addr, " ")
 					select {
-					case told <- [2]string{key, a}:
+					case addrs <- [2]string{key, addr}:
 					default:
 					}
 				}
 			}
 		}
 	}()
-	for want := 1 + strings.Count(text, "\nconsole ="); want > 0; want-- {
+	for missing := 1 + strings.Count(config, "\nconsole ="); missing > 0; missing-- {
 		select {
-		case x := <-told:
-			if x[0] == "addr=" {
-				s.addr = x[1]
+		case found := <-addrs:
+			if found[0] == "addr=" {
+				s.addr = found[1]
 			} else {
-				s.console = x[1]
+				s.consoleAddr = found[1]
 			}
-		case <-time.After(patience):
-			t.Fatalf("it does not serve: %s", s.said())
+		case <-time.After(waitTimeout):
+			t.Fatalf("control service does not listen; log: %s", s.logText())
 		}
 	}
 	return s
 }
 
-// kill ends it by SIGKILL.
-func (s *service) kill() {
+// kill sends SIGKILL.
+func (s *controlProcess) kill() {
 	s.cmd.Process.Kill()
 	s.cmd.Wait()
 }
 
-func (s *service) said() string {
+func (s *controlProcess) logText() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Join(s.log, "\n")
 }
 
-// record asks its console.
-func (s *service) record() (r version.Record, err error) {
+// fetchRecord requests the record from the console.
+func (s *controlProcess) fetchRecord() (record version.Record, err error) {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + s.console + "/fleet/record")
+	resp, err := client.Get("http://" + s.consoleAddr + "/fleet/record")
 	if err != nil {
-		return r, err
+		return record, err
 	}
 	defer resp.Body.Close()
-	return r, json.NewDecoder(resp.Body).Decode(&r)
+	return record, json.NewDecoder(resp.Body).Decode(&record)
 }
--- a/cmd/ivylock-control/versions_test.go
+++ b/cmd/ivylock-control/versions_test.go
@@ -19,77 +19,80 @@
 	"ivylock/internal/lab/xdsproxy"
 )
 
-// A control service is killed and begins anew at a lower version beside one that goes
-// on, at first cut off from discovery, with the list from before a drain. Its proxies
-// move to the other and back. None sends to the server that drains, and by the records
-// of both services none has gone back or is behind, although the numbers of the one that
-// began anew are lower; while it is cut off nobody is said to be current by it.
-func TestAServiceThatBeginsAnewBesideOneThatGoesOn(t *testing.T) {
+// Control service A is killed and restarts at a lower version, first cut off from discovery and
+// with a list from before a drain, while B keeps running. Proxies move to B and back. No proxy may
+// send to the draining server, appear to go back to an older list or appear to lag; while A is cut
+// off, its proxies must not count as up to date.
+func TestRestartedServiceBesideRunningOne(t *testing.T) {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 	var addrs []string
-	var drains atomic.Bool
-	for i := range 4 { // a server that drains fails its check
+	var drained atomic.Bool
+	for i := range 4 { // a draining server fails its health check
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if i == 0 && drains.Load() {
+			if i == 0 && drained.Load() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		}))
 		defer s.Close()
 		addrs = append(addrs, strings.TrimPrefix(s.URL, "http://"))
 	}
-	d := hosts.NewService(10, clock, func(history.Event) {}, func(_, server string) string { return addrs[server[len(server)-1]-'0'] })
-	defer d.Close()
+	discovery := hosts.NewService(10, clock, func(history.Event) {},
+		func(_, server string) string { return addrs[server[len(server)-1]-'0'] })
+	defer discovery.Close()
 	entry := func(i int, lifecycle string) hosts.Entry {
-		return hosts.Entry{InstanceID: fmt.Sprintf("s-00%d", i), Zone: "hall-nord", MachineType: "std-6", Lifecycle: lifecycle, Weight: 6}
+		return hosts.Entry{InstanceID: fmt.Sprintf("s-00%d", i), Zone: "hall-nord", MachineType: "std-6",
+			Lifecycle: lifecycle, Weight: 6}
 	}
 	for i := range 4 {
-		d.SetNow(entry(i, hosts.Up))
+		discovery.SetNow(entry(i, hosts.Up))
 	}
-	toA, err := d.Listen("a")
+	discoveryA, err := discovery.Listen("a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	way, err := link.NewTCP(func() string { return toA }, clock)
+	linkA, err := link.NewTCP(func() string { return discoveryA }, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer way.Close()
-	toB, err := d.Listen("b")
+	defer linkA.Close()
+	discoveryB, err := discovery.Listen("b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := func(name, listen, discovery string) string {
-		return strings.NewReplacer("127.0.0.1:0", listen, "127.0.0.1:1\"", discovery+"\"\nname = \""+name+"\"\nconsole = \"127.0.0.1:0\"\nrecord_file = \""+
-			filepath.Join(t.TempDir(), name)+"\"\nlist_file = \""+filepath.Join(t.TempDir(), name+".json")+"\"").Replace(good)
+	config := func(name, listen, discovery string) string {
+		return strings.NewReplacer("127.0.0.1:0", listen, "127.0.0.1:1\"",
+			discovery+"\"\nname = \""+name+"\"\nconsole = \"127.0.0.1:0\"\nrecord_file = \""+
+				filepath.Join(t.TempDir(), name)+"\"\nlist_file = \""+
+				filepath.Join(t.TempDir(), name+".json")+"\"").Replace(minimalConfig)
 	}
-	textA := text("a", free(t), way.Addr())
-	a, b := serve(t, textA), serve(t, text("b", free(t), toB))
+	configA := config("a", freeAddr(t), linkA.Addr())
+	a, b := startControl(t, configA), startControl(t, config("b", freeAddr(t), discoveryB))
 
-	type running struct {
+	type runningProxy struct {
 		*xdsproxy.Proxy
 		stop context.CancelFunc
 	}
-	var proxies []*running
+	var proxies []*runningProxy
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	follow := func(p *running) {
-		own, stop := context.WithCancel(ctx)
+	startProxy := func(p *runningProxy) {
+		proxyCtx, stop := context.WithCancel(ctx)
 		p.stop = stop
-		go p.Run(own)
+		go p.Run(proxyCtx)
 	}
 	for i := range 4 {
-		to := []string{a.addr, b.addr}
+		controls := []string{a.addr, b.addr}
 		if i%2 == 1 {
-			to = []string{b.addr, a.addr}
+			controls = []string{b.addr, a.addr}
 		}
-		p := &running{Proxy: xdsproxy.New(xdsproxy.Config{Controls: to, Delta: i > 1, Node: fmt.Sprintf("p%d", i), Zone: "hall-nord",
-			Service: "clips", Clock: clock, Check: "/healthz"})}
-		follow(p)
+		p := &runningProxy{Proxy: xdsproxy.New(xdsproxy.Config{Controls: controls, Delta: i > 1,
+			Node: fmt.Sprintf("p%d", i), Zone: "hall-nord", Service: "clips", Clock: clock, Check: "/healthz"})}
+		startProxy(p)
 		proxies = append(proxies, p)
 	}
 	var drainedAt atomic.Int64
-	var late, picks atomic.Int64
+	var lateSends, picks atomic.Int64
 	for _, p := range proxies {
 		go func() {
 			for ctx.Err() == nil {
@@ -97,40 +100,40 @@
 				if at := time.Duration(drainedAt.Load()); ok && at > 0 {
 					picks.Add(1)
 					if s.Addr == addrs[0] && clock() > at+600*time.Millisecond {
-						late.Add(1)
+						lateSends.Add(1)
 					}
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
 		}()
 	}
-	// standing tells how the proxies stand by the consoles of the services that run.
-	standing := func(services ...*service) *audit.Audit {
+	// auditOf audits the proxies from the records of the given services.
+	auditOf := func(processes ...*controlProcess) *audit.Audit {
 		var records []version.Record
-		for _, s := range services {
-			r, err := s.record()
+		for _, s := range processes {
+			record, err := s.fetchRecord()
 			if err != nil {
-				t.Fatalf("%v; its log: %s", err, s.said())
+				t.Fatalf("%v; log: %s", err, s.logText())
 			}
-			records = append(records, r)
+			records = append(records, record)
 		}
 		return audit.New(records, audit.DefaultOptions())
 	}
-	until := func(what string, fits func() (bool, any)) {
+	waitUntil := func(what string, holds func() (bool, any)) {
 		t.Helper()
-		for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
-			ok, got := fits()
+		for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
+			ok, got := holds()
 			if ok {
 				return
 			}
-			if time.Now().After(end) {
-				t.Fatalf("never: %s; last %+v", what, got)
+			if time.Now().After(deadline) {
+				t.Fatalf("condition not reached: %s; last %+v", what, got)
 			}
 		}
 	}
-	all := func(state audit.State, accepted uint64, services ...*service) func() (bool, any) {
+	allProxies := func(state audit.State, accepted uint64, processes ...*controlProcess) func() (bool, any) {
 		return func() (bool, any) {
-			got := standing(services...).Proxies()
+			got := auditOf(processes...).Proxies()
 			n := 0
 			for _, p := range got {
 				if strings.Contains(p.Proxy, " p") && p.State == state && p.Accepted >= accepted {
@@ -140,33 +143,33 @@
 			return n == len(proxies), got
 		}
 	}
-	until("all are current", all(audit.UpToDate, 1, a, b))
-	for range 8 { // versions grow
+	waitUntil("all proxies are up to date", allProxies(audit.UpToDate, 1, a, b))
+	for range 8 { // raises the version
 		for _, lifecycle := range []string{hosts.Draining, hosts.Up} {
-			d.SetNow(entry(3, lifecycle))
+			discovery.SetNow(entry(3, lifecycle))
 			time.Sleep(120 * time.Millisecond)
 		}
 	}
-	until("all are current again", all(audit.UpToDate, 4, a, b))
+	waitUntil("all proxies are up to date again", allProxies(audit.UpToDate, 4, a, b))
 
-	before, err := a.record()
+	before, err := a.fetchRecord()
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.kill()
-	drains.Store(true)
-	d.SetNow(entry(0, hosts.Draining))
+	drained.Store(true)
+	discovery.SetNow(entry(0, hosts.Draining))
 	drainedAt.Store(int64(clock()))
-	until("all have moved and follow the drain", all(audit.UpToDate, 4, b))
-	way.Set(link.Shape{State: link.BlackHole})
-	a2 := serve(t, textA) // at the same address, with the list from before the drain
+	waitUntil("all proxies have moved to B and apply the drain", allProxies(audit.UpToDate, 4, b))
+	linkA.Set(link.Shape{State: link.BlackHole})
+	restartedA := startControl(t, configA) // same address, list from before the drain
 	for i := 0; i < 4; i += 2 {
 		proxies[i].stop()
-		follow(proxies[i])
+		startProxy(proxies[i])
 	}
-	asks := func(service string, state audit.State) func() (bool, any) {
+	twoProxiesOf := func(service string, state audit.State) func() (bool, any) {
 		return func() (bool, any) {
-			got := standing(a2, b).Proxies()
+			got := auditOf(restartedA, b).Proxies()
 			n := 0
 			for _, p := range got {
 				if p.Service == service && p.State == state && p.Accepted > 0 {
@@ -176,29 +179,31 @@
 			return n == 2, got
 		}
 	}
-	until("what the one that began anew says is compared with nothing while it is cut off", asks("a", audit.StateUnknown))
-	if r, _ := a2.record(); r.Proxies[0].Published >= before.Proxies[0].Published {
-		t.Fatalf("it did not begin lower: %d after %d", r.Proxies[0].Published, before.Proxies[0].Published)
+	waitUntil("the proxies of restarted A have an unknown state while it is cut off",
+		twoProxiesOf("a", audit.StateUnknown))
+	if record, _ := restartedA.fetchRecord(); record.Proxies[0].Published >= before.Proxies[0].Published {
+		t.Fatalf("version after the restart is not lower: %d after %d",
+			record.Proxies[0].Published, before.Proxies[0].Published)
 	}
-	way.Set(link.Shape{})
-	until("those that moved back are current by the one that began anew", asks("a", audit.UpToDate))
-	until("all are current", all(audit.UpToDate, 1, a2, b))
-	x := standing(a2, b)
+	linkA.Set(link.Shape{})
+	waitUntil("the proxies that moved back to A are up to date", twoProxiesOf("a", audit.UpToDate))
+	waitUntil("all proxies are up to date", allProxies(audit.UpToDate, 1, restartedA, b))
+	finalAudit := auditOf(restartedA, b)
 	moved := 0
-	for _, p := range x.Proxies() {
-		for _, m := range p.ServiceChanges {
-			if m.To != m.From && strings.HasPrefix(m.To, "a of") {
+	for _, p := range finalAudit.Proxies() {
+		for _, change := range p.ServiceChanges {
+			if change.To != change.From && strings.HasPrefix(change.To, "a of") {
 				moved++
 			}
-			if m.Relation == version.Older {
-				t.Errorf("%s went back: %+v", p.Proxy, m)
+			if change.Relation == version.Older {
+				t.Errorf("%s went back to an older list: %+v", p.Proxy, change)
 			}
 		}
 	}
 	if moved < 2 {
-		t.Errorf("%d moves to the one that began anew are on record: %+v", moved, x.Proxies())
+		t.Errorf("%d moves to restarted A are on record: %+v", moved, finalAudit.Proxies())
 	}
-	if late.Load() > 0 || picks.Load() < 500 {
-		t.Errorf("%d of %d requests went to the server that drains", late.Load(), picks.Load())
+	if lateSends.Load() > 0 || picks.Load() < 500 {
+		t.Errorf("%d of %d requests went to the draining server", lateSends.Load(), picks.Load())
 	}
 }
