--- a/steer/api.go
+++ b/steer/api.go
@@ -245,8 +245,8 @@
 	return &out
 }
 
-// View returns the view of a zone. Zones that are not listed get the view of "", in which all
-// zones are equal.
+// View returns the view of a zone. Zones that are not listed get the view of "", which spreads
+// requests evenly over all servers.
 func (s *State) View(zone string) *View {
 	if v := s.Views[zone]; v != nil {
 		return v
--- a/steer/steer.go
+++ b/steer/steer.go
@@ -414,7 +414,7 @@
 			m.Discarded.Loads++
 			continue
 		}
-		// Guards against absurd reports of a single proxy.
+		// Guards against a faulty report: no server holds that many requests of one proxy.
 		inFlight := math.Min(float64(load.InFlight), 1e5)
 		answerRate := float64(load.OK) / seconds // without errors: a full server returns those fast
 		if p.unreliable {
@@ -472,7 +472,7 @@
 	return slices.ContainsFunc(m.sortedServers, func(s *server) bool { return s.cold })
 }
 
-// tick updates the estimates for all servers and decides.
+// tick expires old reports, updates the estimates and revises the decisions.
 func (m *Module) tick() {
 	for _, p := range m.sortedProxies {
 		if p.reportedAt != 0 && m.now-p.reportedAt > reportTTL {
--- a/steer/view.go
+++ b/steer/view.go
@@ -134,7 +134,7 @@
 
 // splitRetries splits the retries of a zone's requests among the zones that its first attempts do
 // not go to, by spare capacity. Zones with only cold servers are left out, as no drop ratio would
-// protect them.
+// protect them from the retries.
 func (m *Module) splitRetries(from *zoneState, zones map[string]*zoneState, names []string) {
 	total := 0.0
 	for _, name := range names {
@@ -161,7 +161,7 @@
 		from.split[from.name] = 1
 		return
 	}
-	room, total := map[string]float64{}, 0.0
+	spareByZone, total := map[string]float64{}, 0.0
 	for _, name := range names {
 		to := zones[name]
 		if name == from.name || to.usable == 0 {
@@ -171,7 +171,7 @@
 		if from.usable == 0 {
 			spare = math.Max(spare, 1) // a zone without usable servers needs a destination
 		}
-		room[name], total = spare, total+spare
+		spareByZone[name], total = spare, total+spare
 	}
 	if total == 0 {
 		local = 1 // no spare capacity anywhere
@@ -180,7 +180,7 @@
 		from.split[from.name] = local
 	}
 	for _, name := range names {
-		if spare := room[name]; spare > 0 && local < 1 {
+		if spare := spareByZone[name]; spare > 0 && local < 1 {
 			from.split[name] = (1 - local) * spare / total
 		}
 	}
@@ -454,22 +454,27 @@
 	}
 	slices.Sort(names)
 	limit := m.requestLimit()
+	// addView adds the view of a zone whose requests are split as given.
 	addView := func(zone string, split, retrySplit map[string]float64) {
 		view := &View{Zone: zone, MaxRequests: limit}
 		priorityRate, otherRate, total := m.zoneArrivals(zone)
 		// Proxies drop before they choose a zone. So zone weights count admitted requests, and the
-		// drop ratios are those admitted to no zone.
-		sum, passPriority, passOther, maxPass := 0.0, 0.0, 0.0, 0.0
-		pass := map[string]float64{}
+		// drop ratios are the fractions that no zone admits.
+		sum, admittedPriority, admittedOther, maxAdmitted := 0.0, 0.0, 0.0, 0.0
+		admitted := map[string]float64{}
 		for _, name := range names {
-			priorityPart, otherPart := split[name]*(1-parts[name].dropPriority), split[name]*(1-parts[name].dropOther)
-			sum, passPriority, passOther = sum+split[name], passPriority+priorityPart, passOther+otherPart
-			pass[name] = (priorityRate*priorityPart + otherRate*otherPart) / total
-			maxPass = math.Max(maxPass, pass[name])
+			priorityFraction, otherFraction := split[name]*(1-parts[name].dropPriority), split[name]*(1-parts[name].dropOther)
+			sum, admittedPriority, admittedOther =
+				sum+split[name], admittedPriority+priorityFraction, admittedOther+otherFraction
+			admitted[name] = (priorityRate*priorityFraction + otherRate*otherFraction) / total
+			maxAdmitted = math.Max(maxAdmitted, admitted[name])
 		}
 		if sum > 0 {
-			view.DropPriorityPPM, view.DropOtherPPM = ceilPercentPPM(1-passPriority/sum), ceilPercentPPM(1-passOther/sum)
+			view.DropPriorityPPM, view.DropOtherPPM =
+				ceilPercentPPM(1-admittedPriority/sum), ceilPercentPPM(1-admittedOther/sum)
 		}
+		// Priority 0 holds the destinations of split. Priority 1 holds those of retries, and zones
+		// without usable servers, which are listed for their health only.
 		for _, priority := range []uint32{0, 1} {
 			for _, name := range names {
 				fraction := split[name]
@@ -478,8 +483,8 @@
 				}
 				locality := Locality{Zone: name, Priority: priority, Weight: 1, Endpoints: parts[name].endpoints}
 				switch {
-				case priority == 0 && maxPass > 0:
-					locality.Weight = uint32(math.Max(1, pass[name]/maxPass*MaxWeight))
+				case priority == 0 && maxAdmitted > 0:
+					locality.Weight = uint32(math.Max(1, admitted[name]/maxAdmitted*MaxWeight))
 				case priority == 1:
 					locality.Weight = uint32(math.Max(1, retrySplit[name]*MaxWeight))
 				}
@@ -499,6 +504,7 @@
 			state.Subsetted = state.Subsetted || endpoint.Groups != 0
 		}
 	}
+	// Proxies of unlisted zones spread their requests evenly over all usable servers.
 	even := map[string]float64{}
 	for _, name := range names {
 		even[name] = float64(zones[name].usable)
