--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -37,8 +37,8 @@
 // New returns a service with the given sections of the operator's file; fleet may be nil.
 func New(control *operator.Control, fleet *operator.Fleet, log *slog.Logger) (*Service, error) {
 	service := &Service{log: log, config: control}
-	xdsConfig := xds.Config{Access: accessOf(control), Log: log, MaxStreams: control.MaxStreams,
-		AckWithin: control.AckWithin.Duration, ReportEvery: control.ReportEvery.Duration}
+	xdsConfig := xds.Config{Access: accessOf(control), Log: log, MaxDiscoveryStreams: control.MaxStreams,
+		AckTimeout: control.AckWithin.Duration, LoadReportInterval: control.ReportEvery.Duration}
 	if !control.PlainText {
 		certificates, err := xds.LoadCertificates(control.Cert, control.Key, control.ClientCA)
 		if err != nil {
@@ -54,7 +54,7 @@
 		func(event steer.Event) { service.Engine.Post(event) }, log)
 	service.proxies.attach(&xdsConfig)
 	// Streams are served only after Engine is set.
-	xdsConfig.Alive = func() bool { return service.Engine.Alive() }
+	xdsConfig.IsCurrent = func() bool { return service.Engine.Alive() }
 	service.Server = xds.New(xdsConfig)
 	settings := steer.Settings{WarmupStartFraction: control.ColdFrom, WarmupTime: control.ColdTime.Duration,
 		OverloadFactor: control.OverloadFactor, WeightInterval: control.ChangeEvery.Duration,
@@ -81,18 +81,18 @@
 }
 
 func accessOf(control *operator.Control) xds.Access {
-	access := xds.Access{Operators: control.Operators, Allowed: map[string][]string{}}
+	access := xds.Access{Operators: control.Operators, AllowedIdentities: map[string][]string{}}
 	for _, service := range control.Services {
-		xdsService := &xds.Service{Name: service.Name, Lease: control.Lease.Duration,
-			Held: control.Held.Duration, Connect: service.Connect.Duration}
+		xdsService := &xds.Service{Name: service.Name, EndpointTTL: control.Lease.Duration,
+			FallbackTTL: control.Held.Duration, ConnectTimeout: service.Connect.Duration}
 		if control.Probe != "tcp" {
-			xdsService.ProbePath = control.Probe
+			xdsService.HealthCheckPath = control.Probe
 		}
 		for _, class := range service.Classes {
 			xdsService.Classes = append(xdsService.Classes, xds.Class{Class: classOf(class), Priority: class.Priority})
 		}
 		access.Services = append(access.Services, xdsService)
-		access.Allowed[service.Name] = service.Proxies
+		access.AllowedIdentities[service.Name] = service.Proxies
 	}
 	return access
 }
@@ -179,13 +179,13 @@
 func (s *Service) serviceMetrics() []metric {
 	counters := &s.Server.Counters
 	return []metric{
-		{"streams", "g", counters.Streams.Load()}, {"opened", "c", counters.Opened.Load()},
-		{"refused", "c", counters.Refused.Load()}, {"malformed", "c", counters.Malformed.Load()},
-		{"overdue", "c", counters.Overdue.Load()}, {"waiting", "g", int64(s.Server.Waiting())},
-		{"responses", "c", counters.Responses.Load()}, {"heartbeats", "c", counters.Beats.Load()},
-		{"bytes", "c", counters.Bytes.Load()}, {"nacks", "c", counters.Nacks.Load()},
-		{"not_followed", "g", s.proxies.unreliable.Load()}, {"reports", "c", counters.Reports.Load()},
-		{"bad_reports", "c", counters.BadReports.Load()}, {"states", "c", s.Engine.PublishedStates.Load()},
+		{"streams", "g", counters.OpenStreams.Load()}, {"opened", "c", counters.StreamsOpened.Load()},
+		{"refused", "c", counters.StreamsRefused.Load()}, {"malformed", "c", counters.MalformedRequests.Load()},
+		{"overdue", "c", counters.AckTimeouts.Load()}, {"waiting", "g", int64(s.Server.UnackedStreams())},
+		{"responses", "c", counters.Responses.Load()}, {"heartbeats", "c", counters.Heartbeats.Load()},
+		{"bytes", "c", counters.ResourceBytes.Load()}, {"nacks", "c", counters.Nacks.Load()},
+		{"not_followed", "g", s.proxies.unreliable.Load()}, {"reports", "c", counters.LoadReports.Load()},
+		{"bad_reports", "c", counters.LoadReportsRejected.Load()}, {"states", "c", s.Engine.PublishedStates.Load()},
 		{"urgent", "c", s.Engine.UrgentStates.Load()}, {"left_out", "c", s.Engine.DiscardedEntries.Load()},
 	}
 }
--- a/internal/control/steered.go
+++ b/internal/control/steered.go
@@ -124,15 +124,15 @@
 
 // attach registers the tracker for the events of the server's streams.
 func (p *proxyTracker) attach(config *xds.Config) {
-	config.Joined = func(id steer.ProxyID, zone string) {
+	config.OnJoined = func(id steer.ProxyID, zone string) {
 		p.locked(func(steered.Time) { p.table.ProxyJoined(p.hybridClock.Now(p.now()), string(id)) })
 		p.post(steer.ProxyJoined{Proxy: id, Zone: zone})
 	}
-	config.Left = func(id steer.ProxyID) {
+	config.OnLeft = func(id steer.ProxyID) {
 		p.locked(func(steered.Time) { p.table.ProxyLeft(p.hybridClock.Now(p.now()), string(id)) })
 		p.post(steer.ProxyLeft{Proxy: id})
 	}
-	config.Loaded = func(report steer.LoadReported) {
+	config.OnLoadReport = func(report steer.LoadReported) {
 		var loads []steered.ServerLoad
 		for _, load := range report.Loads {
 			loads = append(loads, steered.ServerLoad{
@@ -141,13 +141,13 @@
 		p.locked(func(now steered.Time) { p.table.LoadReported(now, string(report.Proxy), report.Interval, loads) })
 		p.post(report)
 	}
-	config.Sent = func(id steer.ProxyID, version uint64, lease time.Duration) {
+	config.OnSent = func(id steer.ProxyID, version uint64, lease time.Duration) {
 		p.locked(func(now steered.Time) { p.table.VersionSent(now, string(id), version, lease) })
 	}
-	config.Holds = func(id steer.ProxyID, version uint64) {
+	config.OnInSync = func(id steer.ProxyID, version uint64) {
 		p.locked(func(steered.Time) { p.table.VersionHeld(string(id), version) })
 	}
-	config.Answered = func(id steer.ProxyID, version uint64, reason string) {
+	config.OnAckOrNack = func(id steer.ProxyID, version uint64, reason string) {
 		p.locked(func(now steered.Time) { p.table.VersionAnswered(now, string(id), version, reason) })
 	}
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -18,10 +18,10 @@
 
 // The exit codes.
 const (
-	Fine    = 0
-	Found   = 1 // sends that were too late, or a process that is behind
-	Misuse  = 2 // unknown words
-	Nothing = 3 // no record was to be had
+	ExitOK            = 0
+	ExitProblemsFound = 1 // sends that were too late, or a process that is behind
+	ExitUsage         = 2 // unknown words
+	ExitNoRecords     = 3 // no record was to be had
 )
 
 // errFound ends a command that has shown something that is wrong.
@@ -48,15 +48,15 @@
 	root.SetErr(errs)
 	switch err := root.Execute(); {
 	case err == nil:
-		return Fine
+		return ExitOK
 	case errors.Is(err, errFound):
-		return Found
+		return ExitProblemsFound
 	case errors.Is(err, errNothing):
 		fmt.Fprintln(errs, "ivylockctl:", err)
-		return Nothing
+		return ExitNoRecords
 	default:
 		fmt.Fprintln(errs, "ivylockctl:", err)
-		return Misuse
+		return ExitUsage
 	}
 }
 
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -86,16 +86,16 @@
 		out  []string // what it prints
 		err  string
 	}{
-		{append([]string{"fleet", "versions", "--plot", picture, "--size", "4"}, from...), Found, []string{"n0", "current", "behind", "cut off from its source", "process 3", "unknown"}, "1 lines are spoilt"},
-		{append([]string{"fleet", "audit"}, from...), Found, []string{"n2", "s-1", "another", "certain"}, "no record from 127.0.0.1:1"},
-		{append([]string{"fleet", "audit", "--json"}, from...), Found, []string{`"server": "s-1"`, `"path"`}, ""},
-		{append([]string{"fleet", "changes"}, from...), Fine, []string{"0.41", "never"}, ""},
-		{append([]string{"fleet", "why", "n2"}, from...), Fine, []string{"behind (certain)", "n0 knew at", "sent 1 or more to s-1 too late, the last 3s"}, ""},
-		{append([]string{"fleet", "members"}, from...), Found, []string{"n0", "n2 suspect", "true"}, ""},
-		{append([]string{"fleet", "proxies"}, from...), Found, []string{"studio-7", "control-1", "0.41", "refuses: no such field"}, ""},
-		{append([]string{"fleet", "why", "n9"}, from...), Misuse, nil, "no process \"n9\""},
-		{[]string{"fleet", "audit", "--file", filepath.Join(dir, "none")}, Nothing, nil, "no record was to be had"},
-		{[]string{"fleet", "audit", "--frist", "x"}, Misuse, nil, "unknown flag"},
+		{append([]string{"fleet", "versions", "--plot", picture, "--size", "4"}, from...), ExitProblemsFound, []string{"n0", "current", "behind", "cut off from its source", "process 3", "unknown"}, "1 lines are spoilt"},
+		{append([]string{"fleet", "audit"}, from...), ExitProblemsFound, []string{"n2", "s-1", "another", "certain"}, "no record from 127.0.0.1:1"},
+		{append([]string{"fleet", "audit", "--json"}, from...), ExitProblemsFound, []string{`"server": "s-1"`, `"path"`}, ""},
+		{append([]string{"fleet", "changes"}, from...), ExitOK, []string{"0.41", "never"}, ""},
+		{append([]string{"fleet", "why", "n2"}, from...), ExitOK, []string{"behind (certain)", "n0 knew at", "sent 1 or more to s-1 too late, the last 3s"}, ""},
+		{append([]string{"fleet", "members"}, from...), ExitProblemsFound, []string{"n0", "n2 suspect", "true"}, ""},
+		{append([]string{"fleet", "proxies"}, from...), ExitProblemsFound, []string{"studio-7", "control-1", "0.41", "refuses: no such field"}, ""},
+		{append([]string{"fleet", "why", "n9"}, from...), ExitUsage, nil, "no process \"n9\""},
+		{[]string{"fleet", "audit", "--file", filepath.Join(dir, "none")}, ExitNoRecords, nil, "no record was to be had"},
+		{[]string{"fleet", "audit", "--frist", "x"}, ExitUsage, nil, "unknown flag"},
 	} {
 		var out, errs bytes.Buffer
 		if code := Run(x.args, &out, &errs); code != x.code {
--- a/internal/lab/xdsproxy/table_test.go
+++ b/internal/lab/xdsproxy/table_test.go
@@ -25,9 +25,9 @@
 			Cell: i, Health: h, Weight: uint32(100 * (i + 1))})
 	}
 	st := &steer.State{Version: 1, Confirmed: true, Views: map[string]*steer.View{"": {Localities: []steer.Locality{l}, DropPriorityPPM: 250_000, MaxRequests: 8}}}
-	s := &xds.Service{Name: "clips", Lease: 240 * ms, Held: time.Minute, ProbePath: "/healthz", Connect: time.Second, Classes: []xds.Class{
+	s := &xds.Service{Name: "clips", EndpointTTL: 240 * ms, FallbackTTL: time.Minute, HealthCheckPath: "/healthz", ConnectTimeout: time.Second, Classes: []xds.Class{
 		{Class: balance.Class{Name: "fetch", Effect: balance.Safe}}, {Class: balance.Class{Name: "broadcast", Effect: balance.Keyed, DedupWindow: time.Second}, Priority: true}}}
-	snap, err := xds.Encode(st, []*xds.Service{s}, xds.Kind{Leases: true})
+	snap, err := xds.Encode(st, []*xds.Service{s}, xds.Kind{SupportsTTL: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -117,7 +117,7 @@
 func TestGrpcGoTakesWeightsADrainAndAReturn(t *testing.T) {
 	var mu sync.Mutex
 	var issued, inFlight uint64
-	s, addr := up(t, Config{ReportEvery: 100 * time.Millisecond, Loaded: func(l steer.LoadReported) {
+	s, addr := up(t, Config{LoadReportInterval: 100 * time.Millisecond, OnLoadReport: func(l steer.LoadReported) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, x := range l.Loads {
--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -41,19 +41,19 @@
 
 // Service is what proxies reach by one name.
 type Service struct {
-	Name      string // of the listener: xds:///NAME for gRPC
-	Classes   []Class
-	Lease     time.Duration // of the endpoints, for proxies that know TTLs
-	Held      time.Duration // last known good: servers that were not draining stay in reserve so long
-	ProbePath string        // of the servers' health check, which fails while one drains; empty: nothing is held
-	Connect   time.Duration // time for a connection to a server
+	Name            string // of the listener: xds:///NAME for gRPC
+	Classes         []Class
+	EndpointTTL     time.Duration // of the endpoints, for proxies that know TTLs
+	FallbackTTL     time.Duration // last known good: servers that were not draining stay in reserve so long
+	HealthCheckPath string        // of the servers' health check, which fails while one drains; empty: nothing is held
+	ConnectTimeout  time.Duration // time for a connection to a server
 }
 
 // Kind is what distinguishes the snapshots of one state.
 type Kind struct {
-	Zone   string
-	Leases bool // the proxy knows TTLs
-	Group  int  // of proxies that are told of the same servers: subset.AllServers, or from 0 on
+	Zone        string
+	SupportsTTL bool // the proxy knows TTLs
+	Group       int  // of proxies that are told of the same servers: subset.AllServers, or from 0 on
 }
 
 // Names of a service's clusters. Each is made of a leased one and a held one
@@ -79,7 +79,7 @@
 
 // Encode makes the resources of services for one kind of proxy.
 func Encode(st *steer.State, services []*Service, kind Kind) (*Snapshot, error) {
-	e := encoder{snap: &Snapshot{Number: st.Version}, kind: kind, confirmed: st.Confirmed, view: st.View(kind.Zone).ForGroup(kind.Group)}
+	e := encoder{snap: &Snapshot{StateVersion: st.Version}, kind: kind, confirmed: st.Confirmed, view: st.View(kind.Zone).ForGroup(kind.Group)}
 	for t := range types {
 		e.snap.sets[t] = map[string]*Resource{}
 	}
@@ -203,7 +203,7 @@
 // cluster adds a cluster, of one pod or of all, and gives the names that
 // routes refer to with it.
 func (e *encoder) cluster(s *Service, name string, drop uint32, cell *int) []string {
-	if !e.kind.Leases {
+	if !e.kind.SupportsTTL {
 		e.eds(s, name, false)
 		e.assignment(name, drop, cell, 0)
 		return []string{name}
@@ -211,11 +211,11 @@
 	leased, held := name+leasedSuffix, name+heldSuffix
 	e.eds(s, leased, false)
 	e.eds(s, held, true)
-	e.assignment(leased, drop, cell, s.Lease)
-	e.reserve(held, s.ProbePath != "", cell, s.Held)
+	e.assignment(leased, drop, cell, s.EndpointTTL)
+	e.reserve(held, s.HealthCheckPath != "", cell, s.FallbackTTL)
 	c := &clusterv3.Cluster{
 		Name:           name,
-		ConnectTimeout: durationpb.New(s.Connect),
+		ConnectTimeout: durationpb.New(s.ConnectTimeout),
 		LbPolicy:       clusterv3.Cluster_CLUSTER_PROVIDED,
 		ClusterDiscoveryType: &clusterv3.Cluster_ClusterType{ClusterType: &clusterv3.Cluster_CustomClusterType{
 			Name: "envoy.clusters.aggregate", TypedConfig: e.any(&aggregatev3.ClusterConfig{Clusters: []string{leased, held}})}},
@@ -230,7 +230,7 @@
 	limit := wrapperspb.UInt32(max(e.view.MaxRequests, 1))
 	c := &clusterv3.Cluster{
 		Name:                 name,
-		ConnectTimeout:       durationpb.New(s.Connect),
+		ConnectTimeout:       durationpb.New(s.ConnectTimeout),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: byADS},
 		LbPolicy:             clusterv3.Cluster_ROUND_ROBIN,
@@ -247,10 +247,10 @@
 		LrsServer:                itself,
 		LrsReportEndpointMetrics: []string{"cpu_utilization", "application_utilization"},
 	}
-	if e.kind.Leases {
+	if e.kind.SupportsTTL {
 		c.LbPolicy = clusterv3.Cluster_LEAST_REQUEST
 	}
-	if held && s.ProbePath != "" {
+	if held && s.HealthCheckPath != "" {
 		c.HealthChecks = []*corev3.HealthCheck{{
 			Timeout:            durationpb.New(100 * time.Millisecond),
 			Interval:           durationpb.New(100 * time.Millisecond),
@@ -258,7 +258,7 @@
 			UnhealthyThreshold: wrapperspb.UInt32(1),
 			HealthyThreshold:   wrapperspb.UInt32(1),
 			HealthChecker: &corev3.HealthCheck_HttpHealthCheck_{
-				HttpHealthCheck: &corev3.HealthCheck_HttpHealthCheck{Path: s.ProbePath}},
+				HttpHealthCheck: &corev3.HealthCheck_HttpHealthCheck{Path: s.HealthCheckPath}},
 		}}
 	}
 	e.add(Cluster, name, c, 0)
@@ -308,7 +308,7 @@
 			}
 			own += part
 			ep.HealthStatus = healths[x.Health]
-			if e.kind.Leases {
+			if e.kind.SupportsTTL {
 				if hall == nil {
 					hall = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: l.Zone}, Priority: uint32(level)}
 					cla.Endpoints = append(cla.Endpoints, hall)
--- a/internal/xds/fuzz_test.go
+++ b/internal/xds/fuzz_test.go
@@ -51,7 +51,7 @@
 		InitialResourceVersions: map[string]string{"clips/other": "1"}},
 		&discoveryv3.DeltaDiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNamesUnsubscribe: []string{"*"}, ResponseNonce: "9"}), true)
 	f.Add([]byte{0, 1, 255, 0, 0}, false)
-	s := New(Config{Access: Access{Services: []*Service{clips()}}, AckWithin: 50 * time.Millisecond, StartRate: 1e6})
+	s := New(Config{Access: Access{Services: []*Service{clips()}}, AckTimeout: 50 * time.Millisecond, NewStreamRate: 1e6})
 	s.Publish(state(1, steer.Healthy, steer.Draining))
 	f.Fuzz(func(t *testing.T, data []byte, delta bool) {
 		queue := messages(data)
@@ -84,7 +84,7 @@
 				return nil
 			}}
 		s.serve(delta, v)
-		if n := s.Counters.Streams.Load(); n != 0 {
+		if n := s.Counters.OpenStreams.Load(); n != 0 {
 			t.Errorf("%d streams are left", n)
 		}
 		if len(s.all()) != 0 || len(s.proxies) != 0 {
@@ -112,7 +112,7 @@
 			if proto.Unmarshal(raw, r) != nil {
 				continue
 			}
-			if l, ok := Loads("p", r.GetClusterStats(), time.Second); ok {
+			if l, ok := ParseLoadReport("p", r.GetClusterStats(), time.Second); ok {
 				m.Handle(now, l)
 			}
 			for range 15 {
--- a/internal/xds/identity.go
+++ b/internal/xds/identity.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Config gives what a listener needs; it follows Reload.
-func (c *Certificates) Config() *tls.Config {
+// TLSConfig gives what a listener needs; it follows Reload.
+func (c *Certificates) TLSConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			c.mu.RLock()
--- a/internal/xds/identity_test.go
+++ b/internal/xds/identity_test.go
@@ -112,7 +112,7 @@
 	second := clips()
 	second.Name = "scores"
 	s, addr := up(t, Config{TLS: certs, Access: Access{Services: []*Service{clips(), second}, Operators: []string{"spiffe://example.org/operator"},
-		Allowed: map[string][]string{"clips": {who + "*"}, "scores": {who + "two"}}}})
+		AllowedIdentities: map[string][]string{"clips": {who + "*"}, "scores": {who + "two"}}}})
 	s.Publish(state(1, steer.Healthy))
 	clusters := func(creds grpc.DialOption) (int, error) {
 		g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, addr, creds)).StreamAggregatedResources(within(t))
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	access := Access{Services: []*Service{clips()}, Allowed: map[string][]string{"clips": {who + "*"}}}
+	access := Access{Services: []*Service{clips()}, AllowedIdentities: map[string][]string{"clips": {who + "*"}}}
 	s, addr := up(t, Config{TLS: certs, Access: access})
 	s.Publish(state(1, steer.Healthy))
 	g := open(t, dial(t, addr, ca.client(who+"one")))
@@ -199,7 +199,7 @@
 	s.Publish(state(2, steer.Draining))
 	m = recv(t, g)
 	send(t, g, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: m.Nonce})
-	access.Allowed = map[string][]string{"clips": {who + "three"}}
+	access.AllowedIdentities = map[string][]string{"clips": {who + "three"}}
 	s.SetAccess(access)
 	if _, err := g.Recv(); status.Code(err) != codes.PermissionDenied {
 		t.Errorf("after its right was taken: %v", err)
--- a/internal/xds/load.go
+++ b/internal/xds/load.go
@@ -32,7 +32,7 @@
 		err = status.Error(codes.PermissionDenied, "this identity may see no service")
 	}
 	if err != nil {
-		s.Counters.Refused.Add(1)
+		s.Counters.StreamsRefused.Add(1)
 		return s.refuse(g.Context(), "load reports", id, err)
 	}
 	m, err := g.Recv()
@@ -40,20 +40,20 @@
 		return s.broken(g.Context(), id, err)
 	}
 	if m.GetNode().GetId() == "" {
-		s.Counters.Malformed.Add(1)
+		s.Counters.MalformedRequests.Add(1)
 		return s.refuse(g.Context(), "load reports", id, badRequest("the first request must name its node"))
 	}
 	proxy := proxyID(id, m.GetNode())
 	if !s.begin(proxy) {
-		s.Counters.Refused.Add(1)
+		s.Counters.StreamsRefused.Add(1)
 		return s.refuse(g.Context(), "load reports", id, status.Error(codes.ResourceExhausted, "too many load streams"))
 	}
 	defer s.finish(proxy)
 	if err := g.Send(&lrsv3.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
-		LoadReportingInterval: durationpb.New(s.cfg.ReportEvery)}); err != nil {
+		LoadReportingInterval: durationpb.New(s.cfg.LoadReportInterval)}); err != nil {
 		return s.broken(g.Context(), id, err)
 	}
-	least := s.cfg.ReportEvery / 4
+	least := s.cfg.LoadReportInterval / 4
 	last := time.Time{}
 	for {
 		m, err := g.Recv()
@@ -64,19 +64,19 @@
 			return s.broken(g.Context(), id, err)
 		}
 		if now := time.Now(); now.Sub(last) < least {
-			s.Counters.BadReports.Add(1) // guards against a flood
+			s.Counters.LoadReportsRejected.Add(1) // guards against a flood
 			continue
 		} else {
 			last = now
 		}
-		e, ok := Loads(proxy, m.GetClusterStats(), s.cfg.ReportEvery)
+		e, ok := ParseLoadReport(proxy, m.GetClusterStats(), s.cfg.LoadReportInterval)
 		if !ok {
-			s.Counters.BadReports.Add(1)
+			s.Counters.LoadReportsRejected.Add(1)
 			continue
 		}
-		s.Counters.Reports.Add(1)
-		if s.cfg.Loaded != nil {
-			s.cfg.Loaded(e)
+		s.Counters.LoadReports.Add(1)
+		if s.cfg.OnLoadReport != nil {
+			s.cfg.OnLoadReport(e)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func (s *Server) begin(proxy steer.ProxyID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.loads) >= s.cfg.MaxStreams && s.loads[proxy] == 0 || s.loads[proxy] >= s.cfg.PerProxy {
+	if len(s.loads) >= s.cfg.MaxDiscoveryStreams && s.loads[proxy] == 0 || s.loads[proxy] >= s.cfg.MaxStreamsPerProxy {
 		return false
 	}
 	s.loads[proxy]++
@@ -107,10 +107,10 @@
 	GetTotalRequestsInProgress() uint64
 }
 
-// Loads reads a load report. Servers are told apart by their address, or by the
+// ParseLoadReport reads a load report. Servers are told apart by their address, or by the
 // sub-zone that they were given; the same server may occur in several clusters. Without an
 // interval of its own the report counts for the one that was asked for.
-func Loads(proxy steer.ProxyID, stats []*endpointv3.ClusterStats, every time.Duration) (steer.LoadReported, bool) {
+func ParseLoadReport(proxy steer.ProxyID, stats []*endpointv3.ClusterStats, every time.Duration) (steer.LoadReported, bool) {
 	e := steer.LoadReported{Proxy: proxy, Interval: every}
 	at := map[steer.Load]int{} // by what names a server
 	n := 0
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -93,8 +93,8 @@
 // Snapshot is all resources of one kind of proxy at one time. It is never
 // changed.
 type Snapshot struct {
-	Number uint64 // of the state that it was made of
-	sets   [types]map[string]*Resource
+	StateVersion uint64 // of the state that it was made of
+	sets         [types]map[string]*Resource
 }
 
 // Get gives a resource, or nil.
--- a/internal/xds/scale_test.go
+++ b/internal/xds/scale_test.go
@@ -243,7 +243,7 @@
 		variant := map[bool]string{false: "sotw", true: "delta"}[delta]
 		b.Run("ivylock/"+variant, func(b *testing.B) {
 			heap := heapNow()
-			s := New(Config{Access: Access{Services: []*Service{clips()}}, StartRate: 1e6})
+			s := New(Config{Access: Access{Services: []*Service{clips()}}, NewStreamRate: 1e6})
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -257,7 +257,7 @@
 		})
 		b.Run("leases/"+variant, func(b *testing.B) {
 			heap := heapNow()
-			s := New(Config{Access: Access{Services: []*Service{clips()}}, StartRate: 1e6})
+			s := New(Config{Access: Access{Services: []*Service{clips()}}, NewStreamRate: 1e6})
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -268,11 +268,11 @@
 			c := &crowd{}
 			c.join(b, l.Addr().String(), delta, "clips/other/leased", ttlFeature)
 			c.measure(b, heap, func(v uint64) { s.Publish(scaleState(v)) })
-			used, beats := cpu(), s.Counters.Beats.Load()
+			used, beats := cpu(), s.Counters.Heartbeats.Load()
 			time.Sleep(3 * time.Second)
 			b.ReportMetric(float64(cpu()-used)/1e6/3, "idle-cpu-ms/s")
-			b.ReportMetric(float64(s.Counters.Beats.Load()-beats)/3/scaleStreams, "beats/stream/s")
-			b.ReportMetric(float64(s.Counters.Overdue.Load()), "resets")
+			b.ReportMetric(float64(s.Counters.Heartbeats.Load()-beats)/3/scaleStreams, "beats/stream/s")
+			b.ReportMetric(float64(s.Counters.AckTimeouts.Load()), "resets")
 		})
 		b.Run("go-control-plane/"+variant, func(b *testing.B) {
 			heap := heapNow()
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -31,57 +31,57 @@
 // Access is what is served and who may see it. It can be changed while the
 // server runs.
 type Access struct {
-	Services  []*Service
-	Allowed   map[string][]string // who may see a service, by its name: patterns of Matches
-	Operators []string            // who may ask for client status
+	Services          []*Service
+	AllowedIdentities map[string][]string // who may see a service, by its name: patterns of Matches
+	Operators         []string            // who may ask for client status
 }
 
-// Config is what a server is told at its start. Zero bounds take the default
+// TLSConfig is what a server is told at its start. Zero bounds take the default
 // named with each.
 type Config struct {
 	Access Access
 	TLS    *Certificates // nil: plain text
 	Log    *slog.Logger
 
-	MaxStreams  int           // discovery streams at once; default 4,096
-	PerProxy    int           // discovery or load streams of one proxy at once; default 4
-	MaxMessage  int           // bytes of a request; default 1 MiB
-	AckWithin   time.Duration // a response without an answer for so long ends its stream; default 5 s
-	StartRate   float64       // first responses to new streams a second; default 1,000
-	ReportEvery time.Duration // load reports; default 500 ms
+	MaxDiscoveryStreams int           // discovery streams at once; default 4,096
+	MaxStreamsPerProxy  int           // discovery or load streams of one proxy at once; default 4
+	MaxMessageBytes     int           // bytes of a request; default 1 MiB
+	AckTimeout          time.Duration // a response without an answer for so long ends its stream; default 5 s
+	NewStreamRate       float64       // first responses to new streams a second; default 1,000
+	LoadReportInterval  time.Duration // load reports; default 500 ms
 
-	// Alive tells whether what was published is current; while it is not,
+	// IsCurrent tells whether what was published is current; while it is not,
 	// nothing is sent. nil: always.
-	Alive func() bool
+	IsCurrent func() bool
 
 	// Joined, Left and Loaded tell of proxies; they are called from the
 	// streams' goroutines and must not block for long.
-	Joined func(proxy steer.ProxyID, zone string)
-	Left   func(proxy steer.ProxyID)
-	Loaded func(steer.LoadReported)
-	// Sent says that a version has gone to a proxy, for a time after which it runs
+	OnJoined     func(proxy steer.ProxyID, zone string)
+	OnLeft       func(proxy steer.ProxyID)
+	OnLoadReport func(steer.LoadReported)
+	// OnSent says that a version has gone to a proxy, for a time after which it runs
 	// out there (0: it does not), Answered that it has taken
 	// it, or why not. Holds says that what a proxy has is all that a version has
 	// for it, whether or not anything of that had to be sent.
-	Sent     func(proxy steer.ProxyID, number uint64, lease time.Duration)
-	Answered func(proxy steer.ProxyID, number uint64, why string)
-	Holds    func(proxy steer.ProxyID, number uint64)
+	OnSent      func(proxy steer.ProxyID, number uint64, lease time.Duration)
+	OnAckOrNack func(proxy steer.ProxyID, number uint64, why string)
+	OnInSync    func(proxy steer.ProxyID, number uint64)
 }
 
 // Counters are what a server has done since its start.
 type Counters struct {
-	Streams     atomic.Int64 // open now
-	Opened      atomic.Int64
-	Refused     atomic.Int64 // streams turned away at a bound or for want of a right
-	Malformed   atomic.Int64 // streams ended for what their proxy sent
-	Overdue     atomic.Int64 // streams ended as their proxy did not answer
-	Responses   atomic.Int64
-	Beats       atomic.Int64 // of these: heartbeats
-	Bytes       atomic.Int64 // of the responses' resources
-	Nacks       atomic.Int64
-	Reports     atomic.Int64 // load reports
-	BadReports  atomic.Int64
-	EncodeFails atomic.Int64
+	OpenStreams         atomic.Int64 // open now
+	StreamsOpened       atomic.Int64
+	StreamsRefused      atomic.Int64 // streams turned away at a bound or for want of a right
+	MalformedRequests   atomic.Int64 // streams ended for what their proxy sent
+	AckTimeouts         atomic.Int64 // streams ended as their proxy did not answer
+	Responses           atomic.Int64
+	Heartbeats          atomic.Int64 // of these: heartbeats
+	ResourceBytes       atomic.Int64 // of the responses' resources
+	Nacks               atomic.Int64
+	LoadReports         atomic.Int64 // load reports
+	LoadReportsRejected atomic.Int64
+	EncodeErrors        atomic.Int64
 }
 
 // Server serves one listener.
@@ -117,17 +117,17 @@
 			*v = d
 		}
 	}
-	def(&cfg.MaxStreams, 4096)
-	def(&cfg.PerProxy, 4)
-	def(&cfg.MaxMessage, 1<<20)
-	if cfg.AckWithin == 0 {
-		cfg.AckWithin = 5 * time.Second
+	def(&cfg.MaxDiscoveryStreams, 4096)
+	def(&cfg.MaxStreamsPerProxy, 4)
+	def(&cfg.MaxMessageBytes, 1<<20)
+	if cfg.AckTimeout == 0 {
+		cfg.AckTimeout = 5 * time.Second
 	}
-	if cfg.StartRate == 0 {
-		cfg.StartRate = 1000
+	if cfg.NewStreamRate == 0 {
+		cfg.NewStreamRate = 1000
 	}
-	if cfg.ReportEvery == 0 {
-		cfg.ReportEvery = 500 * time.Millisecond
+	if cfg.LoadReportInterval == 0 {
+		cfg.LoadReportInterval = 500 * time.Millisecond
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -135,7 +135,7 @@
 	s := &Server{cfg: cfg, access: cfg.Access, start: time.Now(), health: health.NewServer(),
 		views: map[viewKey]*Snapshot{}, streams: map[*stream]bool{}, proxies: map[steer.ProxyID]int{}, loads: map[steer.ProxyID]int{}}
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(cfg.MaxMessage),
+		grpc.MaxRecvMsgSize(cfg.MaxMessageBytes),
 		grpc.MaxConcurrentStreams(16), // of one connection
 		grpc.ConnectionTimeout(5 * time.Second),
 		// A proxy that is gone without a word is found in 15 s.
@@ -143,7 +143,7 @@
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
 	if cfg.TLS != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(cfg.TLS.Config())))
+		options = append(options, grpc.Creds(credentials.NewTLS(cfg.TLS.TLSConfig())))
 	}
 	s.grpc = grpc.NewServer(options...)
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(s.grpc, ads{s})
@@ -220,7 +220,7 @@
 func (s *Server) snapshot(k viewKey) *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state == nil || !s.state.Confirmed && !k.Leases {
+	if s.state == nil || !s.state.Confirmed && !k.SupportsTTL {
 		return nil
 	}
 	if s.state.Views[k.Zone] == nil {
@@ -237,7 +237,7 @@
 	}
 	v, err := Encode(s.state, services, k.Kind)
 	if err != nil {
-		s.Counters.EncodeFails.Add(1)
+		s.Counters.EncodeErrors.Add(1)
 		s.cfg.Log.Error("a state could not be encoded", "err", err)
 	}
 	s.views[k] = v
@@ -250,7 +250,7 @@
 	defer s.mu.Unlock()
 	var out []string
 	for _, x := range s.access.Services {
-		if s.cfg.TLS == nil || allowed(s.access.Allowed[x.Name], id) {
+		if s.cfg.TLS == nil || allowed(s.access.AllowedIdentities[x.Name], id) {
 			out = append(out, x.Name)
 		}
 	}
@@ -264,16 +264,16 @@
 func (s *Server) admit(x *stream) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.streams) >= s.cfg.MaxStreams {
+	if len(s.streams) >= s.cfg.MaxDiscoveryStreams {
 		return 0, errFull
 	}
-	if s.proxies[x.proxy] >= s.cfg.PerProxy {
+	if s.proxies[x.proxy] >= s.cfg.MaxStreamsPerProxy {
 		return 0, fmt.Errorf("%w of one proxy", errFull)
 	}
 	s.streams[x] = true
 	s.proxies[x.proxy]++
 	now := s.now()
-	s.next = max(s.next, now-50*time.Millisecond) + time.Duration(float64(time.Second)/s.cfg.StartRate)
+	s.next = max(s.next, now-50*time.Millisecond) + time.Duration(float64(time.Second)/s.cfg.NewStreamRate)
 	return max(0, s.next-now), nil
 }
 
@@ -309,9 +309,9 @@
 	return st.Err()
 }
 
-// Waiting says how many streams were sent something that they have not
+// UnackedStreams says how many streams were sent something that they have not
 // answered.
-func (s *Server) Waiting() int {
+func (s *Server) UnackedStreams() int {
 	n := 0
 	for _, x := range s.all() {
 		if x.waiting() {
--- a/internal/xds/server_test.go
+++ b/internal/xds/server_test.go
@@ -37,7 +37,7 @@
 const patience = 20 * time.Second
 
 func clips() *Service {
-	return &Service{Name: "clips", Lease: 240 * time.Millisecond, Held: time.Minute, ProbePath: "/healthz", Connect: time.Second,
+	return &Service{Name: "clips", EndpointTTL: 240 * time.Millisecond, FallbackTTL: time.Minute, HealthCheckPath: "/healthz", ConnectTimeout: time.Second,
 		Classes: []Class{
 			{Class: balance.Class{Name: "fetch", Effect: balance.Safe, Deadline: 5 * time.Second}},
 			{Class: balance.Class{Name: "broadcast", Effect: balance.Keyed, Deadline: 20 * time.Second, DedupWindow: 8 * time.Second}, Priority: true},
@@ -247,7 +247,7 @@
 
 func TestBadRequestsEndTheirStreamAlone(t *testing.T) {
 	var log lines
-	s, addr := up(t, Config{MaxMessage: 64 << 10, Log: slog.New(slog.NewTextHandler(&log, nil))})
+	s, addr := up(t, Config{MaxMessageBytes: 64 << 10, Log: slog.New(slog.NewTextHandler(&log, nil))})
 	s.Publish(state(1, steer.Healthy))
 	other := open(t, dial(t, addr))
 	send(t, other, &discoveryv3.DiscoveryRequest{Node: node("good"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}})
@@ -275,9 +275,9 @@
 	}
 	// The library itself ends a stream whose message is too long, so its client
 	// may know before it is counted.
-	for end := time.Now().Add(patience); (s.Counters.Malformed.Load() < 5 || log.count() < 5) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); (s.Counters.MalformedRequests.Load() < 5 || log.count() < 5) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	if n := s.Counters.Malformed.Load(); n != 5 {
+	if n := s.Counters.MalformedRequests.Load(); n != 5 {
 		t.Errorf("%d counted", n)
 	}
 	if n := log.count(); n != 5 {
@@ -290,7 +290,7 @@
 }
 
 func TestBoundsOnStreams(t *testing.T) {
-	s, addr := up(t, Config{MaxStreams: 3, PerProxy: 2})
+	s, addr := up(t, Config{MaxDiscoveryStreams: 3, MaxStreamsPerProxy: 2})
 	s.Publish(state(1, steer.Healthy))
 	try := func(id string) error {
 		g := open(t, dial(t, addr))
@@ -306,7 +306,7 @@
 			t.Errorf("stream %d: %v", i, err)
 		}
 	}
-	if n := s.Counters.Refused.Load(); n != 2 {
+	if n := s.Counters.StreamsRefused.Load(); n != 2 {
 		t.Errorf("%d counted", n)
 	}
 }
@@ -314,7 +314,7 @@
 // A proxy that does not answer loses its stream in time; its connection is
 // reset, so that nothing that was under way comes later.
 func TestWhoDoesNotAnswerLosesItsConnection(t *testing.T) {
-	s, addr := up(t, Config{AckWithin: 300 * time.Millisecond})
+	s, addr := up(t, Config{AckTimeout: 300 * time.Millisecond})
 	s.Publish(state(1, steer.Healthy))
 	g := open(t, dial(t, addr))
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}})
@@ -322,14 +322,14 @@
 	if _, err := g.Recv(); err == nil {
 		t.Error("it goes on")
 	}
-	if n := s.Counters.Overdue.Load(); n != 1 {
+	if n := s.Counters.AckTimeouts.Load(); n != 1 {
 		t.Errorf("%d counted", n)
 	}
 }
 
 // A reader that has stopped and a window that is full hold up nobody else.
 func TestAStoppedReaderHoldsUpNobody(t *testing.T) {
-	s, addr := up(t, Config{AckWithin: 2 * time.Second})
+	s, addr := up(t, Config{AckTimeout: 2 * time.Second})
 	many := make([]steer.Health, 1200) // some 100 kB: more than the window
 	s.Publish(state(1, many...))
 	deaf := open(t, dial(t, addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithInitialWindowSize(65535), grpc.WithInitialConnWindowSize(65535)))
@@ -346,7 +346,7 @@
 		s.Publish(state(v, many...))
 		ask(m.Nonce)
 	}
-	for began := time.Now(); s.Counters.Overdue.Load() == 0; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); s.Counters.AckTimeouts.Load() == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > patience {
 			t.Fatal("the deaf one is still there")
 		}
@@ -391,7 +391,7 @@
 
 func TestLoadReportsReachWhoDecides(t *testing.T) {
 	got := make(chan steer.LoadReported, 1)
-	s, addr := up(t, Config{Loaded: func(l steer.LoadReported) { got <- l }})
+	s, addr := up(t, Config{OnLoadReport: func(l steer.LoadReported) { got <- l }})
 	s.Publish(state(1, steer.Healthy))
 	g, err := lrsv3.NewLoadReportingServiceClient(dial(t, addr)).StreamLoadStats(within(t))
 	if err != nil {
@@ -445,7 +445,7 @@
 // after the other; a drain reaches those that are there while others still
 // wait for their first state.
 func TestThreeHundredComeAtOnce(t *testing.T) {
-	s, addr := up(t, Config{StartRate: 100})
+	s, addr := up(t, Config{NewStreamRate: 100})
 	many := make([]steer.Health, 50)
 	s.Publish(state(1, many...))
 	old := open(t, dial(t, addr))
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -19,13 +19,13 @@
 
 // Request is what a proxy sends on a stream, of either variant.
 type Request struct {
-	Type    Type
-	Nonce   string            // of the response that it answers; empty: none
-	Error   string            // why it rejects that response; empty: it accepts it
-	Names   []string          // state of the world: all names that it wants
-	Add     []string          // incremental: further names
-	Remove  []string          // incremental: names no longer wanted
-	Initial map[string]string // incremental, first request: versions it has
+	Type            Type
+	Nonce           string            // of the response that it answers; empty: none
+	RejectReason    string            // why it rejects that response; empty: it accepts it
+	Names           []string          // state of the world: all names that it wants
+	Subscribe       []string          // incremental: further names
+	Unsubscribe     []string          // incremental: names no longer wanted
+	InitialVersions map[string]string // incremental, first request: versions it has
 }
 
 // Response is what a stream sends.
@@ -35,7 +35,7 @@
 	Version   string
 	Resources []*Resource
 	Removed   []string // incremental
-	Beat      bool     // the resources go without their bodies: they only stay valid for another TTL
+	Heartbeat bool     // the resources go without their bodies: they only stay valid for another TTL
 }
 
 // given is a resource as a proxy holds it.
@@ -88,8 +88,8 @@
 	asks   [types]ask
 	nonce  uint64
 
-	// Stale counts requests that answered an older response.
-	Stale uint64
+	// StaleRequests counts requests that answered an older response.
+	StaleRequests uint64
 }
 
 // NewSession gives one that has heard nothing. Without leases no TTL is told
@@ -98,11 +98,11 @@
 	return &Session{delta: delta, leases: leases}
 }
 
-// Set gives the session a new snapshot.
-func (s *Session) Set(now time.Duration, snap *Snapshot) { s.snap, s.since = snap, now }
+// SetSnapshot gives the session a new snapshot.
+func (s *Session) SetSnapshot(now time.Duration, snap *Snapshot) { s.snap, s.since = snap, now }
 
-// Take handles a request. An error ends the stream.
-func (s *Session) Take(now time.Duration, r Request) error {
+// HandleRequest handles a request. An error ends the stream.
+func (s *Session) HandleRequest(now time.Duration, r Request) error {
 	a := &s.asks[r.Type]
 	first := !a.wanted
 	if first {
@@ -114,14 +114,14 @@
 			s.answered(now, a, r)
 		case a.last == r.Nonce: // it has been answered: this one only changes what is wanted
 		default:
-			s.Stale++
+			s.StaleRequests++
 			if !s.delta {
 				return nil // the protocol page: what answers an older response is ignored
 			}
 		}
 	}
 	if s.delta {
-		if first && len(r.Add) == 0 && r.Type.whole() {
+		if first && len(r.Subscribe) == 0 && r.Type.whole() {
 			a.wild = true
 		}
 		if err := s.subscribe(a, r, first); err != nil {
@@ -144,10 +144,10 @@
 }
 
 func (s *Session) subscribe(a *ask, r Request, first bool) error {
-	if len(r.Add)+len(r.Remove) > 2*maxNames || len(r.Initial) > maxNames {
+	if len(r.Subscribe)+len(r.Unsubscribe) > 2*maxNames || len(r.InitialVersions) > maxNames {
 		return fmt.Errorf("%v: more than %d resources in one request", r.Type, maxNames)
 	}
-	for _, n := range r.Add {
+	for _, n := range r.Subscribe {
 		if err := checkName(n); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 		delete(a.has, n) // who asks again has lost it
 		delete(a.gone, n)
 	}
-	for _, n := range r.Remove {
+	for _, n := range r.Unsubscribe {
 		if n == wildcard {
 			a.wild = false
 		}
@@ -170,7 +170,7 @@
 		}
 	}
 	if first {
-		for n, v := range r.Initial {
+		for n, v := range r.InitialVersions {
 			// What has a lease is sent whole: it may just have run out.
 			if x := s.snap.Get(r.Type, n); x != nil && x.Version == v && !s.leased(x) && (a.wild || a.names[n]) {
 				a.has[n] = given{Resource: x}
@@ -222,9 +222,9 @@
 func (s *Session) answered(now time.Duration, a *ask, r Request) {
 	out := a.out
 	a.out = nil
-	if r.Error != "" {
+	if r.RejectReason != "" {
 		a.nacks++
-		a.nack = r.Error[:min(len(r.Error), maxNackText)]
+		a.nack = r.RejectReason[:min(len(r.RejectReason), maxNackText)]
 		a.whole = out.Version
 		for n := range a.refused { // guards against names that come, are rejected and go
 			if s.snap.Get(r.Type, n) == nil {
@@ -244,7 +244,7 @@
 		}
 		delete(a.gone, x.Name)
 		had, ok := a.has[x.Name]
-		if out.Beat && (!ok || had.Resource != x || now >= had.sure) {
+		if out.Heartbeat && (!ok || had.Resource != x || now >= had.sure) {
 			delete(a.has, x.Name) // it may have come after the lease had run out: send the body again
 			continue
 		}
@@ -256,7 +256,7 @@
 			a.gone[n] = true
 		}
 	}
-	if !s.delta && out.Type.whole() && !out.Beat {
+	if !s.delta && out.Type.whole() && !out.Heartbeat {
 		keep := map[string]bool{}
 		for _, x := range out.Resources {
 			keep[x.Name] = true
@@ -271,15 +271,15 @@
 
 func (s *Session) leased(r *Resource) bool { return s.leases && r.TTL > 0 }
 
-// Next gives what is to be sent now, or nil. The caller sends it before it
+// NextResponse gives what is to be sent now, or nil. The caller sends it before it
 // calls again.
-func (s *Session) Next(now time.Duration) *Response {
+func (s *Session) NextResponse(now time.Duration) *Response {
 	if s.snap == nil {
 		return nil
 	}
 	for t := range types {
 		a := &s.asks[t]
-		if !a.wanted || a.out != nil && !a.out.Beat {
+		if !a.wanted || a.out != nil && !a.out.Heartbeat {
 			continue
 		}
 		if r := s.update(now, t, a); r != nil {
@@ -299,7 +299,7 @@
 	s.nonce++
 	r.Nonce = strconv.FormatUint(s.nonce, 10)
 	a.out, a.last = &pending{r, now}, r.Nonce
-	if !r.Beat {
+	if !r.Heartbeat {
 		a.sent = r.Version
 	}
 	return r
@@ -424,9 +424,9 @@
 	return &Response{Type: t, Version: sum(changed), Resources: changed}
 }
 
-// Holds tells whether the proxy has acknowledged all that the snapshot has for it,
+// OnInSync tells whether the proxy has acknowledged all that the snapshot has for it,
 // of every type that it must have to act on it.
-func (s *Session) Holds() bool {
+func (s *Session) InSync() bool {
 	if s.snap == nil || !s.asks[Cluster].wanted {
 		return false
 	}
@@ -438,7 +438,7 @@
 			}
 			continue
 		}
-		if a.out != nil && !a.out.Beat || a.nack != "" {
+		if a.out != nil && !a.out.Heartbeat || a.nack != "" {
 			return false
 		}
 		for n, x := range s.snap.sets[t] {
@@ -469,11 +469,11 @@
 		return nil
 	}
 	sortByName(due)
-	return &Response{Type: t, Version: a.acked, Resources: due, Beat: true}
+	return &Response{Type: t, Version: a.acked, Resources: due, Heartbeat: true}
 }
 
-// Wake is when Next may have something to send although nothing has happened.
-func (s *Session) Wake(now time.Duration) time.Duration {
+// NextWakeup is when Next may have something to send although nothing has happened.
+func (s *Session) NextWakeup(now time.Duration) time.Duration {
 	at := neverTime
 	for t := range types {
 		a := &s.asks[t]
@@ -498,11 +498,11 @@
 	return at
 }
 
-// Overdue is when the first response without an answer has waited too long:
+// AckTimeouts is when the first response without an answer has waited too long:
 // within, or, for a body with a lease, that lease. One that is held back
 // longer could reach the proxy after its leases had run out and bring back
 // what has been drained meanwhile; the connection must be broken before.
-func (s *Session) Overdue(within time.Duration) (at time.Duration, ok bool) {
+func (s *Session) AckDeadline(within time.Duration) (at time.Duration, ok bool) {
 	at = neverTime
 	for t := range types {
 		out := s.asks[t].out
@@ -512,7 +512,7 @@
 		ok = true
 		wait := within
 		for _, x := range out.Resources {
-			if s.leased(x) && !out.Beat {
+			if s.leased(x) && !out.Heartbeat {
 				wait = min(wait, x.TTL)
 			}
 		}
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -35,21 +35,21 @@
 // want asks for a type on a fresh session.
 func want(t *testing.T, s *Session, ty Type, names ...string) {
 	t.Helper()
-	if err := s.Take(0, Request{Type: ty, Names: names, Add: names}); err != nil {
+	if err := s.HandleRequest(0, Request{Type: ty, Names: names, Subscribe: names}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func ack(t *testing.T, s *Session, now time.Duration, r *Response, names ...string) {
 	t.Helper()
-	if err := s.Take(now, Request{Type: r.Type, Nonce: r.Nonce, Names: names}); err != nil {
+	if err := s.HandleRequest(now, Request{Type: r.Type, Nonce: r.Nonce, Names: names}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func nack(t *testing.T, s *Session, now time.Duration, r *Response, names ...string) {
 	t.Helper()
-	if err := s.Take(now, Request{Type: r.Type, Nonce: r.Nonce, Names: names, Error: "no"}); err != nil {
+	if err := s.HandleRequest(now, Request{Type: r.Type, Nonce: r.Nonce, Names: names, RejectReason: "no"}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -75,22 +75,22 @@
 	both(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, false)
 		want(t, s, Endpoint, "a", "b")
-		if r := s.Next(0); r != nil {
+		if r := s.NextResponse(0); r != nil {
 			t.Errorf("without a snapshot: %v", names(r))
 		}
-		s.Set(0, eds(res("a", "1", 0), res("b", "1", 0), res("c", "1", 0)))
-		r := s.Next(0)
+		s.SetSnapshot(0, eds(res("a", "1", 0), res("b", "1", 0), res("c", "1", 0)))
+		r := s.NextResponse(0)
 		if !slices.Equal(names(r), []string{"a=1", "b=1"}) {
 			t.Fatalf("first: %v", names(r))
 		}
-		if x := s.Next(0); x != nil {
+		if x := s.NextResponse(0); x != nil {
 			t.Errorf("without an answer: %v", names(x))
 		}
 		ack(t, s, 1, r, "a", "b")
 		// Two changes before the next call: only the later one is sent.
-		s.Set(2, eds(res("a", "2", 0), res("b", "1", 0)))
-		s.Set(3, eds(res("a", "3", 0), res("b", "1", 0)))
-		if r = s.Next(3); !slices.Equal(names(r), []string{"a=3"}) {
+		s.SetSnapshot(2, eds(res("a", "2", 0), res("b", "1", 0)))
+		s.SetSnapshot(3, eds(res("a", "3", 0), res("b", "1", 0)))
+		if r = s.NextResponse(3); !slices.Equal(names(r), []string{"a=3"}) {
 			t.Errorf("a change: %v", names(r))
 		}
 	})
@@ -104,21 +104,21 @@
 			}
 			s := NewSession(delta, false)
 			want(t, s, ty, "a")
-			s.Set(0, of("1"))
-			ack(t, s, 0, s.Next(0), "a")
-			s.Set(1, of("2"))
-			nack(t, s, 1, s.Next(1), "a")
+			s.SetSnapshot(0, of("1"))
+			ack(t, s, 0, s.NextResponse(0), "a")
+			s.SetSnapshot(1, of("2"))
+			nack(t, s, 1, s.NextResponse(1), "a")
 			for i := range 100 {
-				if r := s.Next(time.Duration(i) * time.Second); r != nil {
+				if r := s.NextResponse(time.Duration(i) * time.Second); r != nil {
 					t.Fatalf("%v: again %v", ty, names(r))
 				}
-				s.Set(time.Duration(i)*time.Second, of("2"))
+				s.SetSnapshot(time.Duration(i)*time.Second, of("2"))
 			}
 			if a := s.asks[ty]; a.nacks != 1 || a.nack != "no" || a.has["a"].Version != "1" {
 				t.Errorf("%v: %d rejections, %q, holds %v", ty, a.nacks, a.nack, a.has["a"].Version)
 			}
-			s.Set(time.Hour, of("3"))
-			if r := s.Next(time.Hour); !slices.Equal(names(r), []string{"a=3"}) {
+			s.SetSnapshot(time.Hour, of("3"))
+			if r := s.NextResponse(time.Hour); !slices.Equal(names(r), []string{"a=3"}) {
 				t.Errorf("%v: the next one: %v", ty, names(r))
 			}
 		})
@@ -131,24 +131,24 @@
 	both(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, true)
 		want(t, s, Endpoint, "a")
-		s.Set(0, eds(res("a", "0", lease)))
-		first := s.Next(0)
+		s.SetSnapshot(0, eds(res("a", "0", lease)))
+		first := s.NextResponse(0)
 		for i := 1; i < 1000; i++ {
 			now := time.Duration(i) * 10 * ms
-			s.Set(now, eds(res("a", fmt.Sprint(i), lease)))
-			if r := s.Next(now); r != nil {
+			s.SetSnapshot(now, eds(res("a", fmt.Sprint(i), lease)))
+			if r := s.NextResponse(now); r != nil {
 				t.Fatalf("%d: %v", i, names(r))
 			}
-			s.Take(now, Request{Type: Endpoint, Nonce: "77", Names: []string{"a"}})
+			s.HandleRequest(now, Request{Type: Endpoint, Nonce: "77", Names: []string{"a"}})
 		}
-		if s.Stale != 999 || len(s.asks[Endpoint].has) != 0 {
-			t.Errorf("%d stale answers, holds %d", s.Stale, len(s.asks[Endpoint].has))
+		if s.StaleRequests != 999 || len(s.asks[Endpoint].has) != 0 {
+			t.Errorf("%d stale answers, holds %d", s.StaleRequests, len(s.asks[Endpoint].has))
 		}
-		if at, ok := s.Overdue(time.Second); !ok || at != lease {
+		if at, ok := s.AckDeadline(time.Second); !ok || at != lease {
 			t.Errorf("overdue at %v, %v", at, ok)
 		}
 		ack(t, s, 10*time.Second, first, "a")
-		if r := s.Next(10 * time.Second); !slices.Equal(names(r), []string{"a=999"}) {
+		if r := s.NextResponse(10 * time.Second); !slices.Equal(names(r), []string{"a=999"}) {
 			t.Errorf("after its answer: %v", names(r))
 		}
 	})
@@ -158,25 +158,25 @@
 	both(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, true)
 		want(t, s, Endpoint, "a")
-		s.Set(0, eds(res("a", "1", lease, "h:1", "h:2")))
-		ack(t, s, 1*ms, s.Next(0), "a")
-		if w := s.Wake(1 * ms); w != 80*ms {
+		s.SetSnapshot(0, eds(res("a", "1", lease, "h:1", "h:2")))
+		ack(t, s, 1*ms, s.NextResponse(0), "a")
+		if w := s.NextWakeup(1 * ms); w != 80*ms {
 			t.Errorf("next heartbeat at %v", w)
 		}
-		if r := s.Next(79 * ms); r != nil {
+		if r := s.NextResponse(79 * ms); r != nil {
 			t.Errorf("early: %v", names(r))
 		}
-		beat := s.Next(80 * ms)
-		if beat == nil || !beat.Beat {
+		beat := s.NextResponse(80 * ms)
+		if beat == nil || !beat.Heartbeat {
 			t.Fatalf("no heartbeat: %+v", beat)
 		}
 		// A drain while the heartbeat has no answer yet.
-		s.Set(90*ms, eds(res("a", "2", lease, "h:1")))
-		r := s.Next(90 * ms)
-		if !slices.Equal(names(r), []string{"a=2"}) || r.Beat {
+		s.SetSnapshot(90*ms, eds(res("a", "2", lease, "h:1")))
+		r := s.NextResponse(90 * ms)
+		if !slices.Equal(names(r), []string{"a=2"}) || r.Heartbeat {
 			t.Fatalf("the drain: %v", names(r))
 		}
-		if x := s.Next(91 * ms); x != nil {
+		if x := s.NextResponse(91 * ms); x != nil {
 			t.Errorf("a third without an answer: %v", names(x))
 		}
 		ack(t, s, 95*ms, beat, "a") // of the older one
@@ -193,11 +193,11 @@
 	both(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, true)
 		want(t, s, Endpoint, "a")
-		s.Set(0, eds(res("a", "1", lease)))
-		ack(t, s, 0, s.Next(0), "a")
-		beat := s.Next(80 * ms)
+		s.SetSnapshot(0, eds(res("a", "1", lease)))
+		ack(t, s, 0, s.NextResponse(0), "a")
+		beat := s.NextResponse(80 * ms)
 		ack(t, s, 241*ms, beat, "a")
-		if r := s.Next(241 * ms); r == nil || r.Beat || !slices.Equal(names(r), []string{"a=1"}) {
+		if r := s.NextResponse(241 * ms); r == nil || r.Heartbeat || !slices.Equal(names(r), []string{"a=1"}) {
 			t.Errorf("%+v", r)
 		}
 	})
@@ -214,14 +214,14 @@
 		}{{"a drain", []string{"h:1"}, false}, {"a new server", []string{"h:1", "h:2", "h:3"}, true}} {
 			s := NewSession(delta, true)
 			want(t, s, Endpoint, "a")
-			s.Set(0, eds(res("a", "1", lease, "h:1", "h:2")))
-			ack(t, s, 0, s.Next(0), "a")
-			s.Set(10*ms, eds(res("a", "2", lease, c.live...)))
-			nack(t, s, 11*ms, s.Next(10*ms), "a")
-			if r := s.Next(100 * ms); (r != nil) != c.beat {
+			s.SetSnapshot(0, eds(res("a", "1", lease, "h:1", "h:2")))
+			ack(t, s, 0, s.NextResponse(0), "a")
+			s.SetSnapshot(10*ms, eds(res("a", "2", lease, c.live...)))
+			nack(t, s, 11*ms, s.NextResponse(10*ms), "a")
+			if r := s.NextResponse(100 * ms); (r != nil) != c.beat {
 				t.Errorf("%s: %v", c.name, names(r))
 			}
-			if w := s.Wake(100 * ms); w < 101*ms {
+			if w := s.NextWakeup(100 * ms); w < 101*ms {
 				t.Errorf("%s: it would wake at %v, for nothing", c.name, w)
 			}
 		}
@@ -243,7 +243,7 @@
 		endpoints := map[string]bool{}
 		settle := func(now time.Duration) {
 			for range 20 {
-				r := s.Next(now)
+				r := s.NextResponse(now)
 				if r == nil {
 					return
 				}
@@ -280,7 +280,7 @@
 						wants = append(wants, n)
 					}
 				}
-				if err := s.Take(now, Request{Type: r.Type, Nonce: r.Nonce, Names: wants}); err != nil {
+				if err := s.HandleRequest(now, Request{Type: r.Type, Nonce: r.Nonce, Names: wants}); err != nil {
 					t.Fatal(err)
 				}
 				if r.Type == Cluster { // a proxy asks for the endpoints of its clusters
@@ -288,14 +288,14 @@
 					for n := range has {
 						all = append(all, n)
 					}
-					if err := s.Take(now, Request{Type: Endpoint, Names: all, Add: all}); err != nil {
+					if err := s.HandleRequest(now, Request{Type: Endpoint, Names: all, Subscribe: all}); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 			t.Fatal("it does not settle")
 		}
-		s.Set(0, of("one"))
+		s.SetSnapshot(0, of("one"))
 		want(t, s, Cluster)
 		want(t, s, Route, "r")
 		settle(0)
@@ -304,7 +304,7 @@
 		}
 		for i, next := range []string{"two", "three", "one"} {
 			now := time.Duration(i+1) * 100 * ms
-			s.Set(now, of(next))
+			s.SetSnapshot(now, of(next))
 			settle(now)
 			if route != next || len(has) != 1 || !has[next] {
 				t.Errorf("after the change to %s: route %q, clusters %v", next, route, has)
@@ -318,17 +318,17 @@
 	s := NewSession(false, false)
 	route := res("r", "1", 0)
 	route.refs = []string{"a"}
-	s.Set(0, snap(map[Type][]*Resource{Cluster: {res("a", "1", 0)}, Route: {route}}))
+	s.SetSnapshot(0, snap(map[Type][]*Resource{Cluster: {res("a", "1", 0)}, Route: {route}}))
 	want(t, s, Cluster)
 	want(t, s, Route, "r")
-	nack(t, s, 0, s.Next(0))
-	if r := s.Next(time.Second); r != nil {
+	nack(t, s, 0, s.NextResponse(0))
+	if r := s.NextResponse(time.Second); r != nil {
 		t.Fatalf("at once: %v", names(r))
 	}
-	if w := s.Wake(time.Second); w != gateFor {
+	if w := s.NextWakeup(time.Second); w != gateFor {
 		t.Errorf("wakes at %v", w)
 	}
-	if r := s.Next(gateFor); !slices.Equal(names(r), []string{"r=1"}) {
+	if r := s.NextResponse(gateFor); !slices.Equal(names(r), []string{"r=1"}) {
 		t.Errorf("after %v: %v", gateFor, names(r))
 	}
 }
@@ -336,22 +336,22 @@
 func TestAResourceThatGoesIsToldGone(t *testing.T) {
 	s := NewSession(true, false)
 	want(t, s, Endpoint, "a", "never")
-	s.Set(0, eds(res("a", "1", 0)))
-	r := s.Next(0)
+	s.SetSnapshot(0, eds(res("a", "1", 0)))
+	r := s.NextResponse(0)
 	if !slices.Equal(names(r), []string{"a=1"}) || !slices.Equal(r.Removed, []string{"never"}) {
 		t.Fatalf("%v, gone %v", names(r), r.Removed)
 	}
 	ack(t, s, 0, r)
-	if r := s.Next(0); r != nil {
+	if r := s.NextResponse(0); r != nil {
 		t.Errorf("again: %v, gone %v", names(r), r.Removed)
 	}
-	s.Set(1, eds())
-	if r = s.Next(1); r == nil || !slices.Equal(r.Removed, []string{"a"}) {
+	s.SetSnapshot(1, eds())
+	if r = s.NextResponse(1); r == nil || !slices.Equal(r.Removed, []string{"a"}) {
 		t.Errorf("%+v", r)
 	}
 	ack(t, s, 1, r)
-	s.Set(2, eds(res("never", "1", 0)))
-	if r = s.Next(2); !slices.Equal(names(r), []string{"never=1"}) {
+	s.SetSnapshot(2, eds(res("never", "1", 0)))
+	if r = s.NextResponse(2); !slices.Equal(names(r), []string{"never=1"}) {
 		t.Errorf("%v", names(r))
 	}
 }
@@ -360,18 +360,18 @@
 // the rest; what has a lease is sent whole, as that may just have run out.
 func TestWhoComesBackKeepsWhatIsCurrent(t *testing.T) {
 	s := NewSession(true, true)
-	s.Set(0, snap(map[Type][]*Resource{Cluster: {res("a", "1", 0), res("b", "2", 0)}, Endpoint: {res("a", "1", lease)}}))
-	if err := s.Take(0, Request{Type: Cluster, Initial: map[string]string{"a": "1", "b": "1", "old": "1"}}); err != nil {
+	s.SetSnapshot(0, snap(map[Type][]*Resource{Cluster: {res("a", "1", 0), res("b", "2", 0)}, Endpoint: {res("a", "1", lease)}}))
+	if err := s.HandleRequest(0, Request{Type: Cluster, InitialVersions: map[string]string{"a": "1", "b": "1", "old": "1"}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Take(0, Request{Type: Endpoint, Add: []string{"a"}, Initial: map[string]string{"a": "1"}}); err != nil {
+	if err := s.HandleRequest(0, Request{Type: Endpoint, Subscribe: []string{"a"}, InitialVersions: map[string]string{"a": "1"}}); err != nil {
 		t.Fatal(err)
 	}
-	r := s.Next(0)
+	r := s.NextResponse(0)
 	if !slices.Equal(names(r), []string{"b=2"}) || !slices.Equal(r.Removed, []string{"old"}) {
 		t.Errorf("clusters: %v, gone %v", names(r), r.Removed)
 	}
-	if r = s.Next(0); r == nil || r.Beat || !slices.Equal(names(r), []string{"a=1"}) {
+	if r = s.NextResponse(0); r == nil || r.Heartbeat || !slices.Equal(names(r), []string{"a=1"}) {
 		t.Errorf("endpoints: %+v", r)
 	}
 }
@@ -384,15 +384,15 @@
 	for _, r := range []Request{
 		{Names: many}, {Names: []string{""}}, {Names: []string{string(make([]byte, maxNameLen+1))}},
 	} {
-		if NewSession(false, false).Take(0, r) == nil {
+		if NewSession(false, false).HandleRequest(0, r) == nil {
 			t.Errorf("state of the world: %d names are taken", len(r.Names))
 		}
-		if NewSession(true, false).Take(0, Request{Add: r.Names}) == nil {
+		if NewSession(true, false).HandleRequest(0, Request{Subscribe: r.Names}) == nil {
 			t.Errorf("incremental: %d names are taken", len(r.Names))
 		}
 	}
 	s := NewSession(true, false) // in several requests
-	if s.Take(0, Request{Add: many[:maxNames]}) != nil || s.Take(0, Request{Add: many[maxNames:]}) == nil {
+	if s.HandleRequest(0, Request{Subscribe: many[:maxNames]}) != nil || s.HandleRequest(0, Request{Subscribe: many[maxNames:]}) == nil {
 		t.Error("more than the bound in two requests")
 	}
 }
@@ -437,16 +437,16 @@
 				}
 				if s != nil {
 					if s.snap != state {
-						s.Set(now, state)
+						s.SetSnapshot(now, state)
 					}
 					for len(up) > 0 && up[0].at <= now {
 						ack(t, s, now, up[0].r, "a")
 						up = up[1:]
 					}
-					for r := s.Next(now); r != nil; r = s.Next(now) {
+					for r := s.NextResponse(now); r != nil; r = s.NextResponse(now) {
 						down = append(down, flying{pass(0, now), r})
 					}
-					if at, ok := s.Overdue(time.Second); ok && now >= at {
+					if at, ok := s.AckDeadline(time.Second); ok && now >= at {
 						breaks++
 						s, down, up, connect = nil, nil, nil, now+any(100*ms)
 					}
@@ -458,7 +458,7 @@
 					r := down[0].r
 					down = down[1:]
 					switch x := r.Resources[0]; {
-					case !r.Beat:
+					case !r.Heartbeat:
 						holds, until = x, now+lease
 					case holds != nil && holds.Version == x.Version:
 						until = now + lease
@@ -495,18 +495,18 @@
 			name := fmt.Sprint(b % 7)
 			switch b / 4 % 6 {
 			case 0:
-				s.Set(now, snap(map[Type][]*Resource{ty: {res(name, fmt.Sprint(i), time.Duration(b%2)*lease)}}))
+				s.SetSnapshot(now, snap(map[Type][]*Resource{ty: {res(name, fmt.Sprint(i), time.Duration(b%2)*lease)}}))
 			case 1:
-				s.Take(now, Request{Type: ty, Names: []string{name}, Add: []string{name}})
+				s.HandleRequest(now, Request{Type: ty, Names: []string{name}, Subscribe: []string{name}})
 			case 2:
-				s.Take(now, Request{Type: ty, Nonce: fmt.Sprint(s.nonce), Names: []string{name}, Remove: []string{name}})
+				s.HandleRequest(now, Request{Type: ty, Nonce: fmt.Sprint(s.nonce), Names: []string{name}, Unsubscribe: []string{name}})
 			case 3:
-				s.Take(now, Request{Type: ty, Nonce: fmt.Sprint(s.nonce), Error: "no"})
+				s.HandleRequest(now, Request{Type: ty, Nonce: fmt.Sprint(s.nonce), RejectReason: "no"})
 			case 4:
-				s.Take(now, Request{Type: ty, Nonce: fmt.Sprint(b), Initial: map[string]string{name: "1"}, Names: []string{"*", name}})
+				s.HandleRequest(now, Request{Type: ty, Nonce: fmt.Sprint(b), InitialVersions: map[string]string{name: "1"}, Names: []string{"*", name}})
 			}
 			for n := 0; ; n++ {
-				r := s.Next(now)
+				r := s.NextResponse(now)
 				if r == nil {
 					break
 				}
@@ -515,10 +515,10 @@
 					t.Fatal("it sends without an answer")
 				}
 			}
-			if w := s.Wake(now); w <= now {
+			if w := s.NextWakeup(now); w <= now {
 				t.Fatalf("at %v it would wake at %v", now, w)
 			}
-			s.Overdue(time.Second)
+			s.AckDeadline(time.Second)
 		}
 	})
 }
@@ -527,24 +527,24 @@
 // the last nonce once more. Only what answers an older response is ignored.
 func TestMoreNamesAfterAnAnswerAreNotStale(t *testing.T) {
 	s := NewSession(false, false)
-	s.Set(0, eds(res("a", "1", 0), res("b", "1", 0), res("c", "1", 0)))
+	s.SetSnapshot(0, eds(res("a", "1", 0), res("b", "1", 0), res("c", "1", 0)))
 	want(t, s, Endpoint, "a")
-	first := s.Next(0)
+	first := s.NextResponse(0)
 	ack(t, s, 0, first, "a")
 	ack(t, s, 0, first, "a", "b") // the same nonce again, with another name
-	second := s.Next(0)
+	second := s.NextResponse(0)
 	if got := names(second); !slices.Contains(got, "b=1") {
 		t.Fatalf("asked for b as well, got %v", got)
 	}
 	ack(t, s, 0, first, "a", "b", "c") // it has not read the second one yet
-	if r := s.Next(0); r != nil {
+	if r := s.NextResponse(0); r != nil {
 		t.Errorf("an answer to an older response was believed: %v", names(r))
 	}
 	ack(t, s, 0, second, "a", "b", "c")
-	if got := names(s.Next(0)); !slices.Contains(got, "c=1") {
+	if got := names(s.NextResponse(0)); !slices.Contains(got, "c=1") {
 		t.Errorf("asked for c as well, got %v", got)
 	}
-	if s.Stale != 1 {
-		t.Errorf("%d stale requests", s.Stale)
+	if s.StaleRequests != 1 {
+		t.Errorf("%d stale requests", s.StaleRequests)
 	}
 }
--- a/internal/xds/status.go
+++ b/internal/xds/status.go
@@ -49,7 +49,7 @@
 		err = status.Error(codes.PermissionDenied, "client status is for operators")
 	}
 	if err != nil {
-		s.Counters.Refused.Add(1)
+		s.Counters.StreamsRefused.Add(1)
 		return s.refuse(ctx, "client status", id, err)
 	}
 	return nil
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -54,7 +54,7 @@
 					m.Resources = append(m.Resources, x.Body)
 					continue
 				}
-				wrapped, err := anypb.New(x.wrap(r.Beat))
+				wrapped, err := anypb.New(x.wrap(r.Heartbeat))
 				if err != nil {
 					return err
 				}
@@ -79,7 +79,7 @@
 			m := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: r.Version, Nonce: r.Nonce, TypeUrl: r.Type.URL(),
 				RemovedResources: r.Removed}
 			for _, x := range r.Resources {
-				m.Resources = append(m.Resources, x.wrap(r.Beat))
+				m.Resources = append(m.Resources, x.wrap(r.Heartbeat))
 			}
 			return g.Send(m)
 		}})
@@ -90,7 +90,7 @@
 	if !ok {
 		return Request{}, badRequest("resource type %q is not served", clip(m.GetTypeUrl()))
 	}
-	return Request{Type: t, Nonce: m.GetResponseNonce(), Error: complaint(m.GetErrorDetail()), Names: m.GetResourceNames()}, nil
+	return Request{Type: t, Nonce: m.GetResponseNonce(), RejectReason: complaint(m.GetErrorDetail()), Names: m.GetResourceNames()}, nil
 }
 
 func deltaRequest(m *discoveryv3.DeltaDiscoveryRequest) (Request, error) {
@@ -98,8 +98,8 @@
 	if !ok {
 		return Request{}, badRequest("resource type %q is not served", clip(m.GetTypeUrl()))
 	}
-	return Request{Type: t, Nonce: m.GetResponseNonce(), Error: complaint(m.GetErrorDetail()),
-		Add: m.GetResourceNamesSubscribe(), Remove: m.GetResourceNamesUnsubscribe(), Initial: m.GetInitialResourceVersions()}, nil
+	return Request{Type: t, Nonce: m.GetResponseNonce(), RejectReason: complaint(m.GetErrorDetail()),
+		Subscribe: m.GetResourceNamesSubscribe(), Unsubscribe: m.GetResourceNamesUnsubscribe(), InitialVersions: m.GetInitialResourceVersions()}, nil
 }
 
 // wrap puts a resource in its frame; a heartbeat has no body.
@@ -161,7 +161,7 @@
 func (x *stream) waiting() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	_, ok := x.session.Overdue(0)
+	_, ok := x.session.AckDeadline(0)
 	return ok
 }
 
@@ -172,12 +172,12 @@
 func (s *Server) serve(delta bool, w variant) error {
 	id, err := identity(w.ctx, s.cfg.TLS == nil)
 	if err != nil {
-		s.Counters.Refused.Add(1)
+		s.Counters.StreamsRefused.Add(1)
 		return s.refuse(w.ctx, "discovery", "", err)
 	}
 	visible := s.visible(id)
 	if visible == "" {
-		s.Counters.Refused.Add(1)
+		s.Counters.StreamsRefused.Add(1)
 		return s.refuse(w.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service"))
 	}
 	type got struct {
@@ -201,41 +201,41 @@
 			}
 		}
 	}()
-	first := time.NewTimer(s.cfg.AckWithin)
+	first := time.NewTimer(s.cfg.AckTimeout)
 	defer first.Stop()
 	var g got
 	select {
 	case g = <-in:
 	case <-first.C:
-		s.Counters.Overdue.Add(1)
+		s.Counters.AckTimeouts.Add(1)
 		return s.refuse(w.ctx, "discovery", id, status.Error(codes.DeadlineExceeded, "no first request"))
 	}
 	if g.err != nil {
 		return s.broken(w.ctx, id, g.err)
 	}
 	if g.node.GetId() == "" || len(g.node.GetId()) > maxNameLen {
-		s.Counters.Malformed.Add(1)
+		s.Counters.MalformedRequests.Add(1)
 		return s.refuse(w.ctx, "discovery", id, badRequest("the first request must name its node, in 1 to %d bytes", maxNameLen))
 	}
 	x := &stream{
 		proxy: proxyID(id, g.node), node: g.node, delta: delta, notify: make(chan struct{}, 1),
-		key: viewKey{Kind{Zone: g.node.GetLocality().GetZone(), Leases: slices.Contains(g.node.GetClientFeatures(), ttlFeature), Group: subset.AllServers}, visible},
+		key: viewKey{Kind{Zone: g.node.GetLocality().GetZone(), SupportsTTL: slices.Contains(g.node.GetClientFeatures(), ttlFeature), Group: subset.AllServers}, visible},
 	}
-	x.session = NewSession(delta, x.key.Leases)
+	x.session = NewSession(delta, x.key.SupportsTTL)
 	wait, err := s.admit(x)
 	if err != nil {
-		s.Counters.Refused.Add(1)
+		s.Counters.StreamsRefused.Add(1)
 		return s.refuse(w.ctx, "discovery", id, status.Error(codes.ResourceExhausted, err.Error()))
 	}
-	s.Counters.Streams.Add(1)
-	s.Counters.Opened.Add(1)
-	if s.cfg.Joined != nil {
-		s.cfg.Joined(x.proxy, x.key.Zone)
+	s.Counters.OpenStreams.Add(1)
+	s.Counters.StreamsOpened.Add(1)
+	if s.cfg.OnJoined != nil {
+		s.cfg.OnJoined(x.proxy, x.key.Zone)
 	}
 	defer func() {
-		s.Counters.Streams.Add(-1)
-		if s.release(x) && s.cfg.Left != nil {
-			s.cfg.Left(x.proxy)
+		s.Counters.OpenStreams.Add(-1)
+		if s.release(x) && s.cfg.OnLeft != nil {
+			s.cfg.OnLeft(x.proxy)
 		}
 	}()
 
@@ -264,37 +264,37 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	if err := s.take(x, g.r); err != nil {
-		s.Counters.Malformed.Add(1)
+		s.Counters.MalformedRequests.Add(1)
 		return s.refuse(w.ctx, "discovery", id, err)
 	}
 	for {
 		now := s.now()
 		if x.key.services = s.visible(id); x.key.services == "" {
-			s.Counters.Refused.Add(1)
+			s.Counters.StreamsRefused.Add(1)
 			return s.refuse(w.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service any more"))
 		}
 		x.key.Group = s.groupOf(x.proxy)
 		x.mu.Lock()
 		if snap := s.snapshot(x.key); snap != nil && snap != x.snap {
 			x.snap = snap
-			x.session.Set(now, snap)
+			x.session.SetSnapshot(now, snap)
 		}
 		var r *Response
-		alive := s.cfg.Alive == nil || s.cfg.Alive()
+		alive := s.cfg.IsCurrent == nil || s.cfg.IsCurrent()
 		if !busy && now >= begun && alive {
-			if r = x.session.Next(now); r != nil && !r.Beat {
-				x.sent[r.Type] = x.snap.Number
-				if s.cfg.Sent != nil {
-					s.cfg.Sent(x.proxy, x.snap.Number, r.lease())
+			if r = x.session.NextResponse(now); r != nil && !r.Heartbeat {
+				x.sent[r.Type] = x.snap.StateVersion
+				if s.cfg.OnSent != nil {
+					s.cfg.OnSent(x.proxy, x.snap.StateVersion, r.lease())
 				}
 			}
 		}
-		if s.cfg.Holds != nil && r == nil && x.snap != nil && x.holds != x.snap.Number && x.session.Holds() {
-			x.holds = x.snap.Number
-			s.cfg.Holds(x.proxy, x.holds)
+		if s.cfg.OnInSync != nil && r == nil && x.snap != nil && x.holds != x.snap.StateVersion && x.session.InSync() {
+			x.holds = x.snap.StateVersion
+			s.cfg.OnInSync(x.proxy, x.holds)
 		}
-		overdue, waits := x.session.Overdue(s.cfg.AckWithin)
-		at := x.session.Wake(now)
+		overdue, waits := x.session.AckDeadline(s.cfg.AckTimeout)
+		at := x.session.NextWakeup(now)
 		if now < begun {
 			at = begun
 		}
@@ -309,7 +309,7 @@
 		}
 		if waits {
 			if at = min(at, overdue); now >= overdue {
-				s.Counters.Overdue.Add(1)
+				s.Counters.AckTimeouts.Add(1)
 				s.conns.abort(w.ctx) // what it has not read must not come later
 				return s.refuse(w.ctx, "discovery", id, status.Error(codes.DeadlineExceeded, "no answer to a response in time"))
 			}
@@ -327,7 +327,7 @@
 				return s.broken(w.ctx, id, g.err)
 			}
 			if err := s.take(x, g.r); err != nil {
-				s.Counters.Malformed.Add(1)
+				s.Counters.MalformedRequests.Add(1)
 				return s.refuse(w.ctx, "discovery", id, err)
 			}
 		case <-w.ctx.Done():
@@ -346,14 +346,14 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	a := &x.session.asks[r.Type]
-	waits, nacks := a.out != nil && !a.out.Beat, a.nacks
-	err := x.session.Take(s.now(), r)
-	if waits && a.out == nil && s.cfg.Answered != nil {
+	waits, nacks := a.out != nil && !a.out.Heartbeat, a.nacks
+	err := x.session.HandleRequest(s.now(), r)
+	if waits && a.out == nil && s.cfg.OnAckOrNack != nil {
 		why := ""
 		if a.nacks > nacks {
 			why = a.nack
 		}
-		s.cfg.Answered(x.proxy, x.sent[r.Type], why)
+		s.cfg.OnAckOrNack(x.proxy, x.sent[r.Type], why)
 	}
 	n, why := uint64(0), ""
 	for t := range types {
@@ -381,15 +381,15 @@
 
 func (s *Server) count(r *Response) {
 	s.Counters.Responses.Add(1)
-	if r.Beat {
-		s.Counters.Beats.Add(1)
+	if r.Heartbeat {
+		s.Counters.Heartbeats.Add(1)
 		return
 	}
 	n := 0
 	for _, x := range r.Resources {
 		n += len(x.Body.GetValue())
 	}
-	s.Counters.Bytes.Add(int64(n))
+	s.Counters.ResourceBytes.Add(int64(n))
 }
 
 // broken ends a stream that can't be read or written. What a proxy does by
@@ -400,12 +400,12 @@
 	}
 	switch c := status.Code(err); {
 	case c == codes.ResourceExhausted: // a message over the bound; the library has ended the stream with it
-		s.Counters.Malformed.Add(1)
+		s.Counters.MalformedRequests.Add(1)
 		s.cfg.Log.Warn("stream ended", "service", "discovery", "proxy", id, "code", c, "why", err.Error())
 		return err
 	case c == codes.Canceled || c == codes.Unavailable || ctx.Err() != nil:
 		return status.Error(codes.Canceled, "the proxy is gone")
 	}
-	s.Counters.Malformed.Add(1)
+	s.Counters.MalformedRequests.Add(1)
 	return s.refuse(ctx, "discovery", id, err)
 }
--- a/internal/xds/subset_test.go
+++ b/internal/xds/subset_test.go
@@ -17,7 +17,7 @@
 func TestAProxyIsToldOfItsGroupsServers(t *testing.T) {
 	ids := map[string]steer.ProxyID{}
 	joined := make(chan steer.ProxyID, 10)
-	s, addr := up(t, Config{Joined: func(p steer.ProxyID, _ string) { joined <- p }})
+	s, addr := up(t, Config{OnJoined: func(p steer.ProxyID, _ string) { joined <- p }})
 	part := func(version uint64, draining int, whole ...steer.ProxyID) *steer.State {
 		health := make([]steer.Health, 64)
 		for i := range health {
