--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -319,11 +319,11 @@
 func (a *app) verdict(h *history.History, r *Result) {
 	g := r.Verdict.Service
 	fmt.Fprintf(a.out, "\n%s, seed %d: score %.1f (measure %.3f: whole %.3f, worst 10 s %.3f, worst class %.3f; penalties %.2f)\n",
-		r.Scenario, r.Seed, g.Score, g.Measure, g.Whole, g.WorstTen, g.WorstClass, g.Penalties.Sum())
+		r.Scenario, r.Seed, g.Score, g.Measure, g.OnTimeRatio, g.WorstWindow, g.WorstClass, g.Penalties.Sum())
 	fmt.Fprintf(a.out, "%d orders in %d tries and %d attempts; %d tries refused, %d failed; %d effects run\n", g.Orders, g.Tries, g.Attempts, g.Refused, g.Failed, g.Runs)
 	for _, c := range g.Classes {
 		fmt.Fprintf(a.out, "  %-16s %6d orders, %6d within aim, p50 %4d ms, p99 %5d ms, %d tries refused, %d failed\n",
-			c.Class, c.Orders, c.Within, c.P50.Milliseconds(), c.P99.Milliseconds(), c.Refused, c.Failed)
+			c.Class, c.Orders, c.OnTime, c.P50.Milliseconds(), c.P99.Milliseconds(), c.Refused, c.Failed)
 	}
 	if r.Lab != nil {
 		fmt.Fprintf(a.out, "the lab sent its orders late by %v (p50) and %v (p99)\n", r.Lab.LateP50.Round(10*time.Microsecond), r.Lab.LateP99.Round(10*time.Microsecond))
@@ -355,7 +355,7 @@
 		return a.fail(Misuse, fmt.Errorf("%s: %w", word, err))
 	}
 	v := judge.Judge(h)
-	left := holds.Rules(&v)
+	left := holds.BreachLines(&v)
 	r := Result{h.Setup.Scenario, h.Setup.Seed, len(left) == 0, left, &v, &real.Own{}, 0, len(h.Events)}
 	a.verdict(h, &r)
 	if len(left) > 0 {
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -33,12 +33,12 @@
 
 func rowOf(c Cell, r fleet.Result, commit string, took time.Duration) Row {
 	s := r.Service
-	row := Row{Cell: c, Commit: commit, Measure: s.Measure, Whole: s.Whole, WorstTen: s.WorstTen, WorstClass: s.WorstClass,
+	row := Row{Cell: c, Commit: commit, Measure: s.Measure, Whole: s.OnTimeRatio, WorstTen: s.WorstWindow, WorstClass: s.WorstClass,
 		Refused: float64(s.Refused) / float64(max(1, s.Tries)), P99: map[string]float64{}, Swing: r.Swing, Orders: s.Orders, Events: r.Steps, Took: took.Seconds()}
 	for _, k := range s.Classes {
 		row.P99[k.Class] = float64(k.P99.Microseconds()) / 1000
 	}
-	for rule := judge.NoRequestLost; rule <= judge.ColdNotPushed; rule++ {
+	for rule := judge.NoRequestLost; rule <= judge.NoColdOverload; rule++ {
 		row.Breaches[rule] = r.Counts[rule]
 	}
 	return row
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -108,7 +108,7 @@
 			t.Fatal(err)
 		}
 		for _, b := range r.Breaches {
-			if b.Rule != judge.DrainsKept { // a frozen proxy hears of no drain; over xDS its lease would have run out
+			if b.Rule != judge.DrainsRespected { // a frozen proxy hears of no drain; over xDS its lease would have run out
 				t.Errorf("%s: %v", f, b)
 			}
 		}
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	by := newSeconds(d)
-	if r := play(d, s, policy.Nodes, with, by.event); !r.Kept() {
+	if r := play(d, s, policy.Nodes, with, by.event); !r.Passed() {
 		t.Errorf("%v", r.Counts)
 	}
 	return by
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -48,16 +48,16 @@
 	}
 	o := policy.OptionsWith(way, d.Seed, controls)
 	o.Mutant = with.Mutant
-	var live *judge.Live
+	var live *judge.Checker
 	last := time.Duration(0)
 	sent := swing{length: s.Length.Duration, by: map[string][]float64{}}
-	o.Watch = func(setup *history.Setup) func(*history.Event) {
-		live = judge.NewLive(setup)
-		live.Linger = linger
+	o.ObserveEvents = func(setup *history.Setup) func(*history.Event) {
+		live = judge.NewChecker(setup)
+		live.Retention = linger
 		return func(e *history.Event) {
 			last = e.At
 			sent.event(e)
-			live.Event(e)
+			live.Add(e)
 			if also != nil {
 				also(e)
 			}
--- a/internal/lab/fleet/subset_test.go
+++ b/internal/lab/fleet/subset_test.go
@@ -99,8 +99,8 @@
 			begun[e.Server][at]++
 		}
 	})
-	if !r.Kept() || r.Service.Whole < 0.9 {
-		t.Errorf("%v, %.3f of the worth", r.Counts, r.Service.Whole)
+	if !r.Passed() || r.Service.OnTimeRatio < 0.9 {
+		t.Errorf("%v, %.3f of the worth", r.Counts, r.Service.OnTimeRatio)
 	}
 	sum, most, usual := 0, 0, 0
 	for _, n := range begun {
--- a/internal/lab/holds/holds.go
+++ b/internal/lab/holds/holds.go
@@ -26,9 +26,9 @@
 func Check(s *scenario.Scenario, h *history.History, v *judge.Verdict) []string {
 	kept := *v
 	if s.Must.Stops {
-		kept.Breaches = slices.DeleteFunc(slices.Clone(v.Breaches), func(b judge.Breach) bool { return Unanswerable(s, b) })
+		kept.Breaches = slices.DeleteFunc(slices.Clone(v.Breaches), func(b judge.Breach) bool { return LostDuringPause(s, b) })
 	}
-	out := Rules(&kept)
+	out := BreachLines(&kept)
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	g := v.Service
 	if g.Measure < s.Must.Measure {
@@ -49,7 +49,7 @@
 	}
 	if s.Must.Faults {
 		for i := range s.Faults {
-			if why := Happened(s, &s.Faults[i], h); why != "" {
+			if why := MissingEvidence(s, &s.Faults[i], h); why != "" {
 				add("fault %d (%v) did not happen: %s", i+1, s.Faults[i], why)
 			}
 		}
@@ -60,11 +60,11 @@
 // goingOn is what a process takes, once it goes on, to answer what waited.
 const goingOn = 400 * time.Millisecond
 
-// Unanswerable tells whether a request was lost as its time ended while its node
+// LostDuringPause tells whether a request was lost as its time ended while its node
 // stood still by a scenario's order, or within what going on takes: nothing can
 // answer it. Nor can anything call back what the node was about to write when it was
 // stopped, which goes out as it goes on.
-func Unanswerable(s *scenario.Scenario, b judge.Breach) bool {
+func LostDuringPause(s *scenario.Scenario, b judge.Breach) bool {
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		if f.What != scenario.WhatStop || b.Rule != judge.NoRequestLost || b.At <= f.At.Duration || b.At >= f.At.Duration+f.For.Duration+goingOn {
@@ -72,7 +72,7 @@
 		}
 		_, nodes := s.Pick(f.Who)
 		for _, n := range nodes {
-			if strings.Contains(b.What, "taken by "+n.Name+",") || CaughtWriting(s, b, n.Name) {
+			if strings.Contains(b.Detail, "taken by "+n.Name+",") || WrittenAfterPause(s, b, n.Name) {
 				return true
 			}
 		}
@@ -80,19 +80,19 @@
 	return false
 }
 
-// CaughtWriting tells whether a request reached a server right as a node went on that had
+// WrittenAfterPause tells whether a request reached a server right as a node went on that had
 // stood still by a scenario's order, and after its final answer: the node was about to
 // write it when it was stopped.
-func CaughtWriting(s *scenario.Scenario, b judge.Breach, node string) bool {
+func WrittenAfterPause(s *scenario.Scenario, b judge.Breach, node string) bool {
 	return slices.ContainsFunc(s.Faults, func(f scenario.Fault) bool {
 		end := f.At.Duration + f.For.Duration
 		return f.What == scenario.WhatStop && b.Rule == judge.NoRequestLost && b.At >= end && b.At < end+goingOn/4 &&
-			strings.Contains(b.What, "was sent by "+node+" to ")
+			strings.Contains(b.Detail, "was sent by "+node+" to ")
 	})
 }
 
-// Users counts the nodes that sent requests to each server in a time.
-func Users(h *history.History, from, to time.Duration) map[string]int {
+// NodesPerServer counts the nodes that sent requests to each server in a time.
+func NodesPerServer(h *history.History, from, to time.Duration) map[string]int {
 	seen, out := map[[2]string]bool{}, map[string]int{}
 	for i := range h.Events {
 		e := &h.Events[i]
@@ -104,8 +104,8 @@
 	return out
 }
 
-// Rules lists the broken rules.
-func Rules(v *judge.Verdict) []string {
+// BreachLines lists the broken rules.
+func BreachLines(v *judge.Verdict) []string {
 	var out []string
 	for i, b := range v.Breaches {
 		if i == 10 {
@@ -117,9 +117,9 @@
 	return out
 }
 
-// Happened tells what is missing in a history of a fault that it should show;
+// MissingEvidence tells what is missing in a history of a fault that it should show;
 // "" if nothing is. A lag of discovery alone leaves no trace of its own.
-func Happened(s *scenario.Scenario, f *scenario.Fault, h *history.History) string {
+func MissingEvidence(s *scenario.Scenario, f *scenario.Fault, h *history.History) string {
 	servers, nodes := s.Pick(f.Who)
 	is, isNode := map[string]bool{}, map[string]bool{}
 	for _, x := range servers {
--- a/internal/lab/holds/holds_test.go
+++ b/internal/lab/holds/holds_test.go
@@ -37,7 +37,7 @@
 				h.Events = append(h.Events, history.Event{At: f.At.Duration + f.For.Duration/2, Kind: history.Told})
 			}
 			seen[f.What] = true
-			if Happened(s, f, h) == "" {
+			if MissingEvidence(s, f, h) == "" {
 				t.Errorf("%s: %v passes without having happened", s.Name, f)
 			}
 		}
@@ -49,12 +49,12 @@
 
 func TestFiguresAreChecked(t *testing.T) {
 	s := &scenario.Scenario{Must: scenario.Must{Measure: 0.9, Served: 0.9, Refused: 0.1}}
-	v := &judge.Verdict{Service: judge.Service{Measure: 0.8, Orders: 10, Tries: 20, Refused: 5,
-		Classes: []judge.ClassCount{{Served: 8}}}}
+	v := &judge.Verdict{Service: judge.ServiceMetrics{Measure: 0.8, Orders: 10, Tries: 20, Refused: 5,
+		Classes: []judge.ClassStats{{Served: 8}}}}
 	if got := Check(s, &history.History{}, v); len(got) != 3 {
 		t.Errorf("said %q", got)
 	}
-	v.Service = judge.Service{Measure: 0.9, Orders: 10, Tries: 20, Refused: 2, Classes: []judge.ClassCount{{Served: 9}}}
+	v.Service = judge.ServiceMetrics{Measure: 0.9, Orders: 10, Tries: 20, Refused: 2, Classes: []judge.ClassStats{{Served: 9}}}
 	if got := Check(s, &history.History{}, v); len(got) != 0 {
 		t.Errorf("said %q", got)
 	}
@@ -62,7 +62,7 @@
 	if got := strings.Join(Check(s, &history.History{}, v), "\n"); !strings.Contains(got, "and 40 more") {
 		t.Errorf("said %q", got)
 	}
-	if got := Check(s, &history.History{}, &judge.Verdict{Service: judge.Service{Measure: 1}}); len(got) != 2 {
+	if got := Check(s, &history.History{}, &judge.Verdict{Service: judge.ServiceMetrics{Measure: 1}}); len(got) != 2 {
 		t.Errorf("of a run without orders it said %q", got)
 	}
 }
--- a/internal/lab/hosts/registry.go
+++ b/internal/lab/hosts/registry.go
@@ -61,8 +61,8 @@
 // Generation is the version of the list.
 func (r *Registry) Generation() uint64 { return r.generation }
 
-// Set lets the list learn of an entry at a time: it is told late.
-func (r *Registry) Set(at time.Duration, e Entry) {
+// Schedule lets the list learn of an entry at a time: it is told late.
+func (r *Registry) Schedule(at time.Duration, e Entry) {
 	i := sort.Search(len(r.pending), func(i int) bool { return r.pending[i].at > at })
 	r.pending = append(r.pending, change{})
 	copy(r.pending[i+1:], r.pending[i:])
--- a/internal/lab/hosts/registry_test.go
+++ b/internal/lab/hosts/registry_test.go
@@ -26,12 +26,12 @@
 
 func TestChangesAreToldOnceAndLate(t *testing.T) {
 	r := NewRegistry(40)
-	r.Set(0, Entry{InstanceID: "a", Lifecycle: Up})
-	r.Set(0, Entry{InstanceID: "b", Lifecycle: Up})
+	r.Schedule(0, Entry{InstanceID: "a", Lifecycle: Up})
+	r.Schedule(0, Entry{InstanceID: "b", Lifecycle: Up})
 	r.Advance(0)
 	want(t, r.All(), "42 all a=up b=up")
-	r.Set(2*time.Second, Entry{InstanceID: "a", Lifecycle: Removed})
-	r.Set(time.Second, Entry{InstanceID: "a", Lifecycle: Draining})
+	r.Schedule(2*time.Second, Entry{InstanceID: "a", Lifecycle: Removed})
+	r.Schedule(time.Second, Entry{InstanceID: "a", Lifecycle: Draining})
 	if at, any := r.Next(); !any || at != time.Second {
 		t.Errorf("next at %v, %v", at, any)
 	}
@@ -48,13 +48,13 @@
 
 func TestAVersionItNeverHadGetsTheWholeList(t *testing.T) {
 	r := NewRegistry(40)
-	r.Set(0, Entry{InstanceID: "a", Lifecycle: Up})
+	r.Schedule(0, Entry{InstanceID: "a", Lifecycle: Up})
 	r.Advance(0)
 	want(t, r.Since(39), "41 all a=up") // older than its log
 	want(t, r.Since(99), "41 all a=up") // from another life
 	r.Restart(3)
 	want(t, r.Since(41), "3 all a=up")
-	r.Set(1, Entry{InstanceID: "a", Lifecycle: Draining})
+	r.Schedule(1, Entry{InstanceID: "a", Lifecycle: Draining})
 	r.Advance(1)
 	want(t, r.Since(3), "4 a=draining")
 }
@@ -62,7 +62,7 @@
 func TestItsLogIsBounded(t *testing.T) {
 	r := NewRegistry(0)
 	for i := range 3 * maxChanges {
-		r.Set(0, Entry{InstanceID: fmt.Sprint(i % 7), Lifecycle: Up})
+		r.Schedule(0, Entry{InstanceID: fmt.Sprint(i % 7), Lifecycle: Up})
 	}
 	r.Advance(0)
 	if len(r.log) > maxChanges {
--- a/internal/lab/hosts/service.go
+++ b/internal/lab/hosts/service.go
@@ -64,10 +64,10 @@
 	return l.Addr().String(), nil
 }
 
-// Set lets the list learn of an entry after the lag.
+// Schedule lets the list learn of an entry after the lag.
 func (s *Service) Set(e Entry) {
 	s.mu.Lock()
-	s.list.Set(s.clock()+s.lag, e)
+	s.list.Schedule(s.clock()+s.lag, e)
 	s.mu.Unlock()
 	s.advance()
 }
@@ -104,8 +104,8 @@
 // call is one that waits for news.
 type call struct{ silent bool }
 
-// Silence has the calls of some nodes that wait now fall silent: they are never answered.
-func (s *Service) Silence(nodes []string) {
+// HangWaitingCalls has the calls of some nodes that wait now fall silent: they are never answered.
+func (s *Service) HangWaitingCalls(nodes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range nodes {
@@ -126,9 +126,9 @@
 	s.SetDown(false)
 }
 
-// SetApart has another discovery speak to some nodes from now on, which says what
+// SetAlternative has another discovery speak to some nodes from now on, which says what
 // other makes of the list, under a generation of its own; nil ends it.
-func (s *Service) SetApart(nodes []string, other func(List) List) {
+func (s *Service) SetAlternative(nodes []string, other func(List) List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apart, s.other = map[string]bool{}, other
@@ -146,8 +146,8 @@
 	return s.list.Generation()
 }
 
-// Known is the list as a node is told it before its start: as it could be asked for last.
-func (s *Service) Known(node string) List {
+// InitialList is the list as a node is told it before its start: as it could be asked for last.
+func (s *Service) InitialList(node string) List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.told[node] = map[string]bool{}
@@ -289,7 +289,7 @@
 // SetNow lets the list learn of an entry at once, whatever the lag.
 func (s *Service) SetNow(e Entry) {
 	s.mu.Lock()
-	s.list.Set(s.clock(), e)
+	s.list.Schedule(s.clock(), e)
 	s.mu.Unlock()
 	s.advance()
 }
--- a/internal/lab/hosts/service_test.go
+++ b/internal/lab/hosts/service_test.go
@@ -111,7 +111,7 @@
 func TestEachNodeHasItsOwnAddresses(t *testing.T) {
 	r := newRig(t)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
-	if l := r.Known("n1"); l.Instances[0].HostPort != "a.n1:1" {
+	if l := r.InitialList("n1"); l.Instances[0].HostPort != "a.n1:1" {
 		t.Errorf("%+v", l)
 	}
 }
@@ -123,11 +123,11 @@
 	r.SetDown(true)
 	r.SetDown(true)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
-	if l := r.Known("n1"); l.Generation != 41 || l.Instances[0].Lifecycle != Draining {
+	if l := r.InitialList("n1"); l.Generation != 41 || l.Instances[0].Lifecycle != Draining {
 		t.Errorf("in the outage: %+v", l)
 	}
 	r.SetDown(false)
-	if l := r.Known("n1"); l.Generation != 42 || l.Instances[0].Lifecycle != Up {
+	if l := r.InitialList("n1"); l.Generation != 42 || l.Instances[0].Lifecycle != Up {
 		t.Errorf("after it: %+v", l)
 	}
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -21,23 +21,23 @@
 
 // The rules.
 const (
-	NoRequestLost Rule = 1
-	NoEffectTwice Rule = 2
-	DrainsKept    Rule = 3
-	ColdNotPushed Rule = 4
-	maxBreaches        = 200               // told in full; more are only counted
-	keptBreaches       = 100 * maxBreaches // as they are not found in order of time
+	NoRequestLost     Rule = 1
+	NoDuplicateEffect Rule = 2
+	DrainsRespected   Rule = 3
+	NoColdOverload    Rule = 4
+	maxBreaches            = 200               // told in full; more are only counted
+	keptBreaches           = 100 * maxBreaches // as they are not found in order of time
 )
 
 func (r Rule) String() string {
 	switch r {
 	case NoRequestLost:
 		return "no request lost"
-	case NoEffectTwice:
+	case NoDuplicateEffect:
 		return "no effect twice"
-	case DrainsKept:
+	case DrainsRespected:
 		return "drains kept"
-	case ColdNotPushed:
+	case NoColdOverload:
 		return "no cold server pushed over"
 	}
 	return fmt.Sprintf("rule %d", int(r))
@@ -45,41 +45,41 @@
 
 // Breach is one broken rule.
 type Breach struct {
-	Rule Rule          `json:"rule"`
-	At   time.Duration `json:"at"`
-	What string        `json:"what"`
+	Rule   Rule          `json:"rule"`
+	At     time.Duration `json:"at"`
+	Detail string        `json:"what"`
 }
 
 func (b Breach) String() string {
-	return fmt.Sprintf("rule %d (%v) at %v: %s", int(b.Rule), b.Rule, b.At.Round(time.Millisecond), b.What)
+	return fmt.Sprintf("rule %d (%v) at %v: %s", int(b.Rule), b.Rule, b.At.Round(time.Millisecond), b.Detail)
 }
 
 // Verdict is what the judge has to say of a history.
 type Verdict struct {
-	Breaches []Breach     `json:"breaches"` // in order of time, the first 200
-	Counts   map[Rule]int `json:"counts"`   // of all breaches
-	Service  Service      `json:"service"`
+	Breaches []Breach       `json:"breaches"` // in order of time, the first 200
+	Counts   map[Rule]int   `json:"counts"`   // of all breaches
+	Service  ServiceMetrics `json:"service"`
 }
 
-// Kept tells whether no rule was broken.
-func (v *Verdict) Kept() bool { return len(v.Counts) == 0 }
+// Passed tells whether no rule was broken.
+func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
 
 // Judge checks a history.
 func Judge(h *history.History) Verdict {
-	l := NewLive(&h.Setup)
+	l := NewChecker(&h.Setup)
 	for i := range h.Events {
-		l.Event(&h.Events[i])
+		l.Add(&h.Events[i])
 	}
 	return l.Verdict()
 }
 
-// Live checks a history while it is made, event by event, and keeps of it only
+// Checker checks a history while it is made, event by event, and keeps of it only
 // what may still matter. It is not safe for concurrent use.
-type Live struct {
-	// Linger is how long after a try's time is over the judge still waits for
+type Checker struct {
+	// Retention is how long after a try's time is over the judge still waits for
 	// what belongs to it: an attempt, a run or a second answer that comes later
 	// is only counted as work. 0: for ever, as Judge does.
-	Linger time.Duration
+	Retention time.Duration
 
 	setup    *history.Setup
 	classes  map[string]*history.Class
@@ -100,10 +100,10 @@
 	tally    tally
 }
 
-// NewLive begins. Servers that are added to the setup later are known from
+// NewChecker begins. Servers that are added to the setup later are known from
 // then on.
-func NewLive(setup *history.Setup) *Live {
-	l := &Live{setup: setup, classes: map[string]*history.Class{}, servers: map[string]history.Server{}, halls: map[string]string{},
+func NewChecker(setup *history.Setup) *Checker {
+	l := &Checker{setup: setup, classes: map[string]*history.Class{}, servers: map[string]history.Server{}, halls: map[string]string{},
 		tries: map[string]*try{}, orders: map[string]*order{}, ended: map[string][]history.Event{},
 		closed: map[pair][]closing{}, lastUp: map[string]time.Duration{}, cold: map[string]*coldStart{}, counts: map[Rule]int{}}
 	for i := range setup.Classes {
@@ -117,7 +117,7 @@
 }
 
 // server gives what the setup says of one.
-func (l *Live) server(name string) history.Server {
+func (l *Checker) server(name string) history.Server {
 	for len(l.servers) < len(l.setup.Servers) {
 		for _, s := range l.setup.Servers[len(l.servers):] {
 			l.servers[s.Name] = s
@@ -143,7 +143,7 @@
 	firstRuns       [1]run
 }
 
-// What is kept of a try's events.
+// Detail is kept of a try's events.
 type (
 	answer struct {
 		at     time.Duration
@@ -161,8 +161,8 @@
 	}
 )
 
-// Event takes the next event. Times never fall.
-func (l *Live) Event(e *history.Event) {
+// Add takes the next event. Times never fall.
+func (l *Checker) Add(e *history.Event) {
 	l.end = max(l.end, e.At)
 	l.bind(e.At)
 	l.tally.event(l, e)
@@ -214,7 +214,7 @@
 		l.started(e)
 	case history.Fell:
 		if s := l.cold[e.Server]; s == nil || s.counts(l.setup.Limits) {
-			l.breach(ColdNotPushed, e.At, "%s fell over", e.Server)
+			l.breach(NoColdOverload, e.At, "%s fell over", e.Server)
 		}
 	case history.Told:
 		l.mark(pair{e.Node, e.Server}, e.At, e.Lifecycle == "up")
@@ -229,20 +229,20 @@
 			l.forget(e.Node, e.At)
 		}
 	}
-	if l.Linger > 0 {
-		l.close(e.At - l.Linger)
+	if l.Retention > 0 {
+		l.close(e.At - l.Retention)
 	}
 }
 
 // open gives the try that an event belongs to; nil if that is closed already.
-func (l *Live) open(e *history.Event) *try {
-	if l.Linger > 0 {
+func (l *Checker) open(e *history.Event) *try {
+	if l.Retention > 0 {
 		return l.tries[e.Try]
 	}
 	return l.tryOf(e.Try)
 }
 
-func (l *Live) tryOf(id string) *try {
+func (l *Checker) tryOf(id string) *try {
 	t := l.tries[id]
 	if t == nil {
 		t = &try{}
@@ -252,7 +252,7 @@
 }
 
 // close hears the tries whose time was over at a time, and the orders.
-func (l *Live) close(before time.Duration) {
+func (l *Checker) close(before time.Duration) {
 	n := 0
 	for _, t := range l.queue {
 		if t.deadline > before {
@@ -266,7 +266,7 @@
 	l.queue = l.queue[n:]
 	n = 0
 	for _, o := range l.waiting {
-		if o.at+o.class.Deadline > before-l.Linger { // its tries have been heard by then
+		if o.at+o.class.Deadline > before-l.Retention { // its tries have been heard by then
 			break
 		}
 		l.tally.close(o)
@@ -278,7 +278,7 @@
 }
 
 // hear judges one try.
-func (l *Live) hear(t *try) {
+func (l *Checker) hear(t *try) {
 	l.answers(t)
 	l.effects(t)
 	l.drained(t)
@@ -286,7 +286,7 @@
 }
 
 // Verdict ends the history.
-func (l *Live) Verdict() Verdict {
+func (l *Checker) Verdict() Verdict {
 	for _, t := range l.queue {
 		l.hear(t)
 	}
@@ -305,7 +305,7 @@
 	return Verdict{Counts: l.counts, Service: l.tally.service(l), Breaches: l.breaches[:min(len(l.breaches), maxBreaches)]}
 }
 
-func (l *Live) breach(r Rule, at time.Duration, format string, args ...any) {
+func (l *Checker) breach(r Rule, at time.Duration, format string, args ...any) {
 	l.counts[r]++
 	if len(l.breaches) < keptBreaches {
 		l.breaches = append(l.breaches, Breach{r, at, fmt.Sprintf(format, args...)})
@@ -315,7 +315,7 @@
 // killed tells whether a node was killed outright within a stretch of time, or
 // was dead at its beginning: the kernel goes on taking connections for a dying
 // process for a moment.
-func (l *Live) killed(node string, from, to time.Duration) bool {
+func (l *Checker) killed(node string, from, to time.Duration) bool {
 	dead := false
 	for _, e := range l.ended[node] {
 		kill := e.Kind == history.NodeKilled
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -125,39 +125,39 @@
 			add(h, history.Event{At: 500 * ms, Kind: history.NodeKilled, Node: "n0"})
 			add(h, history.Event{At: 900 * ms, Kind: history.NodeUp, Node: "n0"})
 		}},
-		{"unsafe sent twice", NoEffectTwice, "had taken it", func(h *history.History) {
+		{"unsafe sent twice", NoDuplicateEffect, "had taken it", func(h *history.History) {
 			add(h, history.Event{At: 3050 * ms, First: 3050 * ms, Kind: history.Attempt, Try: "unsafe", Node: "n0", Server: "a.1", Verdict: history.Taken})
 		}},
-		{"keyed out of its pod", NoEffectTwice, "left its pod", func(h *history.History) {
+		{"keyed out of its pod", NoDuplicateEffect, "left its pod", func(h *history.History) {
 			add(h, history.Event{At: 2050 * ms, First: 2050 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "b.1", Verdict: history.Taken})
 		}},
-		{"keyed after its window", NoEffectTwice, "sent again", func(h *history.History) {
+		{"keyed after its window", NoDuplicateEffect, "sent again", func(h *history.History) {
 			edit(h, history.Answer, "keyed", func(e *history.Event) { e.At = 11 * time.Second })
 			edit(h, history.Try, "keyed", func(e *history.Event) { e.Deadline = 12 * time.Second })
 			add(h, history.Event{At: 10200 * ms, First: 10200 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "a.1", Verdict: history.Taken})
 		}},
-		{"an effect that ran twice", NoEffectTwice, "ran 2 times", func(h *history.History) {
+		{"an effect that ran twice", NoDuplicateEffect, "ran 2 times", func(h *history.History) {
 			add(h, history.Event{At: 3050 * ms, Kind: history.Run, Try: "unsafe", Server: "a.1"})
 		}},
-		{"a refusal of what may have run", NoEffectTwice, "refused although", func(h *history.History) {
+		{"a refusal of what may have run", NoDuplicateEffect, "refused although", func(h *history.History) {
 			edit(h, history.Answer, "failed", func(e *history.Event) { e.Status = history.Refused })
 		}},
-		{"a keyed refusal of what may have run", NoEffectTwice, "refused although", func(h *history.History) {
+		{"a keyed refusal of what may have run", NoDuplicateEffect, "refused although", func(h *history.History) {
 			edit(h, history.Answer, "keyed", func(e *history.Event) { e.Status = history.Refused })
 		}},
-		{"late to a drain", DrainsKept, "after the word", func(h *history.History) {
+		{"late to a drain", DrainsRespected, "after the word", func(h *history.History) {
 			edit(h, history.Told, "", func(e *history.Event) { e.At = 5700 * ms })
 			history.Sort(h.Events)
 		}},
-		{"late to one that is gone", DrainsKept, "after the word", func(h *history.History) {
+		{"late to one that is gone", DrainsRespected, "after the word", func(h *history.History) {
 			edit(h, history.Told, "", func(e *history.Event) { e.At, e.Lifecycle = 5700*ms, "removed" })
 			history.Sort(h.Events)
 		}},
-		{"up for another node only", DrainsKept, "after the word", func(h *history.History) {
+		{"up for another node only", DrainsRespected, "after the word", func(h *history.History) {
 			edit(h, history.Told, "", func(e *history.Event) { e.At = 5700 * ms })
 			add(h, history.Event{At: 5800 * ms, Kind: history.Told, Node: "n1", Server: "a.2", Lifecycle: "up"})
 		}},
-		{"never asked", DrainsKept, "after the word", func(h *history.History) {
+		{"never asked", DrainsRespected, "after the word", func(h *history.History) {
 			h.Setup.Limits.ToldLatest = time.Second
 			for i := range h.Events {
 				if h.Events[i].Kind == history.Told {
@@ -166,22 +166,22 @@
 			}
 			history.Sort(h.Events)
 		}},
-		{"a burst at a cold server", ColdNotPushed, "was sent", func(h *history.History) {
+		{"a burst at a cold server", NoColdOverload, "was sent", func(h *history.History) {
 			for i := range 60 {
 				add(h, history.Event{At: 8500*ms + time.Duration(i)*ms, Kind: history.Attempt, Try: "burst", Node: "n0", Server: "b.1", Work: 100 * ms})
 			}
 		}},
-		{"half of it from another node", ColdNotPushed, "was sent", func(h *history.History) {
+		{"half of it from another node", NoColdOverload, "was sent", func(h *history.History) {
 			for i := range 60 {
 				add(h, history.Event{At: 8500*ms + time.Duration(i)*ms, Kind: history.Attempt, Try: "burst", Node: []string{"n0", "n1"}[i%2], Server: "b.1", Work: 100 * ms})
 			}
 		}},
-		{"a burst of probes", ColdNotPushed, "was sent", func(h *history.History) {
+		{"a burst of probes", NoColdOverload, "was sent", func(h *history.History) {
 			for i := range 700 {
 				add(h, history.Event{At: 8500*ms + time.Duration(i)*ms/10, Kind: history.Probe, Node: "n0", Server: "b.1", Work: 10 * ms})
 			}
 		}},
-		{"fallen over", ColdNotPushed, "fell over", func(h *history.History) {
+		{"fallen over", NoColdOverload, "fell over", func(h *history.History) {
 			add(h, history.Event{At: 9 * time.Second, Kind: history.Fell, Server: "b.1"})
 		}},
 	} {
@@ -231,7 +231,7 @@
 	} {
 		h := sound()
 		doctor(h)
-		if v := Judge(h); !v.Kept() {
+		if v := Judge(h); !v.Passed() {
 			t.Errorf("%s: %v", name, v.Breaches)
 		}
 	}
@@ -254,13 +254,13 @@
 	h := sound()
 	v := Judge(h)
 	// Asked: 3 viewer clips, 1 tag, 3 orders, each worth 1; one order refused and one failed.
-	if s := v.Service; s.Whole != 5.0/7 || s.WorstClass != 1.0/3 {
-		t.Errorf("whole %v, worst class %v", s.Whole, s.WorstClass)
+	if s := v.Service; s.OnTimeRatio != 5.0/7 || s.WorstClass != 1.0/3 {
+		t.Errorf("whole %v, worst class %v", s.OnTimeRatio, s.WorstClass)
 	}
 	edit(h, history.Answer, "keyed", func(e *history.Event) { e.At += 2 * time.Second })
 	edit(h, history.Try, "keyed", func(e *history.Event) { e.Deadline += 4 * time.Second })
-	if s := Judge(h).Service; s.Whole != 4.0/7 || s.WorstClass != 0 {
-		t.Errorf("past its aim: whole %v, worst class %v", s.Whole, s.WorstClass)
+	if s := Judge(h).Service; s.OnTimeRatio != 4.0/7 || s.WorstClass != 0 {
+		t.Errorf("past its aim: whole %v, worst class %v", s.OnTimeRatio, s.WorstClass)
 	}
 }
 
@@ -283,7 +283,7 @@
 			add(h, history.Event{At: 8500*time.Millisecond + time.Duration(i)*time.Millisecond, Kind: history.Attempt, Try: "burst", Node: node, Server: "b.1", Work: 100 * time.Millisecond})
 		}
 		add(h, history.Event{At: 8561 * time.Millisecond, Kind: history.Fell, Server: "b.1"})
-		if v := Judge(h); (v.Counts[ColdNotPushed] == 0) != x.kept {
+		if v := Judge(h); (v.Counts[NoColdOverload] == 0) != x.kept {
 			t.Errorf("%d of 60 by who had been told: %v", x.told, v.Counts)
 		}
 	}
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -9,7 +9,7 @@
 
 // answers checks rule one: exactly one final answer, in the client's time, to
 // all that a running node has taken, and nothing sent out after it.
-func (c *Live) answers(t *try) {
+func (c *Checker) answers(t *try) {
 	slack := c.setup.Limits.Slack
 	id, deadline := t.id, t.deadline
 	if t.answers == 0 {
@@ -61,7 +61,7 @@
 
 // effects checks rule two on what reached the servers. An attempt that is lost
 // on the way has not run, and is not seen here.
-func (c *Live) effects(t *try) {
+func (c *Checker) effects(t *try) {
 	l := c.setup.Limits
 	if t.class == nil || t.class.Effect == history.Safe {
 		return
@@ -75,25 +75,25 @@
 			switch gap := later.first - e.at; {
 			case !mayRun(e):
 			case t.class.Effect == history.Unsafe:
-				c.breach(NoEffectTwice, later.at, "unsafe %s went to %s although %s had taken it", id, later.server, e.server)
+				c.breach(NoDuplicateEffect, later.at, "unsafe %s went to %s although %s had taken it", id, later.server, e.server)
 			case !c.knows(t.class.Scope, e.server, later.server):
-				c.breach(NoEffectTwice, later.at, "keyed %s left its pod: %s, then %s", id, e.server, later.server)
+				c.breach(NoDuplicateEffect, later.at, "keyed %s left its pod: %s, then %s", id, e.server, later.server)
 			case gap > cmp.Or(t.class.Window, l.KeyWindow)+l.Slack:
-				c.breach(NoEffectTwice, later.at, "keyed %s was sent again %v later", id, gap)
+				c.breach(NoDuplicateEffect, later.at, "keyed %s was sent again %v later", id, gap)
 			}
 		}
 	}
 	if len(t.runs) > 1 {
-		c.breach(NoEffectTwice, t.runs[1].at, "%s %s ran %d times", t.class.Effect, id, len(t.runs))
+		c.breach(NoDuplicateEffect, t.runs[1].at, "%s %s ran %d times", t.class.Effect, id, len(t.runs))
 	}
 	harmless := t.class.Effect == history.Keyed && t.class.Scope == history.All // a new try meets servers that know its key
 	if t.answers > 0 && t.answer.status == history.Refused && ran > 0 && !harmless {
-		c.breach(NoEffectTwice, t.answer.at, "%s %s was refused although it may have run", t.class.Effect, id)
+		c.breach(NoDuplicateEffect, t.answer.at, "%s %s was refused although it may have run", t.class.Effect, id)
 	}
 }
 
 // knows tells whether a server knows the keys that another one has met.
-func (c *Live) knows(scope history.Scope, one, other string) bool {
+func (c *Checker) knows(scope history.Scope, one, other string) bool {
 	a, b := c.server(one), c.server(other)
 	switch scope {
 	case history.All:
@@ -112,12 +112,12 @@
 type pair struct{ node, server string }
 
 // mark notes that a node knows a server for closed from a time on, or for up.
-func (c *Live) mark(p pair, at time.Duration, up bool) {
+func (c *Checker) mark(p pair, at time.Duration, up bool) {
 	spans := c.closed[p]
 	if n := len(spans) - 1; up && n >= 0 {
 		spans[n].to = min(spans[n].to, at)
 	} else if !up && (n < 0 || spans[n].to <= at) {
-		if n >= 0 && c.Linger > 0 && at-spans[n].to > 2*c.Linger {
+		if n >= 0 && c.Retention > 0 && at-spans[n].to > 2*c.Retention {
 			spans = spans[:0] // no try that is still open was sent then
 		}
 		c.closed[p] = append(spans, closing{at, 1<<63 - 1})
@@ -125,7 +125,7 @@
 }
 
 // forget notes that a node knows nothing from a time on.
-func (c *Live) forget(node string, at time.Duration) {
+func (c *Checker) forget(node string, at time.Duration) {
 	for p := range c.closed {
 		if p.node == node {
 			c.mark(p, at, true)
@@ -135,7 +135,7 @@
 
 // changed takes what discovery has learnt: whoever has not asked for it by then
 // counts as told after a while, unless the server is up again.
-func (c *Live) changed(e *history.Event) {
+func (c *Checker) changed(e *history.Event) {
 	if e.Lifecycle == "up" {
 		c.lastUp[e.Server] = e.At
 	}
@@ -145,7 +145,7 @@
 }
 
 // bind carries out what is due by now.
-func (c *Live) bind(now time.Duration) {
+func (c *Checker) bind(now time.Duration) {
 	for len(c.due) > 0 && c.due[0].At+c.setup.Limits.ToldLatest <= now {
 		e := c.due[0]
 		c.due = c.due[1:]
@@ -160,12 +160,12 @@
 
 // drained checks rule three, from the moment discovery wrote its answer, or,
 // for a node that does not ask, from when it should have.
-func (c *Live) drained(t *try) {
+func (c *Checker) drained(t *try) {
 	l := c.setup.Limits
 	for _, s := range t.attempts {
 		for _, span := range c.closed[pair{s.node, s.server}] {
 			if s.first > span.from+l.DrainGrace+l.Slack && s.first < span.to {
-				c.breach(DrainsKept, s.first, "%s sent %s to %s %v after the word of its drain", s.node, t.id, s.server, s.first-span.from)
+				c.breach(DrainsRespected, s.first, "%s sent %s to %s %v after the word of its drain", s.node, t.id, s.server, s.first-span.from)
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 }
 
 // started begins to watch a process that starts cold.
-func (c *Live) started(e *history.Event) {
+func (c *Checker) started(e *history.Event) {
 	if delete(c.cold, e.Server); e.ColdTime > 0 && e.ColdFrom < 1 {
 		c.cold[e.Server] = &coldStart{Event: *e, knows: map[string]bool{}}
 	}
@@ -199,7 +199,7 @@
 // nodes stays under FallFactor times what the server can do in it. One request
 // counts for no more than one core can do in the window: no choice of servers
 // helps against a request that is heavier than that by itself.
-func (c *Live) sentTo(e *history.Event) {
+func (c *Checker) sentTo(e *history.Event) {
 	s := c.cold[e.Server]
 	if s == nil {
 		return
@@ -220,7 +220,7 @@
 	can := l.FallFactor * capacity(s.Event, w.at-l.FallTime, w.at)
 	if over := s.sum.Seconds() - l.FallSpare.Seconds() - can; over > 0 && !s.reported && s.counts(l) {
 		s.reported = true
-		c.breach(ColdNotPushed, w.at, "%s, started at %v, was sent %v of work within %v and may have %.2fs",
+		c.breach(NoColdOverload, w.at, "%s, started at %v, was sent %v of work within %v and may have %.2fs",
 			s.Server, s.At, s.sum, l.FallTime, can)
 	}
 }
--- a/internal/lab/judge/service.go
+++ b/internal/lab/judge/service.go
@@ -28,39 +28,39 @@
 	messageUnit  = 256 // bytes
 )
 
-// Service is the service measure with all it is made of.
-type Service struct {
-	Score      float64      `json:"score"`       // in 100: the measure less the penalties
-	Measure    float64      `json:"measure"`     // 0 to 1
-	Whole      float64      `json:"whole"`       // worth within aim over worth asked for
-	WorstTen   float64      `json:"worst_10s"`   // the same in the worst 10 s
-	WorstClass float64      `json:"worst_class"` // the same of the worst class
-	Penalties  Penalties    `json:"penalties"`
-	Classes    []ClassCount `json:"classes"`
-	Orders     int          `json:"orders"`   // first tries
-	Tries      int          `json:"tries"`    // with the clients' own
-	Attempts   int          `json:"attempts"` // that reached a server
-	Refused    int          `json:"refused"`  // tries
-	Failed     int          `json:"failed"`   // tries
-	Runs       int          `json:"runs"`     // of effects
+// ServiceMetrics is the service measure with all it is made of.
+type ServiceMetrics struct {
+	Score       float64      `json:"score"`       // in 100: the measure less the penalties
+	Measure     float64      `json:"measure"`     // 0 to 1
+	OnTimeRatio float64      `json:"whole"`       // worth within aim over worth asked for
+	WorstWindow float64      `json:"worst_10s"`   // the same in the worst 10 s
+	WorstClass  float64      `json:"worst_class"` // the same of the worst class
+	Penalties   Penalties    `json:"penalties"`
+	Classes     []ClassStats `json:"classes"`
+	Orders      int          `json:"orders"`   // first tries
+	Tries       int          `json:"tries"`    // with the clients' own
+	Attempts    int          `json:"attempts"` // that reached a server
+	Refused     int          `json:"refused"`  // tries
+	Failed      int          `json:"failed"`   // tries
+	Runs        int          `json:"runs"`     // of effects
 }
 
 // Penalties are points in 100.
 type Penalties struct {
-	LateFail, Waste, NewConnections, OpenConnections, CrossHall, Probes, Messages float64
+	LateFailure, WastedWork, NewConnections, OpenConnections, CrossZone, Probes, Messages float64
 }
 
 // Sum gives all points together.
 func (p Penalties) Sum() float64 {
-	return p.LateFail + p.Waste + p.NewConnections + p.OpenConnections + p.CrossHall + p.Probes + p.Messages
+	return p.LateFailure + p.WastedWork + p.NewConnections + p.OpenConnections + p.CrossZone + p.Probes + p.Messages
 }
 
-// ClassCount is one class's part.
-type ClassCount struct {
+// ClassStats is one class's part.
+type ClassStats struct {
 	Class    string        `json:"class"`
 	Orders   int           `json:"orders"`
 	Served   int           `json:"served"` // orders, at any time
-	Within   int           `json:"within"` // orders, within the aim
+	OnTime   int           `json:"within"` // orders, within the aim
 	Refused  int           `json:"refused_tries"`
 	Failed   int           `json:"failed_tries"` // and lost ones
 	P50, P99 time.Duration // of served orders, from the first try on
@@ -77,8 +77,8 @@
 
 // tally adds up the service measure and the penalties.
 type tally struct {
-	Service
-	byClass        map[string]*ClassCount
+	ServiceMetrics
+	byClass        map[string]*ClassStats
 	took           map[string][]time.Duration // by class, of served orders
 	asked, got     float64                    // worth
 	askedAt, gotAt []float64                  // the same by steps of a window
@@ -90,9 +90,9 @@
 }
 
 func (y *tally) begin(setup *history.Setup) {
-	y.byClass, y.took, y.at = map[string]*ClassCount{}, map[string][]time.Duration{}, map[string]float64{}
+	y.byClass, y.took, y.at = map[string]*ClassStats{}, map[string][]time.Duration{}, map[string]float64{}
 	for _, cl := range setup.Classes {
-		y.Classes = append(y.Classes, ClassCount{Class: cl.Name})
+		y.Classes = append(y.Classes, ClassStats{Class: cl.Name})
 	}
 	for i := range y.Classes {
 		y.byClass[y.Classes[i].Class] = &y.Classes[i]
@@ -102,7 +102,7 @@
 }
 
 // event takes what counts whatever becomes of the try.
-func (y *tally) event(l *Live, e *history.Event) {
+func (y *tally) event(l *Checker, e *history.Event) {
 	y.area += y.open * (e.At - y.last).Seconds()
 	y.last = e.At
 	switch e.Kind {
@@ -136,7 +136,7 @@
 
 // orderOf gives the order that an event belongs to, a new one if it is the
 // first of it; nil if its class is not known.
-func (l *Live) orderOf(e *history.Event) *order {
+func (l *Checker) orderOf(e *history.Event) *order {
 	cl := l.classes[e.Class]
 	if cl == nil {
 		return nil
@@ -152,7 +152,7 @@
 }
 
 // try adds up one try.
-func (y *tally) try(l *Live, t *try) {
+func (y *tally) try(l *Checker, t *try) {
 	if t.class == nil {
 		return
 	}
@@ -204,16 +204,16 @@
 		y.late += worth
 	}
 	if o.within() {
-		k.Within++
+		k.OnTime++
 		y.got, y.gotAt[i] = y.got+worth, y.gotAt[i]+worth
 	}
 }
 
 // service gives the measure, at the end.
-func (y *tally) service(l *Live) Service {
-	s := &y.Service
-	s.Whole, s.WorstTen, s.WorstClass = y.shares(l.setup.Length)
-	s.Measure = weightWhole*s.Whole + weightWorst*s.WorstTen + weightClass*s.WorstClass
+func (y *tally) service(l *Checker) ServiceMetrics {
+	s := &y.ServiceMetrics
+	s.OnTimeRatio, s.WorstWindow, s.WorstClass = y.shares(l.setup.Length)
+	s.Measure = weightWhole*s.OnTimeRatio + weightWorst*s.WorstWindow + weightClass*s.WorstClass
 	s.Penalties = y.penalties(len(l.setup.Servers))
 	s.Score = 100*s.Measure - s.Penalties.Sum()
 	return *s
@@ -240,7 +240,7 @@
 		worst = math.Min(worst, share(g, a))
 	}
 	for name, k := range y.byClass {
-		worstClass = math.Min(worstClass, share(float64(k.Within), float64(k.Orders)))
+		worstClass = math.Min(worstClass, share(float64(k.OnTime), float64(k.Orders)))
 		k.P50, k.P99 = Quantile(y.took[name], 0.5), Quantile(y.took[name], 0.99)
 	}
 	return share(y.got, y.asked), worst, worstClass
@@ -264,9 +264,9 @@
 		}
 		return price * part / whole
 	}
-	return Penalties{LateFail: per(priceLate, y.late, y.asked), Waste: per(priceWaste, y.wasted, y.work),
+	return Penalties{LateFailure: per(priceLate, y.late, y.asked), WastedWork: per(priceWaste, y.wasted, y.work),
 		NewConnections:  per(priceNew, y.fresh, n),
 		OpenConnections: per(priceOpen, y.area/math.Max(1e-9, y.last.Seconds()), openUnit*float64(servers)),
-		CrossHall:       per(priceCross, y.crossed, n), Probes: per(priceProbe, y.probes, n),
+		CrossZone:       per(priceCross, y.crossed, n), Probes: per(priceProbe, y.probes, n),
 		Messages: per(priceMessage, y.bytes, messageUnit*n)}
 }
--- a/internal/lab/memory/audit_test.go
+++ b/internal/lab/memory/audit_test.go
@@ -103,7 +103,7 @@
 	for seed := range int64(days) {
 		s := cutDay(seed)
 		var records []version.Record
-		h := Run(s, Options{Fleet: &member.Config{Follow: watch}, Records: func(r version.Record) { records = append(records, r) }})
+		h := Run(s, Options{Fleet: &member.Config{Follow: watch}, OnRecord: func(r version.Record) { records = append(records, r) }})
 		a := audit.New(records, audit.DefaultOptions())
 		said := map[sentTo]bool{}
 		for _, b := range a.LateSends() {
@@ -124,7 +124,7 @@
 		}
 		v := judge.Judge(h)
 		for _, b := range v.Breaches {
-			if m := byJudge.FindStringSubmatch(b.What); m != nil && must[sentTo{m[1], m[2]}] {
+			if m := byJudge.FindStringSubmatch(b.Detail); m != nil && must[sentTo{m[1], m[2]}] {
 				known++
 			}
 		}
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -48,7 +48,7 @@
 			cfg.Peers = append(cfg.Peers, roster.NumberedAddr(i))
 		}
 	}
-	f := &fleet{set: cfg.Follow, turnAt: n.w.now, member: member.New(cfg, Unix+n.w.now)}
+	f := &fleet{set: cfg.Follow, turnAt: n.w.now, member: member.New(cfg, Epoch+n.w.now)}
 	f.agent = f.member.Agent()
 	n.w.plan(n.w.now+n.w.jitter(fleetTick), n, fleetTicks, uint64(n.life))
 	return f
@@ -74,7 +74,7 @@
 // tellRecord gives the run's caller what the node has acted on.
 func (n *node) tellRecord() {
 	if n.up && n.fleet != nil && n.w.records != nil {
-		n.w.records(n.fleet.member.Record(Unix + n.w.now))
+		n.w.records(n.fleet.member.Record(Epoch + n.w.now))
 	}
 }
 
@@ -84,7 +84,7 @@
 	var all []version.Record
 	for _, n := range w.nodes {
 		if n.up && n.fleet != nil {
-			all = append(all, n.fleet.member.Record(Unix+w.now))
+			all = append(all, n.fleet.member.Record(Epoch+w.now))
 		}
 	}
 	take(w.now, all)
@@ -99,14 +99,14 @@
 	}
 	n.w.plan(n.w.now+fleetTick, n, fleetTicks, life)
 	n.fleetDo(member.Tick{})
-	if n.fleet.agent.MinAnswerTime(Unix+n.w.now) > 0 {
+	if n.fleet.agent.MinAnswerTime(Epoch+n.w.now) > 0 {
 		n.again()
 	}
 }
 
 func (n *node) fleetDo(e member.Event) {
 	f := n.fleet
-	for _, a := range f.member.Handle(Unix+n.w.now, e) {
+	for _, a := range f.member.Handle(Epoch+n.w.now, e) {
 		switch a := a.(type) {
 		case member.Send:
 			if to, ok := roster.NumberOf(a.To); ok {
@@ -128,7 +128,7 @@
 	if _, listed := source.Event.(follow.ListReceived); !is || !listed {
 		n.fleetChanged()
 	}
-	if until := f.agent.HoldUntil(); len(f.waiting) > 0 && (until == 0 || Unix+n.w.now >= until) {
+	if until := f.agent.HoldUntil(); len(f.waiting) > 0 && (until == 0 || Epoch+n.w.now >= until) {
 		waiting := f.waiting
 		f.waiting = nil
 		for _, do := range waiting {
@@ -179,14 +179,14 @@
 	if n.fleet == nil {
 		return false
 	}
-	fresh := n.fleet.agent.MinAnswerTime(Unix + n.w.now)
+	fresh := n.fleet.agent.MinAnswerTime(Epoch + n.w.now)
 	return n.fleet.agent.Withdrawn(s.lifecycle.InstanceID) || fresh > 0 && s.answered < fresh
 }
 
 // admit tells whether a request, a tenant's, goes on to the module now.
 func (n *node) admit(c *client, r *request, tenant string) bool {
 	f := n.fleet
-	if until := f.agent.HoldUntil(); until > 0 && Unix+n.w.now < until {
+	if until := f.agent.HoldUntil(); until > 0 && Epoch+n.w.now < until {
 		f.waiting = append(f.waiting, func() { n.arrive(c, r.deadline-n.w.now) })
 		return false
 	}
--- a/internal/lab/memory/fleet_test.go
+++ b/internal/lab/memory/fleet_test.go
@@ -25,7 +25,7 @@
 			s.Faults[2].At.Duration = 34 * time.Second
 		}
 		for seed := range int64(10) {
-			h := Run(s, Options{Seed: seed + 1, Records: func(r version.Record) {
+			h := Run(s, Options{Seed: seed + 1, OnRecord: func(r version.Record) {
 				for _, c := range r.ModeChanges {
 					if c.Mode == "closed" || c.Mode == "narrowed" && name != "release" { // there a node hears one other alone for a while
 						t.Errorf("%s, seed %d: %s was %s", name, seed+1, r.Process, c.Mode)
@@ -33,7 +33,7 @@
 				}
 			}})
 			v := judge.Judge(h)
-			for _, b := range slices.DeleteFunc(v.Breaches, func(b judge.Breach) bool { return holds.Unanswerable(s, b) }) {
+			for _, b := range slices.DeleteFunc(v.Breaches, func(b judge.Breach) bool { return holds.LostDuringPause(s, b) }) {
 				t.Errorf("%s, seed %d: %v", name, seed+1, b)
 			}
 		}
--- a/internal/lab/memory/hour_test.go
+++ b/internal/lab/memory/hour_test.go
@@ -45,12 +45,12 @@
 	}
 	var heap []uint64
 	next, tries := 10*time.Minute, 0
-	var live *judge.Live
-	Run(s, Options{Watch: func(setup *history.Setup) func(*history.Event) {
-		live = judge.NewLive(setup)
-		live.Linger = time.Minute
+	var live *judge.Checker
+	Run(s, Options{ObserveEvents: func(setup *history.Setup) func(*history.Event) {
+		live = judge.NewChecker(setup)
+		live.Retention = time.Minute
 		return func(e *history.Event) {
-			live.Event(e)
+			live.Add(e)
 			if e.Kind == history.Try {
 				tries++
 			}
--- a/internal/lab/memory/list.go
+++ b/internal/lab/memory/list.go
@@ -34,7 +34,7 @@
 	for _, e := range l.Instances {
 		listed[e.InstanceID] = true
 		w.record(history.Event{Kind: history.Told, Node: n.Name, Server: e.InstanceID, Lifecycle: e.Lifecycle,
-			Started: max(0, time.Duration(e.StartedAtMs)*time.Millisecond-Unix)})
+			Started: max(0, time.Duration(e.StartedAtMs)*time.Millisecond-Epoch)})
 	}
 	kind := balance.ListChanges
 	if l.Reset {
--- a/internal/lab/memory/machine.go
+++ b/internal/lab/memory/machine.go
@@ -70,7 +70,7 @@
 	e := hosts.Entry{InstanceID: c.Name, HostPort: c.Name + ":80", Zone: c.Hall, MachineType: c.Kind, Cell: c.Pod,
 		Lifecycle: lifecycle, Weight: c.model.Machine.Capacity()}
 	if c.startedAt > 0 {
-		e.StartedAtMs = (Unix + c.startedAt).Milliseconds()
+		e.StartedAtMs = (Epoch + c.startedAt).Milliseconds()
 	}
 	return e
 }
@@ -78,7 +78,7 @@
 // list lets discovery learn of the machine after a lag.
 func (w *world) list(c *machine, lifecycle string, lag time.Duration) {
 	e := c.entry(lifecycle)
-	w.registry.Set(w.now+lag, e)
+	w.registry.Schedule(w.now+lag, e)
 	w.after(lag, w.news)
 }
 
--- a/internal/lab/memory/members_test.go
+++ b/internal/lab/memory/members_test.go
@@ -44,7 +44,7 @@
 		}
 		for seed := range *manySeeds {
 			looks, low := 0, 0
-			h := Run(s, Options{Seed: seed + 1, Look: func(now time.Duration, all []version.Record) {
+			h := Run(s, Options{Seed: seed + 1, ObserveRecords: func(now time.Duration, all []version.Record) {
 				for whole, part := range held(all) {
 					if part > 1+1e-9 {
 						t.Errorf("%s, seed %d: %.4f of %s is held at %v", name, seed+1, part, whole, now)
@@ -85,7 +85,7 @@
 		least, most int
 		low, high   float64
 	}{{14, 22, 1, 31, 10, 20}, {30, 32, 1, 6, 2.5, 6}, {35, 38, 2, 6, 4.8, 6}, {41, 45, 1, 31, 10, 20}} {
-		users, sum := holds.Users(h, x.from*time.Second, x.to*time.Second), 0
+		users, sum := holds.NodesPerServer(h, x.from*time.Second, x.to*time.Second), 0
 		for server, n := range users {
 			if sum += n; n < x.least || n > x.most {
 				t.Errorf("%s is used by %d nodes from %d to %d s", server, n, x.from, x.to)
@@ -107,7 +107,7 @@
 		}
 		s.Oper = "members = true\nquotas = true\nstrangers = [\"127.0.0.0/8\"]"
 		at := 16 * time.Second
-		Run(s, Options{Seed: 1, Look: func(now time.Duration, all []version.Record) {
+		Run(s, Options{Seed: 1, ObserveRecords: func(now time.Duration, all []version.Record) {
 			if part := held(all)["quota club"]; now/time.Second == at/time.Second && (part < want-0.05 || part > want+0.05) {
 				t.Errorf("%s: %.2f of the quota is granted at %v, want %.2f", name, part, now, want)
 			}
--- a/internal/lab/memory/mutant_test.go
+++ b/internal/lab/memory/mutant_test.go
@@ -61,7 +61,7 @@
 				return actions
 			}
 		}()},
-		{"refuses what may have run", "hang", judge.NoEffectTwice, false, func(_ time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
+		{"refuses what may have run", "hang", judge.NoDuplicateEffect, false, func(_ time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
 			return each(actions, func(a balance.Action) []balance.Action {
 				if f, is := a.(balance.Fail); is {
 					return keep(balance.Refuse{ID: f.ID})
@@ -69,7 +69,7 @@
 				return keep(a)
 			})
 		}},
-		{"sends a second copy of everything", "quiet", judge.NoEffectTwice, false, func(_ time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
+		{"sends a second copy of everything", "quiet", judge.NoDuplicateEffect, false, func(_ time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
 			return each(actions, func(a balance.Action) []balance.Action {
 				if s, is := a.(balance.Send); is {
 					return []balance.Action{s, balance.Send{Sending: &balance.Sending{ID: s.ID, Server: s.Server%12 + 1}}}
@@ -77,14 +77,14 @@
 				return keep(a)
 			})
 		}},
-		{"tries cut-orders again after a reset", "replace", judge.NoEffectTwice, false, func(_ time.Duration, _ string, e balance.Event, actions []balance.Action) []balance.Action {
+		{"tries cut-orders again after a reset", "replace", judge.NoDuplicateEffect, false, func(_ time.Duration, _ string, e balance.Event, actions []balance.Action) []balance.Action {
 			remember(e)
 			if x, is := e.(balance.AttemptEnded); is && x.Code == balance.Reset && classes[x.ID] == "cut-order" {
 				return []balance.Action{balance.Send{Sending: &balance.Sending{ID: x.ID, Server: x.Server%12 + 1}}}
 			}
 			return actions
 		}},
-		{"sends to a server that drains", "drain", judge.DrainsKept, true, func(now time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
+		{"sends to a server that drains", "drain", judge.DrainsRespected, true, func(now time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
 			return each(actions, func(a balance.Action) []balance.Action {
 				if s, is := a.(balance.Send); is && now > 6*time.Second && now < 8*time.Second {
 					s.Server = 1 // hall-nord.1
@@ -93,7 +93,7 @@
 				return keep(a)
 			})
 		}},
-		{"does not hear of drains", "drain", judge.DrainsKept, true, func(_ time.Duration, _ string, e balance.Event, actions []balance.Action) []balance.Action {
+		{"does not hear of drains", "drain", judge.DrainsRespected, true, func(_ time.Duration, _ string, e balance.Event, actions []balance.Action) []balance.Action {
 			return each(actions, func(a balance.Action) []balance.Action {
 				if s, is := a.(balance.Send); is {
 					s.Server = s.Server%12 + 1 // wherever it would go, the next one
@@ -102,7 +102,7 @@
 				return keep(a)
 			})
 		}},
-		{"one node of three does not hear of them", "drain", judge.DrainsKept, true, func(_ time.Duration, node string, e balance.Event, actions []balance.Action) []balance.Action {
+		{"one node of three does not hear of them", "drain", judge.DrainsRespected, true, func(_ time.Duration, node string, e balance.Event, actions []balance.Action) []balance.Action {
 			return each(actions, func(a balance.Action) []balance.Action {
 				if s, is := a.(balance.Send); is && node == "n1" {
 					s.Server = s.Server%12 + 1
@@ -111,7 +111,7 @@
 				return keep(a)
 			})
 		}},
-		{"sends all to the one that is cold", "silent", judge.ColdNotPushed, false, func(now time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
+		{"sends all to the one that is cold", "silent", judge.NoColdOverload, false, func(now time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
 			return each(actions, func(a balance.Action) []balance.Action {
 				if s, is := a.(balance.Send); is && now > 15500*time.Millisecond {
 					s.Server = 1
@@ -120,7 +120,7 @@
 				return keep(a)
 			})
 		}},
-		{"sends half to the one that is cold", "silent", judge.ColdNotPushed, false, func() Mutant {
+		{"sends half to the one that is cold", "silent", judge.NoColdOverload, false, func() Mutant {
 			n := 0
 			return func(now time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
 				return each(actions, func(a balance.Action) []balance.Action {
@@ -134,7 +134,7 @@
 				})
 			}
 		}()},
-		{"sends all to the two that are cold", "silent", judge.ColdNotPushed, false, func() Mutant { // probes alone no longer push one over: its connections are bounded
+		{"sends all to the two that are cold", "silent", judge.NoColdOverload, false, func() Mutant { // probes alone no longer push one over: its connections are bounded
 			n := 0
 			return func(now time.Duration, _ string, _ balance.Event, actions []balance.Action) []balance.Action {
 				return each(actions, func(a balance.Action) []balance.Action {
@@ -155,7 +155,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		v := judge.Judge(Run(s, Options{Mutant: c.mutant, Deaf: c.deaf}))
+		v := judge.Judge(Run(s, Options{Mutant: c.mutant, SkipDrainCheck: c.deaf}))
 		if v.Counts[c.rule] == 0 {
 			t.Errorf("a node that %s is not caught: %v", c.name, v.Counts)
 		}
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -223,7 +223,7 @@
 	// A copy, as what is done may end an attempt at once, of which the module is
 	// told before the rest is done.
 	var room [8]balance.Action
-	actions := append(room[:0], n.module.Handle(Unix+w.now, e)...)
+	actions := append(room[:0], n.module.Handle(Epoch+w.now, e)...)
 	if w.mutant != nil {
 		actions = w.mutant(w.now, n.Name, e, actions)
 	}
@@ -429,7 +429,7 @@
 		return
 	}
 	if n.fleet != nil && a.request != nil {
-		n.fleet.agent.Recorder().SendCounter(a.server.Name).Add(Unix + w.now)
+		n.fleet.agent.Recorder().SendCounter(a.server.Name).Add(Epoch + w.now)
 	}
 	if n.link(a.to).state == "reset" {
 		w.plan(w.now+delay, a, ends, uint64(balance.Reset))
@@ -510,7 +510,7 @@
 	}
 	r.out--
 	if code == balance.OK {
-		a.server.answered = Unix + n.w.now
+		a.server.answered = Epoch + n.w.now
 	}
 	if code == balance.OK && !r.over {
 		r.over = true
@@ -567,7 +567,7 @@
 		return
 	}
 	if n.fleet != nil {
-		m.Data = n.fleet.member.Wrap(Unix+n.w.now, m.To, m.Data)
+		m.Data = n.fleet.member.Wrap(Epoch+n.w.now, m.To, m.Data)
 	}
 	n.post(m.To, m.Data)
 }
--- a/internal/lab/memory/world.go
+++ b/internal/lab/memory/world.go
@@ -24,8 +24,8 @@
 	"ivylock/internal/operator"
 )
 
-// Unix is the Unix time at which the lab's clock reads 0 in memory.
-const Unix = 1_800_000_000 * time.Second
+// Epoch is the Unix time at which the lab's clock reads 0 in memory.
+const Epoch = 1_800_000_000 * time.Second
 
 // Bounds of a run: a node that sends for ever must not hang a sweep, nor one
 // that plans ever more things at once fill the memory. A run that is cut short
@@ -48,22 +48,22 @@
 type Options struct {
 	Seed int64 // 0: the scenario's
 	// Decider makes each node's; nil: the decision module.
-	Decider func(n scenario.Node, s balance.Settings, seed int64) Decider
-	Mutant  Mutant         // nil: none
-	Reports bool           // answers carry the server's load report
-	Fleet   *member.Config // of the nodes' fleet, but for what each has of its own; nil: the defaults
+	Decider     func(n scenario.Node, s balance.Settings, seed int64) Decider
+	Mutant      Mutant         // nil: none
+	LoadReports bool           // answers carry the server's load report
+	Fleet       *member.Config // of the nodes' fleet, but for what each has of its own; nil: the defaults
 	// Records, if not nil, is given each node's record of what it acted on at the end of
 	// the load, and those of nodes that end before.
-	Records func(version.Record)
+	OnRecord func(version.Record)
 	// Look, if not nil, is given the records of all nodes that run, ten times a second.
-	Look func(now time.Duration, all []version.Record)
+	ObserveRecords func(now time.Duration, all []version.Record)
 	// Deployment is another one than the brief's; nil: that.
-	Deployment *load.Deployment
-	Deaf       bool // a broken shell: it sends without looking again whether the server drains
-	// Watch is given each event as it happens, and the history that Run gives
+	Deployment     *load.Deployment
+	SkipDrainCheck bool // a broken shell: it sends without looking again whether the server drains
+	// ObserveEvents is given each event as it happens, and the history that Run gives
 	// back has none: a whole fleet's would not fit. The setup grows by servers
 	// that replace others. nil: all events are kept.
-	Watch func(setup *history.Setup) func(*history.Event)
+	ObserveEvents func(setup *history.Setup) func(*history.Event)
 }
 
 // world is one run.
@@ -106,7 +106,7 @@
 		o.Seed = s.Seed
 	}
 	w := &world{s: s, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x6d656d)), byName: map[string]*machine{},
-		pods: map[int]*clip.Pod{}, registry: hosts.NewRegistry(40), turn: map[string]int{}, open: map[*node][]*client{}, links: map[pair]link{}, ways: map[[2]int]way{}, member: o.Fleet, records: o.Records, mutant: o.Mutant, deaf: o.Deaf, reports: o.Reports, decider: o.Decider, lag: s.Hosts.Lag.Duration}
+		pods: map[int]*clip.Pod{}, registry: hosts.NewRegistry(40), turn: map[string]int{}, open: map[*node][]*client{}, links: map[pair]link{}, ways: map[[2]int]way{}, member: o.Fleet, records: o.OnRecord, mutant: o.Mutant, deaf: o.SkipDrainCheck, reports: o.LoadReports, decider: o.Decider, lag: s.Hosts.Lag.Duration}
 	if s.Fleet && w.member == nil {
 		f, err := operator.Parse(s.Name, []byte("[fleet]\n"+s.Oper+"\n"))
 		if err != nil {
@@ -122,8 +122,8 @@
 	for _, x := range s.Nodes() {
 		w.setup.Nodes = append(w.setup.Nodes, history.Node{Name: x.Name, Hall: x.Hall})
 	}
-	if o.Watch != nil {
-		w.watch = o.Watch(&w.setup)
+	if o.ObserveEvents != nil {
+		w.watch = o.ObserveEvents(&w.setup)
 	}
 	for _, x := range s.Servers() {
 		w.addServer(x)
@@ -144,8 +144,8 @@
 			n.tellRecord()
 		}
 	})
-	if o.Look != nil {
-		w.look(o.Look)
+	if o.ObserveRecords != nil {
+		w.look(o.ObserveRecords)
 	}
 	w.arrivals(load.NewStreamOf(s, w.deploy, o.Seed))
 	longest := time.Duration(0)
--- a/internal/lab/perf/scale_test.go
+++ b/internal/lab/perf/scale_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	lists := &atomic.Int64{}
-	conf := d.config(countingForwarder(t, discovery, lists), service.Known("n0"))
+	conf := d.config(countingForwarder(t, discovery, lists), service.InitialList("n0"))
 	node, err := process.Start(program, t.TempDir(), conf, process.Options{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -45,7 +45,7 @@
 
 // OptionsWith is Options with several control services, for steered proxies.
 func OptionsWith(way Way, seed int64, c Controls) memory.Options {
-	return memory.Options{Seed: seed, Decider: deciders(way, c), Reports: way == Weighted}
+	return memory.Options{Seed: seed, Decider: deciders(way, c), LoadReports: way == Weighted}
 }
 
 // deciders gives what Options.Decider wants, for one run. For Nodes it is nil.
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -26,7 +26,7 @@
 func TestSteeredProxiesKeepTheRulesAndServeMoreThanChance(t *testing.T) {
 	for _, name := range []string{"quiet", "drain", "silent", "replace"} {
 		v, chance := play(t, name, Steer), play(t, name, Chance)
-		if !v.Kept() {
+		if !v.Passed() {
 			t.Errorf("%s: %v", name, v.Breaches[:min(3, len(v.Breaches))])
 		}
 		if v.Service.Measure < chance.Service.Measure-0.02 {
--- a/internal/lab/policy/steered.go
+++ b/internal/lab/policy/steered.go
@@ -53,7 +53,7 @@
 
 // lost tells whether a service is lost at a time of the module's clock.
 func (s *services) lost(c *control, now balance.Time) bool {
-	at := now - memory.Unix
+	at := now - memory.Epoch
 	return c == s.all[0] && s.LostFrom > 0 && at >= s.LostFrom && at < s.LostUntil
 }
 
@@ -67,7 +67,7 @@
 
 // freeze has a proxy keep what it was told last, if it is one of those.
 func (p *proxy) freeze(now balance.Time) {
-	if with := p.services.Controls; p.frozen == nil && with.Frozen > 0 && now-memory.Unix >= with.FrozenFrom &&
+	if with := p.services.Controls; p.frozen == nil && with.Frozen > 0 && now-memory.Epoch >= with.FrozenFrom &&
 		float64(p.home%10) < 10*with.Frozen {
 		p.frozen = p.control.state(now)
 	}
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -104,7 +104,7 @@
 	case scenario.WhatReload:
 		return action{begin: func() { h.reload(nodes) }}
 	case scenario.WhatMute:
-		return action{begin: func() { h.hosts.Silence(names(nodes)) }}
+		return action{begin: func() { h.hosts.HangWaitingCalls(names(nodes)) }}
 	case scenario.WhatClock: // each process is told at its start
 		return action{}
 	case scenario.WhatIdle:
--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -268,8 +268,8 @@
 			if sends > 0 {
 				t.Errorf("%d sends", sends)
 			}
-			if v := judge.Judge(h); !v.Kept() {
-				t.Error(holds.Rules(&v))
+			if v := judge.Judge(h); !v.Passed() {
+				t.Error(holds.BreachLines(&v))
 			}
 		})
 	}
@@ -281,7 +281,7 @@
 		sends, _ := lateSends(h, 550*time.Millisecond)
 		// The judge counts the first drain alone: the answer to the watch that was open at the cut
 		// was written, and what comes later counts as told 6 s after it.
-		if v := judge.Judge(h); sends < 5 || v.Counts[judge.DrainsKept] < 1 {
+		if v := judge.Judge(h); sends < 5 || v.Counts[judge.DrainsRespected] < 1 {
 			t.Errorf("%d late sends, %v: the fault did not show", sends, v.Counts)
 		}
 	})
@@ -301,11 +301,11 @@
 			h, records := day(t, s, Options{})
 			v, lost, caught := judge.Judge(h), 0, 0
 			for _, b := range v.Breaches {
-				if holds.CaughtWriting(s, b, "n4") {
+				if holds.WrittenAfterPause(s, b, "n4") {
 					if caught++; caught > 1 { // what it was about to write, and no more
 						t.Error(b)
 					}
-				} else if holds.Unanswerable(s, b) {
+				} else if holds.LostDuringPause(s, b) {
 					lost++
 				} else {
 					t.Error(b)
@@ -317,7 +317,7 @@
 				t.Error("its record does not tell of the stop")
 			}
 			for i := range s.Faults {
-				if why := holds.Happened(s, &s.Faults[i], h); why != "" {
+				if why := holds.MissingEvidence(s, &s.Faults[i], h); why != "" {
 					t.Error(why)
 				}
 			}
@@ -464,7 +464,7 @@
 		t.Errorf("%d sends, the last after %v", sends, worst)
 	}
 	v := judge.Judge(h)
-	for _, line := range holds.Rules(&v) {
+	for _, line := range holds.BreachLines(&v) {
 		t.Error(line)
 	}
 	o := audit.DefaultOptions()
@@ -520,7 +520,7 @@
 		t.Fatalf("%d lies were told", lies)
 	}
 	v := judge.Judge(h)
-	for _, line := range holds.Rules(&v) {
+	for _, line := range holds.BreachLines(&v) {
 		t.Error(line)
 	}
 	if sends, worst := lateSends(h, 550*time.Millisecond); sends > 0 {
@@ -581,7 +581,7 @@
 		if !till(ctx, h, 2*time.Second) {
 			return
 		}
-		h.Discovery().SetApart(halves, func(l hosts.List) hosts.List {
+		h.Discovery().SetAlternative(halves, func(l hosts.List) hosts.List {
 			out := hosts.List{Reset: true}
 			for _, e := range l.Instances {
 				if e.InstanceID == "hall-nord.1" {
@@ -594,10 +594,10 @@
 			return out
 		})
 		till(ctx, h, 7*time.Second)
-		h.Discovery().SetApart(nil, nil)
+		h.Discovery().SetAlternative(nil, nil)
 	})
 	v := judge.Judge(h)
-	for _, line := range holds.Rules(&v) {
+	for _, line := range holds.BreachLines(&v) {
 		t.Error(line)
 	}
 	// A record says who told a process first: its own discovery or, where the machine is busy,
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -427,7 +427,7 @@
 	}
 	n.life++
 	n.conf.Seed = fmt.Sprintf("%016x", uint64(h.o.Seed)*1_000_003+uint64(n.Number)*101+uint64(n.life))
-	n.conf.Known = h.hosts.Known(n.Name)
+	n.conf.Known = h.hosts.InitialList(n.Name)
 	more, err := h.operator(n.Name)
 	if err != nil {
 		return err
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -125,7 +125,7 @@
 func check(s *scenario.Scenario, h *history.History) []string {
 	v, late := judge.Judge(h), 0
 	v.Breaches = slices.DeleteFunc(v.Breaches, func(b judge.Breach) bool {
-		if b.Rule == judge.NoRequestLost && strings.Contains(b.What, "client's time") && late < lateMost {
+		if b.Rule == judge.NoRequestLost && strings.Contains(b.Detail, "client's time") && late < lateMost {
 			late++
 			return true
 		}
@@ -218,7 +218,7 @@
 				out = append(out, fmt.Sprintf("%s is in the sets of %d processes from %v to %v", server, n, x.from, x.to))
 			}
 		}
-		senders, sum := holds.Users(h, x.from, x.to), 0
+		senders, sum := holds.NodesPerServer(h, x.from, x.to), 0
 		for server, n := range senders {
 			if sum += n; n > x.senders {
 				out = append(out, fmt.Sprintf("%s is sent to by %d processes from %v to %v", server, n, x.from, x.to))
--- a/internal/lab/real/words_test.go
+++ b/internal/lab/real/words_test.go
@@ -67,7 +67,7 @@
 	}
 	v := judge.Judge(h)
 	for _, b := range v.Breaches {
-		if !slices.ContainsFunc(deaf, func(name string) bool { return strings.Contains(b.What, name+" ") }) { // nobody can tell them
+		if !slices.ContainsFunc(deaf, func(name string) bool { return strings.Contains(b.Detail, name+" ") }) { // nobody can tell them
 			t.Error(b)
 		}
 	}
--- a/internal/lab/sweep/deploy.go
+++ b/internal/lab/sweep/deploy.go
@@ -134,7 +134,7 @@
 			for seed := range seeds {
 				v := PlayDeployment(seed)
 				mu.Lock()
-				if tries += v.Service.Tries; !v.Kept() {
+				if tries += v.Service.Tries; !v.Passed() {
 					broken[seed] = v.Breaches[0]
 				}
 				mu.Unlock()
--- a/internal/lab/sweep/deploy_test.go
+++ b/internal/lab/sweep/deploy_test.go
@@ -31,7 +31,7 @@
 
 func TestMendedDeploymentsStayMended(t *testing.T) {
 	for seed, what := range mendedDeployments {
-		if v := PlayDeployment(seed); !v.Kept() {
+		if v := PlayDeployment(seed); !v.Passed() {
 			t.Errorf("seed %d (%s) is back: %v", seed, what, v.Breaches[0])
 		}
 	}
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -65,7 +65,7 @@
 				h := memory.Run(s, memory.Options{Seed: seed, Mutant: mutant})
 				v := judge.Judge(h)
 				var found *Finding
-				if !v.Kept() {
+				if !v.Passed() {
 					f := shrink(s, v.Breaches[0], mutant)
 					f.Seed = seed
 					found = &f
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -36,7 +36,7 @@
 func TestMendedSeedsStayMended(t *testing.T) {
 	for seed, what := range mended {
 		s := Draw(seed)
-		if v := judge.Judge(memory.Run(s, memory.Options{Seed: seed})); !v.Kept() {
+		if v := judge.Judge(memory.Run(s, memory.Options{Seed: seed})); !v.Passed() {
 			t.Errorf("seed %d (%s) is back: %v", seed, what, v.Breaches[0])
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 	f := res.Findings[0]
 	drawn := Draw(f.Seed)
-	if f.Breach.Rule != judge.NoEffectTwice || f.Left.Rule != f.Breach.Rule {
+	if f.Breach.Rule != judge.NoDuplicateEffect || f.Left.Rule != f.Breach.Rule {
 		t.Errorf("found %v, left %v", f.Breach, f.Left)
 	}
 	if len(f.Shrunk.Faults) > len(drawn.Faults) || f.Shrunk.Length.Duration > drawn.Length.Duration {
@@ -87,7 +87,7 @@
 	if v := judge.Judge(memory.Run(s, memory.Options{Mutant: refuse})); v.Counts[f.Breach.Rule] == 0 {
 		t.Errorf("the printed timeline breaks nothing:\n%s", f.TOML())
 	}
-	if v := judge.Judge(memory.Run(s, memory.Options{})); !v.Kept() {
+	if v := judge.Judge(memory.Run(s, memory.Options{})); !v.Passed() {
 		t.Errorf("nor does it take the broken node: %v", v.Breaches)
 	}
 }
