--- a/internal/lab/hosts/registry.go
+++ b/internal/lab/hosts/registry.go
@@ -1,6 +1,6 @@
-// Package hosts is a stand-in discovery: the list of clip servers with
-// versions, told late. Registry is the model, without I/O or clock; Service
-// puts it on a socket.
+// Package hosts is a simulated discovery service: a versioned list of servers
+// whose changes become visible after a lag. Registry is the model, without I/O or
+// clock; Service serves it over HTTP.
 package hosts
 
 import (
@@ -8,44 +8,44 @@
 	"time"
 )
 
-// Entry is a server in the form of the protocol page.
+// Entry is a server in the list, as encoded in the protocol.
 type Entry struct {
 	InstanceID  string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"` // may differ from node to node: the service fills it in
+	HostPort    string  `json:"hostPort"` // as seen by the node; set by Service
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
 	Cell        int     `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"` // up, draining or, among changes only, removed
+	Lifecycle   string  `json:"lifecycle"` // up, draining or, in changes only, removed
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0: long ago
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time; 0: started long ago
 }
 
-// The lifecycles.
+// The lifecycle states.
 const (
 	Up       = "up"
 	Draining = "draining"
 	Removed  = "removed"
 )
 
-// maxChanges bounds the log of changes: a watch from an older version gets the
-// whole list.
+// maxChanges limits the change log. A watch from an older version gets the full
+// list.
 const maxChanges = 256
 
-// List is an answer: the whole list, or what changed since a version.
+// List is a response: the full list, or the changes since a version.
 type List struct {
 	Generation uint64  `json:"generation"`
 	Reset      bool    `json:"reset"`
 	Instances  []Entry `json:"instances"`
 }
 
-// Registry is the model. It is not safe for concurrent use.
+// Registry is the model of the list. It is not safe for concurrent use.
 type Registry struct {
 	entries    map[string]Entry
-	changed    map[string]uint64 // by server: the version of its last change
-	log        []string          // servers by change, the last maxChanges
+	lastChange map[string]uint64 // by server: generation of its last change
+	changeLog  []string          // servers of the last maxChanges changes
 	generation uint64
 	pending    []change
-	whole      List // as of its generation, kept for whoever asks next
+	cachedAll  List // latest result of All
 }
 
 type change struct {
@@ -53,15 +53,15 @@
 	Entry
 }
 
-// NewRegistry makes one whose list has a version.
+// NewRegistry returns a registry with an empty list of the given generation.
 func NewRegistry(generation uint64) *Registry {
-	return &Registry{entries: map[string]Entry{}, changed: map[string]uint64{}, generation: generation}
+	return &Registry{entries: map[string]Entry{}, lastChange: map[string]uint64{}, generation: generation}
 }
 
-// Generation is the version of the list.
+// Generation returns the version of the list.
 func (r *Registry) Generation() uint64 { return r.generation }
 
-// Schedule lets the list learn of an entry at a time: it is told late.
+// Schedule schedules a change of an entry for the given time.
 func (r *Registry) Schedule(at time.Duration, e Entry) {
 	i := sort.Search(len(r.pending), func(i int) bool { return r.pending[i].at > at })
 	r.pending = append(r.pending, change{})
@@ -69,7 +69,7 @@
 	r.pending[i] = change{at, e}
 }
 
-// Next tells when the list learns something next.
+// Next returns the time of the next scheduled change.
 func (r *Registry) Next() (time.Duration, bool) {
 	if len(r.pending) == 0 {
 		return 0, false
@@ -77,7 +77,7 @@
 	return r.pending[0].at, true
 }
 
-// Advance applies what is due and gives it.
+// Advance applies the changes that are due and returns them.
 func (r *Registry) Advance(now time.Duration) []Entry {
 	var out []Entry
 	for len(r.pending) > 0 && r.pending[0].at <= now {
@@ -91,17 +91,16 @@
 
 func (r *Registry) apply(e Entry) {
 	r.generation++
-	r.entries[e.InstanceID], r.changed[e.InstanceID] = e, r.generation
-	if r.log = append(r.log, e.InstanceID); len(r.log) > maxChanges {
-		r.log = r.log[1:]
+	r.entries[e.InstanceID], r.lastChange[e.InstanceID] = e, r.generation
+	if r.changeLog = append(r.changeLog, e.InstanceID); len(r.changeLog) > maxChanges {
+		r.changeLog = r.changeLog[1:]
 	}
 }
 
-// All gives the whole list; removed servers are not in it. It is not to be
-// changed.
+// All returns the full list, without removed servers. Callers must not modify it.
 func (r *Registry) All() List {
-	if r.whole.Reset && r.whole.Generation == r.generation {
-		return r.whole
+	if r.cachedAll.Reset && r.cachedAll.Generation == r.generation {
+		return r.cachedAll
 	}
 	l := List{Generation: r.generation, Reset: true, Instances: []Entry{}}
 	for _, e := range r.entries {
@@ -110,28 +109,28 @@
 		}
 	}
 	sort.Slice(l.Instances, func(i, j int) bool { return l.Instances[i].InstanceID < l.Instances[j].InstanceID })
-	r.whole = l
+	r.cachedAll = l
 	return l
 }
 
-// Since gives what changed after a version, each server once, in the order of
-// the last change. A version that is too old, or that this service has never
-// had, as after a restart, gets the whole list.
+// Since returns the changes since a version: each server once, in order of its
+// last change. For a version that is too old or was never reached, as after a
+// restart, it returns the full list.
 func (r *Registry) Since(version uint64) List {
-	if version > r.generation || r.generation-version > uint64(len(r.log)) {
+	if version > r.generation || r.generation-version > uint64(len(r.changeLog)) {
 		return r.All()
 	}
 	l := List{Generation: r.generation, Instances: []Entry{}}
-	for i, id := range r.log[len(r.log)-int(r.generation-version):] {
-		if r.changed[id] == version+uint64(i)+1 {
+	for i, id := range r.changeLog[len(r.changeLog)-int(r.generation-version):] {
+		if r.lastChange[id] == version+uint64(i)+1 {
 			l.Instances = append(l.Instances, r.entries[id])
 		}
 	}
 	return l
 }
 
-// Restart makes the service begin again from a version, which may be lower,
-// with the entries it has and no log of changes.
+// Restart resets the generation, possibly to a lower one. It keeps the entries
+// and clears the change log.
 func (r *Registry) Restart(generation uint64) {
-	r.generation, r.log, r.changed, r.whole = generation, nil, map[string]uint64{}, List{}
+	r.generation, r.changeLog, r.lastChange, r.cachedAll = generation, nil, map[string]uint64{}, List{}
 }
--- a/internal/lab/hosts/registry_test.go
+++ b/internal/lab/hosts/registry_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-func names(l List) string {
+// summary formats a list as its generation, "all" for a full list, and its entries.
+func summary(l List) string {
 	text := fmt.Sprintf("%d", l.Generation)
 	if l.Reset {
 		text += " all"
@@ -17,61 +18,61 @@
 	return text
 }
 
-func want(t *testing.T, l List, text string) {
+func expectList(t *testing.T, l List, text string) {
 	t.Helper()
-	if got := names(l); got != text {
-		t.Errorf("have %q, want %q", got, text)
+	if got := summary(l); got != text {
+		t.Errorf("got %q, want %q", got, text)
 	}
 }
 
-func TestChangesAreToldOnceAndLate(t *testing.T) {
+func TestChangesAreListedOnceWhenDue(t *testing.T) {
 	r := NewRegistry(40)
 	r.Schedule(0, Entry{InstanceID: "a", Lifecycle: Up})
 	r.Schedule(0, Entry{InstanceID: "b", Lifecycle: Up})
 	r.Advance(0)
-	want(t, r.All(), "42 all a=up b=up")
+	expectList(t, r.All(), "42 all a=up b=up")
 	r.Schedule(2*time.Second, Entry{InstanceID: "a", Lifecycle: Removed})
 	r.Schedule(time.Second, Entry{InstanceID: "a", Lifecycle: Draining})
 	if at, any := r.Next(); !any || at != time.Second {
-		t.Errorf("next at %v, %v", at, any)
+		t.Errorf("next change at %v, %v; want 1s", at, any)
 	}
 	if got := r.Advance(999 * time.Millisecond); len(got) != 0 {
-		t.Errorf("told early: %v", got)
+		t.Errorf("changes before they are due: %v", got)
 	}
 	r.Advance(time.Second)
-	want(t, r.Since(42), "43 a=draining")
+	expectList(t, r.Since(42), "43 a=draining")
 	r.Advance(2 * time.Second)
-	want(t, r.Since(42), "44 a=removed")
-	want(t, r.Since(44), "44")
-	want(t, r.All(), "44 all b=up")
+	expectList(t, r.Since(42), "44 a=removed")
+	expectList(t, r.Since(44), "44")
+	expectList(t, r.All(), "44 all b=up")
 }
 
-func TestAVersionItNeverHadGetsTheWholeList(t *testing.T) {
+func TestUnknownVersionGetsFullList(t *testing.T) {
 	r := NewRegistry(40)
 	r.Schedule(0, Entry{InstanceID: "a", Lifecycle: Up})
 	r.Advance(0)
-	want(t, r.Since(39), "41 all a=up") // older than its log
-	want(t, r.Since(99), "41 all a=up") // from another life
+	expectList(t, r.Since(39), "41 all a=up") // older than the change log
+	expectList(t, r.Since(99), "41 all a=up") // from before a restart
 	r.Restart(3)
-	want(t, r.Since(41), "3 all a=up")
+	expectList(t, r.Since(41), "3 all a=up")
 	r.Schedule(1, Entry{InstanceID: "a", Lifecycle: Draining})
 	r.Advance(1)
-	want(t, r.Since(3), "4 a=draining")
+	expectList(t, r.Since(3), "4 a=draining")
 }
 
-func TestItsLogIsBounded(t *testing.T) {
+func TestChangeLogIsBounded(t *testing.T) {
 	r := NewRegistry(0)
 	for i := range 3 * maxChanges {
 		r.Schedule(0, Entry{InstanceID: fmt.Sprint(i % 7), Lifecycle: Up})
 	}
 	r.Advance(0)
-	if len(r.log) > maxChanges {
-		t.Errorf("%d changes in the log", len(r.log))
+	if len(r.changeLog) > maxChanges {
+		t.Errorf("the log has %d changes", len(r.changeLog))
 	}
 	if l := r.Since(uint64(3*maxChanges) - maxChanges); l.Reset || len(l.Instances) != 7 {
-		t.Errorf("the oldest version in the log gives %s", names(l))
+		t.Errorf("for the oldest version in the log: %s", summary(l))
 	}
 	if l := r.Since(uint64(3*maxChanges) - maxChanges - 1); !l.Reset {
-		t.Errorf("one older gives %s", names(l))
+		t.Errorf("for a version before the log: %s", summary(l))
 	}
 }
--- a/internal/lab/hosts/service.go
+++ b/internal/lab/hosts/service.go
@@ -14,40 +14,40 @@
 
 const (
 	maxHold  = 60 * time.Second
-	maxCalls = 256 // that wait at once; beyond it a call gets 503
+	maxCalls = 256 // concurrent calls; further ones get 503
 )
 
-// Service puts a Registry on sockets, with an address of its own for each
-// node. Its methods may be called from several goroutines.
+// Service serves a Registry over HTTP, with a separate address for each node. It
+// is safe for concurrent use.
 type Service struct {
-	clock   func() time.Duration
-	record  func(history.Event)
-	addr    func(node, server string) string // where that node reaches that server
-	mu      sync.Mutex
-	list    *Registry
-	news    chan struct{} // closed at the next change, outage or end
-	timer   *time.Timer
-	down    bool
-	unsaid  []Entry // what it has learnt while it was down
-	said    List    // what could be asked for last, while it is down
-	lag     time.Duration
-	calls   int
-	servers []*http.Server
-	told    map[string]map[string]bool // by node: servers told that are not gone
-	waits   map[string]map[*call]bool  // by node: calls that wait
-	apart   map[string]bool            // nodes that another discovery speaks to
-	other   func(List) List            // what that one says in place of a list; nil: there is none
+	clock            func() time.Duration
+	record           func(history.Event)
+	addr             func(node, server string) string // address of the server as seen by the node
+	mu               sync.Mutex
+	registry         *Registry
+	changed          chan struct{} // closed at the next change, outage or end of the service
+	timer            *time.Timer
+	down             bool
+	unpublished      []Entry // changes during an outage
+	published        List    // list at the start of the current outage
+	lag              time.Duration
+	openCalls        int
+	servers          []*http.Server
+	notified         map[string]map[string]bool // by node: servers sent that have not been removed since
+	waitingCalls     map[string]map[*call]bool  // by node
+	alternativeNodes map[string]bool            // nodes that get the alternative list
+	alternative      func(List) List            // nil: none
 }
 
-// NewService makes a service with an empty list of a version.
+// NewService returns a service with an empty list of the given generation.
 func NewService(generation uint64, clock func() time.Duration, record func(history.Event), addr func(node, server string) string) *Service {
-	s := &Service{clock: clock, record: record, addr: addr, list: NewRegistry(generation), news: make(chan struct{}),
-		told: map[string]map[string]bool{}, waits: map[string]map[*call]bool{}}
+	s := &Service{clock: clock, record: record, addr: addr, registry: NewRegistry(generation), changed: make(chan struct{}),
+		notified: map[string]map[string]bool{}, waitingCalls: map[string]map[*call]bool{}}
 	s.timer = time.AfterFunc(time.Hour, s.advance)
 	return s
 }
 
-// Listen opens the address for a node.
+// Listen opens an address for a node and returns it.
 func (s *Service) Listen(node string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,106 +58,105 @@
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, MaxHeaderBytes: 8 << 10}
 	s.mu.Lock()
 	s.servers = append(s.servers, server)
-	s.told[node] = map[string]bool{}
+	s.notified[node] = map[string]bool{}
 	s.mu.Unlock()
 	go server.Serve(l)
 	return l.Addr().String(), nil
 }
 
-// Schedule lets the list learn of an entry after the lag.
+// Set changes an entry of the list after the lag.
 func (s *Service) Set(e Entry) {
 	s.mu.Lock()
-	s.list.Schedule(s.clock()+s.lag, e)
+	s.registry.Schedule(s.clock()+s.lag, e)
 	s.mu.Unlock()
 	s.advance()
 }
 
-// SetLag changes the lag of what comes from now on.
+// SetLag sets the lag of future changes.
 func (s *Service) SetLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag = d
 }
 
-// SetDown takes the service down or up. Watches end when it goes down.
+// SetDown starts or ends an outage. An outage ends all watches.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if down && !s.down {
-		s.said = s.list.All()
+		s.published = s.registry.All()
 	}
 	if s.down = down; !down {
-		s.say(s.unsaid)
-		s.unsaid = nil
+		s.publish(s.unpublished)
+		s.unpublished = nil
 	}
-	s.wake()
+	s.endWaits()
 }
 
-// say records that changes may be asked for from now on. The caller holds the
-// lock.
-func (s *Service) say(changed []Entry) {
+// publish records that changes are now visible. The caller holds the lock.
+func (s *Service) publish(changed []Entry) {
 	for _, e := range changed {
 		s.record(history.Event{At: s.clock(), Kind: history.Change, Server: e.InstanceID, Lifecycle: e.Lifecycle})
 	}
 }
 
-// call is one that waits for news.
-type call struct{ silent bool }
+// call is a call that may wait for a change. A hung call is never answered.
+type call struct{ hung bool }
 
-// HangWaitingCalls has the calls of some nodes that wait now fall silent: they are never answered.
+// HangWaitingCalls makes the waiting calls of the given nodes hang: they are never answered.
 func (s *Service) HangWaitingCalls(nodes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range nodes {
-		for c := range s.waits[n] {
-			c.silent = true
+		for c := range s.waitingCalls[n] {
+			c.hung = true
 		}
 		s.record(history.Event{At: s.clock(), Kind: history.Silenced, Node: n})
 	}
 }
 
-// Restart makes it begin again at a version; watches end.
+// Restart restarts the service at a generation. It ends all watches.
 func (s *Service) Restart(generation uint64) {
 	s.SetDown(true)
 	s.mu.Lock()
-	s.list.Restart(generation)
+	s.registry.Restart(generation)
 	s.record(history.Event{At: s.clock(), Kind: history.Forgot})
 	s.mu.Unlock()
 	s.SetDown(false)
 }
 
-// SetAlternative has another discovery speak to some nodes from now on, which says what
-// other makes of the list, under a generation of its own; nil ends it.
+// SetAlternative gives the nodes a list of their own, with its own generation, which
+// other derives from the list; nil ends it.
 func (s *Service) SetAlternative(nodes []string, other func(List) List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apart, s.other = map[string]bool{}, other
+	s.alternativeNodes, s.alternative = map[string]bool{}, other
 	for _, n := range nodes {
-		s.apart[n] = other != nil
+		s.alternativeNodes[n] = other != nil
 	}
-	s.wake()
+	s.endWaits()
 }
 
-// generation is that of the list as a node is told it. The caller holds the lock.
+// generation returns the generation of the list for a node. The caller holds the lock.
 func (s *Service) generation(node string) uint64 {
-	if s.apart[node] {
-		return s.list.Generation() + 1
+	if s.alternativeNodes[node] {
+		return s.registry.Generation() + 1
 	}
-	return s.list.Generation()
+	return s.registry.Generation()
 }
 
-// InitialList is the list as a node is told it before its start: as it could be asked for last.
+// InitialList returns the list that a node has at its start: the latest visible one.
 func (s *Service) InitialList(node string) List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told[node] = map[string]bool{}
+	s.notified[node] = map[string]bool{}
 	if s.down {
-		return s.word(node, s.said)
+		return s.listFor(node, s.published)
 	}
-	return s.word(node, s.list.All())
+	return s.listFor(node, s.registry.All())
 }
 
-// Close ends all.
+// Close ends all calls and closes the addresses.
 func (s *Service) Close() {
 	s.SetDown(true)
 	s.mu.Lock()
@@ -169,70 +168,70 @@
 	}
 }
 
-// wake ends all waiting. The caller holds the lock.
-func (s *Service) wake() {
-	close(s.news)
-	s.news = make(chan struct{})
+// endWaits ends the waits of all calls. The caller holds the lock.
+func (s *Service) endWaits() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *Service) advance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed := s.list.Advance(s.clock())
+	changed := s.registry.Advance(s.clock())
 	if s.down {
-		s.unsaid = append(s.unsaid, changed...)
-	} else if s.say(changed); len(changed) > 0 {
-		s.wake()
+		s.unpublished = append(s.unpublished, changed...)
+	} else if s.publish(changed); len(changed) > 0 {
+		s.endWaits()
 	}
-	if at, any := s.list.Next(); any {
+	if at, any := s.registry.Next(); any {
 		s.timer.Reset(max(0, at-s.clock()))
 	}
 }
 
-// word puts in the addresses as a node has them.
-func (s *Service) word(node string, l List) List {
-	out := append([]Entry{}, l.Instances...)
-	for i := range out {
-		out[i].HostPort = s.addr(node, out[i].InstanceID)
+// listFor returns the list with the addresses as seen by a node.
+func (s *Service) listFor(node string, list List) List {
+	entries := append([]Entry{}, list.Instances...)
+	for i := range entries {
+		entries[i].HostPort = s.addr(node, entries[i].InstanceID)
 	}
-	l.Instances = out
-	return l
+	list.Instances = entries
+	return list
 }
 
 func (s *Service) serve(node string, w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
+	query := r.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	watch := err == nil
-	ms, _ := strconv.ParseInt(q.Get("hold_ms"), 10, 64)
-	hold := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxHold))
+	holdMs, _ := strconv.ParseInt(query.Get("hold_ms"), 10, 64)
+	hold := time.NewTimer(min(time.Duration(max(holdMs, 0))*time.Millisecond, maxHold))
 	defer hold.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calls >= maxCalls {
+	if s.openCalls >= maxCalls {
 		http.Error(w, "too many calls", http.StatusServiceUnavailable)
 		return
 	}
-	s.calls++
+	s.openCalls++
 	s.record(history.Event{At: s.clock(), Kind: history.Asked, Node: node})
-	defer func() { s.calls-- }()
-	own := &call{}
-	if s.waits[node] == nil {
-		s.waits[node] = map[*call]bool{}
+	defer func() { s.openCalls-- }()
+	waiting := &call{}
+	if s.waitingCalls[node] == nil {
+		s.waitingCalls[node] = map[*call]bool{}
 	}
-	s.waits[node][own] = true
-	defer delete(s.waits[node], own)
-	for over := false; watch && !over && !s.down && s.generation(node) == from; {
-		news := s.news
+	s.waitingCalls[node][waiting] = true
+	defer delete(s.waitingCalls[node], waiting)
+	for expired := false; watch && !expired && !s.down && s.generation(node) == from; {
+		news := s.changed
 		s.mu.Unlock()
 		select {
 		case <-news:
 		case <-hold.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
-			over = true
+			expired = true
 		}
 		s.mu.Lock()
-		if own.silent {
+		if waiting.hung {
 			s.mu.Unlock()
 			<-r.Context().Done()
 			s.mu.Lock()
@@ -243,42 +242,42 @@
 		http.Error(w, "discovery is down", http.StatusServiceUnavailable)
 		return
 	}
-	l := s.list.All()
+	list := s.registry.All()
 	switch {
-	case s.apart[node]:
-		l = s.other(l)
-		l.Generation = s.generation(node)
+	case s.alternativeNodes[node]:
+		list = s.alternative(list)
+		list.Generation = s.generation(node)
 	case watch:
-		l = s.list.Since(from)
+		list = s.registry.Since(from)
 	}
-	raw, err := json.Marshal(s.word(node, l))
+	raw, err := json.Marshal(s.listFor(node, list))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	// Told counts from here, before the bytes are out: what the node does from
-	// then on is measured against it.
-	s.tell(node, l)
+	// Recorded before the response is written, so that no action of the node can
+	// precede it.
+	s.recordUpdate(node, list)
 	w.Write(raw)
 }
 
-// tell records what a node is told. A full list says of all that are not in it
-// that they are gone. The caller holds the lock.
-func (s *Service) tell(node string, l List) {
-	now, told := s.clock(), s.told[node]
-	in := map[string]bool{}
-	for _, e := range l.Instances {
-		in[e.InstanceID] = true
+// recordUpdate records the servers sent to a node. A full list removes all servers
+// that it does not contain. The caller holds the lock.
+func (s *Service) recordUpdate(node string, list List) {
+	now, told := s.clock(), s.notified[node]
+	included := map[string]bool{}
+	for _, e := range list.Instances {
+		included[e.InstanceID] = true
 		s.record(history.Event{At: now, Kind: history.Told, Node: node, Server: e.InstanceID, Lifecycle: e.Lifecycle})
 		if told[e.InstanceID] = true; e.Lifecycle == Removed {
 			delete(told, e.InstanceID)
 		}
 	}
-	if l.Reset {
+	if list.Reset {
 		for id := range told {
-			if !in[id] {
+			if !included[id] {
 				s.record(history.Event{At: now, Kind: history.Told, Node: node, Server: id, Lifecycle: Removed})
 				delete(told, id)
 			}
@@ -286,10 +285,10 @@
 	}
 }
 
-// SetNow lets the list learn of an entry at once, whatever the lag.
+// SetNow changes an entry of the list immediately, without the lag.
 func (s *Service) SetNow(e Entry) {
 	s.mu.Lock()
-	s.list.Schedule(s.clock(), e)
+	s.registry.Schedule(s.clock(), e)
 	s.mu.Unlock()
 	s.advance()
 }
--- a/internal/lab/hosts/service_test.go
+++ b/internal/lab/hosts/service_test.go
@@ -11,24 +11,24 @@
 	"ivylock/internal/lab/history"
 )
 
-const patience = 10 * time.Second
+const callTimeout = 10 * time.Second
 
-type rig struct {
+type testService struct {
 	*Service
-	t    *testing.T
-	addr string
-	mu   sync.Mutex
-	seen []history.Event
+	t      *testing.T
+	addr   string
+	mu     sync.Mutex
+	events []history.Event
 }
 
-func newRig(t *testing.T) *rig {
+func newTestService(t *testing.T) *testService {
 	t.Helper()
 	start := time.Now()
-	r := &rig{t: t}
+	r := &testService{t: t}
 	r.Service = NewService(40, func() time.Duration { return time.Since(start) }, func(e history.Event) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.seen = append(r.seen, e)
+		r.events = append(r.events, e)
 	}, func(node, server string) string { return server + "." + node + ":1" })
 	var err error
 	if r.addr, err = r.Listen("n0"); err != nil {
@@ -38,9 +38,9 @@
 	return r
 }
 
-// ask calls and gives what names words, or the status.
-func (r *rig) ask(query string) string {
-	client := &http.Client{Timeout: patience}
+// call returns the summary of the list, or the status code.
+func (r *testService) call(query string) string {
+	client := &http.Client{Timeout: callTimeout}
 	resp, err := client.Get("http://" + r.addr + "/discovery/hosts" + query)
 	if err != nil {
 		return err.Error()
@@ -53,94 +53,94 @@
 	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
 		return err.Error()
 	}
-	return names(l)
+	return summary(l)
 }
 
-func (r *rig) expect(query, text string) {
+func (r *testService) expect(query, text string) {
 	r.t.Helper()
-	if got := r.ask(query); got != text {
-		r.t.Errorf("%q gave %q, want %q", query, got, text)
+	if got := r.call(query); got != text {
+		r.t.Errorf("call with %q: got %q, want %q", query, got, text)
 	}
 }
 
-func (r *rig) told() string {
+func (r *testService) takeNotifications() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text := ""
-	for _, e := range r.seen {
+	for _, e := range r.events {
 		if e.Kind == history.Told {
 			text += e.Node + ":" + e.Server + "=" + e.Lifecycle + " "
 		}
 	}
-	r.seen = nil
+	r.events = nil
 	return text
 }
 
-func TestItListsAndWatches(t *testing.T) {
-	r := newRig(t)
+func TestServiceAnswersListsAndWatches(t *testing.T) {
+	r := newTestService(t)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
 	r.Set(Entry{InstanceID: "b", Lifecycle: Up})
 	r.expect("", "42 all a=up b=up")
-	if got := r.told(); got != "n0:a=up n0:b=up " {
-		t.Errorf("told %q", got)
+	if got := r.takeNotifications(); got != "n0:a=up n0:b=up " {
+		t.Errorf("notified %q", got)
 	}
-	r.expect("?from=41&hold_ms=10000", "42 b=up") // something newer is there
-	r.expect("?from=42&hold_ms=20", "42")         // nothing came
+	r.expect("?from=41&hold_ms=10000", "42 b=up") // newer than the version
+	r.expect("?from=42&hold_ms=20", "42")         // no change within the hold time
 	got := make(chan string)
-	go func() { got <- r.ask("?from=42&hold_ms=10000") }()
-	time.Sleep(50 * time.Millisecond) // most likely it waits by now; if not, the answer is the same
+	go func() { got <- r.call("?from=42&hold_ms=10000") }()
+	time.Sleep(50 * time.Millisecond) // the result is the same if the call does not wait yet
 	r.Set(Entry{InstanceID: "a", Lifecycle: Draining})
 	if text := <-got; text != "43 a=draining" {
-		t.Errorf("the watch gave %q", text)
+		t.Errorf("watch: got %q", text)
 	}
-	r.expect("?from=7&hold_ms=10000", "43 all a=draining b=up") // too old
+	r.expect("?from=7&hold_ms=10000", "43 all a=draining b=up") // a version that is too old
 }
 
-func TestTheWholeListTellsWhoIsGone(t *testing.T) {
-	r := newRig(t)
+func TestFullListRecordsRemovedServers(t *testing.T) {
+	r := newTestService(t)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
-	r.ask("")
+	r.call("")
 	r.Set(Entry{InstanceID: "a", Lifecycle: Removed})
-	r.told()
+	r.takeNotifications()
 	r.expect("", "42 all")
-	if got := r.told(); got != "n0:a=removed " {
-		t.Errorf("told %q", got)
+	if got := r.takeNotifications(); got != "n0:a=removed " {
+		t.Errorf("notified %q", got)
 	}
 }
 
-func TestEachNodeHasItsOwnAddresses(t *testing.T) {
-	r := newRig(t)
+func TestEachNodeGetsItsOwnAddresses(t *testing.T) {
+	r := newTestService(t)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
 	if l := r.InitialList("n1"); l.Instances[0].HostPort != "a.n1:1" {
 		t.Errorf("%+v", l)
 	}
 }
 
-// A node that starts while the service is down has the list that could be asked for last, not what nobody was told yet.
-func TestWhatIsLearntInAnOutageIsNotKnownAtAStart(t *testing.T) {
-	r := newRig(t)
+// Guards against a node that starts during an outage with changes that were not visible yet.
+func TestInitialListExcludesChangesDuringOutage(t *testing.T) {
+	r := newTestService(t)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Draining})
 	r.SetDown(true)
 	r.SetDown(true)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
 	if l := r.InitialList("n1"); l.Generation != 41 || l.Instances[0].Lifecycle != Draining {
-		t.Errorf("in the outage: %+v", l)
+		t.Errorf("during the outage: %+v", l)
 	}
 	r.SetDown(false)
 	if l := r.InitialList("n1"); l.Generation != 42 || l.Instances[0].Lifecycle != Up {
-		t.Errorf("after it: %+v", l)
+		t.Errorf("after the outage: %+v", l)
 	}
 }
 
-func TestAnOutageEndsWatchesAndARestartGivesTheWholeList(t *testing.T) {
-	r := newRig(t)
+func TestOutageEndsWatchesAndRestartGivesFullList(t *testing.T) {
+	r := newTestService(t)
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
 	got := make(chan string)
-	go func() { got <- r.ask("?from=41&hold_ms=60000") }()
+	go func() { got <- r.call("?from=41&hold_ms=60000") }()
 	time.Sleep(50 * time.Millisecond)
 	r.SetDown(true)
 	if text := <-got; text != "503" {
-		t.Errorf("the watch gave %q", text)
+		t.Errorf("watch: got %q", text)
 	}
 	r.expect("", "503")
 	r.SetDown(false)
@@ -148,23 +148,23 @@
 	r.expect("?from=41&hold_ms=10000", "1 all a=up")
 }
 
-func TestChangesAreToldAfterTheLag(t *testing.T) {
-	r := newRig(t)
+func TestChangesAreVisibleAfterTheLag(t *testing.T) {
+	r := newTestService(t)
 	r.SetLag(100 * time.Millisecond)
 	start := time.Now()
 	r.Set(Entry{InstanceID: "a", Lifecycle: Up})
 	r.expect("?from=40&hold_ms=10000", "41 a=up")
 	if took := time.Since(start); took < 100*time.Millisecond {
-		t.Errorf("told after %v", took)
+		t.Errorf("change visible after %v, want at least 100ms", took)
 	}
 	r.SetNow(Entry{InstanceID: "a", Lifecycle: Draining})
 	r.expect("", "42 all a=draining")
 }
 
-func TestTooManyCallsAreTurnedAway(t *testing.T) {
-	r := newRig(t)
+func TestCallsBeyondLimitGet503(t *testing.T) {
+	r := newTestService(t)
 	r.Service.mu.Lock()
-	r.calls = maxCalls
+	r.openCalls = maxCalls
 	r.Service.mu.Unlock()
 	r.expect("", "503")
 }
