--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -1,10 +1,11 @@
-// Package judge checks the four rules on a history and gives the service
-// measure. It is a pure function of the history: no I/O, no clock.
+// Package judge checks a history for breaches of the four service rules and
+// computes the service measure. It is a pure function of the history and does
+// no I/O.
 //
-// Every limit of time is read off events that stand-ins recorded with the
-// lab's one clock, and is Limits.Slack longer than stated, as the protocol
-// allows for sockets. A node that was killed outright owes nothing from then
-// on; one that got the word to end still owes what it had taken.
+// Time limits apply to the times recorded by the simulated clients, servers and
+// discovery, and are extended by Limits.Slack for delays of sockets. A node that
+// was killed has no obligations afterwards; a node that shuts down must still
+// answer the requests it has accepted.
 package judge
 
 import (
@@ -16,17 +17,17 @@
 	"ivylock/internal/lab/history"
 )
 
-// Rule numbers the four rules.
+// Rule is the number of a service rule.
 type Rule int
 
-// The rules.
+// The service rules.
 const (
 	NoRequestLost     Rule = 1
 	NoDuplicateEffect Rule = 2
 	DrainsRespected   Rule = 3
 	NoColdOverload    Rule = 4
-	maxBreaches            = 200               // told in full; more are only counted
-	keptBreaches           = 100 * maxBreaches // as they are not found in order of time
+	maxBreaches            = 200               // listed in a verdict; further ones are only counted
+	keptBreaches           = 100 * maxBreaches // kept for sorting by time
 )
 
 func (r Rule) String() string {
@@ -43,7 +44,7 @@
 	return fmt.Sprintf("rule %d", int(r))
 }
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule   Rule          `json:"rule"`
 	At     time.Duration `json:"at"`
@@ -54,96 +55,96 @@
 	return fmt.Sprintf("rule %d (%v) at %v: %s", int(b.Rule), b.Rule, b.At.Round(time.Millisecond), b.Detail)
 }
 
-// Verdict is what the judge has to say of a history.
+// Verdict is the result of judging a history.
 type Verdict struct {
-	Breaches []Breach       `json:"breaches"` // in order of time, the first 200
-	Counts   map[Rule]int   `json:"counts"`   // of all breaches
+	Breaches []Breach       `json:"breaches"` // by time, at most 200
+	Counts   map[Rule]int   `json:"counts"`   // of all breaches, including those not listed
 	Service  ServiceMetrics `json:"service"`
 }
 
-// Passed tells whether no rule was broken.
+// Passed reports whether no rule was broken.
 func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
 
 // Judge checks a history.
 func Judge(h *history.History) Verdict {
-	l := NewChecker(&h.Setup)
+	checker := NewChecker(&h.Setup)
 	for i := range h.Events {
-		l.Add(&h.Events[i])
+		checker.Add(&h.Events[i])
 	}
-	return l.Verdict()
+	return checker.Verdict()
 }
 
-// Checker checks a history while it is made, event by event, and keeps of it only
-// what may still matter. It is not safe for concurrent use.
+// Checker judges a history incrementally, event by event, and retains only the
+// state it still needs. It is not safe for concurrent use.
 type Checker struct {
-	// Retention is how long after a try's time is over the judge still waits for
-	// what belongs to it: an attempt, a run or a second answer that comes later
-	// is only counted as work. 0: for ever, as Judge does.
+	// Retention is how long events are assigned to a try after its deadline.
+	// Of later events, attempts and answers are ignored and runs count as wasted
+	// work. 0: without limit, as in Judge.
 	Retention time.Duration
 
-	setup    *history.Setup
-	classes  map[string]*history.Class
-	servers  map[string]history.Server
-	halls    map[string]string          // by node
-	tries    map[string]*try            // open ones
-	queue    []*try                     // the same by the time they were sent
-	orders   map[string]*order          // open ones
-	waiting  []*order                   // the same by the time they were asked for
-	ended    map[string][]history.Event // node: kills and starts, in order
-	end      time.Duration
-	closed   map[pair][]closing
-	due      []history.Event // changes that bind whoever has not asked by then
-	lastUp   map[string]time.Duration
-	cold     map[string]*coldStart
-	breaches []Breach
-	counts   map[Rule]int
-	tally    tally
+	setup          *history.Setup
+	classes        map[string]*history.Class
+	servers        map[string]history.Server
+	zoneOf         map[string]string          // by node
+	tries          map[string]*try            // open tries by id
+	tryQueue       []*try                     // open tries in order of sending
+	orders         map[string]*order          // open orders by id
+	orderQueue     []*order                   // open orders in order of their first event
+	nodeEvents     map[string][]history.Event // by node: kills and starts, in order
+	lastEventAt    time.Duration
+	drainSpans     map[nodeServer][]drainSpan
+	pendingChanges []history.Event // drains and removals that will apply to all nodes
+	lastUp         map[string]time.Duration
+	coldStarts     map[string]*coldStart
+	breaches       []Breach
+	counts         map[Rule]int
+	tally          tally
 }
 
-// NewChecker begins. Servers that are added to the setup later are known from
-// then on.
+// NewChecker returns a checker for a run. Servers may be added to the setup
+// during the run.
 func NewChecker(setup *history.Setup) *Checker {
-	l := &Checker{setup: setup, classes: map[string]*history.Class{}, servers: map[string]history.Server{}, halls: map[string]string{},
-		tries: map[string]*try{}, orders: map[string]*order{}, ended: map[string][]history.Event{},
-		closed: map[pair][]closing{}, lastUp: map[string]time.Duration{}, cold: map[string]*coldStart{}, counts: map[Rule]int{}}
+	checker := &Checker{setup: setup, classes: map[string]*history.Class{}, servers: map[string]history.Server{}, zoneOf: map[string]string{},
+		tries: map[string]*try{}, orders: map[string]*order{}, nodeEvents: map[string][]history.Event{},
+		drainSpans: map[nodeServer][]drainSpan{}, lastUp: map[string]time.Duration{}, coldStarts: map[string]*coldStart{}, counts: map[Rule]int{}}
 	for i := range setup.Classes {
-		l.classes[setup.Classes[i].Name] = &setup.Classes[i]
+		checker.classes[setup.Classes[i].Name] = &setup.Classes[i]
 	}
 	for _, n := range setup.Nodes {
-		l.halls[n.Name] = n.Hall
+		checker.zoneOf[n.Name] = n.Hall
 	}
-	l.tally.begin(setup)
-	return l
+	checker.tally.prepare(setup)
+	return checker
 }
 
-// server gives what the setup says of one.
-func (l *Checker) server(name string) history.Server {
-	for len(l.servers) < len(l.setup.Servers) {
-		for _, s := range l.setup.Servers[len(l.servers):] {
-			l.servers[s.Name] = s
+// server returns a server of the setup.
+func (c *Checker) server(name string) history.Server {
+	for len(c.servers) < len(c.setup.Servers) {
+		for _, s := range c.setup.Servers[len(c.servers):] {
+			c.servers[s.Name] = s
 		}
 	}
-	return l.servers[name]
+	return c.servers[name]
 }
 
-// try is all that a history tells of one try.
+// try is the state of one try.
 type try struct {
-	id, order, node string
-	class           *history.Class // nil: not known
-	named           string         // its class, known or not
-	at, deadline    time.Duration
-	answers         int
-	answer          answer        // the first one
-	again           time.Duration // the second one
-	attempts        []attempt     // that reached a server, in order
-	runs            []run
-	extra           []time.Duration
-	listed          bool // it is in the queue
-	firsts          [1]attempt
-	firstRuns       [1]run
+	id, order, node  string
+	class            *history.Class // nil: unknown
+	className        string
+	sentAt, deadline time.Duration
+	answerCount      int
+	firstAnswer      answer
+	secondAnswerAt   time.Duration
+	attempts         []attempt // those that reached a server, in order
+	runs             []run
+	extraAt          []time.Duration
+	queued           bool       // in tryQueue
+	attemptBuffer    [1]attempt // first element of attempts, without an allocation
+	runBuffer        [1]run     // first element of runs
 }
 
-// Detail is kept of a try's events.
+// Recorded events of a try.
 type (
 	answer struct {
 		at     time.Duration
@@ -161,163 +162,163 @@
 	}
 )
 
-// Add takes the next event. Times never fall.
-func (l *Checker) Add(e *history.Event) {
-	l.end = max(l.end, e.At)
-	l.bind(e.At)
-	l.tally.event(l, e)
+// Add processes the next event. Events are in order of time.
+func (c *Checker) Add(e *history.Event) {
+	c.lastEventAt = max(c.lastEventAt, e.At)
+	c.applyDueChanges(e.At)
+	c.tally.addEvent(c, e)
 	switch e.Kind {
 	case history.Ask:
-		l.orderOf(e)
+		c.orderOf(e)
 	case history.Try:
-		t := l.tryOf(e.Try)
-		t.id, t.order, t.node, t.named, t.class, t.at, t.deadline = e.Try, e.Order, e.Node, e.Class, l.classes[e.Class], e.At, e.Deadline
-		if !t.listed {
-			t.listed = true
-			l.queue = append(l.queue, t)
+		t := c.tryOf(e.Try)
+		t.id, t.order, t.node, t.className, t.class, t.sentAt, t.deadline = e.Try, e.Order, e.Node, e.Class, c.classes[e.Class], e.At, e.Deadline
+		if !t.queued {
+			t.queued = true
+			c.tryQueue = append(c.tryQueue, t)
 		}
-		l.tally.Tries++
-		l.orderOf(e)
+		c.tally.Tries++
+		c.orderOf(e)
 	case history.Answer:
-		if t := l.open(e); t != nil {
-			switch t.answers++; t.answers {
+		if t := c.openTry(e); t != nil {
+			switch t.answerCount++; t.answerCount {
 			case 1:
-				t.answer = answer{e.At, e.Status, e.Server}
+				t.firstAnswer = answer{e.At, e.Status, e.Server}
 			case 2:
-				t.again = e.At
+				t.secondAnswerAt = e.At
 			}
 		}
 	case history.Extra:
-		if t := l.open(e); t != nil {
-			t.extra = append(t.extra, e.At)
+		if t := c.openTry(e); t != nil {
+			t.extraAt = append(t.extraAt, e.At)
 		}
 	case history.Attempt:
-		l.sentTo(e)
-		if t := l.open(e); t != nil {
+		c.checkColdLoad(e)
+		if t := c.openTry(e); t != nil {
 			if t.attempts == nil {
-				t.attempts = t.firsts[:0]
+				t.attempts = t.attemptBuffer[:0]
 			}
 			t.attempts = append(t.attempts, attempt{e.At, e.First, e.Node, e.Server, e.Verdict})
 		}
 	case history.Probe:
-		l.sentTo(e)
+		c.checkColdLoad(e)
 	case history.Run:
-		if t := l.open(e); t != nil {
+		if t := c.openTry(e); t != nil {
 			if t.runs == nil {
-				t.runs = t.firstRuns[:0]
+				t.runs = t.runBuffer[:0]
 			}
 			t.runs = append(t.runs, run{e.At, e.Work, e.Server})
 		} else {
-			l.tally.lateRun(e.Work)
+			c.tally.addLateRun(e.Work)
 		}
 	case history.Start:
-		l.started(e)
+		c.recordStart(e)
 	case history.Fell:
-		if s := l.cold[e.Server]; s == nil || s.counts(l.setup.Limits) {
-			l.breach(NoColdOverload, e.At, "%s fell over", e.Server)
+		if s := c.coldStarts[e.Server]; s == nil || s.enforced(c.setup.Limits) {
+			c.breach(NoColdOverload, e.At, "%s fell over", e.Server)
 		}
 	case history.Told:
-		l.mark(pair{e.Node, e.Server}, e.At, e.Lifecycle == "up")
-		if s := l.cold[e.Server]; s != nil && e.Lifecycle == "up" && e.Started > s.At-time.Millisecond { // lists tell milliseconds
-			s.knows[e.Node] = true
+		c.markDrain(nodeServer{e.Node, e.Server}, e.At, e.Lifecycle == "up")
+		// Start times in lists are rounded to milliseconds.
+		if s := c.coldStarts[e.Server]; s != nil && e.Lifecycle == "up" && e.Started > s.At-time.Millisecond {
+			s.notifiedNodes[e.Node] = true
 		}
 	case history.Change:
-		l.changed(e)
+		c.recordChange(e)
 	case history.NodeKilled, history.NodeUp:
-		l.ended[e.Node] = append(l.ended[e.Node], *e)
-		if e.Kind == history.NodeUp { // a new process knows nothing
-			l.forget(e.Node, e.At)
+		c.nodeEvents[e.Node] = append(c.nodeEvents[e.Node], *e)
+		if e.Kind == history.NodeUp { // a new process has not been notified of any drain
+			c.forgetDrains(e.Node, e.At)
 		}
 	}
-	if l.Retention > 0 {
-		l.close(e.At - l.Retention)
+	if c.Retention > 0 {
+		c.closeBefore(e.At - c.Retention)
 	}
 }
 
-// open gives the try that an event belongs to; nil if that is closed already.
-func (l *Checker) open(e *history.Event) *try {
-	if l.Retention > 0 {
-		return l.tries[e.Try]
+// openTry returns the try of an event, or nil if it is closed.
+func (c *Checker) openTry(e *history.Event) *try {
+	if c.Retention > 0 {
+		return c.tries[e.Try]
 	}
-	return l.tryOf(e.Try)
+	return c.tryOf(e.Try)
 }
 
-func (l *Checker) tryOf(id string) *try {
-	t := l.tries[id]
+func (c *Checker) tryOf(id string) *try {
+	t := c.tries[id]
 	if t == nil {
 		t = &try{}
-		l.tries[id] = t
+		c.tries[id] = t
 	}
 	return t
 }
 
-// close hears the tries whose time was over at a time, and the orders.
-func (l *Checker) close(before time.Duration) {
+// closeBefore judges and drops the tries with a deadline up to the given time, and adds up orders.
+func (c *Checker) closeBefore(before time.Duration) {
 	n := 0
-	for _, t := range l.queue {
+	for _, t := range c.tryQueue {
 		if t.deadline > before {
 			break
 		}
-		l.hear(t)
-		delete(l.tries, t.id)
+		c.judgeTry(t)
+		delete(c.tries, t.id)
 		n++
 	}
-	clear(l.queue[:n])
-	l.queue = l.queue[n:]
+	clear(c.tryQueue[:n])
+	c.tryQueue = c.tryQueue[n:]
 	n = 0
-	for _, o := range l.waiting {
-		if o.at+o.class.Deadline > before-l.Retention { // its tries have been heard by then
+	for _, o := range c.orderQueue {
+		if o.requestedAt+o.class.Deadline > before-c.Retention { // its tries may still be open
 			break
 		}
-		l.tally.close(o)
-		delete(l.orders, o.id)
+		c.tally.closeOrder(o)
+		delete(c.orders, o.id)
 		n++
 	}
-	clear(l.waiting[:n])
-	l.waiting = l.waiting[n:]
+	clear(c.orderQueue[:n])
+	c.orderQueue = c.orderQueue[n:]
 }
 
-// hear judges one try.
-func (l *Checker) hear(t *try) {
-	l.answers(t)
-	l.effects(t)
-	l.drained(t)
-	l.tally.try(l, t)
+// judgeTry checks the rules for one try and adds it to the tally.
+func (c *Checker) judgeTry(t *try) {
+	c.checkAnswers(t)
+	c.checkEffects(t)
+	c.checkDrains(t)
+	c.tally.addTry(c, t)
 }
 
-// Verdict ends the history.
-func (l *Checker) Verdict() Verdict {
-	for _, t := range l.queue {
-		l.hear(t)
+// Verdict judges what is still open and returns the result.
+func (c *Checker) Verdict() Verdict {
+	for _, t := range c.tryQueue {
+		c.judgeTry(t)
 	}
-	for _, o := range l.waiting {
-		l.tally.close(o)
+	for _, o := range c.orderQueue {
+		c.tally.closeOrder(o)
 	}
-	for _, t := range l.tries { // that no client is known to have sent
+	for _, t := range c.tries { // runs of tries that no client sent
 		for i := range t.runs {
-			if !t.listed {
-				l.tally.lateRun(t.runs[i].work)
+			if !t.queued {
+				c.tally.addLateRun(t.runs[i].work)
 			}
 		}
 	}
-	l.queue, l.waiting, l.tries = nil, nil, map[string]*try{}
-	slices.SortStableFunc(l.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	return Verdict{Counts: l.counts, Service: l.tally.service(l), Breaches: l.breaches[:min(len(l.breaches), maxBreaches)]}
+	c.tryQueue, c.orderQueue, c.tries = nil, nil, map[string]*try{}
+	slices.SortStableFunc(c.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	return Verdict{Counts: c.counts, Service: c.tally.metrics(c), Breaches: c.breaches[:min(len(c.breaches), maxBreaches)]}
 }
 
-func (l *Checker) breach(r Rule, at time.Duration, format string, args ...any) {
-	l.counts[r]++
-	if len(l.breaches) < keptBreaches {
-		l.breaches = append(l.breaches, Breach{r, at, fmt.Sprintf(format, args...)})
+func (c *Checker) breach(rule Rule, at time.Duration, format string, args ...any) {
+	c.counts[rule]++
+	if len(c.breaches) < keptBreaches {
+		c.breaches = append(c.breaches, Breach{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-// killed tells whether a node was killed outright within a stretch of time, or
-// was dead at its beginning: the kernel goes on taking connections for a dying
-// process for a moment.
-func (l *Checker) killed(node string, from, to time.Duration) bool {
+// killed reports whether a node was killed within a period or was down at its
+// beginning; the kernel may accept connections for a process that is dying.
+func (c *Checker) killed(node string, from, to time.Duration) bool {
 	dead := false
-	for _, e := range l.ended[node] {
+	for _, e := range c.nodeEvents[node] {
 		kill := e.Kind == history.NodeKilled
 		if e.At < from {
 			dead = kill
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -11,9 +11,9 @@
 
 const ms = time.Millisecond
 
-// sound gives a history that breaks no rule: one request of each class, a
-// drain and a cold start.
-func sound() *history.History {
+// validHistory returns a history that breaks no rule, with requests of each kind of
+// effect, a drain and a cold start.
+func validHistory() *history.History {
 	h := &history.History{Setup: history.Setup{Length: 20 * time.Second, Classes: load.Classes, Limits: load.Limits,
 		Servers: []history.Server{{Name: "a.1", Hall: "a", Pod: 0}, {Name: "a.2", Hall: "a", Pod: 0}, {Name: "b.1", Hall: "b", Pod: 1}},
 		Nodes:   []history.Node{{Name: "n0", Hall: "a"}}}}
@@ -31,33 +31,33 @@
 		at(0, history.Event{Kind: history.Start, Server: s.Name, Capacity: 6, Cores: 6})
 	}
 	at(0, history.Event{Kind: history.NodeUp, Node: "n0"})
-	one := func(t time.Duration, id, class string, st history.Status, servers ...string) {
+	addRequest := func(t time.Duration, id, class string, status history.Status, servers ...string) {
 		at(t, history.Event{Kind: history.Try, Order: id, Try: id, Class: class, Node: "n0", Deadline: t + 800*ms})
 		for i, s := range servers {
 			at(t+time.Duration(1+i)*ms, history.Event{Kind: history.Attempt, Try: id, Server: s})
 			at(t+time.Duration(1+i)*ms, history.Event{Kind: history.Run, Try: id, Server: s, Work: 100 * ms})
 		}
 		last := ""
-		if st == history.Served {
+		if status == history.Served {
 			last = servers[len(servers)-1]
 		}
-		at(t+100*ms, history.Event{Kind: history.Answer, Try: id, Status: st, Server: last})
+		at(t+100*ms, history.Event{Kind: history.Answer, Try: id, Status: status, Server: last})
 	}
-	one(1000*ms, "safe", "viewer-clip", history.Served, "a.1")
-	one(2000*ms, "keyed", "tag-event", history.Served, "a.1")
-	one(3000*ms, "unsafe", "cut-order", history.Served, "b.1")
-	one(4000*ms, "refused", "cut-order", history.Refused)
-	one(5000*ms, "failed", "cut-order", history.Failed, "a.2")
+	addRequest(1000*ms, "safe", "viewer-clip", history.Served, "a.1")
+	addRequest(2000*ms, "keyed", "tag-event", history.Served, "a.1")
+	addRequest(3000*ms, "unsafe", "cut-order", history.Served, "b.1")
+	addRequest(4000*ms, "refused", "cut-order", history.Refused)
+	addRequest(5000*ms, "failed", "cut-order", history.Failed, "a.2")
 	at(6000*ms, history.Event{Kind: history.Told, Node: "n0", Server: "a.2", Lifecycle: "draining"})
-	one(6300*ms, "early", "viewer-clip", history.Served, "a.2")
+	addRequest(6300*ms, "early", "viewer-clip", history.Served, "a.2")
 	at(8000*ms, history.Event{Kind: history.Start, Server: "b.1", Capacity: 6, Cores: 6, ColdFrom: 0.32, ColdTime: 8300 * ms})
-	one(8500*ms, "cold", "viewer-clip", history.Served, "b.1")
+	addRequest(8500*ms, "cold", "viewer-clip", history.Served, "b.1")
 	at(15*time.Second, history.Event{Kind: history.FaultEnd})
 	return h
 }
 
-// edit finds the first event that matches and lets do change it.
-func edit(h *history.History, kind history.Kind, id string, do func(*history.Event)) {
+// editEvent changes the first event that matches.
+func editEvent(h *history.History, kind history.Kind, id string, do func(*history.Event)) {
 	for i := range h.Events {
 		if e := &h.Events[i]; e.Kind == kind && (e.Try == id || id == "") {
 			do(e)
@@ -67,29 +67,29 @@
 	panic("no such event: " + string(kind) + " " + id)
 }
 
-func add(h *history.History, e history.Event) {
+func addEvent(h *history.History, e history.Event) {
 	h.Events = append(h.Events, e)
 	history.Sort(h.Events)
 }
 
-func TestASoundHistoryIsKept(t *testing.T) {
-	v := Judge(sound())
+func TestValidHistoryPasses(t *testing.T) {
+	v := Judge(validHistory())
 	for _, b := range v.Breaches {
 		t.Error(b)
 	}
 	if s := v.Service; s.Orders != 7 || s.Refused != 1 || s.Failed != 1 || s.Runs != 6 {
-		t.Errorf("counted %+v", s)
+		t.Errorf("unexpected metrics: %+v", s)
 	}
 }
 
-// Every row doctors the sound history so that one rule is broken, and names a
-// part of what the judge has to say.
-func TestDoctoredHistoriesAreCaught(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		rule   Rule
-		say    string
-		doctor func(*history.History)
+// Guards against a judge that misses a breach: each row alters the valid history so
+// that one rule is broken, and gives a part of the expected text.
+func TestAlteredHistoriesBreakTheExpectedRule(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		rule  Rule
+		text  string
+		alter func(*history.History)
 	}{
 		{"no answer at all", NoRequestLost, "never answered", func(h *history.History) {
 			for i, e := range h.Events {
@@ -100,64 +100,64 @@
 			}
 		}},
 		{"two answers", NoRequestLost, "2 final answers", func(h *history.History) {
-			add(h, history.Event{At: 1200 * ms, Kind: history.Answer, Try: "safe", Status: history.Served})
+			addEvent(h, history.Event{At: 1200 * ms, Kind: history.Answer, Try: "safe", Status: history.Served})
 		}},
-		{"late", NoRequestLost, "after its client's time", func(h *history.History) {
-			edit(h, history.Try, "safe", func(e *history.Event) { e.Deadline = e.At + 10*ms })
+		{"late answer", NoRequestLost, "after its client's time", func(h *history.History) {
+			editEvent(h, history.Try, "safe", func(e *history.Event) { e.Deadline = e.At + 10*ms })
 		}},
-		{"cut off", NoRequestLost, "no whole answer", func(h *history.History) {
-			edit(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
+		{"connection closed without an answer", NoRequestLost, "no whole answer", func(h *history.History) {
+			editEvent(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
 		}},
-		{"given up on", NoRequestLost, "in its client's time", func(h *history.History) {
-			edit(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.GaveUp })
+		{"client timed out", NoRequestLost, "in its client's time", func(h *history.History) {
+			editEvent(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.GaveUp })
 		}},
-		{"somebody else's body", NoRequestLost, "no server made", func(h *history.History) {
-			edit(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Wrong })
+		{"answer that no server made", NoRequestLost, "no server made", func(h *history.History) {
+			editEvent(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Wrong })
 		}},
-		{"sent on after the answer", NoRequestLost, "after its final answer", func(h *history.History) {
-			add(h, history.Event{At: 1200 * ms, First: 1200 * ms, Kind: history.Attempt, Try: "safe", Node: "n0", Server: "a.2", Verdict: history.Taken})
+		{"attempt after the final answer", NoRequestLost, "after its final answer", func(h *history.History) {
+			addEvent(h, history.Event{At: 1200 * ms, First: 1200 * ms, Kind: history.Attempt, Try: "safe", Node: "n0", Server: "a.2", Verdict: history.Taken})
 		}},
-		{"more behind the answer", NoRequestLost, "behind the final answer", func(h *history.History) {
-			add(h, history.Event{At: 1101 * ms, Kind: history.Extra, Try: "safe"})
+		{"extra bytes after the answer", NoRequestLost, "behind the final answer", func(h *history.History) {
+			addEvent(h, history.Event{At: 1101 * ms, Kind: history.Extra, Try: "safe"})
 		}},
-		{"a kill before does not excuse", NoRequestLost, "no whole answer", func(h *history.History) {
-			edit(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
-			add(h, history.Event{At: 500 * ms, Kind: history.NodeKilled, Node: "n0"})
-			add(h, history.Event{At: 900 * ms, Kind: history.NodeUp, Node: "n0"})
+		{"closed long after a kill", NoRequestLost, "no whole answer", func(h *history.History) {
+			editEvent(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
+			addEvent(h, history.Event{At: 500 * ms, Kind: history.NodeKilled, Node: "n0"})
+			addEvent(h, history.Event{At: 900 * ms, Kind: history.NodeUp, Node: "n0"})
 		}},
 		{"unsafe sent twice", NoDuplicateEffect, "had taken it", func(h *history.History) {
-			add(h, history.Event{At: 3050 * ms, First: 3050 * ms, Kind: history.Attempt, Try: "unsafe", Node: "n0", Server: "a.1", Verdict: history.Taken})
+			addEvent(h, history.Event{At: 3050 * ms, First: 3050 * ms, Kind: history.Attempt, Try: "unsafe", Node: "n0", Server: "a.1", Verdict: history.Taken})
 		}},
-		{"keyed out of its pod", NoDuplicateEffect, "left its pod", func(h *history.History) {
-			add(h, history.Event{At: 2050 * ms, First: 2050 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "b.1", Verdict: history.Taken})
+		{"keyed sent to another pod", NoDuplicateEffect, "left its pod", func(h *history.History) {
+			addEvent(h, history.Event{At: 2050 * ms, First: 2050 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "b.1", Verdict: history.Taken})
 		}},
-		{"keyed after its window", NoDuplicateEffect, "sent again", func(h *history.History) {
-			edit(h, history.Answer, "keyed", func(e *history.Event) { e.At = 11 * time.Second })
-			edit(h, history.Try, "keyed", func(e *history.Event) { e.Deadline = 12 * time.Second })
-			add(h, history.Event{At: 10200 * ms, First: 10200 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "a.1", Verdict: history.Taken})
+		{"keyed sent again after its window", NoDuplicateEffect, "sent again", func(h *history.History) {
+			editEvent(h, history.Answer, "keyed", func(e *history.Event) { e.At = 11 * time.Second })
+			editEvent(h, history.Try, "keyed", func(e *history.Event) { e.Deadline = 12 * time.Second })
+			addEvent(h, history.Event{At: 10200 * ms, First: 10200 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "a.1", Verdict: history.Taken})
 		}},
 		{"an effect that ran twice", NoDuplicateEffect, "ran 2 times", func(h *history.History) {
-			add(h, history.Event{At: 3050 * ms, Kind: history.Run, Try: "unsafe", Server: "a.1"})
+			addEvent(h, history.Event{At: 3050 * ms, Kind: history.Run, Try: "unsafe", Server: "a.1"})
 		}},
 		{"a refusal of what may have run", NoDuplicateEffect, "refused although", func(h *history.History) {
-			edit(h, history.Answer, "failed", func(e *history.Event) { e.Status = history.Refused })
+			editEvent(h, history.Answer, "failed", func(e *history.Event) { e.Status = history.Refused })
 		}},
 		{"a keyed refusal of what may have run", NoDuplicateEffect, "refused although", func(h *history.History) {
-			edit(h, history.Answer, "keyed", func(e *history.Event) { e.Status = history.Refused })
+			editEvent(h, history.Answer, "keyed", func(e *history.Event) { e.Status = history.Refused })
 		}},
-		{"late to a drain", DrainsRespected, "after the word", func(h *history.History) {
-			edit(h, history.Told, "", func(e *history.Event) { e.At = 5700 * ms })
+		{"send to a draining server", DrainsRespected, "after the word", func(h *history.History) {
+			editEvent(h, history.Told, "", func(e *history.Event) { e.At = 5700 * ms })
 			history.Sort(h.Events)
 		}},
-		{"late to one that is gone", DrainsRespected, "after the word", func(h *history.History) {
-			edit(h, history.Told, "", func(e *history.Event) { e.At, e.Lifecycle = 5700*ms, "removed" })
+		{"send to a removed server", DrainsRespected, "after the word", func(h *history.History) {
+			editEvent(h, history.Told, "", func(e *history.Event) { e.At, e.Lifecycle = 5700*ms, "removed" })
 			history.Sort(h.Events)
 		}},
-		{"up for another node only", DrainsRespected, "after the word", func(h *history.History) {
-			edit(h, history.Told, "", func(e *history.Event) { e.At = 5700 * ms })
-			add(h, history.Event{At: 5800 * ms, Kind: history.Told, Node: "n1", Server: "a.2", Lifecycle: "up"})
+		{"send to a server that is up for another node only", DrainsRespected, "after the word", func(h *history.History) {
+			editEvent(h, history.Told, "", func(e *history.Event) { e.At = 5700 * ms })
+			addEvent(h, history.Event{At: 5800 * ms, Kind: history.Told, Node: "n1", Server: "a.2", Lifecycle: "up"})
 		}},
-		{"never asked", DrainsRespected, "after the word", func(h *history.History) {
+		{"change that the node never fetched", DrainsRespected, "after the word", func(h *history.History) {
 			h.Setup.Limits.ToldLatest = time.Second
 			for i := range h.Events {
 				if h.Events[i].Kind == history.Told {
@@ -168,76 +168,76 @@
 		}},
 		{"a burst at a cold server", NoColdOverload, "was sent", func(h *history.History) {
 			for i := range 60 {
-				add(h, history.Event{At: 8500*ms + time.Duration(i)*ms, Kind: history.Attempt, Try: "burst", Node: "n0", Server: "b.1", Work: 100 * ms})
+				addEvent(h, history.Event{At: 8500*ms + time.Duration(i)*ms, Kind: history.Attempt, Try: "burst", Node: "n0", Server: "b.1", Work: 100 * ms})
 			}
 		}},
-		{"half of it from another node", NoColdOverload, "was sent", func(h *history.History) {
+		{"a burst from two nodes", NoColdOverload, "was sent", func(h *history.History) {
 			for i := range 60 {
-				add(h, history.Event{At: 8500*ms + time.Duration(i)*ms, Kind: history.Attempt, Try: "burst", Node: []string{"n0", "n1"}[i%2], Server: "b.1", Work: 100 * ms})
+				addEvent(h, history.Event{At: 8500*ms + time.Duration(i)*ms, Kind: history.Attempt, Try: "burst", Node: []string{"n0", "n1"}[i%2], Server: "b.1", Work: 100 * ms})
 			}
 		}},
 		{"a burst of probes", NoColdOverload, "was sent", func(h *history.History) {
 			for i := range 700 {
-				add(h, history.Event{At: 8500*ms + time.Duration(i)*ms/10, Kind: history.Probe, Node: "n0", Server: "b.1", Work: 10 * ms})
+				addEvent(h, history.Event{At: 8500*ms + time.Duration(i)*ms/10, Kind: history.Probe, Node: "n0", Server: "b.1", Work: 10 * ms})
 			}
 		}},
-		{"fallen over", NoColdOverload, "fell over", func(h *history.History) {
-			add(h, history.Event{At: 9 * time.Second, Kind: history.Fell, Server: "b.1"})
+		{"a server that failed under overload", NoColdOverload, "fell over", func(h *history.History) {
+			addEvent(h, history.Event{At: 9 * time.Second, Kind: history.Fell, Server: "b.1"})
 		}},
 	} {
-		h := sound()
-		c.doctor(h)
+		h := validHistory()
+		tt.alter(h)
 		v := Judge(h)
-		if v.Counts[c.rule] == 0 || len(v.Counts) != 1 {
-			t.Errorf("%s: want rule %d broken alone, have %v", c.name, c.rule, v.Counts)
+		if v.Counts[tt.rule] == 0 || len(v.Counts) != 1 {
+			t.Errorf("%s: want only rule %d broken, got %v", tt.name, tt.rule, v.Counts)
 			continue
 		}
-		if got := v.Breaches[0].String(); !strings.Contains(got, c.say) {
-			t.Errorf("%s: said %q, want %q", c.name, got, c.say)
+		if got := v.Breaches[0].String(); !strings.Contains(got, tt.text) {
+			t.Errorf("%s: got breach %q, want %q", tt.name, got, tt.text)
 		}
 	}
 }
 
-// Guards against a judge that fails what the rules allow.
-func TestWhatIsAllowedIsNotCaught(t *testing.T) {
-	for name, doctor := range map[string]func(*history.History){
-		"cut off by a kill": func(h *history.History) {
-			edit(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
-			add(h, history.Event{At: 1050 * ms, Kind: history.NodeKilled, Node: "n0"})
+// Guards against a judge that reports what the rules allow.
+func TestAllowedHistoriesPass(t *testing.T) {
+	for name, alter := range map[string]func(*history.History){
+		"closed by a kill": func(h *history.History) {
+			editEvent(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
+			addEvent(h, history.Event{At: 1050 * ms, Kind: history.NodeKilled, Node: "n0"})
 		},
-		"cut off by a process that was dying": func(h *history.History) {
-			edit(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
-			add(h, history.Event{At: 990 * ms, Kind: history.NodeKilled, Node: "n0"})
-			add(h, history.Event{At: 1900 * ms, Kind: history.NodeUp, Node: "n0"})
+		"closed by a dying process": func(h *history.History) {
+			editEvent(h, history.Answer, "safe", func(e *history.Event) { e.Status = history.Broken })
+			addEvent(h, history.Event{At: 990 * ms, Kind: history.NodeKilled, Node: "n0"})
+			addEvent(h, history.Event{At: 1900 * ms, Kind: history.NodeUp, Node: "n0"})
 		},
-		"unsafe again after it was turned away": func(h *history.History) {
-			add(h, history.Event{At: 3000 * ms, First: 3000 * ms, Kind: history.Attempt, Try: "unsafe", Node: "n0", Server: "a.1", Verdict: history.Turned})
+		"unsafe sent again after a rejection": func(h *history.History) {
+			addEvent(h, history.Event{At: 3000 * ms, First: 3000 * ms, Kind: history.Attempt, Try: "unsafe", Node: "n0", Server: "a.1", Verdict: history.Turned})
 		},
-		"keyed again in its pod": func(h *history.History) {
-			add(h, history.Event{At: 2050 * ms, First: 2050 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "a.2", Verdict: history.Taken})
+		"keyed sent again in its pod": func(h *history.History) {
+			addEvent(h, history.Event{At: 2050 * ms, First: 2050 * ms, Kind: history.Attempt, Try: "keyed", Node: "n0", Server: "a.2", Verdict: history.Taken})
 		},
-		"delay of a link that the lab put there": func(h *history.History) {
-			edit(h, history.Told, "", func(e *history.Event) { e.At = 5750 * ms })
-			edit(h, history.Attempt, "early", func(e *history.Event) { e.First = 6200 * ms })
+		"late arrival because of a link fault": func(h *history.History) {
+			editEvent(h, history.Told, "", func(e *history.Event) { e.At = 5750 * ms })
+			editEvent(h, history.Attempt, "early", func(e *history.Event) { e.First = 6200 * ms })
 			history.Sort(h.Events)
 		},
-		"up again before": func(h *history.History) {
-			edit(h, history.Told, "", func(e *history.Event) { e.At = 5000 * ms })
-			add(h, history.Event{At: 5900 * ms, Kind: history.Told, Node: "n0", Server: "a.2", Lifecycle: "up"})
+		"server up again before the send": func(h *history.History) {
+			editEvent(h, history.Told, "", func(e *history.Event) { e.At = 5000 * ms })
+			addEvent(h, history.Event{At: 5900 * ms, Kind: history.Told, Node: "n0", Server: "a.2", Lifecycle: "up"})
 		},
 		"one heavy request at a cold server": func(h *history.History) {
-			add(h, history.Event{At: 8600 * ms, Kind: history.Attempt, Try: "heavy", Node: "n0", Server: "b.1", Work: 9 * time.Second})
+			addEvent(h, history.Event{At: 8600 * ms, Kind: history.Attempt, Try: "heavy", Node: "n0", Server: "b.1", Work: 9 * time.Second})
 		},
 	} {
-		h := sound()
-		doctor(h)
+		h := validHistory()
+		alter(h)
 		if v := Judge(h); !v.Passed() {
 			t.Errorf("%s: %v", name, v.Breaches)
 		}
 	}
 }
 
-func TestCapacityIsTheAreaUnderTheRamp(t *testing.T) {
+func TestCapacityIntegratesTheWarmUpRamp(t *testing.T) {
 	s := history.Event{At: 10 * time.Second, Capacity: 6, ColdFrom: 0.5, ColdTime: 10 * time.Second}
 	for _, c := range []struct {
 		from, to time.Duration
@@ -250,41 +250,42 @@
 	}
 }
 
-func TestTheMeasureIsTheBriefs(t *testing.T) {
-	h := sound()
+func TestServiceMeasureMatchesItsDefinition(t *testing.T) {
+	h := validHistory()
 	v := Judge(h)
-	// Asked: 3 viewer clips, 1 tag, 3 orders, each worth 1; one order refused and one failed.
+	// Requested: 3 viewer clips, 1 tag, 3 orders, each of value 1; one order refused, one failed.
 	if s := v.Service; s.OnTimeRatio != 5.0/7 || s.WorstClass != 1.0/3 {
-		t.Errorf("whole %v, worst class %v", s.OnTimeRatio, s.WorstClass)
+		t.Errorf("on-time ratio %v, worst class %v", s.OnTimeRatio, s.WorstClass)
 	}
-	edit(h, history.Answer, "keyed", func(e *history.Event) { e.At += 2 * time.Second })
-	edit(h, history.Try, "keyed", func(e *history.Event) { e.Deadline += 4 * time.Second })
+	editEvent(h, history.Answer, "keyed", func(e *history.Event) { e.At += 2 * time.Second })
+	editEvent(h, history.Try, "keyed", func(e *history.Event) { e.Deadline += 4 * time.Second })
 	if s := Judge(h).Service; s.OnTimeRatio != 4.0/7 || s.WorstClass != 0 {
-		t.Errorf("past its aim: whole %v, worst class %v", s.OnTimeRatio, s.WorstClass)
+		t.Errorf("after the target latency: on-time ratio %v, worst class %v", s.OnTimeRatio, s.WorstClass)
 	}
 }
 
-// Where only those count who had been told of a start, a fall by others is nobody's, and one of which two thirds are theirs
-// is.
-func TestWhoHadBeenToldOfAStart(t *testing.T) {
+// Guards against blaming nodes for a start they were not notified of: with FallTold, an
+// overload is a breach only if notified nodes sent two thirds of the work.
+func TestColdRuleCountsOnlyNodesNotifiedOfTheStart(t *testing.T) {
 	for _, x := range []struct {
-		told int // of 60 requests
-		kept bool
+		notified int // of 60 requests
+		passes   bool
 	}{{0, true}, {30, true}, {45, false}, {60, false}} {
-		h := sound()
+		h := validHistory()
 		h.Setup.Limits.FallTold = true
-		add(h, history.Event{At: 8400 * time.Millisecond, Kind: history.Told, Node: "n0", Server: "b.1", Lifecycle: "up", Started: 8 * time.Second})
-		add(h, history.Event{At: 8400 * time.Millisecond, Kind: history.Told, Node: "n1", Server: "b.1", Lifecycle: "up"}) // of the process before
+		addEvent(h, history.Event{At: 8400 * time.Millisecond, Kind: history.Told, Node: "n0", Server: "b.1", Lifecycle: "up", Started: 8 * time.Second})
+		// This notification is about the previous process.
+		addEvent(h, history.Event{At: 8400 * time.Millisecond, Kind: history.Told, Node: "n1", Server: "b.1", Lifecycle: "up"})
 		for i := range 60 {
 			node := "n1"
-			if (i*7)%60 < x.told {
+			if (i*7)%60 < x.notified {
 				node = "n0"
 			}
-			add(h, history.Event{At: 8500*time.Millisecond + time.Duration(i)*time.Millisecond, Kind: history.Attempt, Try: "burst", Node: node, Server: "b.1", Work: 100 * time.Millisecond})
+			addEvent(h, history.Event{At: 8500*time.Millisecond + time.Duration(i)*time.Millisecond, Kind: history.Attempt, Try: "burst", Node: node, Server: "b.1", Work: 100 * time.Millisecond})
 		}
-		add(h, history.Event{At: 8561 * time.Millisecond, Kind: history.Fell, Server: "b.1"})
-		if v := Judge(h); (v.Counts[NoColdOverload] == 0) != x.kept {
-			t.Errorf("%d of 60 by who had been told: %v", x.told, v.Counts)
+		addEvent(h, history.Event{At: 8561 * time.Millisecond, Kind: history.Fell, Server: "b.1"})
+		if v := Judge(h); (v.Counts[NoColdOverload] == 0) != x.passes {
+			t.Errorf("%d of 60 sends by notified nodes: %v", x.notified, v.Counts)
 		}
 	}
 }
--- a/internal/lab/judge/service.go
+++ b/internal/lab/judge/service.go
@@ -9,170 +9,176 @@
 	"ivylock/internal/lab/history"
 )
 
-// The weights of the service measure and the points in 100 of the penalties,
-// from the brief.
+// Weights of the service measure, and penalties in points of 100.
 const (
-	weightWhole  = 0.6
-	weightWorst  = 0.2
-	weightClass  = 0.2
-	window       = 10 * time.Second
-	windowStep   = time.Second
-	priceLate    = 8.0
-	priceWaste   = 5.0
-	priceNew     = 3.0
-	priceOpen    = 3.0
-	priceCross   = 2.0
-	priceProbe   = 1.0
-	priceMessage = 1.0
-	openUnit     = 100 // connections a clip server
-	messageUnit  = 256 // bytes
+	weightOverall          = 0.6
+	weightWorstWindow      = 0.2
+	weightWorstClass       = 0.2
+	windowLength           = 10 * time.Second
+	windowStep             = time.Second
+	penaltyLateFailure     = 8.0
+	penaltyWastedWork      = 5.0
+	penaltyNewConnection   = 3.0
+	penaltyOpenConnections = 3.0
+	penaltyCrossZone       = 2.0
+	penaltyProbe           = 1.0
+	penaltyMessage         = 1.0
+	connectionsPerServer   = 100
+	bytesPerMessage        = 256
 )
 
-// ServiceMetrics is the service measure with all it is made of.
+// ServiceMetrics are the service measure and the values it is computed from.
 type ServiceMetrics struct {
-	Score       float64      `json:"score"`       // in 100: the measure less the penalties
+	Score       float64      `json:"score"`       // in points of 100: the measure minus the penalties
 	Measure     float64      `json:"measure"`     // 0 to 1
-	OnTimeRatio float64      `json:"whole"`       // worth within aim over worth asked for
-	WorstWindow float64      `json:"worst_10s"`   // the same in the worst 10 s
+	OnTimeRatio float64      `json:"whole"`       // share of the requested value served within the target latency
+	WorstWindow float64      `json:"worst_10s"`   // the same of the worst 10 s
 	WorstClass  float64      `json:"worst_class"` // the same of the worst class
 	Penalties   Penalties    `json:"penalties"`
 	Classes     []ClassStats `json:"classes"`
-	Orders      int          `json:"orders"`   // first tries
-	Tries       int          `json:"tries"`    // with the clients' own
-	Attempts    int          `json:"attempts"` // that reached a server
+	Orders      int          `json:"orders"`
+	Tries       int          `json:"tries"`    // including retries of clients
+	Attempts    int          `json:"attempts"` // those that reached a server
 	Refused     int          `json:"refused"`  // tries
 	Failed      int          `json:"failed"`   // tries
 	Runs        int          `json:"runs"`     // of effects
 }
 
-// Penalties are points in 100.
+// Penalties are in points of 100.
 type Penalties struct {
-	LateFailure, WastedWork, NewConnections, OpenConnections, CrossZone, Probes, Messages float64
+	LateFailure     float64 `json:"LateFail"`
+	WastedWork      float64 `json:"Waste"`
+	NewConnections  float64
+	OpenConnections float64
+	CrossZone       float64 `json:"CrossHall"`
+	Probes          float64
+	Messages        float64
 }
 
-// Sum gives all points together.
+// Sum returns the total of the penalties.
 func (p Penalties) Sum() float64 {
 	return p.LateFailure + p.WastedWork + p.NewConnections + p.OpenConnections + p.CrossZone + p.Probes + p.Messages
 }
 
-// ClassStats is one class's part.
+// ClassStats are the results of one class.
 type ClassStats struct {
 	Class    string        `json:"class"`
 	Orders   int           `json:"orders"`
 	Served   int           `json:"served"` // orders, at any time
-	OnTime   int           `json:"within"` // orders, within the aim
+	OnTime   int           `json:"within"` // orders, within the target latency
 	Refused  int           `json:"refused_tries"`
-	Failed   int           `json:"failed_tries"` // and lost ones
-	P50, P99 time.Duration // of served orders, from the first try on
+	Failed   int           `json:"failed_tries"` // including unanswered tries
+	P50, P99 time.Duration // latency of served orders, from the first try
 }
 
 // order is a client's request over all its tries.
 type order struct {
-	id     string
-	class  *history.Class
-	at     time.Duration
-	served time.Duration // when; 0: not yet
-	ended  time.Duration // of its last try
+	id          string
+	class       *history.Class
+	requestedAt time.Duration
+	servedAt    time.Duration // 0: not served
+	endedAt     time.Duration // end of its last try
 }
 
-// tally adds up the service measure and the penalties.
+// tally accumulates the service measure and the penalties.
 type tally struct {
 	ServiceMetrics
-	byClass        map[string]*ClassStats
-	took           map[string][]time.Duration // by class, of served orders
-	asked, got     float64                    // worth
-	askedAt, gotAt []float64                  // the same by steps of a window
-	late           float64                    // worth of orders that failed after their aim
+	byClass                          map[string]*ClassStats
+	latencies                        map[string][]time.Duration // by class, of served orders
+	requestedValue, deliveredValue   float64
+	requestedByStep, deliveredByStep []float64 // by windowStep
+	lateValue                        float64   // of orders that failed after their target latency
 
-	work, wasted, fresh, crossed, probes, bytes, open, area float64
-	last                                                    time.Duration
-	at                                                      map[string]float64 // open connections by server
+	totalWork, wastedWork, newConnections, crossZoneAttempts, probes, messageBytes, openConnections, connectionSeconds float64
+	lastEventAt                                                                                                        time.Duration
+
+	connectionsByServer map[string]float64
 }
 
-func (y *tally) begin(setup *history.Setup) {
-	y.byClass, y.took, y.at = map[string]*ClassStats{}, map[string][]time.Duration{}, map[string]float64{}
-	for _, cl := range setup.Classes {
-		y.Classes = append(y.Classes, ClassStats{Class: cl.Name})
+func (y *tally) prepare(setup *history.Setup) {
+	y.byClass, y.latencies, y.connectionsByServer = map[string]*ClassStats{}, map[string][]time.Duration{}, map[string]float64{}
+	for _, class := range setup.Classes {
+		y.Classes = append(y.Classes, ClassStats{Class: class.Name})
 	}
 	for i := range y.Classes {
 		y.byClass[y.Classes[i].Class] = &y.Classes[i]
 	}
 	steps := int(setup.Length/windowStep) + 1
-	y.askedAt, y.gotAt = make([]float64, steps), make([]float64, steps)
+	y.requestedByStep, y.deliveredByStep = make([]float64, steps), make([]float64, steps)
 }
 
-// event takes what counts whatever becomes of the try.
-func (y *tally) event(l *Checker, e *history.Event) {
-	y.area += y.open * (e.At - y.last).Seconds()
-	y.last = e.At
+// addEvent counts events that do not depend on the result of their try.
+func (y *tally) addEvent(checker *Checker, e *history.Event) {
+	y.connectionSeconds += y.openConnections * (e.At - y.lastEventAt).Seconds()
+	y.lastEventAt = e.At
 	switch e.Kind {
 	case history.Probe:
 		y.probes++
-		y.work, y.wasted = y.work+e.Work.Seconds(), y.wasted+e.Work.Seconds()
+		y.totalWork, y.wastedWork = y.totalWork+e.Work.Seconds(), y.wastedWork+e.Work.Seconds()
 	case history.Connect:
-		y.open++
-		y.fresh++
-		y.at[e.Server]++
+		y.openConnections++
+		y.newConnections++
+		y.connectionsByServer[e.Server]++
 	case history.Disconnect:
-		y.open--
-		y.at[e.Server]--
-	case history.Start: // those of an older process are gone
-		y.open -= y.at[e.Server]
-		y.at[e.Server] = 0
+		y.openConnections--
+		y.connectionsByServer[e.Server]--
+	case history.Start: // the connections of the previous process are closed
+		y.openConnections -= y.connectionsByServer[e.Server]
+		y.connectionsByServer[e.Server] = 0
 	case history.Attempt:
-		if l.halls[e.Node] != l.server(e.Server).Hall {
-			y.crossed++
+		if checker.zoneOf[e.Node] != checker.server(e.Server).Hall {
+			y.crossZoneAttempts++
 		}
 	case history.Message:
-		y.bytes += float64(e.Bytes)
+		y.messageBytes += float64(e.Bytes)
 	}
 }
 
-// lateRun takes a run whose try has been heard already: nobody waits for it.
-func (y *tally) lateRun(work time.Duration) {
+// addLateRun counts a run whose try is closed as wasted work.
+func (y *tally) addLateRun(work time.Duration) {
 	y.Runs++
-	y.work, y.wasted = y.work+work.Seconds(), y.wasted+work.Seconds()
+	y.totalWork, y.wastedWork = y.totalWork+work.Seconds(), y.wastedWork+work.Seconds()
 }
 
-// orderOf gives the order that an event belongs to, a new one if it is the
-// first of it; nil if its class is not known.
-func (l *Checker) orderOf(e *history.Event) *order {
-	cl := l.classes[e.Class]
-	if cl == nil {
+// orderOf returns the order of an event and creates it if necessary. It returns
+// nil for an unknown class.
+func (c *Checker) orderOf(e *history.Event) *order {
+	class := c.classes[e.Class]
+	if class == nil {
 		return nil
 	}
-	o := l.orders[e.Order]
+	o := c.orders[e.Order]
 	if o == nil {
-		o = &order{id: e.Order, class: cl, at: e.At}
-		l.orders[e.Order] = o
-		l.waiting = append(l.waiting, o)
-		l.tally.byClass[e.Class].Orders++
+		o = &order{id: e.Order, class: class, requestedAt: e.At}
+		c.orders[e.Order] = o
+		c.orderQueue = append(c.orderQueue, o)
+		c.tally.byClass[e.Class].Orders++
 	}
 	return o
 }
 
-// try adds up one try.
-func (y *tally) try(l *Checker, t *try) {
+// addTry adds a try.
+func (y *tally) addTry(checker *Checker, t *try) {
 	if t.class == nil {
 		return
 	}
-	o, count := l.orders[t.order], y.byClass[t.class.Name]
+	o, count := checker.orders[t.order], y.byClass[t.class.Name]
 	if o == nil {
 		return
 	}
-	o.ended = max(o.ended, t.deadline)
+	o.endedAt = max(o.endedAt, t.deadline)
 	y.Attempts, y.Runs = y.Attempts+len(t.attempts), y.Runs+len(t.runs)
 	servedBy := ""
-	if t.answers == 0 {
+	if t.answerCount == 0 {
 		count.Failed++
 	} else {
-		a := t.answer
-		o.ended = a.at
+		a := t.firstAnswer
+		o.endedAt = a.at
 		switch a.status {
 		case history.Served:
 			servedBy = a.server
-			if o.served == 0 {
-				o.served = a.at
+			if o.servedAt == 0 {
+				o.servedAt = a.at
 			}
 		case history.Refused:
 			y.Refused++
@@ -183,71 +189,71 @@
 		}
 	}
 	for _, r := range t.runs {
-		y.work += r.work.Seconds()
+		y.totalWork += r.work.Seconds()
 		if servedBy != r.server {
-			y.wasted += r.work.Seconds()
+			y.wastedWork += r.work.Seconds()
 		}
 	}
 }
 
-// close adds up an order.
-func (y *tally) close(o *order) {
+// closeOrder adds an order.
+func (y *tally) closeOrder(o *order) {
 	y.Orders++
-	k, i := y.byClass[o.class.Name], min(max(int(o.at/windowStep), 0), len(y.askedAt)-1)
-	worth := o.class.Worth
-	y.asked, y.askedAt[i] = y.asked+worth, y.askedAt[i]+worth
+	stats, step := y.byClass[o.class.Name], min(max(int(o.requestedAt/windowStep), 0), len(y.requestedByStep)-1)
+	value := o.class.Worth
+	y.requestedValue, y.requestedByStep[step] = y.requestedValue+value, y.requestedByStep[step]+value
 	switch {
-	case o.served > 0:
-		k.Served++
-		y.took[k.Class] = append(y.took[k.Class], o.served-o.at)
-	case o.ended-o.at > o.class.Aim:
-		y.late += worth
+	case o.servedAt > 0:
+		stats.Served++
+		y.latencies[stats.Class] = append(y.latencies[stats.Class], o.servedAt-o.requestedAt)
+	case o.endedAt-o.requestedAt > o.class.Aim:
+		y.lateValue += value
 	}
-	if o.within() {
-		k.OnTime++
-		y.got, y.gotAt[i] = y.got+worth, y.gotAt[i]+worth
+	if o.onTime() {
+		stats.OnTime++
+		y.deliveredValue, y.deliveredByStep[step] = y.deliveredValue+value, y.deliveredByStep[step]+value
 	}
 }
 
-// service gives the measure, at the end.
-func (y *tally) service(l *Checker) ServiceMetrics {
-	s := &y.ServiceMetrics
-	s.OnTimeRatio, s.WorstWindow, s.WorstClass = y.shares(l.setup.Length)
-	s.Measure = weightWhole*s.OnTimeRatio + weightWorst*s.WorstWindow + weightClass*s.WorstClass
-	s.Penalties = y.penalties(len(l.setup.Servers))
-	s.Score = 100*s.Measure - s.Penalties.Sum()
-	return *s
+// metrics returns the final metrics.
+func (y *tally) metrics(checker *Checker) ServiceMetrics {
+	result := &y.ServiceMetrics
+	result.OnTimeRatio, result.WorstWindow, result.WorstClass = y.ratios(checker.setup.Length)
+	result.Measure = weightOverall*result.OnTimeRatio + weightWorstWindow*result.WorstWindow + weightWorstClass*result.WorstClass
+	result.Penalties = y.penalties(len(checker.setup.Servers))
+	result.Score = 100*result.Measure - result.Penalties.Sum()
+	return *result
 }
 
-func share(part, whole float64) float64 {
-	if whole == 0 {
+// ratio returns 1 if total is 0.
+func ratio(amount, total float64) float64 {
+	if total == 0 {
 		return 1
 	}
-	return part / whole
+	return amount / total
 }
 
-func (o *order) within() bool { return o.served > 0 && o.served-o.at <= o.class.Aim }
+func (o *order) onTime() bool { return o.servedAt > 0 && o.servedAt-o.requestedAt <= o.class.Aim }
 
-// shares gives the three parts of the measure and fills in the classes.
-func (y *tally) shares(length time.Duration) (whole, worst, worstClass float64) {
-	worst, worstClass = share(y.got, y.asked), 1
-	n := int(window / windowStep)
-	for i := 0; i+n <= int(length/windowStep); i++ {
-		a, g := 0.0, 0.0
-		for j := i; j < i+n; j++ {
-			a, g = a+y.askedAt[j], g+y.gotAt[j]
+// ratios returns the three components of the measure and completes the classes.
+func (y *tally) ratios(length time.Duration) (overall, worstWindow, worstClass float64) {
+	worstWindow, worstClass = ratio(y.deliveredValue, y.requestedValue), 1
+	steps := int(windowLength / windowStep)
+	for i := 0; i+steps <= int(length/windowStep); i++ {
+		requested, delivered := 0.0, 0.0
+		for j := i; j < i+steps; j++ {
+			requested, delivered = requested+y.requestedByStep[j], delivered+y.deliveredByStep[j]
 		}
-		worst = math.Min(worst, share(g, a))
+		worstWindow = math.Min(worstWindow, ratio(delivered, requested))
 	}
-	for name, k := range y.byClass {
-		worstClass = math.Min(worstClass, share(float64(k.OnTime), float64(k.Orders)))
-		k.P50, k.P99 = Quantile(y.took[name], 0.5), Quantile(y.took[name], 0.99)
+	for name, stats := range y.byClass {
+		worstClass = math.Min(worstClass, ratio(float64(stats.OnTime), float64(stats.Orders)))
+		stats.P50, stats.P99 = Quantile(y.latencies[name], 0.5), Quantile(y.latencies[name], 0.99)
 	}
-	return share(y.got, y.asked), worst, worstClass
+	return ratio(y.deliveredValue, y.requestedValue), worstWindow, worstClass
 }
 
-// Quantile gives the value under which a part q of all lies; 0 for none. It
-// sorts its argument.
+// Quantile returns the q-quantile of d, or 0 if d is empty. It sorts d.
 func Quantile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
@@ -257,16 +263,16 @@
 }
 
 func (y *tally) penalties(servers int) Penalties {
-	n := math.Max(1, float64(y.Orders))
-	per := func(price, part, whole float64) float64 {
-		if whole <= 0 {
+	orders := math.Max(1, float64(y.Orders))
+	charge := func(price, amount, total float64) float64 {
+		if total <= 0 {
 			return 0
 		}
-		return price * part / whole
+		return price * amount / total
 	}
-	return Penalties{LateFailure: per(priceLate, y.late, y.asked), WastedWork: per(priceWaste, y.wasted, y.work),
-		NewConnections:  per(priceNew, y.fresh, n),
-		OpenConnections: per(priceOpen, y.area/math.Max(1e-9, y.last.Seconds()), openUnit*float64(servers)),
-		CrossZone:       per(priceCross, y.crossed, n), Probes: per(priceProbe, y.probes, n),
-		Messages: per(priceMessage, y.bytes, messageUnit*n)}
+	return Penalties{LateFailure: charge(penaltyLateFailure, y.lateValue, y.requestedValue), WastedWork: charge(penaltyWastedWork, y.wastedWork, y.totalWork),
+		NewConnections:  charge(penaltyNewConnection, y.newConnections, orders),
+		OpenConnections: charge(penaltyOpenConnections, y.connectionSeconds/math.Max(1e-9, y.lastEventAt.Seconds()), connectionsPerServer*float64(servers)),
+		CrossZone:       charge(penaltyCrossZone, y.crossZoneAttempts, orders), Probes: charge(penaltyProbe, y.probes, orders),
+		Messages: charge(penaltyMessage, y.messageBytes, bytesPerMessage*orders)}
 }
