--- a/internal/lab/vtime/queue_test.go
+++ b/internal/lab/vtime/queue_test.go
@@ -10,29 +10,29 @@
 	"pgregory.net/rapid"
 )
 
-// plain is container/heap over the same items: what the queue must do, slowly.
-type plain []item[int]
+// plainHeap is the reference implementation with container/heap.
+type plainHeap []item[int]
 
-func (h plain) Len() int           { return len(h) }
-func (h plain) Less(i, j int) bool { return h[i].before(&h[j]) }
-func (h plain) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *plain) Push(x any)        { *h = append(*h, x.(item[int])) }
-func (h *plain) Pop() any {
+func (h plainHeap) Len() int           { return len(h) }
+func (h plainHeap) Less(i, j int) bool { return h[i].before(&h[j]) }
+func (h plainHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *plainHeap) Push(x any)        { *h = append(*h, x.(item[int])) }
+func (h *plainHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-// Whatever is planned, in the same bucket, on a bucket's edge, within the ring
-// or far beyond it, comes back in the order of a plain heap.
-func TestItGivesBackWhatAPlainHeapDoes(t *testing.T) {
+// Guards against wrong order of events in the same bucket, at bucket boundaries, within
+// the ring or beyond it.
+func TestQueueMatchesPlainHeap(t *testing.T) {
 	ahead := rapid.OneOf(rapid.Int64Range(0, 1000), rapid.Int64Range(0, 1<<bucketShift),
 		rapid.Int64Range(0, 8<<bucketShift), rapid.Map(rapid.Int64Range(0, 2*bucketCount), func(b int64) int64 { return b << bucketShift }),
 		rapid.Int64Range(0, 3*bucketCount<<bucketShift))
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
-		var want plain
+		var want plainHeap
 		now, seq := time.Duration(0), 0
 		steps := rapid.SliceOfN(rapid.Bool(), 1, 400).Draw(t, "plan rather than take")
 		for _, plan := range steps {
@@ -45,26 +45,25 @@
 			}
 			at, what, ok := q.Pop()
 			if ok != (len(want) > 0) {
-				t.Fatalf("there is something: %v, in the plain heap are %d", ok, len(want))
+				t.Fatalf("Pop returned ok=%v with %d events in the reference heap", ok, len(want))
 			}
 			if !ok {
 				continue
 			}
 			x := heap.Pop(&want).(item[int])
-			if at != x.at || what != x.what {
-				t.Fatalf("got %d at %v, want %d at %v", what, at, x.what, x.at)
+			if at != x.at || what != x.value {
+				t.Fatalf("got event %d at %v, want %d at %v", what, at, x.value, x.at)
 			}
 			now = at
 		}
 		if q.Len() != len(want) {
-			t.Fatalf("%d are left, want %d", q.Len(), len(want))
+			t.Fatalf("%d events left, want %d", q.Len(), len(want))
 		}
 	})
 }
 
-// BenchmarkQueue holds a steady number of plans, as a run does: each one that
-// is taken plans another, mostly some milliseconds ahead, one in eight as far
-// as a time-out.
+// BenchmarkQueue keeps the number of queued events constant: each popped event adds one,
+// mostly some milliseconds ahead and one in eight up to 6 s ahead, like a timeout.
 func BenchmarkQueue(b *testing.B) {
 	for _, size := range []int{1_000, 100_000, 1_000_000} {
 		gaps := make([]time.Duration, 1<<16)
@@ -87,14 +86,14 @@
 			}
 		})
 		b.Run(fmt.Sprintf("container-heap/%d", size), func(b *testing.B) {
-			var q plain
+			var q plainHeap
 			for i := range size {
 				heap.Push(&q, item[int]{gaps[i%len(gaps)], uint64(i), i})
 			}
 			b.ResetTimer()
 			for i := range b.N {
 				x := heap.Pop(&q).(item[int])
-				heap.Push(&q, item[int]{x.at + gaps[i%len(gaps)], uint64(size + i), x.what})
+				heap.Push(&q, item[int]{x.at + gaps[i%len(gaps)], uint64(size + i), x.value})
 			}
 		})
 	}
