--- a/internal/lab/hosts/service.go
+++ b/internal/lab/hosts/service.go
@@ -163,8 +163,8 @@
 	s.timer.Stop()
 	servers := s.servers
 	s.mu.Unlock()
-	for _, x := range servers {
-		x.Close()
+	for _, server := range servers {
+		server.Close()
 	}
 }
 
@@ -221,10 +221,10 @@
 	s.waitingCalls[node][waiting] = true
 	defer delete(s.waitingCalls[node], waiting)
 	for expired := false; watch && !expired && !s.down && s.generation(node) == from; {
-		news := s.changed
+		changed := s.changed
 		s.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-hold.C:
 			expired = true
 		case <-r.Context().Done():
@@ -266,20 +266,20 @@
 // recordUpdate records the servers sent to a node. A full list removes all servers
 // that it does not contain. The caller holds the lock.
 func (s *Service) recordUpdate(node string, list List) {
-	now, told := s.clock(), s.notified[node]
+	now, notified := s.clock(), s.notified[node]
 	included := map[string]bool{}
 	for _, e := range list.Instances {
 		included[e.InstanceID] = true
 		s.record(history.Event{At: now, Kind: history.Told, Node: node, Server: e.InstanceID, Lifecycle: e.Lifecycle})
-		if told[e.InstanceID] = true; e.Lifecycle == Removed {
-			delete(told, e.InstanceID)
+		if notified[e.InstanceID] = true; e.Lifecycle == Removed {
+			delete(notified, e.InstanceID)
 		}
 	}
 	if list.Reset {
-		for id := range told {
+		for id := range notified {
 			if !included[id] {
 				s.record(history.Event{At: now, Kind: history.Told, Node: node, Server: id, Lifecycle: Removed})
-				delete(told, id)
+				delete(notified, id)
 			}
 		}
 	}
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -105,13 +105,12 @@
 	return a.Pod == b.Pod
 }
 
-// drainSpan is a period in which a node knows that a server takes no new
-// requests.
+// drainSpan is a period in which a node knows that a server is draining or removed.
 type drainSpan struct{ from, to time.Duration }
 
 type nodeServer struct{ node, server string }
 
-// markDrain records that a node was notified that a server is draining, gone or up.
+// markDrain records that a node was notified that a server is draining, removed or up.
 func (c *Checker) markDrain(p nodeServer, at time.Duration, up bool) {
 	spans := c.drainSpans[p]
 	if n := len(spans) - 1; up && n >= 0 {
@@ -133,8 +132,8 @@
 	}
 }
 
-// recordChange records a change in discovery. After Limits.ToldLatest, a drain or
-// removal applies also to nodes that have not fetched it, unless the server is up
+// recordChange records a change in discovery. After Limits.ToldLatest, drains and
+// removals apply also to nodes that have not fetched them, unless the server is up
 // again.
 func (c *Checker) recordChange(e *history.Event) {
 	if e.Lifecycle == "up" {
@@ -173,7 +172,7 @@
 	}
 }
 
-// coldSend is work that reached a cold server. notified: its node knew of the start.
+// coldSend is work that reached a cold server; notified is set if its node knew of the start.
 type coldSend struct {
 	at, work time.Duration
 	notified bool
--- a/internal/lab/vtime/queue.go
+++ b/internal/lab/vtime/queue.go
@@ -16,13 +16,13 @@
 )
 
 // Queue is a calendar queue (Brown, CACM 31(10), 1988) with buckets of a fixed
-// width. An event within the ring is appended to its bucket; a bucket becomes a
-// heap when its time comes. Events beyond the ring wait in a heap. The zero value is an
-// empty queue that begins at time 0. It is not safe for concurrent use.
+// width. An event within the ring is appended to its bucket, which becomes a heap
+// when its time comes. Events beyond the ring wait in a separate heap. The zero
+// value is an empty queue that begins at time 0. It is not safe for concurrent use.
 type Queue[T any] struct {
 	seq           uint64
 	size          int
-	currentBucket int64 // bucket whose items are being returned
+	currentBucket int64 // number of the bucket whose items are in current
 	current       itemHeap[T]
 	ring          [][]item[T]
 	occupied      []uint64    // bitmap of the non-empty buckets of the ring
