--- a/cmd/ivylab/main.go
+++ b/cmd/ivylab/main.go
@@ -15,8 +15,8 @@
 )
 
 func main() {
-	if sysfault.Launching() { // a copy of itself that starts a node whose system calls fail
-		sysfault.Launch()
+	if sysfault.IsLauncher() { // a copy of itself that starts a node whose system calls fail
+		sysfault.RunLauncher()
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	rows := 0
--- a/cmd/ivylock/disk_test.go
+++ b/cmd/ivylock/disk_test.go
@@ -67,7 +67,7 @@
 				if code := first.setMaintenance(t, "enter", "s-0"); code != http.StatusOK {
 					t.Fatalf("enter: %d", code)
 				}
-				rule, err := sysfault.RuleOf(call, errno, 1)
+				rule, err := sysfault.ParseRule(call, errno, 1)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -78,7 +78,7 @@
 				if code := first.setMaintenance(t, "enter", "s-1"); code == http.StatusOK {
 					t.Error("a command that was not stored was acknowledged")
 				}
-				if rules.Failed(rule.Call) == 0 {
+				if rules.FailureCount(rule.Call) == 0 {
 					t.Error("no call failed")
 				}
 				first.terminate(t, syscall.SIGKILL)
@@ -111,7 +111,7 @@
 		}
 		for _, name := range []string{"open ENOSPC", "write EIO", "sync EIO", "rename ENOSPC"} {
 			call, errno, _ := strings.Cut(name, " ")
-			rule, err := sysfault.RuleOf(call, errno, 0.15)
+			rule, err := sysfault.ParseRule(call, errno, 0.15)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/ivylock/main_test.go
+++ b/cmd/ivylock/main_test.go
@@ -18,8 +18,8 @@
 
 // TestMain lets the tests run this program as a child process.
 func TestMain(m *testing.M) {
-	if sysfault.Launching() {
-		sysfault.Launch()
+	if sysfault.IsLauncher() {
+		sysfault.RunLauncher()
 	}
 	if os.Getenv("IVYLOCK_TEST_RUN") != "" {
 		main()
--- a/internal/lab/alarm/alarm.go
+++ b/internal/lab/alarm/alarm.go
@@ -14,9 +14,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Alarm is one thing planned. Its methods may be called from several
+// Timer is one thing planned. Its methods may be called from several
 // goroutines.
-type Alarm struct {
+type Timer struct {
 	do    func()
 	due   time.Time
 	index int // in the heap; -1: not planned
@@ -31,10 +31,10 @@
 
 // New makes an alarm that is not set. do must not take long: it runs on the
 // one thread of all alarms.
-func New(do func()) *Alarm { return &Alarm{do: do, index: -1} }
+func New(do func()) *Timer { return &Timer{do: do, index: -1} }
 
 // Set plans the alarm for a time from now, in place of what it was set to.
-func (a *Alarm) Set(after time.Duration) {
+func (a *Timer) Set(after time.Duration) {
 	thread.Do(begin)
 	due := time.Now().Add(after)
 	mu.Lock()
@@ -52,7 +52,7 @@
 }
 
 // Stop takes back what was planned. It does not wait for a call that runs.
-func (a *Alarm) Stop() {
+func (a *Timer) Stop() {
 	mu.Lock()
 	defer mu.Unlock()
 	if a.index >= 0 {
@@ -92,7 +92,7 @@
 }
 
 // next takes the alarm that is due; or gives how long the thread is to wait, below 0 if nothing is planned.
-func next() (due *Alarm, left time.Duration) {
+func next() (due *Timer, left time.Duration) {
 	mu.Lock()
 	defer mu.Unlock()
 	if len(queue) == 0 {
@@ -101,7 +101,7 @@
 	if left = time.Until(queue[0].due); left > 0 {
 		return nil, left
 	}
-	return heap.Pop(&queue).(*Alarm), 0
+	return heap.Pop(&queue).(*Timer), 0
 }
 
 // await waits so long, without an end if that is below 0, or until an earlier alarm is set.
@@ -119,7 +119,7 @@
 }
 
 // alarms is a heap, the next due first.
-type alarms []*Alarm
+type alarms []*Timer
 
 func (h alarms) Len() int           { return len(h) }
 func (h alarms) Less(i, j int) bool { return h[i].due.Before(h[j].due) }
@@ -128,7 +128,7 @@
 	h[i].index, h[j].index = i, j
 }
 func (h *alarms) Push(x any) {
-	a := x.(*Alarm)
+	a := x.(*Timer)
 	a.index = len(*h)
 	*h = append(*h, a)
 }
--- a/internal/lab/clipserver/server.go
+++ b/internal/lab/clipserver/server.go
@@ -43,7 +43,7 @@
 	mu     sync.Mutex
 	doors  []*door
 	conns  map[*conn]bool
-	timer  *alarm.Alarm
+	timer  *alarm.Timer
 	jobs   map[uint64]*conn
 	nextID uint64
 	spoil  func() bool // whether to spoil the next answer
--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -122,9 +122,9 @@
 // another and are loaded in turn, in short slices, so that a drift of the
 // machine meets both.
 func (a *app) pair(ctx context.Context, dir string, programs [2]string, servers []string, rounds, body int, length time.Duration) int {
-	var nodes [2]*process.Node
+	var nodes [2]*process.Process
 	for i, program := range programs {
-		p, err := process.Start(program, dir, benchConfig(servers), process.Options{})
+		p, err := process.StartNode(program, dir, benchConfig(servers), process.Options{})
 		if err != nil {
 			return a.fail(NotHeld, err)
 		}
@@ -142,12 +142,12 @@
 				if ctx.Err() != nil {
 					return a.fail(NotHeld, ctx.Err())
 				}
-				before := nodes[i].Used()
+				before := nodes[i].CPUTime()
 				f, err := perf.Closed(perf.Load{Addr: nodes[i].Addr, Clients: clients, Length: length, Class: "viewer-clip", Size: body})
 				if err != nil {
 					return a.fail(NotHeld, err)
 				}
-				now[i] = float64((nodes[i].Used() - before).Microseconds()) / float64(max(1, f.Requests))
+				now[i] = float64((nodes[i].CPUTime() - before).Microseconds()) / float64(max(1, f.Requests))
 			}
 			if round == 0 {
 				continue // they learn
@@ -185,20 +185,20 @@
 		return measured{}, ctx.Err()
 	}
 	m := measured{name: "reverse proxy"}
-	var p *process.Node
+	var p *process.Process
 	var err error
 	if program == "" {
 		self, err := os.Executable()
 		if err != nil {
 			return m, err
 		}
-		p, err = process.Exec(append([]string{self, proxyWord}, servers...), m.name)
+		p, err = process.StartCommand(append([]string{self, proxyWord}, servers...), m.name)
 		if err != nil {
 			return m, err
 		}
 	} else {
 		m.name = "node"
-		if p, err = process.Start(program, dir, benchConfig(servers), process.Options{}); err != nil {
+		if p, err = process.StartNode(program, dir, benchConfig(servers), process.Options{}); err != nil {
 			return m, err
 		}
 	}
@@ -209,20 +209,20 @@
 			return m, err
 		}
 	}
-	before := p.Used()
+	before := p.CPUTime()
 	if m.Figures, err = perf.Closed(perf.Load{Addr: p.Addr, Clients: clients, Length: length, Class: "viewer-clip", Size: body}); err != nil {
 		return m, err
 	}
-	m.cpu = float64((p.Used() - before).Microseconds()) / float64(max(1, m.Requests))
+	m.cpu = float64((p.CPUTime() - before).Microseconds()) / float64(max(1, m.Requests))
 	return m, nil
 }
 
 func benchConfig(servers []string) nodeconf.Config {
 	s := &scenario.Scenario{Halls: []scenario.Hall{{Name: "hall", Nodes: 1, Servers: map[string]int{"fast-6": len(servers)}}}}
 	c := nodeconf.Config{Name: "bench", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "1",
-		Limits: nodeconf.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Known: hosts.List{Generation: 1, Reset: true}, Settings: nodeconf.Settings(s, 0)}
+		Limits: nodeconf.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, InitialList: hosts.List{Generation: 1, Reset: true}, Settings: nodeconf.Settings(s, 0)}
 	for i, addr := range servers {
-		c.Known.Instances = append(c.Known.Instances, hosts.Entry{InstanceID: fmt.Sprint("s", i), HostPort: addr, Zone: "hall",
+		c.InitialList.Instances = append(c.InitialList.Instances, hosts.Entry{InstanceID: fmt.Sprint("s", i), HostPort: addr, Zone: "hall",
 			MachineType: "fast-6", Lifecycle: hosts.Up, Weight: 1})
 	}
 	return c
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -211,7 +211,7 @@
 	}
 	o.Program = program
 	live := show.NewLive(load.ClassesOf(s))
-	o.Watch = live.Add
+	o.ObserveEvents = live.Add
 	start := time.Now()
 	hall, err := real.New(ctx, s, o)
 	if err != nil {
@@ -227,7 +227,7 @@
 	close(over)
 	<-shown
 	hall.Close()
-	own := hall.Own()
+	own := hall.LabStats()
 	if err != nil && ctx.Err() != nil {
 		fmt.Fprintln(a.err, "ivylab: stopped; all processes have ended")
 		return NotHeld
@@ -239,7 +239,7 @@
 }
 
 // follow shows a run until it is over: a screen that changes, or plain lines.
-func (a *app) follow(h *real.Hall, l *show.Live, s *scenario.Scenario, over <-chan struct{}, screen bool) {
+func (a *app) follow(h *real.Testbed, l *show.Live, s *scenario.Scenario, over <-chan struct{}, screen bool) {
 	every := 2 * time.Second
 	if screen = screen && a.rows > 0; screen {
 		every = 250 * time.Millisecond
@@ -254,10 +254,10 @@
 			return
 		case <-t.C:
 			if screen {
-				text := l.Screen("ivylab "+s.Name, h.Clock(), s.Length.Duration, h.Rows(), a.rows-1)
+				text := l.Screen("ivylab "+s.Name, h.Clock(), s.Length.Duration, h.ServerStatuses(), a.rows-1)
 				fmt.Fprint(a.out, "\x1b[H"+strings.ReplaceAll(text, "\n", "\x1b[K\n")+"\x1b[J")
 			} else {
-				fmt.Fprintln(a.out, l.Line(h.Clock(), h.Rows()))
+				fmt.Fprintln(a.out, l.Line(h.Clock(), h.ServerStatuses()))
 			}
 		}
 	}
@@ -270,13 +270,13 @@
 	Held     bool           `json:"held"`
 	Left     []string       `json:"did_not_hold"`
 	Verdict  *judge.Verdict `json:"verdict"`
-	Lab      *real.Own      `json:"lab,omitempty"` // the lab's own part, on sockets
+	Lab      *real.LabStats `json:"lab,omitempty"` // the lab's own part, on sockets
 	Took     float64        `json:"took_s"`
 	Events   int            `json:"events"`
 }
 
 // finish judges a run, writes what was asked for and prints the verdict.
-func (a *app) finish(s *scenario.Scenario, h *history.History, own *real.Own, to files, took time.Duration, more []string) int {
+func (a *app) finish(s *scenario.Scenario, h *history.History, own *real.LabStats, to files, took time.Duration, more []string) int {
 	v := judge.Judge(h)
 	left := append(holds.Check(s, h, &v), more...)
 	r := Result{s.Name, h.Setup.Seed, len(left) == 0, left, &v, own, took.Seconds(), len(h.Events)}
@@ -356,7 +356,7 @@
 	}
 	v := judge.Judge(h)
 	left := holds.BreachLines(&v)
-	r := Result{h.Setup.Scenario, h.Setup.Seed, len(left) == 0, left, &v, &real.Own{}, 0, len(h.Events)}
+	r := Result{h.Setup.Scenario, h.Setup.Seed, len(left) == 0, left, &v, &real.LabStats{}, 0, len(h.Events)}
 	a.verdict(h, &r)
 	if len(left) > 0 {
 		return NotHeld
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -15,23 +15,23 @@
 
 // soak plays random faults on many real nodes, seed after seed.
 func (a *app) soak(ctx context.Context, args []string) int {
-	b := soak.Usual
+	b := soak.DefaultBounds
 	f := flag.NewFlagSet("soak", flag.ContinueOnError)
 	seeds := f.Int("seeds", 1, "how `many` seeds")
 	from := f.Int64("from", 1, "the first `seed`")
 	program := f.String("node", "", "the node's `program`; empty: it is built from this source tree")
 	historyFile := f.String("history", "", "write the history of the last seed that did not hold to this `file`")
-	f.IntVar(&b.LeastNodes, "least", b.LeastNodes, "processes, at `least`")
-	f.IntVar(&b.MostNodes, "most", b.MostNodes, "processes, at `most`; 48 at most")
+	f.IntVar(&b.MinNodes, "least", b.MinNodes, "processes, at `least`")
+	f.IntVar(&b.MaxNodes, "most", b.MaxNodes, "processes, at `most`; 48 at most")
 	f.DurationVar(&b.Length, "length", b.Length, "of the load of each seed")
-	f.Float64Var(&b.FaultsASecond, "faults", b.FaultsASecond, "faults that begin in a second, on average")
-	f.Float64Var(&b.RateANode, "rate", b.RateANode, "first tries a second for each node")
+	f.Float64Var(&b.FaultsPerSecond, "faults", b.FaultsPerSecond, "faults that begin in a second, on average")
+	f.Float64Var(&b.RatePerNode, "rate", b.RatePerNode, "first tries a second for each node")
 	f.BoolVar(&b.ClockSteps, "clock-steps", false, "wall clocks of nodes step, too; wants a node that was built with -tags faults")
 	f.BoolVar(&b.SystemCalls, "system-calls", b.SystemCalls, "a part of nodes' system calls fails, too")
 	if !a.parse(f, args, nil) {
 		return Misuse
 	}
-	if b.LeastNodes < 1 || b.MostNodes > 48 || b.LeastNodes > b.MostNodes || *seeds < 1 || b.Length.Seconds() < 2 {
+	if b.MinNodes < 1 || b.MaxNodes > 48 || b.MinNodes > b.MaxNodes || *seeds < 1 || b.Length.Seconds() < 2 {
 		return a.fail(Misuse, errors.New("soak: want 1 to 48 processes, one seed and 2 s or more"))
 	}
 	if *program == "" {
@@ -44,12 +44,12 @@
 	}
 	failed := 0
 	for i := range *seeds {
-		r, err := soak.Play(ctx, *program, *from+int64(i), b)
+		r, err := soak.Run(ctx, *program, *from+int64(i), b)
 		if err != nil {
 			return a.fail(NotHeld, err)
 		}
 		fmt.Fprintln(a.out, r.Summary())
-		if r.Held() {
+		if r.Passed() {
 			continue
 		}
 		failed++
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -114,7 +114,7 @@
 func (n *node) start() {
 	n.incarnation++
 	n.up = true
-	settings, seed := nodeconf.Module(n.world.scenario, n.Number, n.world.deployment), int64(n.world.rng.Uint64()>>1)
+	settings, seed := nodeconf.BalancerSettings(n.world.scenario, n.Number, n.world.deployment), int64(n.world.rng.Uint64()>>1)
 	if n.world.newDecider != nil {
 		n.module = n.world.newDecider(n.Node, settings, seed)
 	} else {
--- a/internal/lab/nodeconf/nodeconf.go
+++ b/internal/lab/nodeconf/nodeconf.go
@@ -25,17 +25,17 @@
 
 // Config is the file that PROXY_CONFIG names.
 type Config struct {
-	Name       string          `json:"name"`
-	Listen     string          `json:"listen"`
-	Discovery  string          `json:"discovery"`
-	Console    string          `json:"console,omitempty"`
-	Seed       string          `json:"seed"`
-	Limits     Limits          `json:"limits"`
-	PeerListen string          `json:"peer_listen,omitempty"`
-	Peers      []string        `json:"peers,omitempty"`
-	PeersAll   string          `json:"peers_all,omitempty"`
-	Known      hosts.List      `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	Name          string          `json:"name"`
+	Listen        string          `json:"listen"`
+	Discovery     string          `json:"discovery"`
+	Console       string          `json:"console,omitempty"`
+	Seed          string          `json:"seed"`
+	Limits        Limits          `json:"limits"`
+	PeerListen    string          `json:"peer_listen,omitempty"`
+	Peers         []string        `json:"peers,omitempty"`
+	PeerBroadcast string          `json:"peers_all,omitempty"`
+	InitialList   hosts.List      `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
 }
 
 var effects = map[history.Effect]string{history.Safe: "retryable", history.Keyed: "dedup", history.Unsafe: "fragile"}
@@ -44,11 +44,11 @@
 
 // Settings gives the settings of one node of a scenario.
 func Settings(s *scenario.Scenario, number int) json.RawMessage {
-	return SettingsOf(s, number, load.Brief(s))
+	return DeploymentSettings(s, number, load.Brief(s))
 }
 
-// SettingsOf gives them in another deployment.
-func SettingsOf(s *scenario.Scenario, number int, d *load.Deployment) json.RawMessage {
+// DeploymentSettings gives them in another deployment.
+func DeploymentSettings(s *scenario.Scenario, number int, d *load.Deployment) json.RawMessage {
 	type object = map[string]any
 	var classes []object
 	for _, c := range d.Classes {
@@ -99,9 +99,9 @@
 	return raw
 }
 
-// Module gives the same settings as the decision module takes them.
-func Module(s *scenario.Scenario, number int, d *load.Deployment) balance.Settings {
-	set, err := settings.Decode(SettingsOf(s, number, d))
+// BalancerSettings gives the same settings as the decision module takes them.
+func BalancerSettings(s *scenario.Scenario, number int, d *load.Deployment) balance.Settings {
+	set, err := settings.Decode(DeploymentSettings(s, number, d))
 	if err != nil {
 		panic(fmt.Sprintf("nodeconf: settings of its own making do not decode: %v", err))
 	}
--- a/internal/lab/perf/scale_test.go
+++ b/internal/lab/perf/scale_test.go
@@ -104,7 +104,7 @@
 	}
 	lists := &atomic.Int64{}
 	conf := d.config(countingForwarder(t, discovery, lists), service.InitialList("n0"))
-	node, err := process.Start(program, t.TempDir(), conf, process.Options{})
+	node, err := process.StartNode(program, t.TempDir(), conf, process.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 	}
 	stop <- true
 	stop <- true
-	c.cpu, c.peakMB, c.connections, c.listBytes = node.Used(), peakMemory(t, node.Pid()), made.Load(), lists.Load()
+	c.cpu, c.peakMB, c.connections, c.listBytes = node.CPUTime(), peakMemory(t, node.Pid()), made.Load(), lists.Load()
 	c.served = float64(f.Served) / float64(f.Requests)
 	return c
 }
@@ -138,7 +138,7 @@
 func (d day) config(discovery string, known hosts.List) nodeconf.Config {
 	s := &scenario.Scenario{Halls: []scenario.Hall{{Name: "hall", Nodes: d.nodes, Servers: map[string]int{"fast-6": d.servers}}}}
 	c := nodeconf.Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: "1", PeerListen: "127.0.0.1:0",
-		Limits: nodeconf.Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, Known: known, Settings: nodeconf.Settings(s, 0)}
+		Limits: nodeconf.Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, InitialList: known, Settings: nodeconf.Settings(s, 0)}
 	for i := range d.nodes { // nobody is there
 		c.Peers = append(c.Peers, fmt.Sprintf("127.9.%d.%d:9", i/250, i%250+1))
 	}
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -34,8 +34,8 @@
 // alarmWords begin what a program says of a fault of its own.
 var alarmWords = []string{"invariant broken: ", "panic: ", "fatal error: ", "WARNING: DATA RACE"}
 
-// Node is one running process.
-type Node struct {
+// Process is one running process.
+type Process struct {
 	Addr    string // where clients connect
 	Peers   string // where it takes datagrams; "" for none
 	Console string // where it hears operators; "" for nowhere
@@ -51,15 +51,15 @@
 // Options of a node's process.
 type Options struct {
 	Environment []string        // on top of the lab's own
-	Calls       []sysfault.Call // system calls that may fail; none: all go on
-	Rules       *sysfault.Rules // when they do
+	FaultyCalls []sysfault.Call // system calls that may fail; none: all go on
+	FaultRules  *sysfault.Rules // when they do
 }
 
-// Start runs a node's program with a configuration, whose Listen and
+// StartNode runs a node's program with a configuration, whose Listen and
 // PeerListen may name port 0: the node's own log tells what it got, so no port
 // is raced for; that it serves is the last of these lines. dir is for its files. It
 // returns once GET /up answers 200.
-func Start(program, dir string, c nodeconf.Config, o Options) (*Node, error) {
+func StartNode(program, dir string, c nodeconf.Config, o Options) (*Process, error) {
 	path, err := writeConfig(dir, c)
 	if err != nil {
 		return nil, err
@@ -79,35 +79,37 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// Exec runs any program that says on standard error where it serves, as a node
+// StartCommand runs any program that says on standard error where it serves, as a node
 // does, and answers GET /up.
-func Exec(args []string, name string) (*Node, error) { return run(args, Options{}, name, "/up") }
+func StartCommand(args []string, name string) (*Process, error) {
+	return run(args, Options{}, name, "/up")
+}
 
-// Control runs a control service that is of a fleet and hears operators: its Addr is
+// StartControl runs a control service that is of a fleet and hears operators: its Addr is
 // where it does. It returns once GET /status answers 200.
-func Control(program, config, name string) (*Node, error) {
+func StartControl(program, config, name string) (*Process, error) {
 	return run([]string{program, "-config", config}, Options{}, name, "/status")
 }
 
 // command prepares a program, and gives what starts it.
 func command(args []string, o Options) (cmd *exec.Cmd, start func() error, err error) {
-	if len(o.Calls) == 0 {
+	if len(o.FaultyCalls) == 0 {
 		cmd = exec.Command(args[0], args[1:]...)
 		return cmd, cmd.Start, nil
 	}
-	faulty, err := sysfault.NewCommand(o.Rules, o.Calls, args[0], args[1:]...)
+	faulty, err := sysfault.NewCommand(o.FaultRules, o.FaultyCalls, args[0], args[1:]...)
 	if err != nil {
 		return nil, nil, err
 	}
 	return faulty.Cmd, faulty.Start, nil
 }
 
-func run(args []string, o Options, name, check string) (*Node, error) {
+func run(args []string, o Options, name, check string) (*Process, error) {
 	cmd, start, err := command(args, o)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	n := &Node{check: check, ended: make(chan struct{}), drained: make(chan struct{}), cmd: cmd}
+	n := &Process{check: check, ended: make(chan struct{}), drained: make(chan struct{}), cmd: cmd}
 	n.cmd.Env = append(n.cmd.Environ(), o.Environment...)
 	// Setpgid keeps a Ctrl-C at the terminal from it: the lab ends it in order.
 	// Pdeathsig ends it if the lab is killed outright.
@@ -154,7 +156,7 @@
 }
 
 // read keeps the last lines of the log and looks for the addresses in it.
-func (n *Node) read(out io.ReadCloser, addr chan<- string) {
+func (n *Process) read(out io.ReadCloser, addr chan<- string) {
 	defer close(n.drained)
 	defer out.Close()
 	lines := bufio.NewScanner(out)
@@ -191,7 +193,7 @@
 }
 
 // up waits until its check answers 200.
-func (n *Node) up() error {
+func (n *Process) up() error {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(startTime); ; {
 		resp, err := client.Get("http://" + n.Addr + n.check)
@@ -214,24 +216,24 @@
 }
 
 // Log gives the last lines that it wrote.
-func (n *Node) Log() []string {
+func (n *Process) Log() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.log...)
 }
 
-// Alarms gives the lines in which it told of faults of its own, the first 200.
-func (n *Node) Alarms() []string {
+// ErrorLines gives the lines in which it told of faults of its own, the first 200.
+func (n *Process) ErrorLines() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.alarms...)
 }
 
-// Read is closed when its log has been read to the end.
-func (n *Node) Read() <-chan struct{} { return n.drained }
+// LogDrained is closed when its log has been read to the end.
+func (n *Process) LogDrained() <-chan struct{} { return n.drained }
 
 // Reload writes a node's configuration anew, where Start did, and tells it.
-func (n *Node) Reload(dir string, c nodeconf.Config) error {
+func (n *Process) Reload(dir string, c nodeconf.Config) error {
 	if _, err := writeConfig(dir, c); err != nil {
 		return err
 	}
@@ -240,28 +242,28 @@
 }
 
 // PeerAddr is where it takes datagrams, if it does.
-func (n *Node) PeerAddr() string {
+func (n *Process) PeerAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Peers
 }
 
 // Pid is the process's number.
-func (n *Node) Pid() int { return n.cmd.Process.Pid }
+func (n *Process) Pid() int { return n.cmd.Process.Pid }
 
 // Ended is closed when the process has ended.
-func (n *Node) Ended() <-chan struct{} { return n.ended }
+func (n *Process) Ended() <-chan struct{} { return n.ended }
 
-// Stop has it stand still; Cont has it go on.
-func (n *Node) Stop() { n.cmd.Process.Signal(syscall.SIGSTOP) }
-func (n *Node) Cont() { n.cmd.Process.Signal(syscall.SIGCONT) }
+// Pause has it stand still; Cont has it go on.
+func (n *Process) Pause()  { n.cmd.Process.Signal(syscall.SIGSTOP) }
+func (n *Process) Resume() { n.cmd.Process.Signal(syscall.SIGCONT) }
 
-// AllDescriptors stands for as many descriptors as the process had at its start.
-const AllDescriptors = ^uint64(0)
+// MaxDescriptors stands for as many descriptors as the process had at its start.
+const MaxDescriptors = ^uint64(0)
 
-// SetDescriptors limits the numbers of descriptors that the process may open from now on;
+// SetDescriptorLimit limits the numbers of descriptors that the process may open from now on;
 // those that it has stay open.
-func (n *Node) SetDescriptors(most uint64) error {
+func (n *Process) SetDescriptorLimit(most uint64) error {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(n.Pid(), unix.RLIMIT_NOFILE, nil, &limit); err != nil {
 		return err
@@ -271,30 +273,30 @@
 }
 
 // ConsoleAddr is where it hears operators, if it does.
-func (n *Node) ConsoleAddr() string {
+func (n *Process) ConsoleAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.Console
 }
 
-// Term tells it to end.
-func (n *Node) Term() { n.cmd.Process.Signal(syscall.SIGTERM) }
+// Terminate tells it to end.
+func (n *Process) Terminate() { n.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Kill ends it outright and waits for that.
-func (n *Node) Kill() {
+func (n *Process) Kill() {
 	n.cmd.Process.Kill()
 	<-n.ended
 }
 
-// CPU is the processor time that an ended process used.
-func (n *Node) CPU() time.Duration {
+// FinalCPUTime is the processor time that an ended process used.
+func (n *Process) FinalCPUTime() time.Duration {
 	<-n.ended
 	return n.cmd.ProcessState.UserTime() + n.cmd.ProcessState.SystemTime()
 }
 
-// Used is the processor time that the process has used so far, to 10 ms; 0
+// CPUTime is the processor time that the process has used so far, to 10 ms; 0
 // once it has ended.
-func (n *Node) Used() time.Duration {
+func (n *Process) CPUTime() time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.Pid()))
 	if err != nil {
 		return 0
--- a/internal/lab/real/calls.go
+++ b/internal/lab/real/calls.go
@@ -50,11 +50,11 @@
 		return 0
 	}
 	c.rules.Remove(rule)
-	return c.rules.Failed(rule.Call)
+	return c.rules.FailureCount(rule.Call)
 }
 
 // callsOf gives the kinds of system calls that the timeline has fail at a node.
-func (h *Hall) callsOf(n scenario.Node) (calls []sysfault.Call) {
+func (h *Testbed) callsOf(n scenario.Node) (calls []sysfault.Call) {
 	for _, f := range h.s.Faults {
 		if f.What != scenario.WhatCalls {
 			continue
@@ -69,8 +69,8 @@
 }
 
 // failCalls has system calls of nodes' processes fail.
-func (h *Hall) failCalls(f *scenario.Fault, nodes []scenario.Node) action {
-	rule, err := sysfault.RuleOf(f.Call, f.Error, f.Part)
+func (h *Testbed) failCalls(f *scenario.Fault, nodes []scenario.Node) action {
+	rule, err := sysfault.ParseRule(f.Call, f.Error, f.Part)
 	if err != nil {
 		h.fail(err) // the scenario has been checked
 		return action{}
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -9,7 +9,7 @@
 
 // clockSteps gives the steps of the wall clock of a node's machine by the timeline, for a
 // process that starts now: those that are past are made at its start.
-func (h *Hall) clockSteps(n scenario.Node) (steps []wallclock.Step) {
+func (h *Testbed) clockSteps(n scenario.Node) (steps []wallclock.Step) {
 	now := h.Clock()
 	for _, f := range h.s.Faults {
 		if f.What != scenario.WhatClock {
--- a/internal/lab/real/deploy_test.go
+++ b/internal/lab/real/deploy_test.go
@@ -34,7 +34,7 @@
 			defer takeProcesses(t, len(s.Nodes()))()
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 			defer cancel()
-			h, err := New(ctx, s, Options{Program: program, Deploy: d})
+			h, err := New(ctx, s, Options{Program: program, Deployment: d})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -21,7 +21,7 @@
 type action struct{ begin, end func() }
 
 // fault plays one fault of the timeline.
-func (h *Hall) fault(ctx context.Context, f *scenario.Fault) {
+func (h *Testbed) fault(ctx context.Context, f *scenario.Fault) {
 	a := h.action(ctx, f)
 	if !wait(ctx, f.At.Duration-h.Clock()) {
 		return
@@ -38,7 +38,7 @@
 }
 
 // each does something to every slot that a fault names, all at once.
-func (h *Hall) each(f *scenario.Fault, do func(*slot)) func() {
+func (h *Testbed) each(f *scenario.Fault, do func(*slot)) func() {
 	servers, _ := h.s.Pick(f.Who)
 	var hit []*slot
 	for _, t := range h.slots {
@@ -57,7 +57,7 @@
 	}
 }
 
-func (h *Hall) action(ctx context.Context, f *scenario.Fault) action {
+func (h *Testbed) action(ctx context.Context, f *scenario.Fault) action {
 	each := func(do func(*slot)) func() { return h.each(f, do) }
 	_, nodes := h.s.Pick(f.Who)
 	switch f.What {
@@ -148,43 +148,43 @@
 
 // standStill has the processes that nodes have just then stand still, and go on. It waits
 // for nobody: one that is being restarted may stand still as well.
-func (h *Hall) standStill(nodes []scenario.Node) action {
-	stopped := map[string]*process.Node{}
+func (h *Testbed) standStill(nodes []scenario.Node) action {
+	stopped := map[string]*process.Process{}
 	return action{func() {
 		for _, x := range nodes {
 			if p := h.nodes[x.Number].live.Load(); p != nil {
-				p.Stop()
+				p.Pause()
 				stopped[x.Name] = p
 				h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeStop, Node: x.Name})
 			}
 		}
 	}, func() {
 		for name, p := range stopped {
-			p.Cont()
+			p.Resume()
 			h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeCont, Node: name})
 		}
 	}}
 }
 
 // takeDescriptors keeps processes from opening anything, by their limit of descriptors.
-func (h *Hall) takeDescriptors(nodes []scenario.Node) action {
-	var limited []*process.Node
+func (h *Testbed) takeDescriptors(nodes []scenario.Node) action {
+	var limited []*process.Process
 	return action{func() {
 		for _, x := range nodes {
-			if p := h.nodes[x.Number].live.Load(); p != nil && p.SetDescriptors(0) == nil {
+			if p := h.nodes[x.Number].live.Load(); p != nil && p.SetDescriptorLimit(0) == nil {
 				limited = append(limited, p)
 				h.rec.Add(history.Event{At: h.Clock(), Kind: history.NoFiles, Node: x.Name})
 			}
 		}
 	}, func() {
 		for _, p := range limited {
-			p.SetDescriptors(process.AllDescriptors)
+			p.SetDescriptorLimit(process.MaxDescriptors)
 		}
 	}}
 }
 
 // list lets discovery learn of a slot's server, late as it is.
-func (h *Hall) list(t *slot, lifecycle string) {
+func (h *Testbed) list(t *slot, lifecycle string) {
 	h.mu.Lock()
 	t.state = map[string]string{hosts.Draining: "draining"}[lifecycle]
 	e := h.entry(t, lifecycle)
@@ -192,7 +192,7 @@
 	h.hosts.Set(e)
 }
 
-func (h *Hall) silence(ctx context.Context, t *slot, length time.Duration) {
+func (h *Testbed) silence(ctx context.Context, t *slot, length time.Duration) {
 	h.fail(t.server.Silence())
 	h.mu.Lock()
 	life := t.life
@@ -214,7 +214,7 @@
 }
 
 // restart begins a new, cold process at a slot.
-func (h *Hall) restart(t *slot) {
+func (h *Testbed) restart(t *slot) {
 	h.mu.Lock()
 	t.life++
 	t.start = h.Clock()
@@ -224,7 +224,7 @@
 }
 
 // takeAway ends a slot's server for good.
-func (h *Hall) takeAway(t *slot) {
+func (h *Testbed) takeAway(t *slot) {
 	h.list(t, hosts.Removed)
 	h.mu.Lock()
 	t.id = fmt.Sprintf("%s-r%d", t.Name, t.life+1)
@@ -239,9 +239,9 @@
 }
 
 // putNew starts the new one at its addresses.
-func (h *Hall) putNew(t *slot) { h.restart(t) }
+func (h *Testbed) putNew(t *slot) { h.restart(t) }
 
-func (h *Hall) flap(t *slot, every time.Duration, stop <-chan struct{}) {
+func (h *Testbed) flap(t *slot, every time.Duration, stop <-chan struct{}) {
 	for up := false; ; up = !up {
 		lifecycle := hosts.Removed
 		if up {
@@ -260,7 +260,7 @@
 }
 
 // setLinks changes all ways that a fault's names mean, at once: one that turns into a black hole takes a while.
-func (h *Hall) setLinks(who []string, to link.Shape) func() {
+func (h *Testbed) setLinks(who []string, to link.Shape) func() {
 	return func() {
 		var all sync.WaitGroup
 		for _, p := range h.pairs(who) {
@@ -271,7 +271,7 @@
 }
 
 // kill ends nodes by SIGKILL, all at once. The front notices later.
-func (h *Hall) kill(nodes []scenario.Node) {
+func (h *Testbed) kill(nodes []scenario.Node) {
 	var all sync.WaitGroup
 	for _, x := range nodes {
 		all.Go(func() { h.killOne(h.nodes[x.Number]) })
@@ -279,7 +279,7 @@
 	all.Wait()
 }
 
-func (h *Hall) killOne(n *node) {
+func (h *Testbed) killOne(n *node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.proc == nil {
@@ -289,7 +289,7 @@
 	h.front.Killed(n.Name, n.life)
 	h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeKilled, Node: n.Name})
 	n.proc.Kill()
-	n.cpu += n.proc.CPU()
+	n.cpu += n.proc.FinalCPUTime()
 	n.proc = nil
 	life := n.life
 	time.AfterFunc(frontNotice, func() { h.front.Down(n.Name, life) })
@@ -297,7 +297,7 @@
 
 // term is the word of a planned restart. A process that still runs when its time is up
 // is killed, as early as the platform may.
-func (h *Hall) term(ctx context.Context, nodes []scenario.Node) {
+func (h *Testbed) term(ctx context.Context, nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := h.nodes[x.Number]
 		n.mu.Lock()
@@ -305,7 +305,7 @@
 			h.sendLate(n)
 			h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeTerm, Node: n.Name})
 			n.told = true
-			p.Term()
+			p.Terminate()
 			life := n.life
 			time.AfterFunc(comingTime, func() { h.front.Down(n.Name, life) }) // connections still come for a while
 			kill := time.AfterFunc(h.lifeTime(), func() {
@@ -323,7 +323,7 @@
 
 // sendLate sends requests to a process that is told to end, on connections that it has and on
 // new ones. The caller holds the node's lock.
-func (h *Hall) sendLate(n *node) {
+func (h *Testbed) sendLate(n *node) {
 	if h.s.Client.Late == 0 {
 		return
 	}
@@ -334,7 +334,7 @@
 	h.pending.Add(1)
 	go func() {
 		defer h.pending.Done()
-		h.clients.Ending(place, h.o.Deploy.Classes, h.s.Client.Late, h.lifeTime(), seed)
+		h.clients.Ending(place, h.o.Deployment.Classes, h.s.Client.Late, h.lifeTime(), seed)
 	}()
 }
 
@@ -346,16 +346,16 @@
 )
 
 // lifeTime is how long after SIGTERM a process lives at the least.
-func (h *Hall) lifeTime() time.Duration {
+func (h *Testbed) lifeTime() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range h.o.Deploy.Classes {
+	for _, c := range h.o.Deployment.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	return killMargin + min(longest, longestDeadline)
 }
 
 // reload gives nodes a new configuration, with another address of discovery.
-func (h *Hall) reload(nodes []scenario.Node) {
+func (h *Testbed) reload(nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := h.nodes[x.Number]
 		n.mu.Lock()
@@ -380,7 +380,7 @@
 }
 
 // gone takes nodes that were told to end for ended.
-func (h *Hall) gone(nodes []scenario.Node) {
+func (h *Testbed) gone(nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := h.nodes[x.Number]
 		n.mu.Lock()
@@ -391,19 +391,19 @@
 
 // end waits for a node's process that was told to end: it ends, or is killed when its
 // time is up, which the history then shows. The caller holds the node's lock.
-func (h *Hall) end(n *node) {
+func (h *Testbed) end(n *node) {
 	p := n.proc
 	if p == nil || !n.told {
 		return
 	}
 	<-p.Ended()
 	h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeEnded, Node: n.Name})
-	n.cpu += p.CPU()
+	n.cpu += p.FinalCPUTime()
 	n.proc = nil
 }
 
 // startAgain starts nodes anew. One that was told to end has ended first.
-func (h *Hall) startAgain(nodes []scenario.Node) {
+func (h *Testbed) startAgain(nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := h.nodes[x.Number]
 		n.mu.Lock()
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -19,7 +19,7 @@
 
 // toDiscovery gives the address at which a node finds discovery: a link's, where
 // the timeline cuts it off.
-func (h *Hall) toDiscovery(n scenario.Node, addr string) (string, error) {
+func (h *Testbed) toDiscovery(n scenario.Node, addr string) (string, error) {
 	for i := range h.s.Faults {
 		f := &h.s.Faults[i]
 		if _, nodes := h.s.Pick(f.Who); f.What != scenario.WhatCut || !slices.Contains(nodes, n) {
@@ -37,24 +37,24 @@
 
 // operator writes a node's operator's file, if the scenario switches something
 // on, and gives the environment that names it.
-func (h *Hall) operator(name string) ([]string, error) {
-	if !h.s.Fleet || slices.Contains(h.o.Older, name) {
+func (h *Testbed) operator(name string) ([]string, error) {
+	if !h.s.Fleet || slices.Contains(h.o.WithoutFleet, name) {
 		return nil, nil
 	}
 	path := filepath.Join(h.dir, name+".toml")
 	text := "[fleet]\n"
-	if !h.o.NoFiles {
+	if !h.o.NoRecordFiles {
 		text += fmt.Sprintf("record_file = %q\nrecord_every = \"200ms\"\n", h.recordFile(name))
 	}
-	text += h.s.Oper + "\n" + h.o.Fleet + "\n"
+	text += h.s.Oper + "\n" + h.o.FleetSettings + "\n"
 	return []string{"IVYLOCK_OPERATOR=" + path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
-func (h *Hall) recordFile(name string) string { return filepath.Join(h.dir, name+".record") }
+func (h *Testbed) recordFile(name string) string { return filepath.Join(h.dir, name+".record") }
 
 // Records gives what the nodes have acted on: from their consoles, and from their
 // files, which hold former processes' too. It is to be called before Close.
-func (h *Hall) Records() []version.Record {
+func (h *Testbed) Records() []version.Record {
 	var out []version.Record
 	for _, n := range h.nodes {
 		raw, _ := os.ReadFile(h.recordFile(n.Name))
@@ -67,9 +67,9 @@
 	return out
 }
 
-// Now gives what the nodes that run have on record now, from their consoles alone. All
+// CurrentRecords gives what the nodes that run have on record now, from their consoles alone. All
 // are asked at once: what moves from one to another meanwhile would count twice.
-func (h *Hall) Now() []version.Record {
+func (h *Testbed) CurrentRecords() []version.Record {
 	records, found := make([]version.Record, len(h.nodes)), make([]bool, len(h.nodes))
 	var all sync.WaitGroup
 	for i, n := range h.nodes {
@@ -102,11 +102,11 @@
 	return r, json.NewDecoder(resp.Body).Decode(&r) == nil
 }
 
-// Began is the Unix time at which the lab's clock read 0.
-func (h *Hall) Began() time.Time { return h.unix }
+// StartTime is the Unix time at which the lab's clock read 0.
+func (h *Testbed) StartTime() time.Time { return h.unix }
 
-// Forge sends a datagram to a node as if it came from another one.
-func (h *Hall) Forge(from, to int, data []byte) {
+// SendSpoofed sends a datagram to a node as if it came from another one.
+func (h *Testbed) SendSpoofed(from, to int, data []byte) {
 	h.nodes[to].mu.Lock()
 	proc := h.nodes[to].proc
 	h.nodes[to].mu.Unlock()
@@ -119,4 +119,4 @@
 }
 
 // Discovery is the stand-in, for what no scenario says.
-func (h *Hall) Discovery() *hosts.Service { return h.hosts }
+func (h *Testbed) Discovery() *hosts.Service { return h.hosts }
--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -26,7 +26,7 @@
 
 // day plays a scenario with real nodes and gives what happened and what the nodes
 // have on record.
-func day(t *testing.T, s *scenario.Scenario, o Options, during ...func(context.Context, *Hall)) (*history.History, []version.Record) {
+func day(t *testing.T, s *scenario.Scenario, o Options, during ...func(context.Context, *Testbed)) (*history.History, []version.Record) {
 	t.Helper()
 	defer takeProcesses(t, len(s.Nodes()))()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
@@ -46,7 +46,7 @@
 	stop()
 	all.Wait()
 	var records []version.Record
-	if !o.NoFiles {
+	if !o.NoRecordFiles {
 		records = h.Records()
 	}
 	h.Close()
@@ -57,7 +57,7 @@
 }
 
 // till waits for a time of the run.
-func till(ctx context.Context, h *Hall, at time.Duration) bool {
+func till(ctx context.Context, h *Testbed, at time.Duration) bool {
 	for h.Clock() < at {
 		if !wait(ctx, 10*time.Millisecond) {
 			return false
@@ -277,7 +277,7 @@
 		t.Parallel()
 		s := parse(t, drainWhileCut(0, 10, longDrain))
 		s.Fleet = false
-		h, _ := day(t, s, Options{NoFiles: true})
+		h, _ := day(t, s, Options{NoRecordFiles: true})
 		sends, _ := lateSends(h, 550*time.Millisecond)
 		// The judge counts the first drain alone: the answer to the watch that was open at the cut
 		// was written, and what comes later counts as told 6 s after it.
@@ -373,7 +373,7 @@
 			s := parse(t, "name = \"left\"\nlength = \"34s\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 40.0\n"+nine+
 				"[[fault]]\nat = \"2s\"\nfor = \"25s\"\nwhat = \"kill\"\nwho = [\"n0\", \"n1\", \"n2\", \"n3\", \"n4\", \"n5\"]\n"+
 				"[[fault]]\nat = \"17s\"\nfor = \"8s\"\nwhat = \"discovery-outage\"\n")
-			h, records := day(t, s, Options{Fleet: x.more})
+			h, records := day(t, s, Options{FleetSettings: x.more})
 			v := judge.Judge(h)
 			for _, line := range holds.Check(s, h, &v) {
 				t.Error(line)
@@ -416,14 +416,14 @@
 		"[[fault]]\nat = \"0s\"\nfor = \"17s\"\nwhat = \"peers\"\nwho = [\"n0\", \"n1\", \"n2\"]\nloss = 0.2\n"+
 		"[[fault]]\nat = \"8s\"\nfor = \"2s\"\nwhat = \"kill\"\nwho = [\"n0\"]\n")
 	looks := map[string][][]version.Record{}
-	h, _ := day(t, s, Options{Fleet: "quotas = true", NoFiles: true}, func(ctx context.Context, h *Hall) {
+	h, _ := day(t, s, Options{FleetSettings: "quotas = true", NoRecordFiles: true}, func(ctx context.Context, h *Testbed) {
 		for i := range 16 { // a loan may just have been lost
 			when, at := "before its death", 6*time.Second+time.Duration(i)*250*time.Millisecond
 			if i >= 8 {
 				when, at = "after it", at+6*time.Second
 			}
 			if till(ctx, h, at) {
-				looks[when] = append(looks[when], h.Now())
+				looks[when] = append(looks[when], h.CurrentRecords())
 			}
 		}
 	})
@@ -459,7 +459,7 @@
 	t.Parallel()
 	s := parse(t, drainWhileCut(0.1, 10, shortDrain))
 	older := []string{"n0", "n3", "n5", "n8"}
-	h, records := day(t, s, Options{Older: older})
+	h, records := day(t, s, Options{WithoutFleet: older})
 	if sends, worst := lateSends(h, 550*time.Millisecond); sends > 0 {
 		t.Errorf("%d sends, the last after %v", sends, worst)
 	}
@@ -487,13 +487,13 @@
 	liars := []string{"n0", "n2", "n8"}
 	lies := 0
 	var old []byte
-	h, records := day(t, s, Options{Older: liars}, func(ctx context.Context, h *Hall) {
+	h, records := day(t, s, Options{WithoutFleet: liars}, func(ctx context.Context, h *Testbed) {
 		for till(ctx, h, 2*time.Second) && wait(ctx, 100*time.Millisecond) {
-			now := time.Since(h.Began()) + time.Duration(h.Began().UnixNano())
+			now := time.Since(h.StartTime()) + time.Duration(h.StartTime().UnixNano())
 			for _, to := range []int{1, 3, 4, 5, 6, 7} {
 				v := version.Vector{List: version.List{Generation: 9_000_000, Digest: 7}, Format: version.FormatVersion, Clock: version.TimestampOf(now)}
 				huge := append(v.Append([]byte{0xF1, 0}), 0, 0, 0, 0, 0, 0x70, 0, 0, 0)
-				h.Forge(0, to, huge)
+				h.SendSpoofed(0, to, huge)
 				v.List.Generation = 60
 				all := append(v.Append([]byte{0xF1, 2}), 0, 0, 0, 0, 0, 0, 0, 0, 60, 0, 1, 0, 0, 0, 0, 0, 40)
 				for _, hall := range []string{"nord", "syd", "vest"} {
@@ -505,13 +505,13 @@
 						all = append(all, byte(version.Removed), 0, 0, 0, 60)
 					}
 				}
-				h.Forge(2, to, all)
-				h.Forge(8, to, append([]byte{0xF1, 9}, huge[2:]...))
-				h.Forge(8, to, []byte{0xF1})
+				h.SendSpoofed(2, to, all)
+				h.SendSpoofed(8, to, append([]byte{0xF1, 9}, huge[2:]...))
+				h.SendSpoofed(8, to, []byte{0xF1})
 				if old == nil {
 					old = huge
 				}
-				h.Forge(0, to, old) // what it has said before, again
+				h.SendSpoofed(0, to, old) // what it has said before, again
 				lies++
 			}
 		}
@@ -556,7 +556,7 @@
 		"[[fault]]\nat = \"1s\"\nfor = \"6s\"\nwhat = \"cut-discovery\"\nwho = [\"n4\"]\n"+
 		"[[fault]]\nat = \"2s\"\nfor = \"5s\"\nwhat = \"drain\"\nwho = [\"hall-nord\", \"hall-syd.1\", \"hall-syd.2\", \"hall-syd.3\", \"hall-vest.1\", \"hall-vest.2\"]\n")
 	var records []version.Record
-	day(t, s, Options{}, func(ctx context.Context, h *Hall) {
+	day(t, s, Options{}, func(ctx context.Context, h *Testbed) {
 		if till(ctx, h, 5*time.Second) {
 			records = h.Records()
 		}
@@ -577,7 +577,7 @@
 	t.Parallel()
 	s := parse(t, "name = \"two\"\nlength = \"12s\"\nfleet = true\n[load]\nrate = 100.0\n"+nine)
 	halves := []string{"n0", "n1", "n3", "n4"}
-	h, records := day(t, s, Options{}, func(ctx context.Context, h *Hall) {
+	h, records := day(t, s, Options{}, func(ctx context.Context, h *Testbed) {
 		if !till(ctx, h, 2*time.Second) {
 			return
 		}
@@ -663,7 +663,7 @@
 	t.Helper()
 	cut := []string{fmt.Sprintf("n%d", number%4), fmt.Sprintf("n%d", 4+number%5)}
 	text := strings.Replace(drainWhileCut(float64(number%5)/10, 10, longDrain), `who = ["n1", "n4", "n7"]`, fmt.Sprintf("who = [%q, %q]", cut[0], cut[1]), 1)
-	h, records := day(t, parse(t, text), Options{Fleet: "only_watch = true"})
+	h, records := day(t, parse(t, text), Options{FleetSettings: "only_watch = true"})
 	options := audit.DefaultOptions()
 	breaks, sends := audit.New(records, options).LateSends(), sendsToDrained(h)
 	for _, b := range breaks {
@@ -708,7 +708,7 @@
 		}()
 	}
 	s := parse(t, fmt.Sprintf("name = \"starved\"\nlength = \"%v\"\nfleet = true\n[load]\nrate = 60.0\n%s", length, nine))
-	_, records := day(t, s, Options{Fleet: "members = true"})
+	_, records := day(t, s, Options{FleetSettings: "members = true"})
 	for _, v := range audit.New(records, audit.DefaultOptions()).Views() {
 		if slices.ContainsFunc(v.NotAlive, func(o string) bool { return strings.HasSuffix(o, "gone") }) {
 			t.Errorf("%s takes processes for gone: %v", v.Process, v.NotAlive)
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -39,20 +39,20 @@
 
 // Options of a run.
 type Options struct {
-	Seed    int64               // 0: the scenario's
-	Program string              // the node
-	Limits  nodeconf.Limits     // of each node; zero: one core, 192 MB, 1,024 descriptors
-	Fleet   string              // more lines of the operators' section [fleet]
-	Older   []string            // nodes that know nothing of it
-	NoFiles bool                // nodes write no record to a file: what their consoles say is enough
-	Control string              // the control service's program
-	Guards  int                 // control services that are of the fleet, numbered from member.FirstControlID on
-	Deploy  *load.Deployment    // another one than the brief's; nil: that
-	Watch   func(history.Event) // told of each event, one at a time; may be nil
+	Seed            int64               // 0: the scenario's
+	Program         string              // the node
+	Limits          nodeconf.Limits     // of each node; zero: one core, 192 MB, 1,024 descriptors
+	FleetSettings   string              // more lines of the operators' section [fleet]
+	WithoutFleet    []string            // nodes that know nothing of it
+	NoRecordFiles   bool                // nodes write no record to a file: what their consoles say is enough
+	ControlProgram  string              // the control service's program
+	ControlServices int                 // control services that are of the fleet, numbered from member.FirstControlID on
+	Deployment      *load.Deployment    // another one than the brief's; nil: that
+	ObserveEvents   func(history.Event) // told of each event, one at a time; may be nil
 }
 
-// Hall is one run.
-type Hall struct {
+// Testbed is one run.
+type Testbed struct {
 	s        *scenario.Scenario
 	o        Options
 	dir      string
@@ -71,12 +71,12 @@
 	toAll    *link.UDP
 	from     sync.Map              // netip.AddrPort of a node's process: its number
 	ways     map[[2]int]link.Shape // of datagrams from node to node, where they are not as usual
-	services []*process.Node
+	services []*process.Process
 	cuts     map[string]*link.TCP // by node: the way to discovery, where the timeline cuts it
 	late     []time.Duration      // how late orders were sent
 	waited   int                  // orders that found maxOrders open
 	stopping bool
-	alarms   []Alarm
+	alarms   []ErrorLine
 	watches  sync.WaitGroup
 	rng      *rand.Rand // the timeline's own
 	pending  sync.WaitGroup
@@ -102,16 +102,16 @@
 	scenario.Node
 	conf nodeconf.Config
 	mu   sync.Mutex
-	proc *process.Node
-	live atomic.Pointer[process.Node] // the latest process, which may have ended
-	told bool                         // it was told to end, or killed
+	proc *process.Process
+	live atomic.Pointer[process.Process] // the latest process, which may have ended
+	told bool                            // it was told to end, or killed
 	life int
 	cpu  time.Duration // of processes that have ended
 	fail callFaults
 }
 
 // New starts the stand-ins and the nodes. Close ends all of it.
-func New(ctx context.Context, s *scenario.Scenario, o Options) (*Hall, error) {
+func New(ctx context.Context, s *scenario.Scenario, o Options) (*Testbed, error) {
 	if o.Seed == 0 {
 		o.Seed = s.Seed
 	}
@@ -122,15 +122,15 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Hall{s: s, o: o, dir: dir, byID: map[string]*slot{}, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x7265616c)), front: caller.NewFront(s.Nodes())}
-	if o.Watch != nil {
-		h.rec.Watch(o.Watch)
+	h := &Testbed{s: s, o: o, dir: dir, byID: map[string]*slot{}, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x7265616c)), front: caller.NewFront(s.Nodes())}
+	if o.ObserveEvents != nil {
+		h.rec.Watch(o.ObserveEvents)
 	}
-	if h.o.Deploy == nil {
-		h.o.Deploy = load.Brief(s)
+	if h.o.Deployment == nil {
+		h.o.Deployment = load.Brief(s)
 	}
-	h.setup = history.Setup{Scenario: s.Name, Seed: o.Seed, Length: s.Length.Duration, Classes: h.o.Deploy.Classes, Limits: h.o.Deploy.Limits}
-	h.clients = &caller.Clients{Scenario: s, Front: h.front, Clock: h.Clock, Record: h.rec.Add, Slack: cmp.Or(h.o.Deploy.Limits.AnswerSlack, h.o.Deploy.Limits.Slack)}
+	h.setup = history.Setup{Scenario: s.Name, Seed: o.Seed, Length: s.Length.Duration, Classes: h.o.Deployment.Classes, Limits: h.o.Deployment.Limits}
+	h.clients = &caller.Clients{Scenario: s, Front: h.front, Clock: h.Clock, Record: h.rec.Add, Slack: cmp.Or(h.o.Deployment.Limits.AnswerSlack, h.o.Deployment.Limits.Slack)}
 	h.cuts = map[string]*link.TCP{}
 	h.hosts = hosts.NewService(40, h.Clock, h.rec.Add, h.addr)
 	for _, x := range s.Nodes() {
@@ -153,19 +153,19 @@
 }
 
 // Clock is the lab's clock: 0 until the load begins.
-func (h *Hall) Clock() time.Duration {
+func (h *Testbed) Clock() time.Duration {
 	if base := h.base.Load(); base != nil {
 		return time.Since(*base)
 	}
 	return 0
 }
 
-func (h *Hall) startServers() error {
+func (h *Testbed) startServers() error {
 	rng := rand.New(rand.NewPCG(uint64(h.o.Seed), 0x73706565))
 	pods := map[int]*clip.Pod{}
 	for _, x := range h.s.Servers() {
-		pod, window := x.Pod, h.o.Deploy.Limits.KeyWindow
-		if common := h.o.Deploy.Common(); common > 0 {
+		pod, window := x.Pod, h.o.Deployment.Limits.KeyWindow
+		if common := h.o.Deployment.Common(); common > 0 {
 			pod, window = -1, common
 		}
 		if pods[pod] == nil {
@@ -209,7 +209,7 @@
 }
 
 // model makes the model of the server at a slot, under its present id.
-func (h *Hall) model(t *slot) (*clip.Server, error) {
+func (h *Testbed) model(t *slot) (*clip.Server, error) {
 	m, err := clip.Of(t.Kind)
 	if err != nil {
 		return nil, err
@@ -218,7 +218,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.setup.Servers = append(h.setup.Servers, history.Server{Name: t.id, Hall: t.Hall, Kind: t.Kind, Pod: t.Pod})
-	l := h.o.Deploy.Limits
+	l := h.o.Deployment.Limits
 	return clip.NewServer(t.id, m, clip.Fall{Factor: l.FallFactor, Time: l.FallTime, Spare: l.FallSpare}, t.pod), nil
 }
 
@@ -230,7 +230,7 @@
 
 // pairs lists the ways that a fault's names mean: to the servers, from the
 // nodes, or, where both are named, between them.
-func (h *Hall) pairs(who []string) []pair {
+func (h *Testbed) pairs(who []string) []pair {
 	servers, nodes := h.s.Pick(who)
 	if len(servers) == 0 {
 		servers = h.s.Servers()
@@ -260,7 +260,7 @@
 }
 
 // addr is where a node reaches a server.
-func (h *Hall) addr(node, server string) string {
+func (h *Testbed) addr(node, server string) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.byID[server]
@@ -274,7 +274,7 @@
 }
 
 // entry words a slot's server for the list.
-func (h *Hall) entry(t *slot, lifecycle string) hosts.Entry {
+func (h *Testbed) entry(t *slot, lifecycle string) hosts.Entry {
 	e := hosts.Entry{InstanceID: t.id, Zone: t.Hall, MachineType: t.Kind, Cell: t.Pod, Lifecycle: lifecycle,
 		Weight: 6 * t.speed}
 	if t.start > 0 {
@@ -285,8 +285,8 @@
 
 // startRelays opens the ways between nodes. What a node sends to the address at which
 // others reach one goes on from the address at which they reach the sender.
-func (h *Hall) startRelays() error {
-	h.relays, h.ways = make([]*link.UDP, len(h.nodes)+h.o.Guards), map[[2]int]link.Shape{}
+func (h *Testbed) startRelays() error {
+	h.relays, h.ways = make([]*link.UDP, len(h.nodes)+h.o.ControlServices), map[[2]int]link.Shape{}
 	sender := func(from netip.AddrPort) (int, bool) {
 		i, known := h.from.Load(from)
 		if !known {
@@ -342,7 +342,7 @@
 
 // datagrams is where a process takes datagrams; empty: it does not run. Numbers behind
 // the nodes' are control services'.
-func (h *Hall) datagrams(number int) string {
+func (h *Testbed) datagrams(number int) string {
 	if k := number - len(h.nodes); k >= 0 {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -360,12 +360,12 @@
 }
 
 // usualWay is how datagrams go where no fault hinders them.
-func (h *Hall) usualWay() link.Shape {
+func (h *Testbed) usualWay() link.Shape {
 	return link.Shape{Delay: h.s.Net.Messages.Duration, Loss: h.s.Net.Lost}
 }
 
 // setWays changes how datagrams go; nil: as usual.
-func (h *Hall) setWays(ways [][2]int, to *link.Shape) {
+func (h *Testbed) setWays(ways [][2]int, to *link.Shape) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range ways {
@@ -378,7 +378,7 @@
 }
 
 // startNodes starts all nodes at once.
-func (h *Hall) startNodes(ctx context.Context) error {
+func (h *Testbed) startNodes(ctx context.Context) error {
 	errs := make([]error, len(h.nodes))
 	var wg sync.WaitGroup
 	for i, n := range h.nodes {
@@ -397,7 +397,7 @@
 			peers = peers[:first]
 		}
 		n.conf = nodeconf.Config{Name: n.Name, Listen: "127.0.0.1:0", Discovery: addr, Limits: h.o.Limits,
-			PeerListen: "127.0.0.1:0", Peers: peers, PeersAll: h.toAll.Addr(), Settings: nodeconf.SettingsOf(h.s, n.Number, h.o.Deploy)}
+			PeerListen: "127.0.0.1:0", Peers: peers, PeerBroadcast: h.toAll.Addr(), Settings: nodeconf.DeploymentSettings(h.s, n.Number, h.o.Deployment)}
 		if h.s.Fleet {
 			n.conf.Console = "127.0.0.1:0"
 		}
@@ -413,7 +413,7 @@
 }
 
 // startNode starts a node's next process and takes it in.
-func (h *Hall) startNode(n *node) error {
+func (h *Testbed) startNode(n *node) error {
 	h.mu.Lock()
 	stopping := h.stopping
 	h.mu.Unlock()
@@ -427,7 +427,7 @@
 	}
 	n.life++
 	n.conf.Seed = fmt.Sprintf("%016x", uint64(h.o.Seed)*1_000_003+uint64(n.Number)*101+uint64(n.life))
-	n.conf.Known = h.hosts.InitialList(n.Name)
+	n.conf.InitialList = h.hosts.InitialList(n.Name)
 	more, err := h.operator(n.Name)
 	if err != nil {
 		return err
@@ -435,11 +435,11 @@
 	if steps := h.clockSteps(n.Node); len(steps) > 0 {
 		more = append(more, wallclock.StepsVariable+"="+wallclock.FormatSteps(steps))
 	}
-	options := process.Options{Environment: more, Calls: h.callsOf(n.Node)}
-	if len(options.Calls) > 0 {
-		options.Rules = n.fail.begin(h.o.Seed*1_000_003 + int64(n.Number)*101 + int64(n.life))
+	options := process.Options{Environment: more, FaultyCalls: h.callsOf(n.Node)}
+	if len(options.FaultyCalls) > 0 {
+		options.FaultRules = n.fail.begin(h.o.Seed*1_000_003 + int64(n.Number)*101 + int64(n.life))
 	}
-	proc, err := process.Start(h.o.Program, h.dir, n.conf, options)
+	proc, err := process.StartNode(h.o.Program, h.dir, n.conf, options)
 	if err != nil {
 		return err
 	}
@@ -461,9 +461,9 @@
 
 // watch waits for the end of a node's process, and keeps what it said of broken
 // invariants, or of a crash: an end that nobody told it.
-func (h *Hall) watch(n *node, p *process.Node, life int) {
+func (h *Testbed) watch(n *node, p *process.Process, life int) {
 	<-p.Ended()
-	<-p.Read()
+	<-p.LogDrained()
 	n.mu.Lock()
 	crashed := !n.told && n.life == life
 	n.mu.Unlock()
@@ -474,23 +474,23 @@
 		h.fail(fmt.Errorf("%s crashed: %s", n.Name, strings.Join(p.Log(), "; ")))
 		h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeCrash, Node: n.Name, Note: strings.Join(p.Log(), "; ")})
 	}
-	for _, line := range p.Alarms() {
-		h.alarms = append(h.alarms, Alarm{Node: n.Name, Line: line})
+	for _, line := range p.ErrorLines() {
+		h.alarms = append(h.alarms, ErrorLine{Node: n.Name, Line: line})
 	}
 }
 
-// Alarm is what a node's process said of itself: a broken invariant, or a panic.
-type Alarm struct{ Node, Line string }
+// ErrorLine is what a node's process said of itself: a broken invariant, or a panic.
+type ErrorLine struct{ Node, Line string }
 
-// Alarms gives what processes have said that have ended; all of them after Close.
-func (h *Hall) Alarms() []Alarm {
+// ErrorLines gives what processes have said that have ended; all of them after Close.
+func (h *Testbed) ErrorLines() []ErrorLine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.alarms)
 }
 
 // Close ends every process, connection and file of the run.
-func (h *Hall) Close() {
+func (h *Testbed) Close() {
 	h.mu.Lock()
 	h.stopping = true
 	h.mu.Unlock()
@@ -499,7 +499,7 @@
 		n.mu.Lock()
 		if n.proc != nil {
 			n.proc.Kill()
-			n.cpu += n.proc.CPU()
+			n.cpu += n.proc.FinalCPUTime()
 			n.proc = nil
 		}
 		n.mu.Unlock()
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -31,10 +31,10 @@
 	users []map[string]int // nodes by the server that they use
 }
 
-func (l *looker) look(ctx context.Context, h *Hall) {
+func (l *looker) look(ctx context.Context, h *Testbed) {
 	for till(ctx, h, h.Clock()+400*time.Millisecond) {
 		sum, from := 0.0, h.Clock()
-		records := h.Now()
+		records := h.CurrentRecords()
 		for _, s := range audit.New(records, audit.DefaultOptions()).SharedQuotas() {
 			if strings.HasPrefix(s.Quota, "quota") {
 				sum = s.Held / s.Total
@@ -158,9 +158,9 @@
 			s.Load.Rate, s.Quota = s.Load.Rate/2, s.Quota/2
 			var l looker
 			var last []version.Record
-			h, _ := day(t, s, Options{NoFiles: true}, l.look, func(ctx context.Context, h *Hall) {
+			h, _ := day(t, s, Options{NoRecordFiles: true}, l.look, func(ctx context.Context, h *Testbed) {
 				if till(ctx, h, s.Length.Duration-500*time.Millisecond) {
-					last = h.Now()
+					last = h.CurrentRecords()
 				}
 			})
 			for _, line := range check(s, h) {
@@ -244,26 +244,26 @@
 		"[[fault]]\nat = \"16s\"\nfor = \"9s\"\nwhat = \"kill\"\nwho = [\"n0\", \"n1\", \"n2\", \"n4\", \"n5\", \"n6\", \"n8\", \"n9\", \"n10\"]\n")
 	var l looker
 	held := map[int]float64{}
-	h, _ := day(t, s, Options{Control: control, Guards: 3, NoFiles: true}, l.look, func(ctx context.Context, h *Hall) {
+	h, _ := day(t, s, Options{ControlProgram: control, ControlServices: 3, NoRecordFiles: true}, l.look, func(ctx context.Context, h *Testbed) {
 		if till(ctx, h, 6*time.Second) { // one side: a guard and node 3
-			h.CutService(1, []int{0, 1, 2, 4, 5, 6, 7, 8, 9, 10, 11}, true)
-			h.CutService(0, []int{3}, true)
-			h.CutService(2, []int{3}, true)
+			h.SetServicePartition(1, []int{0, 1, 2, 4, 5, 6, 7, 8, 9, 10, 11}, true)
+			h.SetServicePartition(0, []int{3}, true)
+			h.SetServicePartition(2, []int{3}, true)
 		}
 		if till(ctx, h, 11*time.Second) {
-			for _, r := range h.Now() {
+			for _, r := range h.CurrentRecords() {
 				for _, p := range r.Leases {
 					if p.Quota == "quota club" {
 						held[r.Number] = p.Held / p.Total
 					}
 				}
 			}
-			h.CutService(1, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, false)
-			h.CutService(0, []int{3}, false)
-			h.CutService(2, []int{3}, false)
+			h.SetServicePartition(1, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, false)
+			h.SetServicePartition(0, []int{3}, false)
+			h.SetServicePartition(2, []int{3}, false)
 		}
 		if till(ctx, h, 14*time.Second) {
-			h.Services()[2].Kill()
+			h.ControlServices()[2].Kill()
 		}
 	})
 	for _, line := range check(s, h) {
@@ -304,27 +304,27 @@
 	var l looker
 	var last []version.Record
 	lies := 0
-	h, _ := day(t, s, Options{Older: []string{"n7"}, NoFiles: true}, l.look, func(ctx context.Context, h *Hall) {
+	h, _ := day(t, s, Options{WithoutFleet: []string{"n7"}, NoRecordFiles: true}, l.look, func(ctx context.Context, h *Testbed) {
 		now := uint32(time.Now().Unix())
 		for till(ctx, h, 3*time.Second) && h.Clock() < 30*time.Second && wait(ctx, 200*time.Millisecond) {
 			for _, to := range []int{0, 1, 2, 3, 4, 5, 6, 8} {
 				for of := uint32(0); of < 9; of++ { // n7 buries all, and says of all that they have later lives
-					h.Forge(7, to, ping(7, now, of, now, 2))
-					h.Forge(7, to, ping(7, now, of, now+900, 0))
+					h.SendSpoofed(7, to, ping(7, now, of, now, 2))
+					h.SendSpoofed(7, to, ping(7, now, of, now+900, 0))
 				}
-				h.Forge(7, to, ping(3, now, 3, now, 3))                                                                          // another's name
-				h.Forge(7, to, ping(9999, now, 1<<31, now, 0))                                                                   // names that nobody has
-				h.Forge(7, to, shares.Encode(0, shares.Grant{Incarnation: 1, Nonce: 1, Amount: 1 << 40, Duration: time.Second})) // not asked for
-				h.Forge(7, to, shares.Encode(251, shares.ClaimReply{Incarnation: 1, Round: 3, Granted: shares.SlotSet{^uint64(0)}}))
-				h.Forge(7, to, make([]byte, 400))
+				h.SendSpoofed(7, to, ping(3, now, 3, now, 3))                                                                          // another's name
+				h.SendSpoofed(7, to, ping(9999, now, 1<<31, now, 0))                                                                   // names that nobody has
+				h.SendSpoofed(7, to, shares.Encode(0, shares.Grant{Incarnation: 1, Nonce: 1, Amount: 1 << 40, Duration: time.Second})) // not asked for
+				h.SendSpoofed(7, to, shares.Encode(251, shares.ClaimReply{Incarnation: 1, Round: 3, Granted: shares.SlotSet{^uint64(0)}}))
+				h.SendSpoofed(7, to, make([]byte, 400))
 				if h.Clock() > 16500*time.Millisecond && h.Clock() < 18*time.Second && to != 5 {
-					h.Forge(5, to, ping(5, now+3600, 5, now+3600, 0)) // as n5 itself, an hour ahead, before it starts anew
+					h.SendSpoofed(5, to, ping(5, now+3600, 5, now+3600, 0)) // as n5 itself, an hour ahead, before it starts anew
 				}
 				lies++
 			}
 		}
 		if till(ctx, h, s.Length.Duration-500*time.Millisecond) {
-			last = h.Now()
+			last = h.CurrentRecords()
 		}
 	})
 	if lies < 500 {
--- a/internal/lab/real/real_test.go
+++ b/internal/lab/real/real_test.go
@@ -24,8 +24,8 @@
 
 // TestMain builds the programs once: the tests run them as processes.
 func TestMain(m *testing.M) {
-	if sysfault.Launching() {
-		sysfault.Launch()
+	if sysfault.IsLauncher() {
+		sysfault.RunLauncher()
 	}
 	dir, err := os.MkdirTemp("", "ivylab-test-")
 	if err != nil {
@@ -88,7 +88,7 @@
 	for _, line := range holds.Check(s, got, &v) {
 		t.Error(line)
 	}
-	for _, a := range h.Alarms() {
+	for _, a := range h.ErrorLines() {
 		t.Errorf("%s: %s", a.Node, a.Line)
 	}
 	for i := range got.Events {
--- a/internal/lab/real/run.go
+++ b/internal/lab/real/run.go
@@ -15,7 +15,7 @@
 
 // Run plays the load and the timeline and gives the history. It returns early
 // with ctx's error if ctx ends; the history up to there is still good.
-func (h *Hall) Run(ctx context.Context) (*history.History, error) {
+func (h *Testbed) Run(ctx context.Context) (*history.History, error) {
 	now := time.Now()
 	h.unix = now
 	h.base.Store(&now)
@@ -24,7 +24,7 @@
 		f := &h.s.Faults[i]
 		faults.Go(func() { h.fault(ctx, f) })
 	}
-	h.play(ctx, load.NewStreamOf(h.s, h.o.Deploy, h.o.Seed))
+	h.play(ctx, load.NewStreamOf(h.s, h.o.Deployment, h.o.Seed))
 	faults.Wait()
 	h.pending.Wait()
 	if ctx.Err() == nil {
@@ -44,7 +44,7 @@
 }
 
 // fail notes the first thing that the lab itself could not do.
-func (h *Hall) fail(err error) {
+func (h *Testbed) fail(err error) {
 	if err != nil {
 		h.failed.CompareAndSwap(nil, &err)
 	}
@@ -66,7 +66,7 @@
 const long = 100 * time.Millisecond
 
 // play sends the orders at their times, whatever became of those before.
-func (h *Hall) play(ctx context.Context, st *load.Stream) {
+func (h *Testbed) play(ctx context.Context, st *load.Stream) {
 	room := make(chan struct{}, maxOrders)
 	for {
 		o, more := st.Next()
@@ -98,8 +98,8 @@
 	}
 }
 
-// Own tells how well the lab itself kept up.
-type Own struct {
+// LabStats tells how well the lab itself kept up.
+type LabStats struct {
 	LateP50, LateP99 time.Duration // orders sent after their time
 	Waited           int           // orders that had to wait for the lab's bound
 	NodeCPU          time.Duration // of all node processes, once Close is done
@@ -107,11 +107,11 @@
 	Dialled          int
 }
 
-// Own gives the lab's own figures.
-func (h *Hall) Own() Own {
+// LabStats gives the lab's own figures.
+func (h *Testbed) LabStats() LabStats {
 	h.mu.Lock()
 	late := append([]time.Duration(nil), h.late...)
-	o := Own{Waited: h.waited}
+	o := LabStats{Waited: h.waited}
 	h.mu.Unlock()
 	o.LateP50, o.LateP99 = judge.Quantile(late, 0.5), judge.Quantile(late, 0.99)
 	st := h.clients.Stats()
@@ -124,28 +124,28 @@
 	return o
 }
 
-// Sent tells how many requests were sent on connections of nodes that were told to end,
+// LateRequests tells how many requests were sent on connections of nodes that were told to end,
 // and how many of them crossed the end of an unused connection.
-func (h *Hall) Sent() (late, crossed int) {
+func (h *Testbed) LateRequests() (late, crossed int) {
 	st := h.clients.Stats()
 	return st.Late, st.Crossed
 }
 
-// Row is a server as a screen shows it.
-type Row struct {
-	Name, Hall, Kind, State string
+// ServerStatus is a server as a screen shows it.
+type ServerStatus struct {
+	Name, Zone, Kind, State string
 	Active, Waiting         int
-	Part                    float64 // of its capacity
+	WarmRatio               float64 // of its capacity
 }
 
-// Rows gives all servers.
-func (h *Hall) Rows() []Row {
+// ServerStatuses gives all servers.
+func (h *Testbed) ServerStatuses() []ServerStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []Row
+	var out []ServerStatus
 	for _, t := range h.slots {
 		st, active, waiting, part := t.server.Look()
-		r := Row{Name: t.id, Hall: t.Hall, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, Part: part}
+		r := ServerStatus{Name: t.id, Zone: t.Hall, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: part}
 		switch {
 		case st == clip.Down:
 			r.State = "down"
--- a/internal/lab/real/words_test.go
+++ b/internal/lab/real/words_test.go
@@ -25,7 +25,7 @@
 		"[[fault]]\nat = \"1s\"\nfor = \"11s\"\nwhat = \"cut-discovery\"\nwho = [\""+strings.Join(slices.Concat(hearing, asking, deaf), "\", \"")+"\"]\n"+
 		"[[fault]]\nat = \"1s\"\nfor = \"11s\"\nwhat = \"peers\"\nwho = [\""+strings.Join(deaf, "\", \"")+"\"]\nstate = \"black-hole\"\n"+
 		"[[fault]]\nat = \"4s\"\nfor = \"8s\"\nwhat = \"drain\"\nwho = [\"hall-nord.1\", \"hall-nord.2\", \"hall-syd.1\", \"hall-syd.2\", \"hall-vest.1\"]\n")
-	h, _ := day(t, s, Options{NoFiles: true})
+	h, _ := day(t, s, Options{NoRecordFiles: true})
 	first, cut := time.Duration(0), map[string]bool{}
 	for _, name := range slices.Concat(hearing, asking, deaf) {
 		cut[name] = true
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -173,7 +173,7 @@
 		}
 		return "", ""
 	}
-	rule, err := sysfault.RuleOf(f.Call, f.Error, f.Part)
+	rule, err := sysfault.ParseRule(f.Call, f.Error, f.Part)
 	switch {
 	case err != nil:
 		return "call", err.Error()
--- a/internal/lab/show/live.go
+++ b/internal/lab/show/live.go
@@ -136,7 +136,7 @@
 }
 
 // Screen words the whole screen, in so many lines at most.
-func (l *Live) Screen(title string, now, length time.Duration, rows []real.Row, lines int) string {
+func (l *Live) Screen(title string, now, length time.Duration, rows []real.ServerStatus, lines int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b strings.Builder
@@ -152,7 +152,7 @@
 		if state == "" {
 			state = "up"
 		}
-		fmt.Fprintf(&b, "%-14s %-8s %-9s %-11s %9d %7d  %s\n", r.Name, r.Kind, state, warmth(r.Part), r.Active+r.Waiting, r.Waiting, strings.Repeat("#", min(r.Active+r.Waiting, 30)))
+		fmt.Fprintf(&b, "%-14s %-8s %-9s %-11s %9d %7d  %s\n", r.Name, r.Kind, state, warmth(r.WarmRatio), r.Active+r.Waiting, r.Waiting, strings.Repeat("#", min(r.Active+r.Waiting, 30)))
 	}
 	for _, n := range l.notes {
 		b.WriteString(n + "\n")
@@ -162,7 +162,7 @@
 }
 
 // Line words the state on one line.
-func (l *Live) Line(now time.Duration, rows []real.Row) string {
+func (l *Live) Line(now time.Duration, rows []real.ServerStatus) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	text := fmt.Sprintf("%5.1fs worth served %5.1f%%, refused %d;", now.Seconds(), 100*l.share(), l.refused)
--- a/internal/lab/show/show_test.go
+++ b/internal/lab/show/show_test.go
@@ -87,7 +87,7 @@
 func TestTheScreenFitsAndShowsWhatGoesOn(t *testing.T) {
 	h := played(t)
 	l := NewLive(load.Classes)
-	rows := []real.Row{{Name: "hall-nord.1", Kind: "fast-6", State: "silent", Part: 1}, {Name: "hall-nord.2", Kind: "fast-6", Active: 6, Waiting: 2, Part: 0.5}}
+	rows := []real.ServerStatus{{Name: "hall-nord.1", Kind: "fast-6", State: "silent", WarmRatio: 1}, {Name: "hall-nord.2", Kind: "fast-6", Active: 6, Waiting: 2, WarmRatio: 0.5}}
 	for _, e := range h.Events {
 		if e.At < 8*time.Second {
 			l.Add(e)
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -18,16 +18,16 @@
 
 // Bounds say what a soak draws from.
 type Bounds struct {
-	LeastNodes, MostNodes int           // processes, 1 to 48
-	Length                time.Duration // of the load
-	FaultsASecond         float64       // how many faults begin, on average
-	RateANode             float64       // first tries a second
-	ClockSteps            bool          // wall clocks step: the nodes are built with -tags faults
-	SystemCalls           bool          // system calls fail; whoever plays calls sysfault.Launch where that is to be
+	MinNodes, MaxNodes int           // processes, 1 to 48
+	Length             time.Duration // of the load
+	FaultsPerSecond    float64       // how many faults begin, on average
+	RatePerNode        float64       // first tries a second
+	ClockSteps         bool          // wall clocks step: the nodes are built with -tags faults
+	SystemCalls        bool          // system calls fail; whoever plays calls sysfault.RunLauncher where that is to be
 }
 
-// Usual are the bounds of a run by hand on eight cores.
-var Usual = Bounds{LeastNodes: 10, MostNodes: 40, Length: 20 * time.Second, FaultsASecond: 2, RateANode: 12, SystemCalls: true}
+// DefaultBounds are the bounds of a run by hand on eight cores.
+var DefaultBounds = Bounds{MinNodes: 10, MaxNodes: 40, Length: 20 * time.Second, FaultsPerSecond: 2, RatePerNode: 12, SystemCalls: true}
 
 // The rules' figures that a soak draws nothing of: the standing page's.
 const (
@@ -51,23 +51,23 @@
 	return scenario.Span{Duration: d.between(lo, hi)}
 }
 
-// Draw gives the scenario and the deployment of a seed.
-func Draw(seed int64, b Bounds) (*scenario.Scenario, *load.Deployment) {
+// Generate gives the scenario and the deployment of a seed.
+func Generate(seed int64, b Bounds) (*scenario.Scenario, *load.Deployment) {
 	d := &drawer{Rand: rand.New(rand.NewPCG(uint64(seed), 0x736f616b)), bounds: b}
 	d.s = &scenario.Scenario{Name: fmt.Sprintf("soak-%d", seed), Seed: seed, Length: scenario.Span{Duration: b.Length},
 		Client: scenario.Client{Retries: d.IntN(3), TryShare: 0.5 + 0.3*d.Float64(), Honour: d.Float64(),
 			Leaves: 0.3 * d.Float64(), Pieces: 0.1 * d.Float64(), Late: 3 + d.IntN(6)},
 		Hosts: scenario.Hosts{Lag: d.span(50*time.Millisecond, time.Second)},
 		Net:   scenario.Net{Lost: 0.1 * d.Float64()}}
-	nodes := b.LeastNodes + d.IntN(b.MostNodes-b.LeastNodes+1)
+	nodes := b.MinNodes + d.IntN(b.MaxNodes-b.MinNodes+1)
 	d.drawHalls(nodes)
 	deployment, work := d.drawDeployment()
 	capacity := 0.0
 	for _, x := range d.s.Servers() {
 		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[x.Kind]
 	}
-	d.s.Load.Rate = min(float64(nodes)*b.RateANode, 0.6*capacity/work)
-	for range int(b.Length.Seconds() * b.FaultsASecond) {
+	d.s.Load.Rate = min(float64(nodes)*b.RatePerNode, 0.6*capacity/work)
+	for range int(b.Length.Seconds() * b.FaultsPerSecond) {
 		f := d.drawFault()
 		d.add(f)
 		switch {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -14,35 +14,35 @@
 
 // Result is what became of one seed.
 type Result struct {
-	Seed     int64
-	Nodes    int
-	Faults   int
-	Broken   []string // what did not hold, a line each; none: all did
-	Tries    int
-	Late     int // requests on connections of nodes that were told to end
-	Crossed  int // of these, those on unused connections that ended unread in that moment
-	Restarts int // processes that were told to end
-	Overdue  int // of these, those that still ran when their time was up
-	Took     time.Duration
-	History  *history.History
-	Scenario *scenario.Scenario
+	Seed         int64
+	Nodes        int
+	Faults       int
+	Violations   []string // what did not hold, a line each; none: all did
+	Tries        int
+	LateRequests int // requests on connections of nodes that were told to end
+	Crossed      int // of these, those on unused connections that ended unread in that moment
+	Restarts     int // processes that were told to end
+	Overdue      int // of these, those that still ran when their time was up
+	Elapsed      time.Duration
+	History      *history.History
+	Scenario     *scenario.Scenario
 }
 
-// Held tells whether all held.
-func (r *Result) Held() bool { return len(r.Broken) == 0 }
+// Passed tells whether all held.
+func (r *Result) Passed() bool { return len(r.Violations) == 0 }
 
-// Play plays a seed with a node's program. The error is of the lab itself; a node that
+// Run plays a seed with a node's program. The error is of the lab itself; a node that
 // crashes is none.
-func Play(ctx context.Context, program string, seed int64, b Bounds) (*Result, error) {
-	s, d := Draw(seed, b)
+func Run(ctx context.Context, program string, seed int64, b Bounds) (*Result, error) {
+	s, d := Generate(seed, b)
 	began := time.Now()
-	h, err := real.New(ctx, s, real.Options{Program: program, Deploy: d})
+	h, err := real.New(ctx, s, real.Options{Program: program, Deployment: d})
 	if err != nil {
 		return nil, err
 	}
 	got, err := h.Run(ctx)
 	h.Close()
-	r := &Result{Seed: seed, Nodes: len(s.Nodes()), Faults: len(s.Faults), Took: time.Since(began), History: got, Scenario: s}
+	r := &Result{Seed: seed, Nodes: len(s.Nodes()), Faults: len(s.Faults), Elapsed: time.Since(began), History: got, Scenario: s}
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -50,18 +50,18 @@
 		r.add("the run failed: %v", err)
 	}
 	r.judge(got)
-	for _, a := range h.Alarms() {
+	for _, a := range h.ErrorLines() {
 		r.add("%s said: %s", a.Node, a.Line)
 	}
-	r.Late, r.Crossed = h.Sent()
-	if r.Crossed > max(2, r.Late/20) {
-		r.add("%d of %d late requests crossed the end of an unused connection", r.Crossed, r.Late)
+	r.LateRequests, r.Crossed = h.LateRequests()
+	if r.Crossed > max(2, r.LateRequests/20) {
+		r.add("%d of %d late requests crossed the end of an unused connection", r.Crossed, r.LateRequests)
 	}
 	return r, nil
 }
 
 func (r *Result) add(format string, args ...any) {
-	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
 // judge takes what the history shows.
@@ -85,15 +85,15 @@
 // Summary is the result on one line, and what did not hold on further ones.
 func (r *Result) Summary() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d nodes, %d faults, %d tries, %d restarts, %d late requests (%d crossed), %.0f s: ", r.Seed, r.Nodes, r.Faults, r.Tries, r.Restarts, r.Late, r.Crossed, r.Took.Seconds())
-	if r.Held() {
+	fmt.Fprintf(&b, "seed %d: %d nodes, %d faults, %d tries, %d restarts, %d late requests (%d crossed), %.0f s: ", r.Seed, r.Nodes, r.Faults, r.Tries, r.Restarts, r.LateRequests, r.Crossed, r.Elapsed.Seconds())
+	if r.Passed() {
 		b.WriteString("held")
 		return b.String()
 	}
-	fmt.Fprintf(&b, "%d did not hold", len(r.Broken))
-	for i, line := range r.Broken {
+	fmt.Fprintf(&b, "%d did not hold", len(r.Violations))
+	for i, line := range r.Violations {
 		if i == 20 {
-			fmt.Fprintf(&b, "\n  and %d more", len(r.Broken)-i)
+			fmt.Fprintf(&b, "\n  and %d more", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintf(&b, "\n  %s", line)
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -24,8 +24,8 @@
 
 // TestMain builds the node once: the tests run it as processes.
 func TestMain(m *testing.M) {
-	if sysfault.Launching() {
-		sysfault.Launch()
+	if sysfault.IsLauncher() {
+		sysfault.RunLauncher()
 	}
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "soak-test-")
@@ -45,7 +45,7 @@
 }
 
 // small are bounds of a soak that two busy cores carry.
-var small = Bounds{LeastNodes: 10, MostNodes: 10, Length: 12 * time.Second, FaultsASecond: 2, RateANode: 4, ClockSteps: true, SystemCalls: true}
+var small = Bounds{MinNodes: 10, MaxNodes: 10, Length: 12 * time.Second, FaultsPerSecond: 2, RatePerNode: 4, ClockSteps: true, SystemCalls: true}
 
 // The rules hold, and each process keeps its invariants, under faults that overlap. Seeds that
 // once did not hold stay here.
@@ -55,11 +55,11 @@
 			t.Parallel()
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			defer cancel()
-			r, err := Play(ctx, program, seed, small)
+			r, err := Run(ctx, program, seed, small)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if t.Log(r.Summary()); !r.Held() {
+			if t.Log(r.Summary()); !r.Passed() {
 				t.Fail()
 			}
 			if r.Tries < 100 || r.Restarts == 0 {
@@ -74,12 +74,12 @@
 	overlaps, kinds := 0, map[string]int{}
 	const seeds = 60
 	for seed := range int64(seeds) {
-		s, d := Draw(seed, Usual)
-		again, _ := Draw(seed, Usual)
+		s, d := Generate(seed, DefaultBounds)
+		again, _ := Generate(seed, DefaultBounds)
 		if !reflect.DeepEqual(s, again) {
 			t.Fatalf("seed %d draws two scenarios", seed)
 		}
-		if n := len(s.Nodes()); n < Usual.LeastNodes || n > Usual.MostNodes {
+		if n := len(s.Nodes()); n < DefaultBounds.MinNodes || n > DefaultBounds.MaxNodes {
 			t.Errorf("seed %d: %d nodes", seed, n)
 		}
 		if len(d.Classes) < 3 || d.Limits.AnswerSlack == 0 {
@@ -108,7 +108,7 @@
 func TestAProcessThatOverstaysDoesNotHold(t *testing.T) {
 	r := &Result{}
 	r.judge(&history.History{Events: []history.Event{{Kind: history.NodeTerm, Node: "n0"}, {Kind: history.NodeOver, Node: "n0"}}})
-	if r.Held() || r.Restarts != 1 || r.Overdue != 1 || !strings.Contains(r.Summary(), "still ran") {
+	if r.Passed() || r.Restarts != 1 || r.Overdue != 1 || !strings.Contains(r.Summary(), "still ran") {
 		t.Error(r.Summary())
 	}
 }
@@ -142,11 +142,11 @@
 		t.Run(m.name, func(t *testing.T) {
 			broken := m.build(t)
 			for seed := int64(1); seed <= 6; seed++ {
-				r, err := Play(context.Background(), broken, seed, Bounds{LeastNodes: 10, MostNodes: 14, Length: 12 * time.Second, FaultsASecond: 2.5, RateANode: 10})
+				r, err := Run(context.Background(), broken, seed, Bounds{MinNodes: 10, MaxNodes: 14, Length: 12 * time.Second, FaultsPerSecond: 2.5, RatePerNode: 10})
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !r.Held() {
+				if !r.Passed() {
 					t.Logf("found: %s", r.Summary())
 					return
 				}
--- a/internal/lab/sweep/deploy_test.go
+++ b/internal/lab/sweep/deploy_test.go
@@ -47,7 +47,7 @@
 	}
 	for seed := range int64(200) {
 		s, d := DrawDeployment(seed)
-		set := nodeconf.Module(s, 0, d)
+		set := nodeconf.BalancerSettings(s, 0, d)
 		note("pushed", !set.ListOnDemand)
 		note("asked", set.ListOnDemand)
 		note("eight classes", len(set.Classes) == 8)
--- a/internal/lab/sysfault/launch.go
+++ b/internal/lab/sysfault/launch.go
@@ -18,13 +18,13 @@
 // launchSocket is the descriptor on which the launcher sends the listener.
 const launchSocket = 3
 
-// Launching tells whether this process is a launcher: Launch is to be called then, before
+// IsLauncher tells whether this process is a launcher: Launch is to be called then, before
 // anything else.
-func Launching() bool { return os.Getenv(launchVariable) != "" }
+func IsLauncher() bool { return os.Getenv(launchVariable) != "" }
 
-// Launch puts the filter on this process and executes what the arguments say. It does not
+// RunLauncher puts the filter on this process and executes what the arguments say. It does not
 // return.
-func Launch() {
+func RunLauncher() {
 	err := launch(os.Getenv(launchVariable), os.Args[1:])
 	fmt.Fprintf(os.Stderr, "sysfault: %v\n", err)
 	os.Exit(2)
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -62,13 +62,13 @@
 
 // Rule has a part of the calls of a kind fail.
 type Rule struct {
-	Call  Call
-	Errno syscall.Errno
-	Part  float64 // of the calls, 0 to 1
+	Call        Call
+	Errno       syscall.Errno
+	Probability float64 // of the calls, 0 to 1
 }
 
-// RuleOf makes the rule of a call and an error by their names, such as "accept" and "ENOBUFS".
-func RuleOf(call, errno string, part float64) (Rule, error) {
+// ParseRule makes the rule of a call and an error by their names, such as "accept" and "ENOBUFS".
+func ParseRule(call, errno string, part float64) (Rule, error) {
 	known, is := Errors[Call(call)]
 	if !is {
 		return Rule{}, fmt.Errorf("unknown call %q; there are %s", call, list(Calls))
@@ -126,8 +126,8 @@
 	}
 }
 
-// Failed tells how many calls of a kind have been made to fail.
-func (r *Rules) Failed(call Call) int {
+// FailureCount tells how many calls of a kind have been made to fail.
+func (r *Rules) FailureCount(call Call) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.failed[call]
@@ -139,7 +139,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rule := range r.rules {
-		if rule.Call != call || r.rng.Float64() >= rule.Part || !applies() {
+		if rule.Call != call || r.rng.Float64() >= rule.Probability || !applies() {
 			continue
 		}
 		r.failed[call]++
--- a/internal/lab/sysfault/sysfault_test.go
+++ b/internal/lab/sysfault/sysfault_test.go
@@ -19,8 +19,8 @@
 
 func TestMain(m *testing.M) {
 	switch {
-	case Launching():
-		Launch()
+	case IsLauncher():
+		RunLauncher()
 	case os.Getenv(targetVariable) != "":
 		target()
 	default:
@@ -135,7 +135,7 @@
 		if got := ask(x.call); got != x.errno.Error() {
 			t.Errorf("%s: %s, want %v", x.call, got, x.errno)
 		}
-		if rules.Failed(x.call) == 0 {
+		if rules.FailureCount(x.call) == 0 {
 			t.Errorf("%s: none is counted", x.call)
 		}
 		rules.Remove(rule)
@@ -158,13 +158,13 @@
 			t.Fatal("a call failed that no rule is meant for")
 		}
 	}
-	if failed < 900 || failed > 1100 || r.Failed(Accept) != failed {
-		t.Errorf("%d of 4000 failed, %d are counted", failed, r.Failed(Accept))
+	if failed < 900 || failed > 1100 || r.FailureCount(Accept) != failed {
+		t.Errorf("%d of 4000 failed, %d are counted", failed, r.FailureCount(Accept))
 	}
 }
 
 func TestRulesAreNamed(t *testing.T) {
-	if r, err := RuleOf("accept", "ENOBUFS", 0.5); err != nil || r != (Rule{Accept, syscall.ENOBUFS, 0.5}) {
+	if r, err := ParseRule("accept", "ENOBUFS", 0.5); err != nil || r != (Rule{Accept, syscall.ENOBUFS, 0.5}) {
 		t.Errorf("%v, %v", r, err)
 	}
 	for _, x := range []struct {
@@ -172,7 +172,7 @@
 		part        float64
 		want        string
 	}{{"listen", "EIO", 1, "there are accept, connect"}, {"fsync", "EIO", 1, "unknown call"}, {"sync", "EPERM", 1, "EIO, ENOSPC"}, {"sync", "EIO", 0, "part"}, {"sync", "EIO", 1.5, "part"}} {
-		if _, err := RuleOf(x.call, x.errno, x.part); err == nil || !strings.Contains(err.Error(), x.want) {
+		if _, err := ParseRule(x.call, x.errno, x.part); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s, %s, %v: %v", x.call, x.errno, x.part, err)
 		}
 	}
