--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -21,29 +21,29 @@
 	"ivylock/steer"
 )
 
-// These tests use a client that nobody here wrote: the xDS client of grpc-go.
+// These tests run the xDS client of grpc-go against the server.
 
-// target is a stand-in server: it counts its calls.
-type target struct {
+// countingBackend is a gRPC server that counts its calls.
+type countingBackend struct {
 	healthv1.UnimplementedHealthServer
 	addr  string
 	calls atomic.Int64
 }
 
-func (x *target) Check(context.Context, *healthv1.HealthCheckRequest) (*healthv1.HealthCheckResponse, error) {
+func (x *countingBackend) Check(context.Context, *healthv1.HealthCheckRequest) (*healthv1.HealthCheckResponse, error) {
 	x.calls.Add(1)
 	return &healthv1.HealthCheckResponse{}, nil
 }
 
-func targets(t *testing.T, n int) []*target {
+func startBackends(t *testing.T, n int) []*countingBackend {
 	t.Helper()
-	out := make([]*target, n)
+	out := make([]*countingBackend, n)
 	for i := range out {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		out[i] = &target{addr: l.Addr().String()}
+		out[i] = &countingBackend{addr: l.Addr().String()}
 		g := grpc.NewServer()
 		healthv1.RegisterHealthServer(g, out[i])
 		go g.Serve(l)
@@ -52,10 +52,10 @@
 	return out
 }
 
-// stateOf makes a state of stand-in servers.
-func stateOf(version uint64, all []*target, weights []uint32, healths ...steer.Health) *steer.State {
+// stateOf returns a state that lists the given backends.
+func stateOf(version uint64, backends []*countingBackend, weights []uint32, healths ...steer.Health) *steer.State {
 	l := steer.Locality{Zone: "a", Weight: 1}
-	for i, x := range all {
+	for i, x := range backends {
 		l.Endpoints = append(l.Endpoints, steer.Endpoint{ID: steer.ServerID("s" + strconv.Itoa(i)), Addr: x.addr, Cell: i,
 			Weight: weights[i], Health: healths[i]})
 	}
@@ -68,8 +68,8 @@
 		"node":{"id":"grpc-go","locality":{"zone":"a"}}}`, addr)
 }
 
-// caller calls the service by its xDS name.
-func caller(t *testing.T, addr string) healthv1.HealthClient {
+// xdsClient returns a client that resolves the service by xDS.
+func xdsClient(t *testing.T, addr string) healthv1.HealthClient {
 	t.Helper()
 	r, err := xds.NewXDSResolverWithConfigForTesting(bootstrap(addr))
 	if err != nil {
@@ -83,28 +83,28 @@
 	return healthv1.NewHealthClient(c)
 }
 
-func call(h healthv1.HealthClient, class string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func call(client healthv1.HealthClient, class string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	_, err := h.Check(metadata.AppendToOutgoingContext(ctx, ClassHeader, class), &healthv1.HealthCheckRequest{}, grpc.WaitForReady(true))
+	_, err := client.Check(metadata.AppendToOutgoingContext(ctx, ClassHeader, class), &healthv1.HealthCheckRequest{}, grpc.WaitForReady(true))
 	return err
 }
 
-// until calls until a condition holds; every call must succeed.
-func until(t *testing.T, h healthv1.HealthClient, what string, holds func() bool) {
+// callUntil makes calls until a condition holds; every call must succeed.
+func callUntil(t *testing.T, client healthv1.HealthClient, what string, condition func() bool) {
 	t.Helper()
-	for began := time.Now(); !holds(); {
-		if time.Since(began) > patience {
-			t.Fatalf("never: %s", what)
+	for start := time.Now(); !condition(); {
+		if time.Since(start) > testTimeout {
+			t.Fatalf("timed out waiting until %s", what)
 		}
-		if err := call(h, "fetch"); err != nil {
-			t.Fatalf("until %s: %v", what, err)
+		if err := call(client, "fetch"); err != nil {
+			t.Fatalf("call while waiting until %s: %v", what, err)
 		}
 	}
 }
 
-func reset(all []*target) {
-	for _, x := range all {
+func resetCalls(backends []*countingBackend) {
+	for _, x := range backends {
 		x.calls.Store(0)
 	}
 }
@@ -114,76 +114,76 @@
 	drain = steer.Draining
 )
 
-func TestGrpcGoTakesWeightsADrainAndAReturn(t *testing.T) {
+func TestGRPCGoClientAppliesWeightsAndDrains(t *testing.T) {
 	var mu sync.Mutex
 	var issued, inFlight uint64
-	s, addr := up(t, Config{LoadReportInterval: 100 * time.Millisecond, OnLoadReport: func(l steer.LoadReported) {
+	s, addr := startServer(t, Config{LoadReportInterval: 100 * time.Millisecond, OnLoadReport: func(l steer.LoadReported) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, x := range l.Loads {
 			issued, inFlight = issued+x.Issued, inFlight+x.InFlight
 		}
 	}})
-	all := targets(t, 3)
-	s.Publish(stateOf(1, all, []uint32{100, 200, 700}, ok, ok, ok))
-	h := caller(t, addr)
-	until(t, h, "all three are connected", func() bool {
-		return all[0].calls.Load() > 0 && all[1].calls.Load() > 0 && all[2].calls.Load() > 0
+	backends := startBackends(t, 3)
+	s.Publish(stateOf(1, backends, []uint32{100, 200, 700}, ok, ok, ok))
+	client := xdsClient(t, addr)
+	callUntil(t, client, "all three servers are in use", func() bool {
+		return backends[0].calls.Load() > 0 && backends[1].calls.Load() > 0 && backends[2].calls.Load() > 0
 	})
-	reset(all)
+	resetCalls(backends)
 	for range 1000 {
-		if err := call(h, "fetch"); err != nil {
+		if err := call(client, "fetch"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i, want := range []int64{100, 200, 700} {
-		if n := all[i].calls.Load(); n < want-80 || n > want+80 { // 5 sigma at least
-			t.Errorf("server %d got %d of 1000, its weight is %d", i, n, want)
+		if n := backends[i].calls.Load(); n < want-80 || n > want+80 { // at least 5 sigma
+			t.Errorf("server %d got %d of 1000 calls, want about %d", i, n, want)
 		}
 	}
 
-	s.Publish(stateOf(2, all, []uint32{100, 200, 700}, ok, ok, drain))
-	quiet := int64(0)
-	until(t, h, "the drained server is left alone", func() bool {
-		if n := all[2].calls.Swap(0); n > 0 {
-			quiet = 0
+	s.Publish(stateOf(2, backends, []uint32{100, 200, 700}, ok, ok, drain))
+	callsSinceLast := int64(0)
+	callUntil(t, client, "the draining server gets no calls", func() bool {
+		if n := backends[2].calls.Swap(0); n > 0 {
+			callsSinceLast = 0
 		} else {
-			quiet++
+			callsSinceLast++
 		}
-		return quiet > 300
+		return callsSinceLast > 300
 	})
-	s.Publish(stateOf(3, all, []uint32{100, 200, 700}, ok, ok, ok))
-	until(t, h, "it is back", func() bool { return all[2].calls.Load() > 0 })
-	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	s.Publish(stateOf(3, backends, []uint32{100, 200, 700}, ok, ok, ok))
+	callUntil(t, client, "the server is in use again", func() bool { return backends[2].calls.Load() > 0 })
+	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		mu.Lock()
 		n := issued
 		mu.Unlock()
 		if n >= 1000 {
 			break
 		}
-		if time.Since(began) > patience {
-			t.Fatalf("load reports tell of %d requests", n)
+		if time.Since(start) > testTimeout {
+			t.Fatalf("load reports counted %d requests, want 1000", n)
 		}
 	}
 	if n := s.Counters.Nacks.Load(); n != 0 {
-		t.Errorf("it rejected %d updates", n)
+		t.Errorf("client rejected %d updates", n)
 	}
 }
 
-func TestGrpcGoDropsWhatItIsTold(t *testing.T) {
-	s, addr := up(t, Config{})
-	all := targets(t, 2)
-	st := stateOf(1, all, []uint32{1000, 1000}, ok, ok)
+func TestGRPCGoClientAppliesDropRates(t *testing.T) {
+	s, addr := startServer(t, Config{})
+	backends := startBackends(t, 2)
+	st := stateOf(1, backends, []uint32{1000, 1000}, ok, ok)
 	st.Views[""].DropOtherPPM, st.Views[""].DropPriorityPPM = 400_000, 100_000
 	s.Publish(st)
-	h := caller(t, addr)
+	client := xdsClient(t, addr)
 	for _, c := range []struct {
-		class string
-		part  int
+		class       string
+		wantDropped int
 	}{{"fetch", 400}, {"order", 100}, {"", 400}} {
 		dropped := 0
 		for range 1000 {
-			switch err := call(h, c.class); status.Code(err) {
+			switch err := call(client, c.class); status.Code(err) {
 			case codes.OK:
 			case codes.Unavailable:
 				dropped++
@@ -191,34 +191,33 @@
 				t.Fatal(err)
 			}
 		}
-		if dropped < c.part-90 || dropped > c.part+90 {
-			t.Errorf("class %q: %d of 1000 dropped, %d stated", c.class, dropped, c.part)
+		if dropped < c.wantDropped-90 || dropped > c.wantDropped+90 {
+			t.Errorf("class %q: %d of 1000 calls dropped, want about %d", c.class, dropped, c.wantDropped)
 		}
 	}
 }
 
-// The control service goes away, comes back at its place with a version that
-// means nothing to the proxy, and with a drain: no call fails, and the state is
-// the new one.
-func TestGrpcGoSurvivesARestart(t *testing.T) {
-	s, addr := up(t, Config{})
-	all := targets(t, 3)
-	s.Publish(stateOf(77, all, []uint32{1000, 1000, 1000}, ok, ok, ok))
-	h := caller(t, addr)
+// A control service restarts at the same address with unrelated versions and a
+// drain: no call may fail, and the new state must be applied.
+func TestGRPCGoClientSurvivesControlServiceRestart(t *testing.T) {
+	s, addr := startServer(t, Config{})
+	backends := startBackends(t, 3)
+	s.Publish(stateOf(77, backends, []uint32{1000, 1000, 1000}, ok, ok, ok))
+	client := xdsClient(t, addr)
 	var failed, done atomic.Int64
 	stop := make(chan struct{})
-	var callers sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 4 {
-		callers.Add(1)
+		workers.Add(1)
 		go func() {
-			defer callers.Done()
+			defer workers.Done()
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				if err := call(h, "order"); err != nil {
+				if err := call(client, "order"); err != nil {
 					failed.Add(1)
 					t.Errorf("call %d: %v", done.Load(), err)
 					return
@@ -227,38 +226,38 @@
 			}
 		}()
 	}
-	wait := func(what string, holds func() bool) {
+	waitFor := func(what string, condition func() bool) {
 		t.Helper()
-		for began := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-			if time.Since(began) > patience {
-				t.Fatalf("never: %s", what)
+		for start := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
+			if time.Since(start) > testTimeout {
+				t.Fatalf("timed out waiting until %s", what)
 			}
 		}
 	}
-	wait("calls are answered", func() bool { return done.Load() > 100 })
+	waitFor("calls are answered", func() bool { return done.Load() > 100 })
 	s.Stop()
 	n := done.Load()
-	wait("calls are answered without a control service", func() bool { return done.Load() > n+100 })
-	// Its place may still be taken for a moment.
+	waitFor("calls are answered without a control service", func() bool { return done.Load() > n+100 })
+	// The address may be in use for a moment.
 	var l net.Listener
-	wait("its place is free", func() bool {
+	waitFor("the address is free", func() bool {
 		var err error
 		l, err = net.Listen("tcp", addr)
 		return err == nil
 	})
-	again := New(Config{Access: Access{Services: []*Service{clips()}}})
-	go again.Serve(l)
-	defer again.Stop()
-	unconfirmed := stateOf(1, all[:1], []uint32{1000}, ok)
+	restarted := New(Config{Access: Access{Services: []*Service{testService()}}})
+	go restarted.Serve(l)
+	defer restarted.Stop()
+	unconfirmed := stateOf(1, backends[:1], []uint32{1000}, ok)
 	unconfirmed.Confirmed = false
-	again.Publish(unconfirmed) // an old list: nobody is told
-	again.Publish(stateOf(2, all, []uint32{1000, 1000, 1000}, ok, drain, ok))
-	wait("the drain is kept", func() bool {
-		all[1].calls.Store(0)
+	restarted.Publish(unconfirmed) // outdated list: must not be sent to proxies
+	restarted.Publish(stateOf(2, backends, []uint32{1000, 1000, 1000}, ok, drain, ok))
+	waitFor("the draining server gets no calls", func() bool {
+		backends[1].calls.Store(0)
 		n := done.Load()
-		wait("more calls", func() bool { return done.Load() > n+100 || failed.Load() > 0 })
-		return all[1].calls.Load() == 0
+		waitFor("100 more calls are done", func() bool { return done.Load() > n+100 || failed.Load() > 0 })
+		return backends[1].calls.Load() == 0
 	})
 	close(stop)
-	callers.Wait()
+	workers.Wait()
 }
--- a/internal/xds/conns.go
+++ b/internal/xds/conns.go
@@ -8,22 +8,22 @@
 	"google.golang.org/grpc/peer"
 )
 
-// conns finds the connection that a stream came by, so that it can be broken
-// for good: what is still in the kernel's buffers is dropped, not sent later.
-type conns struct {
-	mu sync.Mutex
-	by map[string]*net.TCPConn // by the proxy's address
+// connRegistry maps client addresses to TCP connections, so that the connection
+// of a stream can be reset and data still in the kernel's send buffer is discarded.
+type connRegistry struct {
+	mu     sync.Mutex
+	byAddr map[string]*net.TCPConn // keyed by the proxy's address
 }
 
-// watch gives a listener whose connections are known.
-func (c *conns) watch(l net.Listener) net.Listener { return &watched{l, c} }
+// track returns a listener that registers the connections it accepts.
+func (c *connRegistry) track(l net.Listener) net.Listener { return &trackingListener{l, c} }
 
-type watched struct {
+type trackingListener struct {
 	net.Listener
-	conns *conns
+	conns *connRegistry
 }
 
-func (w *watched) Accept() (net.Conn, error) {
+func (w *trackingListener) Accept() (net.Conn, error) {
 	n, err := w.Listener.Accept()
 	t, ok := n.(*net.TCPConn)
 	if err != nil || !ok {
@@ -32,37 +32,37 @@
 	key := t.RemoteAddr().String()
 	w.conns.mu.Lock()
 	defer w.conns.mu.Unlock()
-	if w.conns.by == nil {
-		w.conns.by = map[string]*net.TCPConn{}
+	if w.conns.byAddr == nil {
+		w.conns.byAddr = map[string]*net.TCPConn{}
 	}
-	w.conns.by[key] = t
-	return &known{TCPConn: t, key: key, conns: w.conns}, nil
+	w.conns.byAddr[key] = t
+	return &trackedConn{TCPConn: t, key: key, conns: w.conns}, nil
 }
 
-// known is forgotten when it is closed.
-type known struct {
+// trackedConn removes itself from the registry when it is closed.
+type trackedConn struct {
 	*net.TCPConn
 	key   string
-	conns *conns
+	conns *connRegistry
 }
 
-func (k *known) Close() error {
-	k.conns.mu.Lock()
-	if k.conns.by[k.key] == k.TCPConn {
-		delete(k.conns.by, k.key)
+func (c *trackedConn) Close() error {
+	c.conns.mu.Lock()
+	if c.conns.byAddr[c.key] == c.TCPConn {
+		delete(c.conns.byAddr, c.key)
 	}
-	k.conns.mu.Unlock()
-	return k.TCPConn.Close()
+	c.conns.mu.Unlock()
+	return c.TCPConn.Close()
 }
 
-// abort resets the connection of a stream.
-func (c *conns) abort(ctx context.Context) {
+// abort resets the TCP connection that carries a stream's context.
+func (c *connRegistry) abort(ctx context.Context) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
-	t := c.by[p.Addr.String()]
+	t := c.byAddr[p.Addr.String()]
 	c.mu.Unlock()
 	if t != nil {
 		t.SetLinger(0)
--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -29,42 +29,42 @@
 	"ivylock/steer"
 )
 
-// ClassHeader names the request's class, in HTTP and in gRPC metadata.
+// ClassHeader is the HTTP header, or gRPC metadata key, that carries the request's class.
 const ClassHeader = "request-class"
 
-// Class is a class of requests as a service's routes tell it. Its retries are
-// those of steer.RetryRuleFor.
+// Class is a request class that gets a route of its own. Its retry policy
+// comes from steer.RetryRuleFor.
 type Class struct {
 	balance.Class
-	Priority bool // priority requests are refused last
+	Priority bool // priority requests are dropped last under overload
 }
 
-// Service is what proxies reach by one name.
+// Service is one service that proxies reach by name.
 type Service struct {
-	Name            string // of the listener: xds:///NAME for gRPC
+	Name            string // listener name: xds:///NAME for gRPC clients
 	Classes         []Class
-	EndpointTTL     time.Duration // of the endpoints, for proxies that know TTLs
-	FallbackTTL     time.Duration // last known good: servers that were not draining stay in reserve so long
-	HealthCheckPath string        // of the servers' health check, which fails while one drains; empty: nothing is held
-	ConnectTimeout  time.Duration // time for a connection to a server
+	EndpointTTL     time.Duration // TTL of the endpoints, for proxies that support resource TTLs
+	FallbackTTL     time.Duration // TTL of the fallback endpoints, the last known good servers
+	HealthCheckPath string        // HTTP health check that fails while a server drains; empty: no fallback endpoints
+	ConnectTimeout  time.Duration // for connections to servers
 }
 
-// Kind is what distinguishes the snapshots of one state.
+// Kind is the set of proxy properties that select a snapshot of a state.
 type Kind struct {
 	Zone        string
-	SupportsTTL bool // the proxy knows TTLs
-	Group       int  // of proxies that are told of the same servers: subset.AllServers, or from 0 on
+	SupportsTTL bool // the proxy supports resource TTLs
+	Group       int  // proxies of a group get the same server subset: subset.AllServers, or 0 and up
 }
 
-// Names of a service's clusters. Each is made of a leased one and a held one
-// for proxies that know TTLs.
-func (s *Service) cluster(priority bool) string { return s.Name + "/" + rankName(priority) }
+// cluster returns the name of a service's cluster. For proxies that support
+// TTLs it is an aggregate of a leased cluster and a fallback cluster.
+func (s *Service) cluster(priority bool) string { return s.Name + "/" + rankSuffix(priority) }
 
-func (s *Service) podCluster(cell int, priority bool) string {
-	return s.Name + "/pod-" + strconv.Itoa(cell) + "/" + rankName(priority)
+func (s *Service) podCluster(podID int, priority bool) string {
+	return s.Name + "/pod-" + strconv.Itoa(podID) + "/" + rankSuffix(priority)
 }
 
-func rankName(priority bool) string {
+func rankSuffix(priority bool) string {
 	if priority {
 		return "priority"
 	}
@@ -72,22 +72,22 @@
 }
 
 const (
-	notStarted   = "not-started" // with "1": the server has not begun it (the platform's protocol)
-	leasedSuffix = "/leased"
-	heldSuffix   = "/held"
+	notStarted     = "not-started" // response header: "1" means that the server did not start the request
+	leasedSuffix   = "/leased"
+	fallbackSuffix = "/held"
 )
 
-// Encode makes the resources of services for one kind of proxy.
+// Encode builds the snapshot of all services for one kind of proxy.
 func Encode(st *steer.State, services []*Service, kind Kind) (*Snapshot, error) {
 	e := encoder{snap: &Snapshot{StateVersion: st.Version}, kind: kind, confirmed: st.Confirmed, view: st.View(kind.Zone).ForGroup(kind.Group)}
-	for t := range types {
-		e.snap.sets[t] = map[string]*Resource{}
+	for t := range numTypes {
+		e.snap.resources[t] = map[string]*Resource{}
 	}
 	if e.view == nil {
 		e.view = &steer.View{}
 	}
 	for _, s := range services {
-		e.service(s)
+		e.addService(s)
 	}
 	return e.snap, e.err
 }
@@ -108,7 +108,7 @@
 		}
 		return &Resource{Name: name}
 	}
-	e.snap.sets[t][name] = r
+	e.snap.resources[t][name] = r
 	return r
 }
 
@@ -120,37 +120,37 @@
 	return a
 }
 
-var byADS = &corev3.ConfigSource{
+var adsSource = &corev3.ConfigSource{
 	ResourceApiVersion:    corev3.ApiVersion_V3,
 	ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}},
 }
 
-// itself is the server that the resource came from.
-var itself = &corev3.ConfigSource{
+// selfSource refers to the server that sent the resource.
+var selfSource = &corev3.ConfigSource{
 	ResourceApiVersion:    corev3.ApiVersion_V3,
 	ConfigSourceSpecifier: &corev3.ConfigSource_Self{Self: &corev3.SelfConfigSource{}},
 }
 
-func (e *encoder) service(s *Service) {
-	var refs []string
+func (e *encoder) addService(s *Service) {
+	var clusterRefs []string
 	for _, priority := range []bool{true, false} {
-		drop := e.view.DropOtherPPM
+		dropPPM := e.view.DropOtherPPM
 		if priority {
-			drop = e.view.DropPriorityPPM
+			dropPPM = e.view.DropPriorityPPM
 		}
-		refs = append(refs, e.cluster(s, s.cluster(priority), drop, nil)...)
+		clusterRefs = append(clusterRefs, e.addCluster(s, s.cluster(priority), dropPPM, nil)...)
 		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return steer.RetryRuleFor(c.Class).SamePod && c.Priority == priority }) {
 			continue
 		}
 		for _, pod := range e.pods() {
-			refs = append(refs, e.cluster(s, s.podCluster(pod.cell, priority), drop, &pod.cell)...)
+			clusterRefs = append(clusterRefs, e.addCluster(s, s.podCluster(pod.id, priority), dropPPM, &pod.id)...)
 		}
 	}
-	e.routes(s, refs)
+	e.addRoutes(s, clusterRefs)
 	hcm := &hcmv3.HttpConnectionManager{
 		StatPrefix: s.Name,
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{
-			ConfigSource: byADS, RouteConfigName: s.Name}},
+			ConfigSource: adsSource, RouteConfigName: s.Name}},
 		HttpFilters: []*hcmv3.HttpFilter{{Name: "envoy.filters.http.router",
 			ConfigType: &hcmv3.HttpFilter_TypedConfig{TypedConfig: e.any(&routerv3.Router{})}}},
 	}
@@ -158,103 +158,103 @@
 		ApiListener: &listenerv3.ApiListener{ApiListener: e.any(hcm)}}, 0)
 }
 
-// pod is a pod with the weight that it has in the first priority.
+// pod is a pod with its total weight at priority 0.
 type pod struct {
-	cell   int
+	id     int
 	weight float64
 }
 
-// pods lists the pods that have a server in use.
+// pods lists the pods with at least one healthy server, sorted by ID.
 func (e *encoder) pods() []pod {
-	weights, cells := map[int]float64{}, []int{}
+	weights, podIDs := map[int]float64{}, []int{}
 	for _, l := range e.view.Localities {
-		parts := sumOf(l.Endpoints)
+		totalWeight := healthyWeight(l.Endpoints)
 		for _, x := range l.Endpoints {
 			if x.Health != steer.Healthy {
 				continue
 			}
 			if _, ok := weights[x.Cell]; !ok {
-				cells = append(cells, x.Cell)
+				podIDs = append(podIDs, x.Cell)
 				weights[x.Cell] = 0
 			}
 			if l.Priority == 0 {
-				weights[x.Cell] += float64(l.Weight) * float64(x.Weight) / parts
+				weights[x.Cell] += float64(l.Weight) * float64(x.Weight) / totalWeight
 			}
 		}
 	}
-	slices.Sort(cells)
-	out := make([]pod, 0, len(cells))
-	for _, c := range cells {
-		out = append(out, pod{c, weights[c]})
+	slices.Sort(podIDs)
+	pods := make([]pod, 0, len(podIDs))
+	for _, c := range podIDs {
+		pods = append(pods, pod{c, weights[c]})
 	}
-	return out
+	return pods
 }
 
-func sumOf(endpoints []steer.Endpoint) float64 {
-	sum := 0.0
+func healthyWeight(endpoints []steer.Endpoint) float64 {
+	total := 0.0
 	for _, x := range endpoints {
 		if x.Health == steer.Healthy {
-			sum += float64(x.Weight)
+			total += float64(x.Weight)
 		}
 	}
-	return math.Max(sum, 1)
+	return math.Max(total, 1)
 }
 
-// cluster adds a cluster, of one pod or of all, and gives the names that
-// routes refer to with it.
-func (e *encoder) cluster(s *Service, name string, drop uint32, cell *int) []string {
+// addCluster adds a cluster of one pod, or of all servers if podID is nil, and
+// returns the names of all clusters that a route to it depends on.
+func (e *encoder) addCluster(s *Service, name string, dropPPM uint32, podID *int) []string {
 	if !e.kind.SupportsTTL {
-		e.eds(s, name, false)
-		e.assignment(name, drop, cell, 0)
+		e.addEDSCluster(s, name, false)
+		e.addAssignment(name, dropPPM, podID, 0)
 		return []string{name}
 	}
-	leased, held := name+leasedSuffix, name+heldSuffix
-	e.eds(s, leased, false)
-	e.eds(s, held, true)
-	e.assignment(leased, drop, cell, s.EndpointTTL)
-	e.reserve(held, s.HealthCheckPath != "", cell, s.FallbackTTL)
+	leased, fallback := name+leasedSuffix, name+fallbackSuffix
+	e.addEDSCluster(s, leased, false)
+	e.addEDSCluster(s, fallback, true)
+	e.addAssignment(leased, dropPPM, podID, s.EndpointTTL)
+	e.addFallbackAssignment(fallback, s.HealthCheckPath != "", podID, s.FallbackTTL)
 	c := &clusterv3.Cluster{
 		Name:           name,
 		ConnectTimeout: durationpb.New(s.ConnectTimeout),
 		LbPolicy:       clusterv3.Cluster_CLUSTER_PROVIDED,
 		ClusterDiscoveryType: &clusterv3.Cluster_ClusterType{ClusterType: &clusterv3.Cluster_CustomClusterType{
-			Name: "envoy.clusters.aggregate", TypedConfig: e.any(&aggregatev3.ClusterConfig{Clusters: []string{leased, held}})}},
+			Name: "envoy.clusters.aggregate", TypedConfig: e.any(&aggregatev3.ClusterConfig{Clusters: []string{leased, fallback}})}},
 	}
-	e.add(Cluster, name, c, 0).refs = []string{leased, held}
-	return []string{name, leased, held}
+	e.add(Cluster, name, c, 0).clusterRefs = []string{leased, fallback}
+	return []string{name, leased, fallback}
 }
 
-// eds adds a cluster whose endpoints come by EDS. A held one has the proxy ask
-// its servers itself.
-func (e *encoder) eds(s *Service, name string, held bool) {
+// addEDSCluster adds a cluster whose endpoints are served by EDS. For a fallback
+// cluster the proxy runs active health checks.
+func (e *encoder) addEDSCluster(s *Service, name string, fallback bool) {
 	limit := wrapperspb.UInt32(max(e.view.MaxRequests, 1))
 	c := &clusterv3.Cluster{
 		Name:                 name,
 		ConnectTimeout:       durationpb.New(s.ConnectTimeout),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: byADS},
+		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource},
 		LbPolicy:             clusterv3.Cluster_ROUND_ROBIN,
 		CommonLbConfig: &clusterv3.Cluster_CommonLbConfig{
 			LocalityConfigSpecifier: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig_{
 				LocalityWeightedLbConfig: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig{}},
-			// Guards against a proxy that uses excluded servers as soon as half are.
+			// Disables panic mode, which would send requests to excluded servers.
 			HealthyPanicThreshold: &typev3.Percent{Value: 0},
 		},
 		CircuitBreakers: &clusterv3.CircuitBreakers{Thresholds: []*clusterv3.CircuitBreakers_Thresholds{{
 			MaxRequests: limit, MaxPendingRequests: limit, MaxConnections: limit,
 			RetryBudget: &clusterv3.CircuitBreakers_Thresholds_RetryBudget{
 				BudgetPercent: &typev3.Percent{Value: steer.RetryBudgetPercent}, MinRetryConcurrency: wrapperspb.UInt32(steer.MinRetryConcurrency)}}}},
-		LrsServer:                itself,
+		LrsServer:                selfSource,
 		LrsReportEndpointMetrics: []string{"cpu_utilization", "application_utilization"},
 	}
 	if e.kind.SupportsTTL {
 		c.LbPolicy = clusterv3.Cluster_LEAST_REQUEST
 	}
-	if held && s.HealthCheckPath != "" {
+	if fallback && s.HealthCheckPath != "" {
 		c.HealthChecks = []*corev3.HealthCheck{{
 			Timeout:            durationpb.New(100 * time.Millisecond),
 			Interval:           durationpb.New(100 * time.Millisecond),
-			NoTrafficInterval:  durationpb.New(5 * time.Second), // it is seldom needed: probes cost work
+			NoTrafficInterval:  durationpb.New(5 * time.Second), // fallback clusters are rarely used
 			UnhealthyThreshold: wrapperspb.UInt32(1),
 			HealthyThreshold:   wrapperspb.UInt32(1),
 			HealthChecker: &corev3.HealthCheck_HttpHealthCheck_{
@@ -264,31 +264,30 @@
 	e.add(Cluster, name, c, 0)
 }
 
-// assignment adds the endpoints of a cluster. Proxies that know TTLs weigh
-// endpoints, by the least requests among them, and report load by endpoint: a
-// hall is a locality. For the others each server is one of its own, its
-// sub-zone: so weights and load reports, which are by locality there, are those
-// of single servers.
-func (e *encoder) assignment(name string, drop uint32, cell *int, ttl time.Duration) {
-	cla := &endpointv3.ClusterLoadAssignment{ClusterName: name, Policy: &endpointv3.ClusterLoadAssignment_Policy{}}
-	if drop > 0 {
-		cla.Policy.DropOverloads = []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{{Category: "overload",
-			DropPercentage: &typev3.FractionalPercent{Numerator: drop, Denominator: typev3.FractionalPercent_MILLION}}}
+// addAssignment adds the endpoints of a cluster. Proxies that support TTLs also
+// support endpoint weights and load reports by endpoint, so each zone is one
+// locality. Other proxies weight and report by locality only, so each server is
+// a locality of its own, with the server's ID as sub-zone.
+func (e *encoder) addAssignment(name string, dropPPM uint32, podID *int, ttl time.Duration) {
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: name, Policy: &endpointv3.ClusterLoadAssignment_Policy{}}
+	if dropPPM > 0 {
+		assignment.Policy.DropOverloads = []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{{Category: "overload",
+			DropPercentage: &typev3.FractionalPercent{Numerator: dropPPM, Denominator: typev3.FractionalPercent_MILLION}}}
 	}
-	var live []string
+	var active []string
 	if e.confirmed || ttl == 0 {
-		live = e.fill(cla, cell)
+		active = e.fillEndpoints(assignment, podID)
 	}
-	e.add(Endpoint, name, cla, ttl).live = live
+	e.add(Endpoint, name, assignment, ttl).activeAddrs = active
 }
 
-func (e *encoder) fill(cla *endpointv3.ClusterLoadAssignment, cell *int) (live []string) {
-	level, from := -1, uint32(math.MaxUint32)
+func (e *encoder) fillEndpoints(assignment *endpointv3.ClusterLoadAssignment, podID *int) (active []string) {
+	priority, statePriority := -1, uint32(math.MaxUint32)
 	for _, l := range e.view.Localities {
-		parts, own := sumOf(l.Endpoints), 0.0
-		var hall *endpointv3.LocalityLbEndpoints
+		totalWeight, ownWeight := healthyWeight(l.Endpoints), 0.0
+		var locality *endpointv3.LocalityLbEndpoints
 		for _, x := range l.Endpoints {
-			if cell != nil && x.Cell != *cell {
+			if podID != nil && x.Cell != *podID {
 				continue
 			}
 			ep, err := endpoint(x.Addr)
@@ -298,77 +297,78 @@
 				}
 				continue
 			}
-			if l.Priority != from { // priorities must have no gap
-				level, from = level+1, l.Priority
+			if l.Priority != statePriority { // EDS priorities must be contiguous
+				priority, statePriority = priority+1, l.Priority
 			}
-			part := 0.0
+			endpointWeight := 0.0
 			if x.Health == steer.Healthy {
-				part = float64(x.Weight)
-				live = append(live, x.Addr)
+				endpointWeight = float64(x.Weight)
+				active = append(active, x.Addr)
 			}
-			own += part
-			ep.HealthStatus = healths[x.Health]
+			ownWeight += endpointWeight
+			ep.HealthStatus = healthStatuses[x.Health]
 			if e.kind.SupportsTTL {
-				if hall == nil {
-					hall = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: l.Zone}, Priority: uint32(level)}
-					cla.Endpoints = append(cla.Endpoints, hall)
+				if locality == nil {
+					locality = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: l.Zone}, Priority: uint32(priority)}
+					assignment.Endpoints = append(assignment.Endpoints, locality)
 				}
 				ep.LoadBalancingWeight = wrapperspb.UInt32(max(x.Weight, 1))
-				hall.LbEndpoints = append(hall.LbEndpoints, ep)
-				hall.LoadBalancingWeight = weight(l, own/parts)
+				locality.LbEndpoints = append(locality.LbEndpoints, ep)
+				locality.LoadBalancingWeight = weight(l, ownWeight/totalWeight)
 				continue
 			}
-			cla.Endpoints = append(cla.Endpoints, &endpointv3.LocalityLbEndpoints{
+			assignment.Endpoints = append(assignment.Endpoints, &endpointv3.LocalityLbEndpoints{
 				Locality:            &corev3.Locality{Zone: l.Zone, SubZone: string(x.ID)},
-				Priority:            uint32(level),
-				LoadBalancingWeight: weight(l, part/parts),
+				Priority:            uint32(priority),
+				LoadBalancingWeight: weight(l, endpointWeight/totalWeight),
 				LbEndpoints:         []*endpointv3.LbEndpoint{ep},
 			})
 		}
 	}
-	slices.Sort(live)
-	return live
+	slices.Sort(active)
+	return active
 }
 
-// weight is that of a part of a locality. Rounded down: a cold server's part
-// must not grow by it.
-func weight(l steer.Locality, part float64) *wrapperspb.UInt32Value {
-	return wrapperspb.UInt32(uint32(math.Max(1, float64(l.Weight)*part*1000)))
+// weight returns the weight of a share of a locality. It rounds down, so that
+// rounding does not raise the share of a server that is warming up.
+func weight(l steer.Locality, share float64) *wrapperspb.UInt32Value {
+	return wrapperspb.UInt32(uint32(math.Max(1, float64(l.Weight)*share*1000)))
 }
 
-var healths = map[steer.Health]corev3.HealthStatus{
+var healthStatuses = map[steer.Health]corev3.HealthStatus{
 	steer.Healthy: corev3.HealthStatus_HEALTHY, steer.Draining: corev3.HealthStatus_DRAINING,
 	steer.Excluded: corev3.HealthStatus_UNHEALTHY,
 }
 
-// reserve adds the endpoints of a held cluster: who was neither draining nor
-// excluded, all alike, so that it seldom changes. Without a health check that
-// tells of a drain nobody may be held: drains are kept before all else.
-func (e *encoder) reserve(name string, checked bool, cell *int, ttl time.Duration) {
-	cla := &endpointv3.ClusterLoadAssignment{ClusterName: name}
-	var live []string
+// addFallbackAssignment adds the endpoints of a fallback cluster: all healthy
+// servers with equal weights, so that the resource seldom changes. Without a
+// health check that detects drains it stays empty, because a proxy could
+// otherwise keep sending requests to a draining server.
+func (e *encoder) addFallbackAssignment(name string, checked bool, podID *int, ttl time.Duration) {
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: name}
+	var active []string
 	for _, l := range e.view.Localities {
 		for _, x := range l.Endpoints {
-			if !checked || x.Health != steer.Healthy || cell != nil && x.Cell != *cell {
+			if !checked || x.Health != steer.Healthy || podID != nil && x.Cell != *podID {
 				continue
 			}
 			ep, err := endpoint(x.Addr)
 			if err != nil {
-				continue // fill has told it
+				continue // fillEndpoints has reported it
 			}
-			live = append(live, x.Addr)
-			cla.Endpoints = append(cla.Endpoints, &endpointv3.LocalityLbEndpoints{
+			active = append(active, x.Addr)
+			assignment.Endpoints = append(assignment.Endpoints, &endpointv3.LocalityLbEndpoints{
 				Locality:            &corev3.Locality{Zone: l.Zone, SubZone: string(x.ID)},
 				LoadBalancingWeight: wrapperspb.UInt32(1),
 				LbEndpoints:         []*endpointv3.LbEndpoint{ep},
 			})
 		}
 	}
-	slices.SortFunc(cla.Endpoints, func(a, b *endpointv3.LocalityLbEndpoints) int {
+	slices.SortFunc(assignment.Endpoints, func(a, b *endpointv3.LocalityLbEndpoints) int {
 		return slices.Compare([]string{a.Locality.Zone, a.Locality.SubZone}, []string{b.Locality.Zone, b.Locality.SubZone})
 	})
-	slices.Sort(live)
-	e.add(Endpoint, name, cla, ttl).live = live
+	slices.Sort(active)
+	e.add(Endpoint, name, assignment, ttl).activeAddrs = active
 }
 
 func endpoint(addr string) (*endpointv3.LbEndpoint, error) {
@@ -388,9 +388,9 @@
 	}, nil
 }
 
-// routes adds the routes: one for each class, then one for requests without a
-// known class, which are taken as unsafe and not of priority.
-func (e *encoder) routes(s *Service, refs []string) {
+// addRoutes adds one route for each class, then one for requests without a
+// known class, which are treated as unsafe and of low priority.
+func (e *encoder) addRoutes(s *Service, clusterRefs []string) {
 	host := &routev3.VirtualHost{Name: s.Name, Domains: []string{"*"}}
 	classes := append(slices.Clone(s.Classes), Class{})
 	for _, c := range classes {
@@ -401,23 +401,23 @@
 					MatchPattern: &matcherv3.StringMatcher_Exact{Exact: c.Name}}}}}
 		}
 		retry := steer.RetryRuleFor(c.Class)
-		action := &routev3.RouteAction{RetryPolicy: e.retries(retry)}
+		action := &routev3.RouteAction{RetryPolicy: e.retryPolicy(retry)}
 		if retry.TotalTimeout > 0 {
 			action.Timeout = durationpb.New(retry.TotalTimeout)
 			action.MaxStreamDuration = &routev3.RouteAction_MaxStreamDuration{MaxStreamDuration: durationpb.New(retry.TotalTimeout)}
 		}
-		e.target(s, c, action)
+		e.setTarget(s, c, action)
 		host.Routes = append(host.Routes, &routev3.Route{Name: c.Name, Match: match,
 			Action: &routev3.Route_Route{Route: action}})
 	}
 	rc := &routev3.RouteConfiguration{Name: s.Name, VirtualHosts: []*routev3.VirtualHost{host}}
-	slices.Sort(refs)
-	e.add(Route, s.Name, rc, 0).refs = refs
+	slices.Sort(clusterRefs)
+	e.add(Route, s.Name, rc, 0).clusterRefs = clusterRefs
 }
 
-// target sets the cluster of a class. A keyed request goes to one pod, by the
-// pods' weights, and stays within it when it is tried again.
-func (e *encoder) target(s *Service, c Class, action *routev3.RouteAction) {
+// setTarget sets the cluster of a class's route. A keyed request goes to one
+// pod, chosen by weight, and its retries stay within that pod.
+func (e *encoder) setTarget(s *Service, c Class, action *routev3.RouteAction) {
 	pods := e.pods()
 	if !steer.RetryRuleFor(c.Class).SamePod || len(pods) == 0 {
 		action.ClusterSpecifier = &routev3.RouteAction_Cluster{Cluster: s.cluster(c.Priority)}
@@ -429,23 +429,23 @@
 	}
 	w := &routev3.WeightedCluster{}
 	for _, p := range pods {
-		part := uint32(1)
+		share := uint32(1)
 		if total > 0 {
-			part = uint32(math.Round(p.weight / total * 100)) // by hundredths, so that routes seldom change
+			share = uint32(math.Round(p.weight / total * 100)) // whole percents, so that routes seldom change
 		}
-		if part == 0 && p.weight > 0 {
-			part = 1
+		if share == 0 && p.weight > 0 {
+			share = 1
 		}
 		w.Clusters = append(w.Clusters, &routev3.WeightedCluster_ClusterWeight{
-			Name: s.podCluster(p.cell, c.Priority), Weight: wrapperspb.UInt32(part)})
+			Name: s.podCluster(p.id, c.Priority), Weight: wrapperspb.UInt32(share)})
 	}
 	action.ClusterSpecifier = &routev3.RouteAction_WeightedClusters{WeightedClusters: w}
 }
 
-// retries puts a class's rule into the proxies' words.
-func (e *encoder) retries(r steer.RetryRule) *routev3.RetryPolicy {
-	// What no server can have begun: no connection, a refused stream (RFC 9113,
-	// section 8.7), or the platform's word.
+// retryPolicy translates a retry rule into a route's retry policy.
+func (e *encoder) retryPolicy(r steer.RetryRule) *routev3.RetryPolicy {
+	// Safe to retry because no server can have started the request: connection
+	// failure, refused stream (RFC 9113, section 8.7), or the not-started header.
 	p := &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream,retriable-headers", NumRetries: wrapperspb.UInt32(steer.MaxAttempts - 1),
 		RetriableHeaders: []*routev3.HeaderMatcher{{Name: notStarted, HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{
 			StringMatch: &matcherv3.StringMatcher{MatchPattern: &matcherv3.StringMatcher_Exact{Exact: "1"}}}}}}
@@ -460,8 +460,8 @@
 		ConfigType: &routev3.RetryPolicy_RetryHostPredicate_TypedConfig{
 			TypedConfig: e.any(&previoushostsv3.PreviousHostsPredicate{})}}}
 	p.HostSelectionRetryMaxAttempts = 3
-	// The next attempt goes to the halls that stand in: a hall that is lost does
-	// not answer the second one either.
+	// Retries go to the next priority, so that the failure of a whole zone does
+	// not fail the retry too.
 	p.RetryPriority = &routev3.RetryPolicy_RetryPriority{Name: "envoy.retry_priorities.previous_priorities",
 		ConfigType: &routev3.RetryPolicy_RetryPriority_TypedConfig{
 			TypedConfig: e.any(&previousprioritiesv3.PreviousPrioritiesConfig{UpdateFrequency: 1})}}
--- a/internal/xds/fuzz_test.go
+++ b/internal/xds/fuzz_test.go
@@ -17,8 +17,8 @@
 	"ivylock/steer"
 )
 
-// messages splits bytes into messages, each led by its length in two bytes.
-func messages(data []byte) [][]byte {
+// splitMessages splits bytes into messages, each preceded by its length in two bytes.
+func splitMessages(data []byte) [][]byte {
 	var out [][]byte
 	for len(data) >= 2 {
 		n := min(int(data[0])<<8|int(data[1]), len(data)-2)
@@ -28,7 +28,7 @@
 	return out
 }
 
-func pack(f *testing.F, all ...proto.Message) []byte {
+func packMessages(f *testing.F, all ...proto.Message) []byte {
 	var out []byte
 	for _, m := range all {
 		raw, err := proto.Marshal(m)
@@ -40,22 +40,22 @@
 	return out
 }
 
-// What a proxy may send on a discovery stream: whatever it is, the stream ends
-// with its last message, and what is sent stays within the protocol.
+// Feeds arbitrary requests to a discovery stream: it must end with the last one
+// and send only valid responses.
 func FuzzDiscoveryStream(f *testing.F) {
-	n := &corev3.Node{Id: "p", Locality: &corev3.Locality{Zone: "a"}, ClientFeatures: []string{ttlFeature}}
-	f.Add(pack(f, &discoveryv3.DiscoveryRequest{Node: n, TypeUrl: Cluster.URL()},
+	n := &corev3.Node{Id: "p", Locality: &corev3.Locality{Zone: "a"}, ClientFeatures: []string{ttlClientFeature}}
+	f.Add(packMessages(f, &discoveryv3.DiscoveryRequest{Node: n, TypeUrl: Cluster.URL()},
 		&discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other/leased"}, ResponseNonce: "1"},
 		&discoveryv3.DiscoveryRequest{TypeUrl: Cluster.URL(), ResponseNonce: "1", ErrorDetail: &status.Status{Code: 3, Message: "no"}}), false)
-	f.Add(pack(f, &discoveryv3.DeltaDiscoveryRequest{Node: n, TypeUrl: Endpoint.URL(), ResourceNamesSubscribe: []string{"*", "clips/other"},
+	f.Add(packMessages(f, &discoveryv3.DeltaDiscoveryRequest{Node: n, TypeUrl: Endpoint.URL(), ResourceNamesSubscribe: []string{"*", "clips/other"},
 		InitialResourceVersions: map[string]string{"clips/other": "1"}},
 		&discoveryv3.DeltaDiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNamesUnsubscribe: []string{"*"}, ResponseNonce: "9"}), true)
 	f.Add([]byte{0, 1, 255, 0, 0}, false)
-	s := New(Config{Access: Access{Services: []*Service{clips()}}, AckTimeout: 50 * time.Millisecond, NewStreamRate: 1e6})
-	s.Publish(state(1, steer.Healthy, steer.Draining))
+	s := New(Config{Access: Access{Services: []*Service{testService()}}, AckTimeout: 50 * time.Millisecond, NewStreamRate: 1e6})
+	s.Publish(testState(1, steer.Healthy, steer.Draining))
 	f.Fuzz(func(t *testing.T, data []byte, delta bool) {
-		queue := messages(data)
-		v := variant{ctx: context.Background(),
+		queue := splitMessages(data)
+		v := transport{ctx: context.Background(),
 			recv: func() (Request, *corev3.Node, error) {
 				if len(queue) == 0 {
 					return Request{}, nil, io.EOF
@@ -74,28 +74,28 @@
 				if err := proto.Unmarshal(raw, m); err != nil {
 					return Request{}, nil, err
 				}
-				r, err := wholeRequest(m)
+				r, err := sotwRequest(m)
 				return r, m.GetNode(), err
 			},
 			send: func(r *Response) error {
-				if r.Nonce == "" || r.Type >= types {
+				if r.Nonce == "" || r.Type >= numTypes {
 					t.Errorf("sent %+v", r)
 				}
 				return nil
 			}}
-		s.serve(delta, v)
+		s.serveDiscovery(delta, v)
 		if n := s.Counters.OpenStreams.Load(); n != 0 {
-			t.Errorf("%d streams are left", n)
+			t.Errorf("%d open streams left", n)
 		}
-		if len(s.all()) != 0 || len(s.proxies) != 0 {
-			t.Error("the stream is still known")
+		if len(s.openStreams()) != 0 || len(s.streamsByProxy) != 0 {
+			t.Error("stream is still registered")
 		}
 	})
 }
 
-// What a proxy may report of its load, up to the decision module.
+// Feeds arbitrary load reports to the decision module: weights and drop rates must stay in range.
 func FuzzLoadReport(f *testing.F) {
-	f.Add(pack(f, &lrsv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "clips/priority",
+	f.Add(packMessages(f, &lrsv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "clips/priority",
 		UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{Locality: &corev3.Locality{SubZone: "s0"}, TotalIssuedRequests: 1 << 63,
 			TotalSuccessfulRequests: 3, TotalRequestsInProgress: 1 << 62}}}}}))
 	f.Add([]byte{0, 2, 8, 1})
@@ -107,7 +107,7 @@
 		now := time.Hour
 		m.Handle(now, steer.ListReceived{Kind: steer.ListFull, Servers: []steer.Server{{ID: "s0", Addr: "h:1", Zone: "a"}, {ID: "s1", Addr: "h:2", Zone: "b"}}})
 		m.Handle(now, steer.ProxyJoined{Proxy: "p", Zone: "a"})
-		for _, raw := range messages(data) {
+		for _, raw := range splitMessages(data) {
 			r := &lrsv3.LoadStatsRequest{}
 			if proto.Unmarshal(raw, r) != nil {
 				continue
--- a/internal/xds/identity.go
+++ b/internal/xds/identity.go
@@ -17,14 +17,14 @@
 	"google.golang.org/grpc/status"
 )
 
-// anyone is the identity of all proxies on a plain-text listener.
-const anyone = "plain"
+// plainTextIdentity is the identity of all proxies on a plain-text listener.
+const plainTextIdentity = "plain"
 
-// identity gives the SPIFFE-like name of a stream's client certificate: its
-// one URI of scheme spiffe. On a plain-text listener everybody is "plain".
+// identity returns the SPIFFE ID of a stream's client certificate, or
+// plainTextIdentity on a plain-text listener.
 func identity(ctx context.Context, plain bool) (string, error) {
 	if plain {
-		return anyone, nil
+		return plainTextIdentity, nil
 	}
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -34,34 +34,34 @@
 	if !ok || len(info.State.VerifiedChains) == 0 {
 		return "", status.Error(codes.Unauthenticated, "no client certificate")
 	}
-	return nameOf(info.State.VerifiedChains[0][0])
+	return spiffeID(info.State.VerifiedChains[0][0])
 }
 
-func nameOf(c *x509.Certificate) (string, error) {
+func spiffeID(c *x509.Certificate) (string, error) {
 	var names []*url.URL
 	for _, u := range c.URIs {
 		if u.Scheme == "spiffe" {
 			names = append(names, u)
 		}
 	}
-	// The SPIFFE standard (X.509-SVID, section 2) allows exactly one.
+	// A certificate must hold exactly one SPIFFE ID (X.509-SVID, section 2).
 	if len(names) != 1 || names[0].Host == "" || names[0].Path == "" {
 		return "", status.Error(codes.Unauthenticated, "the client certificate has no single spiffe:// name")
 	}
 	return names[0].String(), nil
 }
 
-// Matches says whether a name is allowed by a pattern: the same name, or, for
-// a pattern that ends in /*, one below it. "*" allows everybody.
+// Matches reports whether a name matches a pattern: exactly, or, for a pattern
+// that ends in /*, as a name below that path. "*" matches every name.
 func Matches(pattern, name string) bool {
 	if pattern == "*" || pattern == name {
 		return true
 	}
-	under, ok := strings.CutSuffix(pattern, "*")
-	return ok && strings.HasSuffix(under, "/") && strings.HasPrefix(name, under) && len(name) > len(under)
+	prefix, ok := strings.CutSuffix(pattern, "*")
+	return ok && strings.HasSuffix(prefix, "/") && strings.HasPrefix(name, prefix) && len(name) > len(prefix)
 }
 
-func allowed(patterns []string, name string) bool {
+func matchesAny(patterns []string, name string) bool {
 	for _, p := range patterns {
 		if Matches(p, name) {
 			return true
@@ -70,22 +70,22 @@
 	return false
 }
 
-// Certificates are a server's own certificate and the authorities it trusts
-// for proxies, read again on Reload. Connections that stand keep theirs.
+// Certificates holds the server's certificate and the CAs that it trusts for
+// client certificates. Reload affects new connections only.
 type Certificates struct {
 	cert, key, ca string
 	mu            sync.RWMutex
-	now           *tls.Config
+	current       *tls.Config
 }
 
-// LoadCertificates reads PEM files: the server's certificate with its chain,
-// its key, and the authorities of proxies.
+// LoadCertificates reads PEM files: the server's certificate chain, its key and
+// the CA certificates for proxies.
 func LoadCertificates(cert, key, ca string) (*Certificates, error) {
 	c := &Certificates{cert: cert, key: key, ca: ca}
 	return c, c.Reload()
 }
 
-// Reload reads the files again. If it errs, what was read before stays.
+// Reload reads the files again. On error the previous certificates stay in use.
 func (c *Certificates) Reload() error {
 	pair, err := tls.LoadX509KeyPair(c.cert, c.key)
 	if err != nil {
@@ -101,17 +101,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now = &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert,
+	c.current = &tls.Config{Certificates: []tls.Certificate{pair}, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert,
 		MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"}}
 	return nil
 }
 
-// TLSConfig gives what a listener needs; it follows Reload.
+// TLSConfig returns a configuration for listeners that always uses the certificates loaded last.
 func (c *Certificates) TLSConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			c.mu.RLock()
 			defer c.mu.RUnlock()
-			return c.now, nil
+			return c.current, nil
 		}}
 }
--- a/internal/xds/identity_test.go
+++ b/internal/xds/identity_test.go
@@ -28,7 +28,7 @@
 	"ivylock/steer"
 )
 
-// authority makes certificates for tests.
+// authority is a CA for tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -50,7 +50,7 @@
 	return a
 }
 
-// issue makes a certificate with names, a server's if there are none.
+// issue issues a certificate with the given URI names.
 func (a *authority) issue(names ...string) (certPEM, keyPEM []byte) {
 	a.t.Helper()
 	a.n++
@@ -75,7 +75,7 @@
 
 func (a *authority) client(names ...string) grpc.DialOption { return a.clientOf(a, names...) }
 
-// clientOf gives a client of this authority that trusts the servers of another.
+// clientOf returns client credentials issued by a that trust the servers of another CA.
 func (a *authority) clientOf(servers *authority, names ...string) grpc.DialOption {
 	a.t.Helper()
 	cert, key := a.issue(names...)
@@ -88,7 +88,7 @@
 	return grpc.WithTransportCredentials(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{pair}, RootCAs: pool}))
 }
 
-// files writes a server's certificate, key and the authority.
+// files writes a server certificate, its key and the CA certificate.
 func (a *authority) files(dir string) (cert, key, ca string) {
 	a.t.Helper()
 	c, k := a.issue()
@@ -101,21 +101,21 @@
 	return cert, key, ca
 }
 
-const who = "spiffe://example.org/proxy/"
+const proxyPrefix = "spiffe://example.org/proxy/"
 
-func TestOnlyWhoMaySeesAService(t *testing.T) {
+func TestServicesAreVisibleToAllowedIdentitiesOnly(t *testing.T) {
 	ca, other := newAuthority(t), newAuthority(t)
 	certs, err := LoadCertificates(ca.files(t.TempDir()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := clips()
+	second := testService()
 	second.Name = "scores"
-	s, addr := up(t, Config{TLS: certs, Access: Access{Services: []*Service{clips(), second}, Operators: []string{"spiffe://example.org/operator"},
-		AllowedIdentities: map[string][]string{"clips": {who + "*"}, "scores": {who + "two"}}}})
-	s.Publish(state(1, steer.Healthy))
+	s, addr := startServer(t, Config{TLS: certs, Access: Access{Services: []*Service{testService(), second}, Operators: []string{"spiffe://example.org/operator"},
+		AllowedIdentities: map[string][]string{"clips": {proxyPrefix + "*"}, "scores": {proxyPrefix + "two"}}}})
+	s.Publish(testState(1, steer.Healthy))
 	clusters := func(creds grpc.DialOption) (int, error) {
-		g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, addr, creds)).StreamAggregatedResources(within(t))
+		g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, addr, creds)).StreamAggregatedResources(timeoutContext(t))
 		if err != nil {
 			return 0, err
 		}
@@ -124,56 +124,56 @@
 		return len(m.GetResources()), err
 	}
 	for _, c := range []struct {
-		name  string
-		creds grpc.DialOption
-		code  codes.Code
-		sees  int
+		name     string
+		creds    grpc.DialOption
+		code     codes.Code
+		services int
 	}{
-		{"one", ca.client(who + "one"), codes.OK, 1},
-		{"two", ca.client(who + "two"), codes.OK, 2},
-		{"a stranger", ca.client("spiffe://example.org/elsewhere"), codes.PermissionDenied, 0},
-		{"no name", ca.client(), codes.Unauthenticated, 0},
-		{"two names", ca.client(who+"one", who+"two"), codes.Unauthenticated, 0},
-		{"another authority", other.clientOf(ca, who+"one"), codes.Unavailable, 0},
+		{"one", ca.client(proxyPrefix + "one"), codes.OK, 1},
+		{"two", ca.client(proxyPrefix + "two"), codes.OK, 2},
+		{"unknown identity", ca.client("spiffe://example.org/elsewhere"), codes.PermissionDenied, 0},
+		{"no SPIFFE ID", ca.client(), codes.Unauthenticated, 0},
+		{"two SPIFFE IDs", ca.client(proxyPrefix+"one", proxyPrefix+"two"), codes.Unauthenticated, 0},
+		{"another CA", other.clientOf(ca, proxyPrefix+"one"), codes.Unavailable, 0},
 		{"plain text", grpc.WithTransportCredentials(insecure.NewCredentials()), codes.Unavailable, 0},
 	} {
 		n, err := clusters(c.creds)
-		if status.Code(err) != c.code || n != c.sees {
+		if status.Code(err) != c.code || n != c.services {
 			t.Errorf("%s: %d services, %v", c.name, n, err)
 		}
 	}
 	for _, c := range []struct {
 		name string
 		code codes.Code
-	}{{"spiffe://example.org/operator", codes.OK}, {who + "one", codes.PermissionDenied}} {
-		_, err := statusv3.NewClientStatusDiscoveryServiceClient(dial(t, addr, ca.client(c.name))).FetchClientStatus(within(t), &statusv3.ClientStatusRequest{})
+	}{{"spiffe://example.org/operator", codes.OK}, {proxyPrefix + "one", codes.PermissionDenied}} {
+		_, err := statusv3.NewClientStatusDiscoveryServiceClient(dial(t, addr, ca.client(c.name))).FetchClientStatus(timeoutContext(t), &statusv3.ClientStatusRequest{})
 		if status.Code(err) != c.code {
 			t.Errorf("client status for %s: %v", c.name, err)
 		}
 	}
-	g, err := lrsv3.NewLoadReportingServiceClient(dial(t, addr, ca.client("spiffe://example.org/elsewhere"))).StreamLoadStats(within(t))
+	g, err := lrsv3.NewLoadReportingServiceClient(dial(t, addr, ca.client("spiffe://example.org/elsewhere"))).StreamLoadStats(timeoutContext(t))
 	if err == nil {
 		g.Send(&lrsv3.LoadStatsRequest{Node: node("n")})
 		_, err = g.Recv()
 	}
 	if status.Code(err) != codes.PermissionDenied {
-		t.Errorf("load reports of a stranger: %v", err)
+		t.Errorf("load reports of an unknown identity: %v", err)
 	}
 }
 
-// Certificates are replaced under a stream that stands; a bad file changes
-// nothing; who loses its right loses its stream.
-func TestReloadKeepsStreams(t *testing.T) {
+// Replacing certificates must not affect open streams, an invalid file must not
+// replace anything, and a proxy that loses its permission must lose its stream.
+func TestCertificateReloadKeepsStreams(t *testing.T) {
 	ca, next := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
 	certs, err := LoadCertificates(ca.files(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	access := Access{Services: []*Service{clips()}, AllowedIdentities: map[string][]string{"clips": {who + "*"}}}
-	s, addr := up(t, Config{TLS: certs, Access: access})
-	s.Publish(state(1, steer.Healthy))
-	g := open(t, dial(t, addr, ca.client(who+"one")))
+	access := Access{Services: []*Service{testService()}, AllowedIdentities: map[string][]string{"clips": {proxyPrefix + "*"}}}
+	s, addr := startServer(t, Config{TLS: certs, Access: access})
+	s.Publish(testState(1, steer.Healthy))
+	g := openStream(t, dial(t, addr, ca.client(proxyPrefix+"one")))
 	names := []string{"clips/other"}
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("n"), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	m := recv(t, g)
@@ -182,31 +182,31 @@
 		t.Fatal(err)
 	}
 	if certs.Reload() == nil {
-		t.Error("a bad key is taken")
+		t.Error("invalid key was accepted")
 	}
-	two := open(t, dial(t, addr, ca.client(who+"two")))
+	two := openStream(t, dial(t, addr, ca.client(proxyPrefix+"two")))
 	send(t, two, &discoveryv3.DiscoveryRequest{Node: node("two"), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	recv(t, two)
 	next.files(dir)
 	if err := certs.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	n := open(t, dial(t, addr, next.client(who+"three")))
+	n := openStream(t, dial(t, addr, next.client(proxyPrefix+"three")))
 	send(t, n, &discoveryv3.DiscoveryRequest{Node: node("m"), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	recv(t, n)
-	// The old stream goes on under the certificate that it came with.
+	// The first stream continues with its old certificate.
 	send(t, g, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: m.Nonce})
-	s.Publish(state(2, steer.Draining))
+	s.Publish(testState(2, steer.Draining))
 	m = recv(t, g)
 	send(t, g, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: m.Nonce})
-	access.AllowedIdentities = map[string][]string{"clips": {who + "three"}}
+	access.AllowedIdentities = map[string][]string{"clips": {proxyPrefix + "three"}}
 	s.SetAccess(access)
 	if _, err := g.Recv(); status.Code(err) != codes.PermissionDenied {
-		t.Errorf("after its right was taken: %v", err)
+		t.Errorf("after the permission was revoked: %v", err)
 	}
 }
 
-func TestMatches(t *testing.T) {
+func TestMatchesIdentityPatterns(t *testing.T) {
 	for _, c := range []struct {
 		pattern, name string
 		want          bool
@@ -216,7 +216,7 @@
 		{"spiffe://a/*", "spiffe://ab/c", false}, {"", "", true},
 	} {
 		if got := Matches(c.pattern, c.name); got != c.want {
-			t.Errorf("%q for %q: %v", c.pattern, c.name, got)
+			t.Errorf("pattern %q, name %q: %v", c.pattern, c.name, got)
 		}
 	}
 }
--- a/internal/xds/load.go
+++ b/internal/xds/load.go
@@ -17,43 +17,43 @@
 	"ivylock/steer"
 )
 
-// maxLoads is how many entries of one load report are read.
-const maxLoads = 16384
+// maxReportEntries limits the localities and endpoints of one load report.
+const maxReportEntries = 16384
 
-// reports is the load reporting service.
-type reports struct{ s *Server }
+// loadReportingService implements the load reporting service (LRS).
+type loadReportingService struct{ s *Server }
 
-// StreamLoadStats takes one proxy's load reports. The proxy is that of the
-// discovery stream with the same identity and node; who has none is not heard.
-func (l reports) StreamLoadStats(g lrsv3.LoadReportingService_StreamLoadStatsServer) error {
+// StreamLoadStats receives the load reports of one proxy, which is identified
+// by the same identity and node ID as on its discovery stream.
+func (l loadReportingService) StreamLoadStats(g lrsv3.LoadReportingService_StreamLoadStatsServer) error {
 	s := l.s
 	id, err := identity(g.Context(), s.cfg.TLS == nil)
-	if err == nil && s.visible(id) == "" {
+	if err == nil && s.visibleServices(id) == "" {
 		err = status.Error(codes.PermissionDenied, "this identity may see no service")
 	}
 	if err != nil {
 		s.Counters.StreamsRefused.Add(1)
-		return s.refuse(g.Context(), "load reports", id, err)
+		return s.rejectStream(g.Context(), "load reports", id, err)
 	}
 	m, err := g.Recv()
 	if err != nil {
-		return s.broken(g.Context(), id, err)
+		return s.streamError(g.Context(), id, err)
 	}
 	if m.GetNode().GetId() == "" {
 		s.Counters.MalformedRequests.Add(1)
-		return s.refuse(g.Context(), "load reports", id, badRequest("the first request must name its node"))
+		return s.rejectStream(g.Context(), "load reports", id, badRequest("the first request must name its node"))
 	}
 	proxy := proxyID(id, m.GetNode())
-	if !s.begin(proxy) {
+	if !s.admitLoadStream(proxy) {
 		s.Counters.StreamsRefused.Add(1)
-		return s.refuse(g.Context(), "load reports", id, status.Error(codes.ResourceExhausted, "too many load streams"))
+		return s.rejectStream(g.Context(), "load reports", id, status.Error(codes.ResourceExhausted, "too many load streams"))
 	}
-	defer s.finish(proxy)
+	defer s.releaseLoadStream(proxy)
 	if err := g.Send(&lrsv3.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
 		LoadReportingInterval: durationpb.New(s.cfg.LoadReportInterval)}); err != nil {
-		return s.broken(g.Context(), id, err)
+		return s.streamError(g.Context(), id, err)
 	}
-	least := s.cfg.LoadReportInterval / 4
+	minInterval := s.cfg.LoadReportInterval / 4
 	last := time.Time{}
 	for {
 		m, err := g.Recv()
@@ -61,10 +61,10 @@
 			return nil
 		}
 		if err != nil {
-			return s.broken(g.Context(), id, err)
+			return s.streamError(g.Context(), id, err)
 		}
-		if now := time.Now(); now.Sub(last) < least {
-			s.Counters.LoadReportsRejected.Add(1) // guards against a flood
+		if now := time.Now(); now.Sub(last) < minInterval {
+			s.Counters.LoadReportsRejected.Add(1) // limits the rate of reports
 			continue
 		} else {
 			last = now
@@ -81,50 +81,51 @@
 	}
 }
 
-func (s *Server) begin(proxy steer.ProxyID) bool {
+func (s *Server) admitLoadStream(proxy steer.ProxyID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.loads) >= s.cfg.MaxDiscoveryStreams && s.loads[proxy] == 0 || s.loads[proxy] >= s.cfg.MaxStreamsPerProxy {
+	if len(s.loadStreams) >= s.cfg.MaxDiscoveryStreams && s.loadStreams[proxy] == 0 || s.loadStreams[proxy] >= s.cfg.MaxStreamsPerProxy {
 		return false
 	}
-	s.loads[proxy]++
+	s.loadStreams[proxy]++
 	return true
 }
 
-func (s *Server) finish(proxy steer.ProxyID) {
+func (s *Server) releaseLoadStream(proxy steer.ProxyID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.loads[proxy]--; s.loads[proxy] <= 0 {
-		delete(s.loads, proxy)
+	if s.loadStreams[proxy]--; s.loadStreams[proxy] <= 0 {
+		delete(s.loadStreams, proxy)
 	}
 }
 
-// counts is what a report says of a locality or of an endpoint.
-type counts interface {
+// requestCounts are the counters that localities and endpoints of a load report have in common.
+type requestCounts interface {
 	GetTotalIssuedRequests() uint64
 	GetTotalSuccessfulRequests() uint64
 	GetTotalErrorRequests() uint64
 	GetTotalRequestsInProgress() uint64
 }
 
-// ParseLoadReport reads a load report. Servers are told apart by their address, or by the
-// sub-zone that they were given; the same server may occur in several clusters. Without an
-// interval of its own the report counts for the one that was asked for.
-func ParseLoadReport(proxy steer.ProxyID, stats []*endpointv3.ClusterStats, every time.Duration) (steer.LoadReported, bool) {
-	e := steer.LoadReported{Proxy: proxy, Interval: every}
-	at := map[steer.Load]int{} // by what names a server
-	n := 0
-	add := func(who steer.Load, x counts) (issued uint64, use *float64) {
-		// A proxy that does not count what it issues counts what ended.
+// ParseLoadReport converts a load report and sums it up by server over all
+// clusters. A server is identified by its address or, in a report by locality,
+// by the sub-zone. defaultInterval is used for a report without an interval. It
+// returns false if the report is too large.
+func ParseLoadReport(proxy steer.ProxyID, stats []*endpointv3.ClusterStats, defaultInterval time.Duration) (steer.LoadReported, bool) {
+	e := steer.LoadReported{Proxy: proxy, Interval: defaultInterval}
+	index := map[steer.Load]int{} // into e.Loads, by the server's ID or address
+	entries := 0
+	add := func(key steer.Load, x requestCounts) (issued uint64, utilisation *float64) {
+		// Some proxies leave out the issued requests and count the completed ones only.
 		issued = max(x.GetTotalIssuedRequests(), x.GetTotalSuccessfulRequests()+x.GetTotalErrorRequests())
-		if who.Server == "" && who.Addr == "" {
+		if key.Server == "" && key.Addr == "" {
 			return issued, nil
 		}
-		i, ok := at[who]
+		i, ok := index[key]
 		if !ok {
 			i = len(e.Loads)
-			at[who] = i
-			e.Loads = append(e.Loads, who)
+			index[key] = i
+			e.Loads = append(e.Loads, key)
 		}
 		l := &e.Loads[i]
 		l.Issued += issued
@@ -141,22 +142,22 @@
 		}
 		arrived := c.GetTotalDroppedRequests()
 		for _, l := range c.GetUpstreamLocalityStats() {
-			if n += 1 + len(l.GetUpstreamEndpointStats()); n > maxLoads {
+			if entries += 1 + len(l.GetUpstreamEndpointStats()); entries > maxReportEntries {
 				return e, false
 			}
-			if all := l.GetUpstreamEndpointStats(); len(all) > 0 {
-				for _, x := range all {
+			if endpoints := l.GetUpstreamEndpointStats(); len(endpoints) > 0 {
+				for _, x := range endpoints {
 					s := x.GetAddress().GetSocketAddress()
 					issued, _ := add(steer.Load{Addr: net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue())))}, x)
 					arrived += issued
 				}
 				continue
 			}
-			issued, use := add(steer.Load{Server: steer.ServerID(l.GetLocality().GetSubZone())}, l)
+			issued, utilisation := add(steer.Load{Server: steer.ServerID(l.GetLocality().GetSubZone())}, l)
 			arrived += issued
 			for _, u := range []*endpointv3.UnnamedEndpointLoadMetricStats{l.GetApplicationUtilization(), l.GetCpuUtilization()} {
-				if k := u.GetNumRequestsFinishedWithMetric(); k > 0 && use != nil {
-					*use = max(*use, u.GetTotalMetricValue()/float64(k))
+				if finished := u.GetNumRequestsFinishedWithMetric(); finished > 0 && utilisation != nil {
+					*utilisation = max(*utilisation, u.GetTotalMetricValue()/float64(finished))
 				}
 			}
 		}
@@ -169,8 +170,8 @@
 	return e, true
 }
 
-// isPriority tells a cluster's rank by its name.
+// isPriority reports whether a cluster's name is one for priority requests.
 func isPriority(cluster string) bool {
-	cluster = strings.TrimSuffix(strings.TrimSuffix(cluster, leasedSuffix), heldSuffix)
-	return strings.HasSuffix(cluster, "/"+rankName(true))
+	cluster = strings.TrimSuffix(strings.TrimSuffix(cluster, leasedSuffix), fallbackSuffix)
+	return strings.HasSuffix(cluster, "/"+rankSuffix(true))
 }
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -1,13 +1,13 @@
-// Package xds serves what is decided to other proxies over xDS: aggregated
-// discovery in both its variants, load reports and client status. It decides
-// nothing; what is served comes from package steer.
+// Package xds serves the state that package steer computes to other proxies over
+// xDS: aggregated discovery (ADS) in the state-of-the-world and the incremental
+// variant, load reporting (LRS) and client status discovery (CSDS).
 //
-//   - resource.go: what is served, ready to be written
-//   - encode.go: a steer.State as resources
-//   - session.go: the protocol of one stream, without I/O or clock
-//   - stream.go, server.go: streams of gRPC, their bounds and counters
-//   - load.go: load reports; status.go: what each proxy has acknowledged
-//   - identity.go: who a proxy is and what it may see
+//   - resource.go: resources and snapshots
+//   - encode.go: conversion of a steer.State to resources
+//   - session.go: protocol state of one stream, without I/O or clock
+//   - stream.go, server.go: gRPC streams, their limits and counters
+//   - load.go: load reports; status.go: client status
+//   - identity.go: authentication and authorization of proxies
 package xds
 
 import (
@@ -21,52 +21,53 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Type is a type of resource. Their order is that in which an update must be
-// sent, so that nothing refers to what a proxy does not have (make before
-// break).
+// Type is an xDS resource type. The constants are in the order in which updates
+// must be sent, so that no resource refers to one that the proxy does not have
+// yet (make before break).
 type Type int
 
+// The resource types, in the order of updates.
 const (
 	Cluster Type = iota
 	Endpoint
 	Listener
 	Route
-	types
+	numTypes
 )
 
-var urls = [types]string{
+var typeURLs = [numTypes]string{
 	"type.googleapis.com/envoy.config.cluster.v3.Cluster",
 	"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
 	"type.googleapis.com/envoy.config.listener.v3.Listener",
 	"type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 }
 
-// URL is the type's name on the wire.
-func (t Type) URL() string { return urls[t] }
+// URL returns the type URL used on the wire.
+func (t Type) URL() string { return typeURLs[t] }
 
 func (t Type) String() string { return [...]string{"CDS", "EDS", "LDS", "RDS"}[t] }
 
-// whole types are sent in full by the state-of-the-world variant: what is not
-// in a response is gone.
-func (t Type) whole() bool { return t == Cluster || t == Listener }
+// sentInFull reports whether a state-of-the-world response holds all resources
+// of the type, so that the proxy deletes those that are missing.
+func (t Type) sentInFull() bool { return t == Cluster || t == Listener }
 
-func typeOf(url string) (Type, bool) {
-	i := slices.Index(urls[:], url)
+func typeFromURL(url string) (Type, bool) {
+	i := slices.Index(typeURLs[:], url)
 	return Type(i), i >= 0
 }
 
-// Resource is one resource, encoded once for all streams. It is never changed.
+// Resource is one resource, encoded once for all streams. It is immutable.
 type Resource struct {
 	Name    string
-	Version string // made of the content alone: it means the same on every control service and after a restart
+	Version string // content hash, so that it is the same on every control service and after a restart
 	Body    *anypb.Any
-	TTL     time.Duration // 0: for ever
+	TTL     time.Duration // 0: does not expire
 
-	live []string // Endpoint: sorted addresses that get new requests
-	refs []string // Route: clusters that it names; Cluster: those it is made of
+	activeAddrs []string // Endpoint: sorted addresses of the servers that get new requests
+	clusterRefs []string // Route: clusters it refers to; aggregate Cluster: its members
 }
 
-// newResource encodes a message.
+// newResource encodes a message; its version is a hash of the encoding.
 func newResource(name string, m proto.Message, ttl time.Duration) (*Resource, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
@@ -77,49 +78,49 @@
 	return &Resource{Name: name, Version: hex.EncodeToString(sum[:8]), Body: &anypb.Any{TypeUrl: url, Value: raw}, TTL: ttl}, nil
 }
 
-// covers says whether all that r lets requests go to is still let by o.
-func (r *Resource) covers(o *Resource) bool {
+// activeSubsetOf reports whether every active address of r is also active in o.
+func (r *Resource) activeSubsetOf(o *Resource) bool {
 	if o == nil {
-		return len(r.live) == 0
+		return len(r.activeAddrs) == 0
 	}
-	for _, a := range r.live {
-		if _, ok := slices.BinarySearch(o.live, a); !ok {
+	for _, a := range r.activeAddrs {
+		if _, ok := slices.BinarySearch(o.activeAddrs, a); !ok {
 			return false
 		}
 	}
 	return true
 }
 
-// Snapshot is all resources of one kind of proxy at one time. It is never
-// changed.
+// Snapshot holds all resources of one kind of proxy for one state. It is
+// immutable.
 type Snapshot struct {
-	StateVersion uint64 // of the state that it was made of
-	sets         [types]map[string]*Resource
+	StateVersion uint64 // version of the steer.State it was encoded from
+	resources    [numTypes]map[string]*Resource
 }
 
-// Get gives a resource, or nil.
+// Get returns a resource, or nil.
 func (s *Snapshot) Get(t Type, name string) *Resource {
 	if s == nil {
 		return nil
 	}
-	return s.sets[t][name]
+	return s.resources[t][name]
 }
 
-// Names gives the sorted names of a type.
+// Names returns the sorted names of all resources of a type.
 func (s *Snapshot) Names(t Type) []string {
 	if s == nil {
 		return nil
 	}
-	names := make([]string, 0, len(s.sets[t]))
-	for n := range s.sets[t] {
+	names := make([]string, 0, len(s.resources[t]))
+	for n := range s.resources[t] {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// sum is one version for several resources.
-func sum(set []*Resource) string {
+// combinedVersion returns one version for several resources.
+func combinedVersion(set []*Resource) string {
 	h := sha256.New()
 	for _, r := range set {
 		h.Write([]byte(r.Name + "\x00" + r.Version + "\x00"))
--- a/internal/xds/scale_test.go
+++ b/internal/xds/scale_test.go
@@ -27,7 +27,7 @@
 	"ivylock/steer"
 )
 
-// The scale of the measurement: not part of the checks. Run it with
+// Size of the benchmark. Run it with
 //
 //	go test ./internal/xds -run xxx -bench Scale -benchtime 20x
 const (
@@ -36,21 +36,21 @@
 	scaleConns   = 100
 )
 
-// thinCodec reads of a response only what its answer needs, so that the
-// clients of the measurement cost little.
-type thinCodec struct{}
+// nonceCodec decodes only the nonce of a response, to keep the cost of the
+// benchmark's clients low.
+type nonceCodec struct{}
 
-type thin struct {
+type nonceMessage struct {
 	nonce string
 	size  int
 }
 
-func (thinCodec) Name() string { return "proto" }
+func (nonceCodec) Name() string { return "proto" }
 
-func (thinCodec) Marshal(v any) ([]byte, error) { return proto.Marshal(v.(proto.Message)) }
+func (nonceCodec) Marshal(v any) ([]byte, error) { return proto.Marshal(v.(proto.Message)) }
 
-func (thinCodec) Unmarshal(raw []byte, v any) error {
-	x := v.(*thin)
+func (nonceCodec) Unmarshal(raw []byte, v any) error {
+	x := v.(*nonceMessage)
 	x.size = len(raw)
 	for len(raw) > 0 {
 		num, typ, n := protowire.ConsumeTag(raw)
@@ -58,7 +58,7 @@
 			return protowire.ParseError(n)
 		}
 		raw = raw[n:]
-		if num == 5 && typ == protowire.BytesType { // nonce, in both variants
+		if num == 5 && typ == protowire.BytesType { // field number of the nonce in both variants
 			s, n := protowire.ConsumeString(raw)
 			if n < 0 {
 				return protowire.ParseError(n)
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// crowd is many streams that answer each response at once.
-type crowd struct {
-	mu    sync.Mutex
-	at    []time.Time // of each stream's last response
-	bytes int64
-	count int
-	more  chan struct{}
+// streamGroup is a set of streams that answer each response immediately.
+type streamGroup struct {
+	mu        sync.Mutex
+	lastAt    []time.Time // time of the last response, by stream
+	bytes     int64
+	responses int
+	round     chan struct{}
 }
 
 func scaleState(version uint64) *steer.State {
@@ -97,17 +97,17 @@
 		Views: map[string]*steer.View{"": {Localities: []steer.Locality{l}, MaxRequests: 64}}}
 }
 
-// join opens the streams, each for the endpoints of one cluster.
-func (c *crowd) join(b *testing.B, addr string, delta bool, cluster string, features ...string) {
+// openStreams opens the streams, each subscribed to the endpoints of one cluster.
+func (c *streamGroup) openStreams(b *testing.B, addr string, delta bool, cluster string, features ...string) {
 	b.Helper()
-	c.at = make([]time.Time, scaleStreams)
-	c.more = make(chan struct{}, 1)
+	c.lastAt = make([]time.Time, scaleStreams)
+	c.round = make(chan struct{}, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	var conns []*grpc.ClientConn
 	for range scaleConns {
 		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithDefaultCallOptions(grpc.ForceCodec(thinCodec{})))
+			grpc.WithDefaultCallOptions(grpc.ForceCodec(nonceCodec{})))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -124,7 +124,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		ask := func(nonce string) error {
+		request := func(nonce string) error {
 			n := &corev3.Node{Id: "p" + strconv.Itoa(i), ClientFeatures: features}
 			if !delta {
 				return g.SendMsg(&discoveryv3.DiscoveryRequest{Node: n, TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: nonce, VersionInfo: nonce})
@@ -135,12 +135,12 @@
 			}
 			return g.SendMsg(m)
 		}
-		if err := ask(""); err != nil {
+		if err := request(""); err != nil {
 			b.Fatal(err)
 		}
 		go func() {
 			for {
-				m := &thin{}
+				m := &nonceMessage{}
 				if g.RecvMsg(m) != nil {
 					return
 				}
@@ -149,22 +149,22 @@
 				c.bytes += int64(m.size)
 				if m.size < 1000 { // a heartbeat
 					c.mu.Unlock()
-					if ask(m.nonce) != nil {
+					if request(m.nonce) != nil {
 						return
 					}
 					continue
 				}
-				c.at[i] = now
-				c.count++
-				whole := c.count%scaleStreams == 0
+				c.lastAt[i] = now
+				c.responses++
+				complete := c.responses%scaleStreams == 0
 				c.mu.Unlock()
-				if whole {
+				if complete {
 					select {
-					case c.more <- struct{}{}:
+					case c.round <- struct{}{}:
 					default:
 					}
 				}
-				if ask(m.nonce) != nil {
+				if request(m.nonce) != nil {
 					return
 				}
 			}
@@ -172,66 +172,66 @@
 	}
 }
 
-func (c *crowd) wait(b *testing.B) {
+func (c *streamGroup) waitRound(b *testing.B) {
 	b.Helper()
 	select {
-	case <-c.more:
+	case <-c.round:
 	case <-time.After(60 * time.Second):
-		b.Fatalf("only %d responses", c.count)
+		b.Fatalf("only %d responses", c.responses)
 	}
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// measure changes the state b.N times.
-func (c *crowd) measure(b *testing.B, heap uint64, change func(version uint64)) {
+// measure changes the state b.N times and reports latencies, memory and CPU time.
+func (c *streamGroup) measure(b *testing.B, heap uint64, change func(version uint64)) {
 	b.Helper()
-	c.wait(b)
+	c.waitRound(b)
 	time.Sleep(200 * time.Millisecond)
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	var all []time.Duration
-	var last []time.Duration
+	var latencies []time.Duration
+	var slowest []time.Duration
 	c.mu.Lock()
 	c.bytes = 0
 	c.mu.Unlock()
-	used := cpu()
+	cpuBefore := cpuTime()
 	version := uint64(1)
 	b.ResetTimer()
 	for range b.N {
 		version++
-		from := time.Now()
+		start := time.Now()
 		change(version)
-		c.wait(b)
+		c.waitRound(b)
 		b.StopTimer()
 		c.mu.Lock()
 		worst := time.Duration(0)
-		for _, at := range c.at {
-			all = append(all, at.Sub(from))
-			worst = max(worst, at.Sub(from))
+		for _, at := range c.lastAt {
+			latencies = append(latencies, at.Sub(start))
+			worst = max(worst, at.Sub(start))
 		}
 		c.mu.Unlock()
-		last = append(last, worst)
-		time.Sleep(100 * time.Millisecond) // the answers
+		slowest = append(slowest, worst)
+		time.Sleep(100 * time.Millisecond) // lets the answers arrive
 		b.StartTimer()
 	}
 	b.StopTimer()
-	slices.Sort(all)
-	slices.Sort(last)
-	b.ReportMetric(float64(all[len(all)/2])/1e6, "p50-ms")
-	b.ReportMetric(float64(all[len(all)*99/100])/1e6, "p99-ms")
-	b.ReportMetric(float64(last[len(last)/2])/1e6, "last-stream-ms")
+	slices.Sort(latencies)
+	slices.Sort(slowest)
+	b.ReportMetric(float64(latencies[len(latencies)/2])/1e6, "p50-ms")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100])/1e6, "p99-ms")
+	b.ReportMetric(float64(slowest[len(slowest)/2])/1e6, "last-stream-ms")
 	b.ReportMetric(float64(c.bytes)/float64(b.N)/scaleStreams, "B/stream")
 	b.ReportMetric(float64(m.HeapAlloc-heap)/scaleStreams/1024, "kB-heap/stream")
-	b.ReportMetric(float64(cpu()-used)/1e6/float64(b.N), "cpu-ms/change")
+	b.ReportMetric(float64(cpuTime()-cpuBefore)/1e6/float64(b.N), "cpu-ms/change")
 }
 
-func heapNow() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -242,8 +242,8 @@
 	for _, delta := range []bool{false, true} {
 		variant := map[bool]string{false: "sotw", true: "delta"}[delta]
 		b.Run("ivylock/"+variant, func(b *testing.B) {
-			heap := heapNow()
-			s := New(Config{Access: Access{Services: []*Service{clips()}}, NewStreamRate: 1e6})
+			heap := heapBytes()
+			s := New(Config{Access: Access{Services: []*Service{testService()}}, NewStreamRate: 1e6})
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -251,13 +251,13 @@
 			go s.Serve(l)
 			defer s.Stop()
 			s.Publish(scaleState(1))
-			c := &crowd{}
-			c.join(b, l.Addr().String(), delta, "clips/other")
+			c := &streamGroup{}
+			c.openStreams(b, l.Addr().String(), delta, "clips/other")
 			c.measure(b, heap, func(v uint64) { s.Publish(scaleState(v)) })
 		})
 		b.Run("leases/"+variant, func(b *testing.B) {
-			heap := heapNow()
-			s := New(Config{Access: Access{Services: []*Service{clips()}}, NewStreamRate: 1e6})
+			heap := heapBytes()
+			s := New(Config{Access: Access{Services: []*Service{testService()}}, NewStreamRate: 1e6})
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -265,22 +265,22 @@
 			go s.Serve(l)
 			defer s.Stop()
 			s.Publish(scaleState(1))
-			c := &crowd{}
-			c.join(b, l.Addr().String(), delta, "clips/other/leased", ttlFeature)
+			c := &streamGroup{}
+			c.openStreams(b, l.Addr().String(), delta, "clips/other/leased", ttlClientFeature)
 			c.measure(b, heap, func(v uint64) { s.Publish(scaleState(v)) })
-			used, beats := cpu(), s.Counters.Heartbeats.Load()
+			cpuBefore, heartbeats := cpuTime(), s.Counters.Heartbeats.Load()
 			time.Sleep(3 * time.Second)
-			b.ReportMetric(float64(cpu()-used)/1e6/3, "idle-cpu-ms/s")
-			b.ReportMetric(float64(s.Counters.Heartbeats.Load()-beats)/3/scaleStreams, "beats/stream/s")
+			b.ReportMetric(float64(cpuTime()-cpuBefore)/1e6/3, "idle-cpu-ms/s")
+			b.ReportMetric(float64(s.Counters.Heartbeats.Load()-heartbeats)/3/scaleStreams, "beats/stream/s")
 			b.ReportMetric(float64(s.Counters.AckTimeouts.Load()), "resets")
 		})
 		b.Run("go-control-plane/"+variant, func(b *testing.B) {
-			heap := heapNow()
+			heap := heapBytes()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			cache := cachev3.NewSnapshotCache(false, oneKey{}, nil)
-			put := func(v uint64) {
-				snap, err := Encode(scaleState(v), []*Service{clips()}, Kind{})
+			cache := cachev3.NewSnapshotCache(false, sharedKey{}, nil)
+			setSnapshot := func(v uint64) {
+				snap, err := Encode(scaleState(v), []*Service{testService()}, Kind{})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -296,7 +296,7 @@
 					b.Fatal(err)
 				}
 			}
-			put(1)
+			setSnapshot(1)
 			g := grpc.NewServer()
 			discoveryv3.RegisterAggregatedDiscoveryServiceServer(g, serverv3.NewServer(ctx, cache, nil))
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -305,14 +305,14 @@
 			}
 			go g.Serve(l)
 			defer g.Stop()
-			c := &crowd{}
-			c.join(b, l.Addr().String(), delta, "clips/other")
-			c.measure(b, heap, put)
+			c := &streamGroup{}
+			c.openStreams(b, l.Addr().String(), delta, "clips/other")
+			c.measure(b, heap, setSnapshot)
 		})
 	}
 }
 
-// oneKey has all proxies share a snapshot, as those of one hall do here.
-type oneKey struct{}
+// sharedKey makes all proxies share one snapshot, like proxies of one zone here.
+type sharedKey struct{}
 
-func (oneKey) ID(*corev3.Node) string { return "all" }
+func (sharedKey) ID(*corev3.Node) string { return "all" }
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -28,89 +28,91 @@
 	"ivylock/steer"
 )
 
-// Access is what is served and who may see it. It can be changed while the
+// Access lists the services and who may see them. It can be changed while the
 // server runs.
 type Access struct {
 	Services          []*Service
-	AllowedIdentities map[string][]string // who may see a service, by its name: patterns of Matches
-	Operators         []string            // who may ask for client status
+	AllowedIdentities map[string][]string // by service name: patterns for Matches of the identities that may see it
+	Operators         []string            // patterns for Matches of the identities that may request client status
 }
 
-// TLSConfig is what a server is told at its start. Zero bounds take the default
-// named with each.
+// Config configures a server. Zero limits, timeouts and rates take the defaults
+// given with each.
 type Config struct {
 	Access Access
 	TLS    *Certificates // nil: plain text
 	Log    *slog.Logger
 
-	MaxDiscoveryStreams int           // discovery streams at once; default 4,096
-	MaxStreamsPerProxy  int           // discovery or load streams of one proxy at once; default 4
-	MaxMessageBytes     int           // bytes of a request; default 1 MiB
-	AckTimeout          time.Duration // a response without an answer for so long ends its stream; default 5 s
-	NewStreamRate       float64       // first responses to new streams a second; default 1,000
-	LoadReportInterval  time.Duration // load reports; default 500 ms
+	MaxDiscoveryStreams int           // concurrent discovery streams; default 4,096
+	MaxStreamsPerProxy  int           // concurrent streams of either kind from one proxy; default 4
+	MaxMessageBytes     int           // size limit of a request; default 1 MiB
+	AckTimeout          time.Duration // limit for the first request and for each answer; default 5 s
+	NewStreamRate       float64       // new streams served per second; default 1,000
+	LoadReportInterval  time.Duration // default 500 ms
 
-	// IsCurrent tells whether what was published is current; while it is not,
-	// nothing is sent. nil: always.
+	// IsCurrent reports whether the published state is up to date; while it is
+	// not, nothing is sent. nil: always.
 	IsCurrent func() bool
 
-	// Joined, Left and Loaded tell of proxies; they are called from the
+	// OnJoined is called when a proxy opens a stream, OnLeft when its last stream
+	// has ended, OnLoadReport for each load report. All callbacks run on the
 	// streams' goroutines and must not block for long.
 	OnJoined     func(proxy steer.ProxyID, zone string)
 	OnLeft       func(proxy steer.ProxyID)
 	OnLoadReport func(steer.LoadReported)
-	// OnSent says that a version has gone to a proxy, for a time after which it runs
-	// out there (0: it does not), Answered that it has taken
-	// it, or why not. Holds says that what a proxy has is all that a version has
-	// for it, whether or not anything of that had to be sent.
-	OnSent      func(proxy steer.ProxyID, number uint64, lease time.Duration)
-	OnAckOrNack func(proxy steer.ProxyID, number uint64, why string)
-	OnInSync    func(proxy steer.ProxyID, number uint64)
+	// OnSent is called when an update to a state version is sent to a proxy, not
+	// for heartbeats; ttl is the longest TTL in the update (0: none has one).
+	OnSent func(proxy steer.ProxyID, version uint64, ttl time.Duration)
+	// OnAckOrNack is called when a proxy answers an update; reason is empty for an ACK.
+	OnAckOrNack func(proxy steer.ProxyID, version uint64, reason string)
+	// OnInSync is called when a proxy has acknowledged all resources of a state
+	// version, whether or not any of them had to be sent.
+	OnInSync func(proxy steer.ProxyID, version uint64)
 }
 
-// Counters are what a server has done since its start.
+// Counters counts what a server has done since it was created.
 type Counters struct {
-	OpenStreams         atomic.Int64 // open now
+	OpenStreams         atomic.Int64 // currently open discovery streams
 	StreamsOpened       atomic.Int64
-	StreamsRefused      atomic.Int64 // streams turned away at a bound or for want of a right
-	MalformedRequests   atomic.Int64 // streams ended for what their proxy sent
-	AckTimeouts         atomic.Int64 // streams ended as their proxy did not answer
+	StreamsRefused      atomic.Int64 // streams refused by a limit or for lack of authorization
+	MalformedRequests   atomic.Int64 // streams ended by an invalid request
+	AckTimeouts         atomic.Int64 // streams ended by a missing request or answer
 	Responses           atomic.Int64
-	Heartbeats          atomic.Int64 // of these: heartbeats
-	ResourceBytes       atomic.Int64 // of the responses' resources
+	Heartbeats          atomic.Int64 // responses that were heartbeats
+	ResourceBytes       atomic.Int64 // encoded resources in responses
 	Nacks               atomic.Int64
-	LoadReports         atomic.Int64 // load reports
+	LoadReports         atomic.Int64
 	LoadReportsRejected atomic.Int64
 	EncodeErrors        atomic.Int64
 }
 
-// Server serves one listener.
+// Server is an xDS server for one listener.
 type Server struct {
-	cfg    Config
-	grpc   *grpc.Server
-	health *health.Server
-	start  time.Time
-	conns  conns
+	cfg       Config
+	grpc      *grpc.Server
+	health    *health.Server
+	startedAt time.Time
+	conns     connRegistry
 
-	mu      sync.Mutex
-	access  Access
-	state   *steer.State
-	views   map[viewKey]*Snapshot // of the state, made when first asked for
-	streams map[*stream]bool
-	proxies map[steer.ProxyID]int // open discovery streams
-	loads   map[steer.ProxyID]int // open load streams
-	next    time.Duration         // when the next new stream may start
+	mu             sync.Mutex
+	access         Access
+	state          *steer.State
+	snapshots      map[snapshotKey]*Snapshot // of the current state, encoded on first use
+	streams        map[*stream]bool
+	streamsByProxy map[steer.ProxyID]int // number of open discovery streams
+	loadStreams    map[steer.ProxyID]int // number of open load reporting streams
+	nextStart      time.Duration         // earliest start of the next new stream
 
 	Counters Counters
 }
 
-// viewKey distinguishes the snapshots of one state.
-type viewKey struct {
+// snapshotKey identifies one of the snapshots of a state.
+type snapshotKey struct {
 	Kind
-	services string // names that the proxy may see
+	services string // names of the visible services, separated by newlines
 }
 
-// New makes a server without a state: it answers once Publish was called.
+// New creates a server. It sends nothing until Publish is called.
 func New(cfg Config) *Server {
 	def := func(v *int, d int) {
 		if *v == 0 {
@@ -132,13 +134,13 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{cfg: cfg, access: cfg.Access, start: time.Now(), health: health.NewServer(),
-		views: map[viewKey]*Snapshot{}, streams: map[*stream]bool{}, proxies: map[steer.ProxyID]int{}, loads: map[steer.ProxyID]int{}}
+	s := &Server{cfg: cfg, access: cfg.Access, startedAt: time.Now(), health: health.NewServer(),
+		snapshots: map[snapshotKey]*Snapshot{}, streams: map[*stream]bool{}, streamsByProxy: map[steer.ProxyID]int{}, loadStreams: map[steer.ProxyID]int{}}
 	options := []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(cfg.MaxMessageBytes),
-		grpc.MaxConcurrentStreams(16), // of one connection
+		grpc.MaxConcurrentStreams(16), // per connection
 		grpc.ConnectionTimeout(5 * time.Second),
-		// A proxy that is gone without a word is found in 15 s.
+		// Detects a dead connection within 15 s.
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 5 * time.Second}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
@@ -146,55 +148,55 @@
 		options = append(options, grpc.Creds(credentials.NewTLS(cfg.TLS.TLSConfig())))
 	}
 	s.grpc = grpc.NewServer(options...)
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(s.grpc, ads{s})
-	lrsv3.RegisterLoadReportingServiceServer(s.grpc, reports{s})
-	statusv3.RegisterClientStatusDiscoveryServiceServer(s.grpc, statuses{s})
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(s.grpc, discoveryService{s})
+	lrsv3.RegisterLoadReportingServiceServer(s.grpc, loadReportingService{s})
+	statusv3.RegisterClientStatusDiscoveryServiceServer(s.grpc, clientStatusService{s})
 	healthv1.RegisterHealthServer(s.grpc, s.health)
 	reflection.Register(s.grpc)
 	s.health.SetServingStatus("", healthv1.HealthCheckResponse_NOT_SERVING)
 	return s
 }
 
-// Serve serves a listener until Stop.
-func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(s.conns.watch(l)) }
+// Serve serves a listener until Stop is called.
+func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(s.conns.track(l)) }
 
-// Stop ends all streams at once.
+// Stop ends all streams immediately.
 func (s *Server) Stop() {
 	s.health.Shutdown()
 	s.grpc.Stop()
 }
 
-// now is the server's clock.
-func (s *Server) now() time.Duration { return time.Since(s.start) }
+// now returns the time since the server was created.
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// Publish gives all streams a new state. Those that have answered what they
-// were sent are sent it at once, the others when they have.
+// Publish sets the state to serve. A proxy with an unanswered response gets the
+// update after it has answered, the others get it immediately.
 func (s *Server) Publish(st *steer.State) {
 	s.mu.Lock()
 	s.state = st
-	clear(s.views)
+	clear(s.snapshots)
 	s.mu.Unlock()
 	s.health.SetServingStatus("", healthv1.HealthCheckResponse_SERVING)
-	s.wakeAll()
+	s.notifyAll()
 }
 
-// SetAccess changes what is served and who may see it. Streams that may see
-// nothing any more end.
+// SetAccess replaces the services and permissions. Streams of proxies that may
+// not see any service any more are ended.
 func (s *Server) SetAccess(a Access) {
 	s.mu.Lock()
 	s.access = a
-	clear(s.views)
+	clear(s.snapshots)
 	s.mu.Unlock()
-	s.wakeAll()
+	s.notifyAll()
 }
 
-func (s *Server) wakeAll() {
-	for _, x := range s.all() {
-		x.wake()
+func (s *Server) notifyAll() {
+	for _, x := range s.openStreams() {
+		x.notify()
 	}
 }
 
-func (s *Server) all() []*stream {
+func (s *Server) openStreams() []*stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*stream, 0, len(s.streams))
@@ -204,7 +206,7 @@
 	return all
 }
 
-// groupOf gives the group of a proxy as the state has it.
+// groupOf returns the subset group of a proxy in the current state.
 func (s *Server) groupOf(p steer.ProxyID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,19 +216,19 @@
 	return s.state.GroupOf(p)
 }
 
-// snapshot gives what a kind of proxy is told now; nil before the first state,
-// and for proxies without leases before a list was confirmed: what they are
-// told stays with them.
-func (s *Server) snapshot(k viewKey) *Snapshot {
+// snapshot returns the current snapshot for a key. It is nil before the first
+// state. For proxies without TTL support it is also nil until the server list is
+// confirmed, because they would keep outdated endpoints indefinitely.
+func (s *Server) snapshot(k snapshotKey) *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state == nil || !s.state.Confirmed && !k.SupportsTTL {
 		return nil
 	}
 	if s.state.Views[k.Zone] == nil {
-		k.Zone = "" // guards against one view for each zone that somebody invents
+		k.Zone = "" // unknown zones share one snapshot, so that proxies can't create any number of them
 	}
-	if v := s.views[k]; v != nil {
+	if v := s.snapshots[k]; v != nil {
 		return v
 	}
 	var services []*Service
@@ -238,66 +240,66 @@
 	v, err := Encode(s.state, services, k.Kind)
 	if err != nil {
 		s.Counters.EncodeErrors.Add(1)
-		s.cfg.Log.Error("a state could not be encoded", "err", err)
+		s.cfg.Log.Error("state could not be encoded", "err", err)
 	}
-	s.views[k] = v
+	s.snapshots[k] = v
 	return v
 }
 
-// visible lists the services that an identity may see.
-func (s *Server) visible(id string) string {
+// visibleServices lists the services that an identity may see, separated by newlines.
+func (s *Server) visibleServices(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
 	for _, x := range s.access.Services {
-		if s.cfg.TLS == nil || allowed(s.access.AllowedIdentities[x.Name], id) {
+		if s.cfg.TLS == nil || matchesAny(s.access.AllowedIdentities[x.Name], id) {
 			out = append(out, x.Name)
 		}
 	}
 	return strings.Join(out, "\n")
 }
 
-var errFull = errors.New("too many streams")
+var errTooManyStreams = errors.New("too many streams")
 
-// admit takes a stream in, and says how long its first response must wait: new
-// streams start one after the other, what is published goes on meanwhile.
+// admit registers a stream and returns the delay of its first response, which
+// limits the rate of new streams so that updates to others are not held up.
 func (s *Server) admit(x *stream) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.streams) >= s.cfg.MaxDiscoveryStreams {
-		return 0, errFull
+		return 0, errTooManyStreams
 	}
-	if s.proxies[x.proxy] >= s.cfg.MaxStreamsPerProxy {
-		return 0, fmt.Errorf("%w of one proxy", errFull)
+	if s.streamsByProxy[x.proxy] >= s.cfg.MaxStreamsPerProxy {
+		return 0, fmt.Errorf("%w of one proxy", errTooManyStreams)
 	}
 	s.streams[x] = true
-	s.proxies[x.proxy]++
+	s.streamsByProxy[x.proxy]++
 	now := s.now()
-	s.next = max(s.next, now-50*time.Millisecond) + time.Duration(float64(time.Second)/s.cfg.NewStreamRate)
-	return max(0, s.next-now), nil
+	s.nextStart = max(s.nextStart, now-50*time.Millisecond) + time.Duration(float64(time.Second)/s.cfg.NewStreamRate)
+	return max(0, s.nextStart-now), nil
 }
 
-// release forgets a stream; last says that its proxy has no other.
+// release removes a stream and reports whether it was the last one of its proxy.
 func (s *Server) release(x *stream) (last bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.streams, x)
-	if s.proxies[x.proxy]--; s.proxies[x.proxy] <= 0 {
-		delete(s.proxies, x.proxy)
+	if s.streamsByProxy[x.proxy]--; s.streamsByProxy[x.proxy] <= 0 {
+		delete(s.streamsByProxy, x.proxy)
 		return true
 	}
 	return false
 }
 
-// operator says whether an identity may ask for client status.
-func (s *Server) operator(id string) bool {
+// isOperator reports whether an identity may request client status.
+func (s *Server) isOperator(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cfg.TLS == nil || allowed(s.access.Operators, id)
+	return s.cfg.TLS == nil || matchesAny(s.access.Operators, id)
 }
 
-// refuse ends a stream with one log line.
-func (s *Server) refuse(ctx context.Context, what string, id string, err error) error {
+// rejectStream logs why a stream is ended and returns its gRPC status.
+func (s *Server) rejectStream(ctx context.Context, what string, id string, err error) error {
 	if ctx.Err() != nil {
 		return status.FromContextError(ctx.Err()).Err()
 	}
@@ -309,12 +311,11 @@
 	return st.Err()
 }
 
-// UnackedStreams says how many streams were sent something that they have not
-// answered.
+// UnackedStreams returns the number of streams with an unanswered response.
 func (s *Server) UnackedStreams() int {
 	n := 0
-	for _, x := range s.all() {
-		if x.waiting() {
+	for _, x := range s.openStreams() {
+		if x.hasUnacked() {
 			n++
 		}
 	}
--- a/internal/xds/server_test.go
+++ b/internal/xds/server_test.go
@@ -34,9 +34,9 @@
 	"ivylock/steer"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func clips() *Service {
+func testService() *Service {
 	return &Service{Name: "clips", EndpointTTL: 240 * time.Millisecond, FallbackTTL: time.Minute, HealthCheckPath: "/healthz", ConnectTimeout: time.Second,
 		Classes: []Class{
 			{Class: balance.Class{Name: "fetch", Effect: balance.Safe, Deadline: 5 * time.Second}},
@@ -45,8 +45,8 @@
 		}}
 }
 
-// state makes one with servers of one hall, two to a pod.
-func state(version uint64, health ...steer.Health) *steer.State {
+// testState returns a state with servers in one zone, two to a pod.
+func testState(version uint64, health ...steer.Health) *steer.State {
 	l := steer.Locality{Zone: "a", Weight: 1}
 	for i, h := range health {
 		l.Endpoints = append(l.Endpoints, steer.Endpoint{ID: steer.ServerID(fmt.Sprintf("s%d", i)),
@@ -56,11 +56,11 @@
 	return &steer.State{Version: version, Confirmed: true, Views: map[string]*steer.View{"": v}}
 }
 
-// up starts a server; what it tells of proxies goes into the channel.
-func up(t *testing.T, cfg Config) (*Server, string) {
+// startServer starts a server on a free port and returns its address.
+func startServer(t *testing.T, cfg Config) (*Server, string) {
 	t.Helper()
 	if cfg.Access.Services == nil {
-		cfg.Access.Services = []*Service{clips()}
+		cfg.Access.Services = []*Service{testService()}
 	}
 	s := New(cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,18 +85,18 @@
 	return c
 }
 
-func within(t *testing.T) context.Context {
+func timeoutContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-type sotw = discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
+type sotwClient = discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 
-func open(t *testing.T, c *grpc.ClientConn) sotw {
+func openStream(t *testing.T, c *grpc.ClientConn) sotwClient {
 	t.Helper()
-	g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(c).StreamAggregatedResources(within(t))
+	g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(c).StreamAggregatedResources(timeoutContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,14 +107,14 @@
 	return &corev3.Node{Id: id, Locality: &corev3.Locality{Zone: "a"}, ClientFeatures: features}
 }
 
-func send(t *testing.T, g sotw, m *discoveryv3.DiscoveryRequest) {
+func send(t *testing.T, g sotwClient, m *discoveryv3.DiscoveryRequest) {
 	t.Helper()
 	if err := g.Send(m); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func recv(t *testing.T, g sotw) *discoveryv3.DiscoveryResponse {
+func recv(t *testing.T, g sotwClient) *discoveryv3.DiscoveryResponse {
 	t.Helper()
 	m, err := g.Recv()
 	if err != nil {
@@ -138,10 +138,10 @@
 	return m
 }
 
-func TestAProxyFollowsNamesFromListenerToEndpoints(t *testing.T) {
-	s, addr := up(t, Config{})
-	s.Publish(state(1, steer.Healthy, steer.Draining, steer.Healthy, steer.Excluded))
-	g := open(t, dial(t, addr))
+func TestProxyResolvesListenerToEndpoints(t *testing.T) {
+	s, addr := startServer(t, Config{})
+	s.Publish(testState(1, steer.Healthy, steer.Draining, steer.Healthy, steer.Excluded))
+	g := openStream(t, dial(t, addr))
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Listener.URL(), ResourceNames: []string{"clips"}})
 	m := recv(t, g)
 	l := unpack(t, m.Resources[0], &listenerv3.Listener{})
@@ -158,14 +158,14 @@
 		on := r.GetRoute().GetRetryPolicy().GetRetryOn()
 		again := strings.Contains(on, "reset") || strings.Contains(on, "unavailable") || strings.Contains(on, "5xx")
 		if unsafe := r.Name == "order" || r.Name == ""; again == unsafe {
-			t.Errorf("class %q is tried again on %q", r.Name, on)
+			t.Errorf("class %q is retried on %q", r.Name, on)
 		}
 		if r.Name == "broadcast" {
 			if w := r.GetRoute().GetWeightedClusters().GetClusters(); len(w) != 2 || w[0].Name != "clips/pod-0/priority" {
-				t.Errorf("a keyed class goes to %v", w)
+				t.Errorf("keyed class is routed to %v", w)
 			}
 			if d := r.GetRoute().GetTimeout().AsDuration(); d > 8*time.Second {
-				t.Errorf("a keyed class has %v", d)
+				t.Errorf("keyed class has timeout %v", d)
 			}
 		}
 	}
@@ -183,35 +183,35 @@
 		}
 	}
 	if a, b := e.Endpoints[0].LoadBalancingWeight.Value, e.Endpoints[2].LoadBalancingWeight.Value; b != 3*a {
-		t.Errorf("weights %d and %d", a, b)
+		t.Errorf("weights %d and %d, want a ratio of 3", a, b)
 	}
 }
 
-// A proxy that knows TTLs gets leases, heartbeats and a cluster in reserve;
-// before a list is confirmed it gets the reserve alone.
-func TestLeasesOnTheWire(t *testing.T) {
-	s, addr := up(t, Config{})
-	old := state(1, steer.Healthy, steer.Draining)
-	old.Confirmed = false
-	s.Publish(old)
-	g := open(t, dial(t, addr))
+// A proxy that supports TTLs must get endpoints with TTLs, heartbeats and
+// fallback endpoints, and only the latter until the server list is confirmed.
+func TestProxyWithTTLSupportGetsHeartbeatsAndFallback(t *testing.T) {
+	s, addr := startServer(t, Config{})
+	outdated := testState(1, steer.Healthy, steer.Draining)
+	outdated.Confirmed = false
+	s.Publish(outdated)
+	g := openStream(t, dial(t, addr))
 	names := []string{"clips/other/held", "clips/other/leased"}
-	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p", ttlFeature), TypeUrl: Endpoint.URL(), ResourceNames: names})
+	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p", ttlClientFeature), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	m := recv(t, g)
 	held, leased := unpack(t, m.Resources[0], &endpointv3.ClusterLoadAssignment{}), unpack(t, m.Resources[1], &endpointv3.ClusterLoadAssignment{})
 	if len(held.Endpoints) != 1 || len(leased.Endpoints) != 0 {
-		t.Errorf("of an old list: %d held, %d leased", len(held.Endpoints), len(leased.Endpoints))
+		t.Errorf("unconfirmed list: %d fallback endpoints, %d with TTL", len(held.Endpoints), len(leased.Endpoints))
 	}
 	w := &discoveryv3.Resource{}
 	if err := m.Resources[1].UnmarshalTo(w); err != nil || w.Ttl.AsDuration() != 240*time.Millisecond {
-		t.Errorf("lease %v, %v", w.Ttl, err)
+		t.Errorf("TTL %v, %v", w.Ttl, err)
 	}
 	answer := func() {
 		send(t, g, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: m.Nonce, VersionInfo: m.VersionInfo})
 	}
 	answer()
-	s.Publish(state(2, steer.Healthy, steer.Draining))
-	for beats := 0; beats < 3; {
+	s.Publish(testState(2, steer.Healthy, steer.Draining))
+	for heartbeats := 0; heartbeats < 3; {
 		m = recv(t, g)
 		for _, a := range m.Resources {
 			w := &discoveryv3.Resource{}
@@ -219,37 +219,37 @@
 				t.Fatal(err)
 			}
 			if w.Resource == nil && w.Ttl.AsDuration() == 240*time.Millisecond {
-				beats++
+				heartbeats++
 			}
 		}
 		answer()
 	}
 }
 
-// lines counts what is written.
-type lines struct {
+// lineCounter counts the lines written to it.
+type lineCounter struct {
 	mu sync.Mutex
 	n  int
 }
 
-func (l *lines) Write(raw []byte) (int, error) {
+func (l *lineCounter) Write(raw []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.n += strings.Count(string(raw), "\n")
 	return len(raw), nil
 }
 
-func (l *lines) count() int {
+func (l *lineCounter) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.n
 }
 
-func TestBadRequestsEndTheirStreamAlone(t *testing.T) {
-	var log lines
-	s, addr := up(t, Config{MaxMessageBytes: 64 << 10, Log: slog.New(slog.NewTextHandler(&log, nil))})
-	s.Publish(state(1, steer.Healthy))
-	other := open(t, dial(t, addr))
+func TestInvalidRequestsEndOnlyTheirOwnStream(t *testing.T) {
+	var log lineCounter
+	s, addr := startServer(t, Config{MaxMessageBytes: 64 << 10, Log: slog.New(slog.NewTextHandler(&log, nil))})
+	s.Publish(testState(1, steer.Healthy))
+	other := openStream(t, dial(t, addr))
 	send(t, other, &discoveryv3.DiscoveryRequest{Node: node("good"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}})
 	recv(t, other)
 	long := make([]string, 0, 5000)
@@ -262,38 +262,38 @@
 		code codes.Code
 	}{
 		{"no node", &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL()}, codes.InvalidArgument},
-		{"a type that is not served", &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: "x"}, codes.InvalidArgument},
+		{"unknown type", &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: "x"}, codes.InvalidArgument},
 		{"too many names", &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: long}, codes.InvalidArgument},
-		{"an empty name", &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: []string{""}}, codes.InvalidArgument},
-		{"too long", &discoveryv3.DiscoveryRequest{Node: node(strings.Repeat("x", 70<<10)), TypeUrl: Endpoint.URL()}, codes.ResourceExhausted},
+		{"empty name", &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: []string{""}}, codes.InvalidArgument},
+		{"message too long", &discoveryv3.DiscoveryRequest{Node: node(strings.Repeat("x", 70<<10)), TypeUrl: Endpoint.URL()}, codes.ResourceExhausted},
 	} {
-		g := open(t, dial(t, addr))
+		g := openStream(t, dial(t, addr))
 		send(t, g, c.m)
 		if _, err := g.Recv(); status.Code(err) != c.code {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	// The library itself ends a stream whose message is too long, so its client
-	// may know before it is counted.
-	for end := time.Now().Add(patience); (s.Counters.MalformedRequests.Load() < 5 || log.count() < 5) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	// gRPC itself ends a stream with a message that is too long, so the client may
+	// see the error before it is counted.
+	for end := time.Now().Add(testTimeout); (s.Counters.MalformedRequests.Load() < 5 || log.count() < 5) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if n := s.Counters.MalformedRequests.Load(); n != 5 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d invalid requests counted, want 5", n)
 	}
 	if n := log.count(); n != 5 {
-		t.Errorf("%d log lines", n)
+		t.Errorf("%d log lines, want 5", n)
 	}
-	s.Publish(state(2, steer.Draining))
-	// Nobody else notices: a change still comes once the first is answered.
+	s.Publish(testState(2, steer.Draining))
+	// The other stream still gets its update after answering the first response.
 	send(t, other, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}, ResponseNonce: "1"})
 	recv(t, other)
 }
 
-func TestBoundsOnStreams(t *testing.T) {
-	s, addr := up(t, Config{MaxDiscoveryStreams: 3, MaxStreamsPerProxy: 2})
-	s.Publish(state(1, steer.Healthy))
+func TestStreamLimitsPerProxyAndServer(t *testing.T) {
+	s, addr := startServer(t, Config{MaxDiscoveryStreams: 3, MaxStreamsPerProxy: 2})
+	s.Publish(testState(1, steer.Healthy))
 	try := func(id string) error {
-		g := open(t, dial(t, addr))
+		g := openStream(t, dial(t, addr))
 		send(t, g, &discoveryv3.DiscoveryRequest{Node: node(id), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}})
 		_, err := g.Recv()
 		return err
@@ -307,72 +307,72 @@
 		}
 	}
 	if n := s.Counters.StreamsRefused.Load(); n != 2 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d refused streams counted, want 2", n)
 	}
 }
 
-// A proxy that does not answer loses its stream in time; its connection is
-// reset, so that nothing that was under way comes later.
-func TestWhoDoesNotAnswerLosesItsConnection(t *testing.T) {
-	s, addr := up(t, Config{AckTimeout: 300 * time.Millisecond})
-	s.Publish(state(1, steer.Healthy))
-	g := open(t, dial(t, addr))
+// A proxy that does not answer must lose its connection, so that delayed
+// responses can't arrive later.
+func TestMissingAnswerEndsStream(t *testing.T) {
+	s, addr := startServer(t, Config{AckTimeout: 300 * time.Millisecond})
+	s.Publish(testState(1, steer.Healthy))
+	g := openStream(t, dial(t, addr))
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}})
 	recv(t, g)
 	if _, err := g.Recv(); err == nil {
-		t.Error("it goes on")
+		t.Error("stream is still open")
 	}
 	if n := s.Counters.AckTimeouts.Load(); n != 1 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d timeouts counted, want 1", n)
 	}
 }
 
-// A reader that has stopped and a window that is full hold up nobody else.
-func TestAStoppedReaderHoldsUpNobody(t *testing.T) {
-	s, addr := up(t, Config{AckTimeout: 2 * time.Second})
-	many := make([]steer.Health, 1200) // some 100 kB: more than the window
-	s.Publish(state(1, many...))
-	deaf := open(t, dial(t, addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithInitialWindowSize(65535), grpc.WithInitialConnWindowSize(65535)))
-	send(t, deaf, &discoveryv3.DiscoveryRequest{Node: node("deaf"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other", "clips/priority"}})
-	g := open(t, dial(t, addr))
-	ask := func(nonce string) {
+// A proxy that stops reading with a full flow control window must not block other streams.
+func TestStalledReaderDoesNotBlockOtherStreams(t *testing.T) {
+	s, addr := startServer(t, Config{AckTimeout: 2 * time.Second})
+	health := make([]steer.Health, 1200) // about 100 kB, which exceeds the flow control window
+	s.Publish(testState(1, health...))
+	stalled := openStream(t, dial(t, addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithInitialWindowSize(65535), grpc.WithInitialConnWindowSize(65535)))
+	send(t, stalled, &discoveryv3.DiscoveryRequest{Node: node("deaf"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other", "clips/priority"}})
+	g := openStream(t, dial(t, addr))
+	request := func(nonce string) {
 		send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}, ResponseNonce: nonce})
 	}
-	ask("")
+	request("")
 	for v := uint64(2); v < 10; v++ {
 		m := recv(t, g)
-		many[int(v)%2] = steer.Health(v % 3)
-		many[2] = steer.Health((v + 1) % 3)
-		s.Publish(state(v, many...))
-		ask(m.Nonce)
-	}
-	for began := time.Now(); s.Counters.AckTimeouts.Load() == 0; time.Sleep(10 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatal("the deaf one is still there")
+		health[int(v)%2] = steer.Health(v % 3)
+		health[2] = steer.Health((v + 1) % 3)
+		s.Publish(testState(v, health...))
+		request(m.Nonce)
+	}
+	for start := time.Now(); s.Counters.AckTimeouts.Load() == 0; time.Sleep(10 * time.Millisecond) {
+		if time.Since(start) > testTimeout {
+			t.Fatal("stream of the stalled reader was not ended")
 		}
 	}
 }
 
-func TestARejectionIsCountedAndShown(t *testing.T) {
-	s, addr := up(t, Config{})
-	s.Publish(state(1, steer.Healthy))
+func TestNackIsCountedAndShownInClientStatus(t *testing.T) {
+	s, addr := startServer(t, Config{})
+	s.Publish(testState(1, steer.Healthy))
 	conn := dial(t, addr)
-	g := open(t, conn)
+	g := openStream(t, conn)
 	names := []string{"clips/other"}
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	m := recv(t, g)
 	good := m.VersionInfo
 	send(t, g, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: m.Nonce, VersionInfo: good})
-	s.Publish(state(2, steer.Draining))
+	s.Publish(testState(2, steer.Draining))
 	m = recv(t, g)
 	send(t, g, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: m.Nonce, VersionInfo: good,
 		ErrorDetail: status.New(codes.InvalidArgument, "too many cooks").Proto()})
 	var got *statusv3.ClientConfig_GenericXdsConfig
-	for began := time.Now(); got.GetErrorState() == nil; time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatal("not shown")
+	for start := time.Now(); got.GetErrorState() == nil; time.Sleep(5 * time.Millisecond) {
+		if time.Since(start) > testTimeout {
+			t.Fatal("NACK not shown in client status")
 		}
-		r, err := statusv3.NewClientStatusDiscoveryServiceClient(conn).FetchClientStatus(within(t), &statusv3.ClientStatusRequest{})
+		r, err := statusv3.NewClientStatusDiscoveryServiceClient(conn).FetchClientStatus(timeoutContext(t), &statusv3.ClientStatusRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -385,15 +385,15 @@
 		t.Errorf("%v", got)
 	}
 	if s.Counters.Nacks.Load() != 1 {
-		t.Errorf("%d counted", s.Counters.Nacks.Load())
+		t.Errorf("%d NACKs counted, want 1", s.Counters.Nacks.Load())
 	}
 }
 
-func TestLoadReportsReachWhoDecides(t *testing.T) {
+func TestLoadReportsReachCallback(t *testing.T) {
 	got := make(chan steer.LoadReported, 1)
-	s, addr := up(t, Config{OnLoadReport: func(l steer.LoadReported) { got <- l }})
-	s.Publish(state(1, steer.Healthy))
-	g, err := lrsv3.NewLoadReportingServiceClient(dial(t, addr)).StreamLoadStats(within(t))
+	s, addr := startServer(t, Config{OnLoadReport: func(l steer.LoadReported) { got <- l }})
+	s.Publish(testState(1, steer.Healthy))
+	g, err := lrsv3.NewLoadReportingServiceClient(dial(t, addr)).StreamLoadStats(timeoutContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -421,37 +421,36 @@
 	case l := <-got:
 		want := steer.Load{Server: "s0", Issued: 12, OK: 11, Errors: 1, InFlight: 3, Utilisation: 0.9}
 		byAddr := steer.Load{Addr: "127.0.0.1:1001", Issued: 4, OK: 2, Errors: 1, InFlight: 1}
-		if l.PriorityArrivals != 6 || l.OtherArrivals != 20 || len(l.Loads) != 2 || l.Loads[0] != want || l.Loads[1] != byAddr || l.Proxy != proxyID(anyone, node("p")) {
+		if l.PriorityArrivals != 6 || l.OtherArrivals != 20 || len(l.Loads) != 2 || l.Loads[0] != want || l.Loads[1] != byAddr || l.Proxy != proxyID(plainTextIdentity, node("p")) {
 			t.Errorf("%+v", l)
 		}
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("no load report received")
 	}
 }
 
-func TestHealthFollowsTheFirstState(t *testing.T) {
-	s, addr := up(t, Config{})
+func TestHealthServiceReportsServingAfterFirstState(t *testing.T) {
+	s, addr := startServer(t, Config{})
 	h := healthv1.NewHealthClient(dial(t, addr))
 	for _, want := range []healthv1.HealthCheckResponse_ServingStatus{healthv1.HealthCheckResponse_NOT_SERVING, healthv1.HealthCheckResponse_SERVING} {
-		r, err := h.Check(within(t), &healthv1.HealthCheckRequest{})
+		r, err := h.Check(timeoutContext(t), &healthv1.HealthCheckRequest{})
 		if err != nil || r.Status != want {
 			t.Errorf("%v, %v", r, err)
 		}
-		s.Publish(state(1, steer.Healthy))
+		s.Publish(testState(1, steer.Healthy))
 	}
 }
 
-// 300 proxies at once after a restart: all are served, in little memory, one
-// after the other; a drain reaches those that are there while others still
-// wait for their first state.
-func TestThreeHundredComeAtOnce(t *testing.T) {
-	s, addr := up(t, Config{NewStreamRate: 100})
-	many := make([]steer.Health, 50)
-	s.Publish(state(1, many...))
-	old := open(t, dial(t, addr))
+// 300 proxies connect at once after a restart: all must be served with bounded
+// memory, and a drain must reach an existing stream while new ones still wait.
+func TestManyNewStreamsDoNotDelayUpdates(t *testing.T) {
+	s, addr := startServer(t, Config{NewStreamRate: 100})
+	health := make([]steer.Health, 50)
+	s.Publish(testState(1, health...))
+	existing := openStream(t, dial(t, addr))
 	names := []string{"clips/other"}
-	send(t, old, &discoveryv3.DiscoveryRequest{Node: node("old"), TypeUrl: Endpoint.URL(), ResourceNames: names})
-	send(t, old, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: recv(t, old).Nonce})
+	send(t, existing, &discoveryv3.DiscoveryRequest{Node: node("old"), TypeUrl: Endpoint.URL(), ResourceNames: names})
+	send(t, existing, &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: names, ResponseNonce: recv(t, existing).Nonce})
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -459,19 +458,19 @@
 	for i := range conns {
 		conns[i] = dial(t, addr)
 	}
-	var first, told sync.WaitGroup
+	var first, notified sync.WaitGroup
 	var served atomic.Int64
 	errs := make(chan error, 300)
 	for i := range 300 {
-		g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conns[i%25]).StreamAggregatedResources(within(t))
+		g, err := discoveryv3.NewAggregatedDiscoveryServiceClient(conns[i%25]).StreamAggregatedResources(timeoutContext(t))
 		if err != nil {
 			t.Fatal(err)
 		}
 		first.Add(1)
-		told.Add(1)
+		notified.Add(1)
 		go func() {
-			defer told.Done()
-			begun := false
+			defer notified.Done()
+			started := false
 			nonce := ""
 			for {
 				if err := g.Send(&discoveryv3.DiscoveryRequest{Node: node(fmt.Sprint("p", i)), TypeUrl: Endpoint.URL(),
@@ -479,8 +478,8 @@
 					errs <- err
 				}
 				m, err := g.Recv()
-				if !begun {
-					begun = true
+				if !started {
+					started = true
 					served.Add(1)
 					first.Done()
 				}
@@ -501,28 +500,28 @@
 			}
 		}()
 	}
-	many[7] = steer.Draining
-	s.Publish(state(2, many...))
-	e := unpack(t, recv(t, old).Resources[0], &endpointv3.ClusterLoadAssignment{})
+	health[7] = steer.Draining
+	s.Publish(testState(2, health...))
+	e := unpack(t, recv(t, existing).Resources[0], &endpointv3.ClusterLoadAssignment{})
 	if n := served.Load(); n >= 300 || e.Endpoints[7].LbEndpoints[0].HealthStatus != corev3.HealthStatus_DRAINING {
-		t.Errorf("the drain came when %d of 300 had been served", n)
+		t.Errorf("drain arrived after %d of 300 new streams had been served", n)
 	}
-	old.CloseSend()
+	existing.CloseSend()
 	first.Wait()
-	told.Wait()
+	notified.Wait()
 	close(errs)
 	for err := range errs {
 		t.Error(err)
 	}
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 128<<20 {
-		t.Errorf("the heap grew by %d MB, clients included", grown>>20)
+		t.Errorf("heap grew by %d MB, clients included", grown>>20)
 	}
 }
 
 func TestReflectionListsTheServices(t *testing.T) {
-	_, addr := up(t, Config{})
-	g, err := reflectionv1.NewServerReflectionClient(dial(t, addr)).ServerReflectionInfo(within(t))
+	_, addr := startServer(t, Config{})
+	g, err := reflectionv1.NewServerReflectionClient(dial(t, addr)).ServerReflectionInfo(timeoutContext(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -538,43 +537,42 @@
 	for _, want := range []string{"envoy.service.discovery.v3.AggregatedDiscoveryService", "envoy.service.load_stats.v3.LoadReportingService",
 		"envoy.service.status.v3.ClientStatusDiscoveryService", "grpc.health.v1.Health"} {
 		if !slices.Contains(got, want) {
-			t.Errorf("%s is not among %v", want, got)
+			t.Errorf("service %s is missing in %v", want, got)
 		}
 	}
 }
 
-// A proxy moves between two control services whose versions are unrelated, and
-// gets the current state of the one that it comes to, at once, whatever it says
-// that it has.
-func TestAProxyMovesBetweenControlServices(t *testing.T) {
-	one, first := up(t, Config{})
-	two, second := up(t, Config{})
-	one.Publish(state(900, steer.Healthy, steer.Healthy))
-	two.Publish(state(3, steer.Healthy, steer.Draining))
+// A proxy that moves to a control service with unrelated versions must get its
+// current state immediately, whatever versions the proxy claims to have.
+func TestProxyMovesBetweenControlServices(t *testing.T) {
+	one, first := startServer(t, Config{})
+	two, second := startServer(t, Config{})
+	one.Publish(testState(900, steer.Healthy, steer.Healthy))
+	two.Publish(testState(3, steer.Healthy, steer.Draining))
 	names := []string{"clips/other"}
-	g := open(t, dial(t, first))
+	g := openStream(t, dial(t, first))
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	m := recv(t, g)
 	version := m.VersionInfo
-	g = open(t, dial(t, second))
+	g = openStream(t, dial(t, second))
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: Endpoint.URL(), ResourceNames: names, VersionInfo: version, ResponseNonce: m.Nonce})
 	e := unpack(t, recv(t, g).Resources[0], &endpointv3.ClusterLoadAssignment{})
 	if e.Endpoints[1].LbEndpoints[0].HealthStatus != corev3.HealthStatus_DRAINING {
-		t.Error("state of the world: the drain is not told")
+		t.Error("state of the world: drain missing")
 	}
 	for _, c := range []struct {
 		name, addr string
-		same       bool
-	}{{"the other", second, false}, {"the same", first, true}} {
-		d, err := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, c.addr)).DeltaAggregatedResources(within(t))
+		upToDate   bool
+	}{{"other service", second, false}, {"same service", first, true}} {
+		d, err := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, c.addr)).DeltaAggregatedResources(timeoutContext(t))
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The second name does not exist: its answer shows that the first was passed over.
+		// The second name does not exist, so there is a response even if the first is up to date.
 		d.Send(&discoveryv3.DeltaDiscoveryRequest{Node: node("q"), TypeUrl: Endpoint.URL(), ResourceNamesSubscribe: append(names, "none"),
 			InitialResourceVersions: map[string]string{"clips/other": versionOf(t, one)}})
 		m, err := d.Recv()
-		if err != nil || (len(m.Resources) == 0) != c.same {
+		if err != nil || (len(m.Resources) == 0) != c.upToDate {
 			t.Errorf("incremental, %s: %d resources, %v", c.name, len(m.GetResources()), err)
 		}
 	}
@@ -582,5 +580,5 @@
 
 func versionOf(t *testing.T, s *Server) string {
 	t.Helper()
-	return s.snapshot(viewKey{Kind{Zone: "a"}, "clips"}).Get(Endpoint, "clips/other").Version
+	return s.snapshot(snapshotKey{Kind{Zone: "a"}, "clips"}).Get(Endpoint, "clips/other").Version
 }
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -8,129 +8,131 @@
 )
 
 const (
-	maxNames    = 4096            // resources of one type that a stream may ask for
-	maxNameLen  = 512             // bytes
-	gateFor     = 5 * time.Second // a route waits so long for its clusters to be acknowledged
-	beatPart    = 3               // heartbeats in one lease
-	neverTime   = time.Duration(math.MaxInt64)
-	wildcard    = "*"
-	maxNackText = 1024 // bytes of a proxy's complaint that are kept
+	maxNames         = 4096            // per stream and resource type
+	maxNameLen       = 512             // bytes of a resource name
+	routeHoldTimeout = 5 * time.Second // for how long an update of a route waits for its clusters to be acknowledged
+	heartbeatsPerTTL = 3
+	never            = time.Duration(math.MaxInt64)
+	wildcardName     = "*"
+	maxNackBytes     = 1024 // of the stored reject reason
 )
 
-// Request is what a proxy sends on a stream, of either variant.
+// Request is a discovery request in either variant of the protocol.
 type Request struct {
 	Type            Type
-	Nonce           string            // of the response that it answers; empty: none
-	RejectReason    string            // why it rejects that response; empty: it accepts it
-	Names           []string          // state of the world: all names that it wants
-	Subscribe       []string          // incremental: further names
-	Unsubscribe     []string          // incremental: names no longer wanted
-	InitialVersions map[string]string // incremental, first request: versions it has
+	Nonce           string            // of the answered response; empty: none
+	RejectReason    string            // why the response was rejected (NACK); empty: accepted (ACK)
+	Names           []string          // state of the world: all subscribed names
+	Subscribe       []string          // incremental: names to subscribe to
+	Unsubscribe     []string          // incremental: names to unsubscribe from
+	InitialVersions map[string]string // incremental, first request: versions that the proxy has, by name
 }
 
-// Response is what a stream sends.
+// Response is a discovery response in either variant of the protocol.
 type Response struct {
 	Type      Type
 	Nonce     string
 	Version   string
 	Resources []*Resource
 	Removed   []string // incremental
-	Heartbeat bool     // the resources go without their bodies: they only stay valid for another TTL
+	Heartbeat bool     // resources are sent without bodies, only to extend their TTLs
 }
 
-// given is a resource as a proxy holds it.
-type given struct {
+// heldResource is a resource that a proxy has acknowledged.
+type heldResource struct {
 	*Resource
-	sure time.Duration // it has it at least until this time, if it has a TTL
-	beat time.Duration // when the next heartbeat is due
+	validUntil    time.Duration // earliest time at which its TTL may expire at the proxy
+	nextHeartbeat time.Duration // when the next heartbeat is due
 }
 
-// pending is a response without its answer.
-type pending struct {
+// unackedResponse is a response that the proxy has not answered yet.
+type unackedResponse struct {
 	*Response
-	at time.Duration
+	sentAt time.Duration
 }
 
-// ask is the state of one type on a stream.
-type ask struct {
-	wanted  bool
-	wild    bool
-	names   map[string]bool
-	has     map[string]given
-	gone    map[string]bool // incremental: names told to be removed or absent
-	out     *pending
-	last    string            // nonce of the response that was sent last
-	refused map[string]string // versions that the proxy rejected, by name
-	whole   string            // state of the world: the version of all that it rejected last
-	sent    string            // state of the world: the version of all that it was sent last
-	acked   string            // the version it acknowledged last
-	nack    string            // its last complaint
-	nacks   uint64
+// subscription is the state of one resource type on a stream.
+type subscription struct {
+	active       bool
+	wildcard     bool
+	names        map[string]bool
+	held         map[string]heldResource
+	absent       map[string]bool // incremental: subscribed names that were reported as removed
+	unacked      *unackedResponse
+	lastNonce    string            // of the last response
+	rejected     map[string]string // rejected versions, by name
+	rejectedSet  string            // state of the world: combined version rejected last
+	sentVersion  string            // state of the world: combined version sent last
+	ackedVersion string            // response version acknowledged last
+	nackReason   string            // reason of the last NACK; empty after an ACK
+	nackCount    uint64
 }
 
-// Session is the protocol of one stream: what a proxy has, what it wants and
-// what is to be sent next. It does no I/O and reads no clock. Its memory is
-// bounded by the names that it wants; it holds at most two responses without
-// an answer, the older one a heartbeat.
+// Session is the protocol state of one stream: the resources that a proxy holds
+// and subscribes to, and the response to send next. It does no I/O and reads no
+// clock. Its memory is bounded by the number of subscribed names. At most one
+// response per type is unanswered, except that an update is sent even if the
+// last heartbeat has not been answered.
 //
-// Leases. A resource with a TTL is dropped by the proxy when that has passed
-// since it last came, with its body or by a heartbeat. A heartbeat is only
-// sent when everything before it has been acknowledged, so the lease that it
-// prolongs had come before the heartbeat was sent. So a heartbeat that left
-// before a drain keeps the server in use for less than two TTLs after it,
-// however late it comes: it must come within one, or finds nothing to prolong.
-// A body has no such bound by itself; Overdue gives it one.
+// A proxy drops a resource with a TTL when it has not received the body or a
+// heartbeat for that long. A heartbeat is only sent when everything before it
+// has been acknowledged. So a heartbeat sent before a drain keeps the server in
+// use for less than two TTLs after it, however late it arrives: if it takes
+// longer than one TTL, the proxy has already dropped the resource. For bodies,
+// AckDeadline provides this bound.
 type Session struct {
-	delta  bool
-	leases bool
-	snap   *Snapshot
-	since  time.Duration // when the snapshot came
-	asks   [types]ask
-	nonce  uint64
+	delta         bool
+	ttls          bool
+	snapshot      *Snapshot
+	snapshotAt    time.Duration // when the snapshot was set
+	subscriptions [numTypes]subscription
+	nonce         uint64
 
-	// StaleRequests counts requests that answered an older response.
+	// StaleRequests counts requests with the nonce of an older response.
 	StaleRequests uint64
 }
 
-// NewSession gives one that has heard nothing. Without leases no TTL is told
-// and no heartbeat sent.
-func NewSession(delta, leases bool) *Session {
-	return &Session{delta: delta, leases: leases}
+// NewSession creates a session of the incremental (delta) or state-of-the-world
+// variant. Without ttls, which need the proxy's support, no heartbeats are sent.
+func NewSession(delta, ttls bool) *Session {
+	return &Session{delta: delta, ttls: ttls}
 }
 
-// SetSnapshot gives the session a new snapshot.
-func (s *Session) SetSnapshot(now time.Duration, snap *Snapshot) { s.snap, s.since = snap, now }
+// SetSnapshot replaces the snapshot to be served.
+func (s *Session) SetSnapshot(now time.Duration, snap *Snapshot) {
+	s.snapshot, s.snapshotAt = snap, now
+}
 
-// HandleRequest handles a request. An error ends the stream.
+// HandleRequest processes a request. An error ends the stream.
 func (s *Session) HandleRequest(now time.Duration, r Request) error {
-	a := &s.asks[r.Type]
-	first := !a.wanted
+	sub := &s.subscriptions[r.Type]
+	first := !sub.active
 	if first {
-		*a = ask{wanted: true, names: map[string]bool{}, has: map[string]given{}, gone: map[string]bool{}, refused: map[string]string{}}
+		*sub = subscription{active: true, names: map[string]bool{}, held: map[string]heldResource{}, absent: map[string]bool{}, rejected: map[string]string{}}
 	}
-	if r.Nonce != "" && !first { // the first may still name one of an earlier stream
+	if r.Nonce != "" && !first { // the first request may hold the nonce of an earlier stream
 		switch {
-		case a.out != nil && a.out.Nonce == r.Nonce:
-			s.answered(now, a, r)
-		case a.last == r.Nonce: // it has been answered: this one only changes what is wanted
+		case sub.unacked != nil && sub.unacked.Nonce == r.Nonce:
+			s.handleAnswer(now, sub, r)
+		case sub.lastNonce == r.Nonce: // already answered: the request only changes the subscription
 		default:
 			s.StaleRequests++
 			if !s.delta {
-				return nil // the protocol page: what answers an older response is ignored
+				return nil // the protocol requires stale requests to be ignored
 			}
 		}
 	}
 	if s.delta {
-		if first && len(r.Subscribe) == 0 && r.Type.whole() {
-			a.wild = true
+		if first && len(r.Subscribe) == 0 && r.Type.sentInFull() {
+			sub.wildcard = true
 		}
-		if err := s.subscribe(a, r, first); err != nil {
+		if err := s.updateNames(sub, r, first); err != nil {
 			return err
 		}
-	} else if err := s.replace(a, r, first); err != nil {
+	} else if err := s.replaceNames(sub, r, first); err != nil {
 		return err
 	}
-	if len(a.names) > maxNames {
+	if len(sub.names) > maxNames {
 		return fmt.Errorf("%v: more than %d resources asked for", r.Type, maxNames)
 	}
 	return nil
@@ -143,7 +145,7 @@
 	return nil
 }
 
-func (s *Session) subscribe(a *ask, r Request, first bool) error {
+func (s *Session) updateNames(sub *subscription, r Request, first bool) error {
 	if len(r.Subscribe)+len(r.Unsubscribe) > 2*maxNames || len(r.InitialVersions) > maxNames {
 		return fmt.Errorf("%v: more than %d resources in one request", r.Type, maxNames)
 	}
@@ -151,228 +153,229 @@
 		if err := checkName(n); err != nil {
 			return err
 		}
-		if n == wildcard {
-			a.wild = true
+		if n == wildcardName {
+			sub.wildcard = true
 			continue
 		}
-		a.names[n] = true
-		delete(a.has, n) // who asks again has lost it
-		delete(a.gone, n)
+		sub.names[n] = true
+		delete(sub.held, n) // a proxy that subscribes again has lost the resource
+		delete(sub.absent, n)
 	}
 	for _, n := range r.Unsubscribe {
-		if n == wildcard {
-			a.wild = false
+		if n == wildcardName {
+			sub.wildcard = false
 		}
-		delete(a.names, n)
-		if !a.wild {
-			delete(a.has, n)
-			delete(a.gone, n)
+		delete(sub.names, n)
+		if !sub.wildcard {
+			delete(sub.held, n)
+			delete(sub.absent, n)
 		}
 	}
 	if first {
 		for n, v := range r.InitialVersions {
-			// What has a lease is sent whole: it may just have run out.
-			if x := s.snap.Get(r.Type, n); x != nil && x.Version == v && !s.leased(x) && (a.wild || a.names[n]) {
-				a.has[n] = given{Resource: x}
-			} else if x == nil && (a.wild || a.names[n]) && checkName(n) == nil {
-				a.has[n] = given{Resource: &Resource{Name: n, Version: v}} // so that it is told to be gone
+			// A resource with a TTL is sent again, as it may just have expired at the proxy.
+			if x := s.snapshot.Get(r.Type, n); x != nil && x.Version == v && !s.hasTTL(x) && (sub.wildcard || sub.names[n]) {
+				sub.held[n] = heldResource{Resource: x}
+			} else if x == nil && (sub.wildcard || sub.names[n]) && checkName(n) == nil {
+				sub.held[n] = heldResource{Resource: &Resource{Name: n, Version: v}} // will be reported as removed
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Session) replace(a *ask, r Request, first bool) error {
+func (s *Session) replaceNames(sub *subscription, r Request, first bool) error {
 	if len(r.Names) > maxNames {
 		return fmt.Errorf("%v: more than %d resources in one request", r.Type, maxNames)
 	}
-	if r.Type.whole() && first && len(r.Names) == 0 {
-		a.wild = true
+	if r.Type.sentInFull() && first && len(r.Names) == 0 {
+		sub.wildcard = true
 	}
 	names := make(map[string]bool, len(r.Names))
 	for _, n := range r.Names {
 		if err := checkName(n); err != nil {
 			return err
 		}
-		if n == wildcard && r.Type.whole() {
-			a.wild = true
+		if n == wildcardName && r.Type.sentInFull() {
+			sub.wildcard = true
 			continue
 		}
 		names[n] = true
 	}
-	if len(names) > 0 && r.Type.whole() {
-		a.wild = len(r.Names) != len(names)
+	if len(names) > 0 && r.Type.sentInFull() {
+		sub.wildcard = len(r.Names) != len(names)
 	}
-	for n := range a.has {
-		if !names[n] && !a.wild {
-			delete(a.has, n)
+	for n := range sub.held {
+		if !names[n] && !sub.wildcard {
+			delete(sub.held, n)
 		}
 	}
 	for n := range names {
-		if !a.names[n] {
-			a.sent = "" // a new name: even what has not changed is due
-			delete(a.has, n)
+		if !sub.names[n] {
+			sub.sentVersion = "" // a new name requires a response even without changes
+			delete(sub.held, n)
 		}
 	}
-	a.names = names
+	sub.names = names
 	return nil
 }
 
-// answered takes the proxy's word on the response that is out.
-func (s *Session) answered(now time.Duration, a *ask, r Request) {
-	out := a.out
-	a.out = nil
+// handleAnswer processes the ACK or NACK of the unanswered response.
+func (s *Session) handleAnswer(now time.Duration, sub *subscription, r Request) {
+	resp := sub.unacked
+	sub.unacked = nil
 	if r.RejectReason != "" {
-		a.nacks++
-		a.nack = r.RejectReason[:min(len(r.RejectReason), maxNackText)]
-		a.whole = out.Version
-		for n := range a.refused { // guards against names that come, are rejected and go
-			if s.snap.Get(r.Type, n) == nil {
-				delete(a.refused, n)
+		sub.nackCount++
+		sub.nackReason = r.RejectReason[:min(len(r.RejectReason), maxNackBytes)]
+		sub.rejectedSet = resp.Version
+		for n := range sub.rejected { // bounds the map when rejected resources are deleted later
+			if s.snapshot.Get(r.Type, n) == nil {
+				delete(sub.rejected, n)
 			}
 		}
-		for _, x := range out.Resources {
-			a.refused[x.Name] = x.Version
+		for _, x := range resp.Resources {
+			sub.rejected[x.Name] = x.Version
 		}
 		return
 	}
-	a.acked, a.nack, a.whole = out.Version, "", ""
-	for _, x := range out.Resources {
-		delete(a.refused, x.Name)
-		if !a.wild && !a.names[x.Name] {
+	sub.ackedVersion, sub.nackReason, sub.rejectedSet = resp.Version, "", ""
+	for _, x := range resp.Resources {
+		delete(sub.rejected, x.Name)
+		if !sub.wildcard && !sub.names[x.Name] {
 			continue
 		}
-		delete(a.gone, x.Name)
-		had, ok := a.has[x.Name]
-		if out.Heartbeat && (!ok || had.Resource != x || now >= had.sure) {
-			delete(a.has, x.Name) // it may have come after the lease had run out: send the body again
+		delete(sub.absent, x.Name)
+		held, ok := sub.held[x.Name]
+		if resp.Heartbeat && (!ok || held.Resource != x || now >= held.validUntil) {
+			delete(sub.held, x.Name) // may have arrived after the TTL had expired: send the body again
 			continue
 		}
-		a.has[x.Name] = given{Resource: x, sure: out.at + x.TTL, beat: out.at + x.TTL/beatPart}
+		sub.held[x.Name] = heldResource{Resource: x, validUntil: resp.sentAt + x.TTL, nextHeartbeat: resp.sentAt + x.TTL/heartbeatsPerTTL}
 	}
-	for _, n := range out.Removed {
-		delete(a.has, n)
-		if a.names[n] {
-			a.gone[n] = true
+	for _, n := range resp.Removed {
+		delete(sub.held, n)
+		if sub.names[n] {
+			sub.absent[n] = true
 		}
 	}
-	if !s.delta && out.Type.whole() && !out.Heartbeat {
+	if !s.delta && resp.Type.sentInFull() && !resp.Heartbeat {
 		keep := map[string]bool{}
-		for _, x := range out.Resources {
+		for _, x := range resp.Resources {
 			keep[x.Name] = true
 		}
-		for n := range a.has {
+		for n := range sub.held {
 			if !keep[n] {
-				delete(a.has, n)
+				delete(sub.held, n)
 			}
 		}
 	}
 }
 
-func (s *Session) leased(r *Resource) bool { return s.leases && r.TTL > 0 }
+func (s *Session) hasTTL(r *Resource) bool { return s.ttls && r.TTL > 0 }
 
-// NextResponse gives what is to be sent now, or nil. The caller sends it before it
-// calls again.
+// NextResponse returns the response to send now, or nil. The caller must send it
+// before the next call.
 func (s *Session) NextResponse(now time.Duration) *Response {
-	if s.snap == nil {
+	if s.snapshot == nil {
 		return nil
 	}
-	for t := range types {
-		a := &s.asks[t]
-		if !a.wanted || a.out != nil && !a.out.Heartbeat {
+	for t := range numTypes {
+		sub := &s.subscriptions[t]
+		if !sub.active || sub.unacked != nil && !sub.unacked.Heartbeat {
 			continue
 		}
-		if r := s.update(now, t, a); r != nil {
-			return s.send(now, a, r)
+		if r := s.nextUpdate(now, t, sub); r != nil {
+			return s.markSent(now, sub, r)
 		}
-		if a.out != nil || !s.leases {
+		if sub.unacked != nil || !s.ttls {
 			continue
 		}
-		if r := s.beats(now, t, a); r != nil {
-			return s.send(now, a, r)
+		if r := s.dueHeartbeats(now, t, sub); r != nil {
+			return s.markSent(now, sub, r)
 		}
 	}
 	return nil
 }
 
-func (s *Session) send(now time.Duration, a *ask, r *Response) *Response {
+func (s *Session) markSent(now time.Duration, sub *subscription, r *Response) *Response {
 	s.nonce++
 	r.Nonce = strconv.FormatUint(s.nonce, 10)
-	a.out, a.last = &pending{r, now}, r.Nonce
+	sub.unacked, sub.lastNonce = &unackedResponse{r, now}, r.Nonce
 	if !r.Heartbeat {
-		a.sent = r.Version
+		sub.sentVersion = r.Version
 	}
 	return r
 }
 
-// target gives what a proxy should have of a type.
-func (s *Session) target(now time.Duration, t Type, a *ask) []*Resource {
-	var set []*Resource
-	names := s.snap.Names(t)
-	if !a.wild {
+// desired returns the resources of a type that the proxy should have.
+func (s *Session) desired(now time.Duration, t Type, sub *subscription) []*Resource {
+	var resources []*Resource
+	names := s.snapshot.Names(t)
+	if !sub.wildcard {
 		names = names[:0]
-		for n := range a.names {
+		for n := range sub.names {
 			names = append(names, n)
 		}
 	}
 	seen := map[string]bool{}
 	for _, n := range names {
-		x := s.snap.Get(t, n)
-		if x != nil && t == Route && !s.ready(now, x) {
-			x = a.has[n].Resource // until its clusters are there, the old one
+		x := s.snapshot.Get(t, n)
+		if x != nil && t == Route && !s.clustersAcked(now, x) {
+			x = sub.held[n].Resource // keep the old route until its clusters are acknowledged
 		}
 		if x != nil {
-			set = append(set, x)
+			resources = append(resources, x)
 			seen[n] = true
 		}
 	}
-	if t == Cluster && a.wild {
-		for n := range s.inUse(now) {
-			if x, ok := a.has[n]; ok && !seen[n] {
-				set = append(set, x.Resource)
+	if t == Cluster && sub.wildcard {
+		for n := range s.clustersInUse(now) {
+			if x, ok := sub.held[n]; ok && !seen[n] {
+				resources = append(resources, x.Resource)
 			}
 		}
 	}
-	sortByName(set)
-	return set
+	sortByName(resources)
+	return resources
 }
 
-// ready says whether a proxy that follows all clusters has acknowledged those
-// that a route names, and their endpoints.
-func (s *Session) ready(now time.Duration, x *Resource) bool {
-	c, e := &s.asks[Cluster], &s.asks[Endpoint]
-	if !c.wanted || !c.wild || now-s.since >= gateFor {
+// clustersAcked reports whether a proxy has acknowledged the clusters of a route
+// and their endpoints. It is always true for proxies that don't subscribe to all
+// clusters, and after routeHoldTimeout.
+func (s *Session) clustersAcked(now time.Duration, route *Resource) bool {
+	clusters, endpoints := &s.subscriptions[Cluster], &s.subscriptions[Endpoint]
+	if !clusters.active || !clusters.wildcard || now-s.snapshotAt >= routeHoldTimeout {
 		return true
 	}
-	for _, n := range x.refs {
-		if _, ok := c.has[n]; !ok {
+	for _, n := range route.clusterRefs {
+		if _, ok := clusters.held[n]; !ok {
 			return false
 		}
-		if s.snap.Get(Endpoint, n) == nil {
+		if s.snapshot.Get(Endpoint, n) == nil {
 			continue
 		}
-		if _, ok := e.has[n]; !ok {
+		if _, ok := endpoints.held[n]; !ok {
 			return false
 		}
 	}
 	return true
 }
 
-// inUse gives the clusters that the proxy's routes still name.
-func (s *Session) inUse(now time.Duration) map[string]bool {
+// clustersInUse returns the clusters that the proxy's routes may still refer to.
+func (s *Session) clustersInUse(now time.Duration) map[string]bool {
 	used := map[string]bool{}
-	if now-s.since >= gateFor {
+	if now-s.snapshotAt >= routeHoldTimeout {
 		return used
 	}
-	for _, x := range s.asks[Route].has {
-		for _, n := range x.refs {
+	for _, x := range s.subscriptions[Route].held {
+		for _, n := range x.clusterRefs {
 			used[n] = true
 		}
 	}
-	// Until it has answered, a proxy may have either.
-	if out := s.asks[Route].out; out != nil {
-		for _, x := range out.Resources {
-			for _, n := range x.refs {
+	// Until it has answered, a proxy may use the old or the new route.
+	if resp := s.subscriptions[Route].unacked; resp != nil {
+		for _, x := range resp.Resources {
+			for _, n := range x.clusterRefs {
 				used[n] = true
 			}
 		}
@@ -380,69 +383,69 @@
 	return used
 }
 
-// update gives a response with what has changed, or nil. What the proxy has
-// rejected is not sent again until it changes.
-func (s *Session) update(now time.Duration, t Type, a *ask) *Response {
-	set := s.target(now, t, a)
+// nextUpdate returns a response with the changed resources, or nil. A rejected
+// version is not sent again.
+func (s *Session) nextUpdate(now time.Duration, t Type, sub *subscription) *Response {
+	desired := s.desired(now, t, sub)
 	var changed []*Resource
-	for _, x := range set {
-		if had, ok := a.has[x.Name]; (!ok || had.Version != x.Version) && a.refused[x.Name] != x.Version {
+	for _, x := range desired {
+		if held, ok := sub.held[x.Name]; (!ok || held.Version != x.Version) && sub.rejected[x.Name] != x.Version {
 			changed = append(changed, x)
 		}
 	}
 	if s.delta {
 		var removed []string
 		wanted := map[string]bool{}
-		for _, x := range set {
+		for _, x := range desired {
 			wanted[x.Name] = true
 		}
-		for n := range a.has {
+		for n := range sub.held {
 			if !wanted[n] {
 				removed = append(removed, n)
 			}
 		}
-		for n := range a.names {
-			if _, ok := a.has[n]; !ok && !wanted[n] && !a.gone[n] && s.snap.Get(t, n) == nil {
+		for n := range sub.names {
+			if _, ok := sub.held[n]; !ok && !wanted[n] && !sub.absent[n] && s.snapshot.Get(t, n) == nil {
 				removed = append(removed, n)
 			}
 		}
 		if len(changed)+len(removed) == 0 {
 			return nil
 		}
-		return &Response{Type: t, Version: sum(set), Resources: changed, Removed: removed}
+		return &Response{Type: t, Version: combinedVersion(desired), Resources: changed, Removed: removed}
 	}
-	version := sum(set)
-	if t.whole() {
-		if version == a.sent || version == a.whole {
+	version := combinedVersion(desired)
+	if t.sentInFull() {
+		if version == sub.sentVersion || version == sub.rejectedSet {
 			return nil
 		}
-		return &Response{Type: t, Version: version, Resources: set}
+		return &Response{Type: t, Version: version, Resources: desired}
 	}
 	if len(changed) == 0 {
 		return nil
 	}
-	return &Response{Type: t, Version: sum(changed), Resources: changed}
+	return &Response{Type: t, Version: combinedVersion(changed), Resources: changed}
 }
 
-// OnInSync tells whether the proxy has acknowledged all that the snapshot has for it,
-// of every type that it must have to act on it.
+// InSync reports whether the proxy has acknowledged all resources of the
+// snapshot that it subscribes to, and subscribes to all types that it needs.
 func (s *Session) InSync() bool {
-	if s.snap == nil || !s.asks[Cluster].wanted {
+	if s.snapshot == nil || !s.subscriptions[Cluster].active {
 		return false
 	}
-	for t := range types {
-		a := &s.asks[t]
-		if !a.wanted {
-			if t == Endpoint && len(s.snap.sets[t]) > 0 {
+	for t := range numTypes {
+		sub := &s.subscriptions[t]
+		if !sub.active {
+			if t == Endpoint && len(s.snapshot.resources[t]) > 0 {
 				return false
 			}
 			continue
 		}
-		if a.out != nil && !a.out.Heartbeat || a.nack != "" {
+		if sub.unacked != nil && !sub.unacked.Heartbeat || sub.nackReason != "" {
 			return false
 		}
-		for n, x := range s.snap.sets[t] {
-			if had, ok := a.has[n]; (a.wild || a.names[n]) && (!ok || had.Version != x.Version) {
+		for n, x := range s.snapshot.resources[t] {
+			if held, ok := sub.held[n]; (sub.wildcard || sub.names[n]) && (!ok || held.Version != x.Version) {
 				return false
 			}
 		}
@@ -450,73 +453,75 @@
 	return true
 }
 
-// beats gives the heartbeats that are due, or nil. A proxy that rejected an
-// update has its last good one prolonged only while that one lets no request
-// go where the update would not.
-func (s *Session) beats(now time.Duration, t Type, a *ask) *Response {
+// dueHeartbeats returns a response with the heartbeats that are due, or nil. The
+// TTL of an outdated resource is only extended while all its active servers are
+// also active in the current version.
+func (s *Session) dueHeartbeats(now time.Duration, t Type, sub *subscription) *Response {
 	var due []*Resource
-	for n, had := range a.has {
-		if had.TTL == 0 || now < had.beat {
+	for n, held := range sub.held {
+		if held.TTL == 0 || now < held.nextHeartbeat {
 			continue
 		}
-		x := s.snap.Get(t, n)
-		if x == nil || x.Version != had.Version && !had.covers(x) {
+		x := s.snapshot.Get(t, n)
+		if x == nil || x.Version != held.Version && !held.activeSubsetOf(x) {
 			continue
 		}
-		due = append(due, had.Resource)
+		due = append(due, held.Resource)
 	}
 	if len(due) == 0 {
 		return nil
 	}
 	sortByName(due)
-	return &Response{Type: t, Version: a.acked, Resources: due, Heartbeat: true}
+	return &Response{Type: t, Version: sub.ackedVersion, Resources: due, Heartbeat: true}
 }
 
-// NextWakeup is when Next may have something to send although nothing has happened.
+// NextWakeup returns when NextResponse must be called again even if nothing
+// happens before.
 func (s *Session) NextWakeup(now time.Duration) time.Duration {
-	at := neverTime
-	for t := range types {
-		a := &s.asks[t]
-		if !a.wanted {
+	wakeup := never
+	for t := range numTypes {
+		sub := &s.subscriptions[t]
+		if !sub.active {
 			continue
 		}
-		if s.leases && a.out == nil {
-			for _, had := range a.has {
+		if s.ttls && sub.unacked == nil {
+			for _, held := range sub.held {
 				switch {
-				case had.TTL == 0:
-				case had.beat > now:
-					at = min(at, had.beat)
-				default: // due and not sent: it may not be prolonged for now
-					at = min(at, now+had.TTL/beatPart)
+				case held.TTL == 0:
+				case held.nextHeartbeat > now:
+					wakeup = min(wakeup, held.nextHeartbeat)
+				default: // due but not sent, because its TTL must not be extended now
+					wakeup = min(wakeup, now+held.TTL/heartbeatsPerTTL)
 				}
 			}
 		}
 	}
-	if s.snap != nil && now-s.since < gateFor {
-		at = min(at, s.since+gateFor)
+	if s.snapshot != nil && now-s.snapshotAt < routeHoldTimeout {
+		wakeup = min(wakeup, s.snapshotAt+routeHoldTimeout)
 	}
-	return at
+	return wakeup
 }
 
-// AckTimeouts is when the first response without an answer has waited too long:
-// within, or, for a body with a lease, that lease. One that is held back
-// longer could reach the proxy after its leases had run out and bring back
-// what has been drained meanwhile; the connection must be broken before.
-func (s *Session) AckDeadline(within time.Duration) (at time.Duration, ok bool) {
-	at = neverTime
-	for t := range types {
-		out := s.asks[t].out
-		if out == nil {
+// AckDeadline returns when the first unanswered response times out: after
+// ackTimeout or, for a body with a TTL, after that TTL if it is shorter. A body
+// delayed for longer could reach the proxy after its TTLs have expired and bring
+// back a server that was drained meanwhile, so the connection must be reset. ok
+// is false if no response is unanswered.
+func (s *Session) AckDeadline(ackTimeout time.Duration) (deadline time.Duration, ok bool) {
+	deadline = never
+	for t := range numTypes {
+		resp := s.subscriptions[t].unacked
+		if resp == nil {
 			continue
 		}
 		ok = true
-		wait := within
-		for _, x := range out.Resources {
-			if s.leased(x) && !out.Heartbeat {
-				wait = min(wait, x.TTL)
+		timeout := ackTimeout
+		for _, x := range resp.Resources {
+			if s.hasTTL(x) && !resp.Heartbeat {
+				timeout = min(timeout, x.TTL)
 			}
 		}
-		at = min(at, out.at+wait)
+		deadline = min(deadline, resp.sentAt+timeout)
 	}
-	return at, ok
+	return deadline, ok
 }
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -12,28 +12,28 @@
 
 const ms = time.Millisecond
 
-const lease = 240 * ms
+const testTTL = 240 * ms
 
-// res makes a resource whose version is its content.
-func res(name, version string, ttl time.Duration, live ...string) *Resource {
-	return &Resource{Name: name, Version: version, Body: &anypb.Any{Value: []byte(version)}, TTL: ttl, live: live}
+// testResource returns a resource with its version as content.
+func testResource(name, version string, ttl time.Duration, activeAddrs ...string) *Resource {
+	return &Resource{Name: name, Version: version, Body: &anypb.Any{Value: []byte(version)}, TTL: ttl, activeAddrs: activeAddrs}
 }
 
-func snap(sets map[Type][]*Resource) *Snapshot {
+func snapshotOf(sets map[Type][]*Resource) *Snapshot {
 	s := &Snapshot{}
-	for t := range types {
-		s.sets[t] = map[string]*Resource{}
+	for t := range numTypes {
+		s.resources[t] = map[string]*Resource{}
 		for _, r := range sets[t] {
-			s.sets[t][r.Name] = r
+			s.resources[t][r.Name] = r
 		}
 	}
 	return s
 }
 
-func eds(r ...*Resource) *Snapshot { return snap(map[Type][]*Resource{Endpoint: r}) }
+func endpointSnapshot(r ...*Resource) *Snapshot { return snapshotOf(map[Type][]*Resource{Endpoint: r}) }
 
-// want asks for a type on a fresh session.
-func want(t *testing.T, s *Session, ty Type, names ...string) {
+// subscribe sends the first request for a type.
+func subscribe(t *testing.T, s *Session, ty Type, names ...string) {
 	t.Helper()
 	if err := s.HandleRequest(0, Request{Type: ty, Names: names, Subscribe: names}); err != nil {
 		t.Fatal(err)
@@ -65,135 +65,135 @@
 	return out
 }
 
-func both(t *testing.T, f func(t *testing.T, delta bool)) {
+func forBothVariants(t *testing.T, f func(t *testing.T, delta bool)) {
 	for _, delta := range []bool{false, true} {
 		t.Run(fmt.Sprintf("delta=%v", delta), func(t *testing.T) { f(t, delta) })
 	}
 }
 
-func TestAStreamGetsTheCurrentStateAndThenWhatChanges(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+func TestStreamGetsFullStateThenChanges(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, false)
-		want(t, s, Endpoint, "a", "b")
+		subscribe(t, s, Endpoint, "a", "b")
 		if r := s.NextResponse(0); r != nil {
-			t.Errorf("without a snapshot: %v", names(r))
+			t.Errorf("response without a snapshot: %v", names(r))
 		}
-		s.SetSnapshot(0, eds(res("a", "1", 0), res("b", "1", 0), res("c", "1", 0)))
+		s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", 0), testResource("b", "1", 0), testResource("c", "1", 0)))
 		r := s.NextResponse(0)
 		if !slices.Equal(names(r), []string{"a=1", "b=1"}) {
-			t.Fatalf("first: %v", names(r))
+			t.Fatalf("first response: %v", names(r))
 		}
 		if x := s.NextResponse(0); x != nil {
-			t.Errorf("without an answer: %v", names(x))
+			t.Errorf("second response before an answer: %v", names(x))
 		}
 		ack(t, s, 1, r, "a", "b")
-		// Two changes before the next call: only the later one is sent.
-		s.SetSnapshot(2, eds(res("a", "2", 0), res("b", "1", 0)))
-		s.SetSnapshot(3, eds(res("a", "3", 0), res("b", "1", 0)))
+		// Of two changes before the next call, only the later one is sent.
+		s.SetSnapshot(2, endpointSnapshot(testResource("a", "2", 0), testResource("b", "1", 0)))
+		s.SetSnapshot(3, endpointSnapshot(testResource("a", "3", 0), testResource("b", "1", 0)))
 		if r = s.NextResponse(3); !slices.Equal(names(r), []string{"a=3"}) {
-			t.Errorf("a change: %v", names(r))
+			t.Errorf("response after changes: %v", names(r))
 		}
 	})
 }
 
-func TestARejectedUpdateIsNotRepeatedUntilItChanges(t *testing.T) {
+func TestRejectedUpdateIsNotRepeatedUntilItChanges(t *testing.T) {
 	for _, ty := range []Type{Cluster, Endpoint} {
-		both(t, func(t *testing.T, delta bool) {
+		forBothVariants(t, func(t *testing.T, delta bool) {
 			of := func(v string) *Snapshot {
-				return snap(map[Type][]*Resource{ty: {res("a", v, 0)}})
+				return snapshotOf(map[Type][]*Resource{ty: {testResource("a", v, 0)}})
 			}
 			s := NewSession(delta, false)
-			want(t, s, ty, "a")
+			subscribe(t, s, ty, "a")
 			s.SetSnapshot(0, of("1"))
 			ack(t, s, 0, s.NextResponse(0), "a")
 			s.SetSnapshot(1, of("2"))
 			nack(t, s, 1, s.NextResponse(1), "a")
 			for i := range 100 {
 				if r := s.NextResponse(time.Duration(i) * time.Second); r != nil {
-					t.Fatalf("%v: again %v", ty, names(r))
+					t.Fatalf("%v: rejected update was sent again: %v", ty, names(r))
 				}
 				s.SetSnapshot(time.Duration(i)*time.Second, of("2"))
 			}
-			if a := s.asks[ty]; a.nacks != 1 || a.nack != "no" || a.has["a"].Version != "1" {
-				t.Errorf("%v: %d rejections, %q, holds %v", ty, a.nacks, a.nack, a.has["a"].Version)
+			if a := s.subscriptions[ty]; a.nackCount != 1 || a.nackReason != "no" || a.held["a"].Version != "1" {
+				t.Errorf("%v: %d NACKs, reason %q, held version %v", ty, a.nackCount, a.nackReason, a.held["a"].Version)
 			}
 			s.SetSnapshot(time.Hour, of("3"))
 			if r := s.NextResponse(time.Hour); !slices.Equal(names(r), []string{"a=3"}) {
-				t.Errorf("%v: the next one: %v", ty, names(r))
+				t.Errorf("%v: response to the next version: %v", ty, names(r))
 			}
 		})
 	}
 }
 
-// A proxy that does not answer, or answers what is long past, is sent nothing
-// more: its session does not grow.
-func TestWhoDoesNotAnswerIsSentNothingMore(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+// A proxy that does not answer, or only with stale nonces, must not be sent
+// anything more, and its session must not grow.
+func TestProxyWithoutAnswerIsSentNothingMore(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, true)
-		want(t, s, Endpoint, "a")
-		s.SetSnapshot(0, eds(res("a", "0", lease)))
+		subscribe(t, s, Endpoint, "a")
+		s.SetSnapshot(0, endpointSnapshot(testResource("a", "0", testTTL)))
 		first := s.NextResponse(0)
 		for i := 1; i < 1000; i++ {
 			now := time.Duration(i) * 10 * ms
-			s.SetSnapshot(now, eds(res("a", fmt.Sprint(i), lease)))
+			s.SetSnapshot(now, endpointSnapshot(testResource("a", fmt.Sprint(i), testTTL)))
 			if r := s.NextResponse(now); r != nil {
-				t.Fatalf("%d: %v", i, names(r))
+				t.Fatalf("change %d was sent before an answer: %v", i, names(r))
 			}
 			s.HandleRequest(now, Request{Type: Endpoint, Nonce: "77", Names: []string{"a"}})
 		}
-		if s.StaleRequests != 999 || len(s.asks[Endpoint].has) != 0 {
-			t.Errorf("%d stale answers, holds %d", s.StaleRequests, len(s.asks[Endpoint].has))
+		if s.StaleRequests != 999 || len(s.subscriptions[Endpoint].held) != 0 {
+			t.Errorf("%d stale requests, %d held resources", s.StaleRequests, len(s.subscriptions[Endpoint].held))
 		}
-		if at, ok := s.AckDeadline(time.Second); !ok || at != lease {
-			t.Errorf("overdue at %v, %v", at, ok)
+		if at, ok := s.AckDeadline(time.Second); !ok || at != testTTL {
+			t.Errorf("answer due at %v, %v", at, ok)
 		}
 		ack(t, s, 10*time.Second, first, "a")
 		if r := s.NextResponse(10 * time.Second); !slices.Equal(names(r), []string{"a=999"}) {
-			t.Errorf("after its answer: %v", names(r))
+			t.Errorf("response after the answer: %v", names(r))
 		}
 	})
 }
 
-func TestHeartbeatsKeepALeaseAndAnUpdateDoesNotWaitForOne(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+func TestUpdateDoesNotWaitForHeartbeatAnswer(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, true)
-		want(t, s, Endpoint, "a")
-		s.SetSnapshot(0, eds(res("a", "1", lease, "h:1", "h:2")))
+		subscribe(t, s, Endpoint, "a")
+		s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", testTTL, "h:1", "h:2")))
 		ack(t, s, 1*ms, s.NextResponse(0), "a")
 		if w := s.NextWakeup(1 * ms); w != 80*ms {
 			t.Errorf("next heartbeat at %v", w)
 		}
 		if r := s.NextResponse(79 * ms); r != nil {
-			t.Errorf("early: %v", names(r))
+			t.Errorf("heartbeat sent too early: %v", names(r))
 		}
 		beat := s.NextResponse(80 * ms)
 		if beat == nil || !beat.Heartbeat {
 			t.Fatalf("no heartbeat: %+v", beat)
 		}
-		// A drain while the heartbeat has no answer yet.
-		s.SetSnapshot(90*ms, eds(res("a", "2", lease, "h:1")))
+		// A drain while the heartbeat is unanswered.
+		s.SetSnapshot(90*ms, endpointSnapshot(testResource("a", "2", testTTL, "h:1")))
 		r := s.NextResponse(90 * ms)
 		if !slices.Equal(names(r), []string{"a=2"}) || r.Heartbeat {
-			t.Fatalf("the drain: %v", names(r))
+			t.Fatalf("response after the drain: %v", names(r))
 		}
 		if x := s.NextResponse(91 * ms); x != nil {
-			t.Errorf("a third without an answer: %v", names(x))
+			t.Errorf("third response before an answer: %v", names(x))
 		}
-		ack(t, s, 95*ms, beat, "a") // of the older one
+		ack(t, s, 95*ms, beat, "a") // stale answer
 		ack(t, s, 99*ms, r, "a")
-		if got := s.asks[Endpoint].has["a"].Version; got != "2" {
-			t.Errorf("holds %v", got)
+		if got := s.subscriptions[Endpoint].held["a"].Version; got != "2" {
+			t.Errorf("held version %v", got)
 		}
 	})
 }
 
-// A heartbeat whose answer comes after the lease may have found nothing to
-// prolong: the body is sent again.
-func TestAfterALateHeartbeatTheBodyComesAgain(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+// A heartbeat answered after the TTL may have arrived too late to extend it, so
+// the body must be sent again.
+func TestBodyIsSentAgainAfterLateHeartbeatAnswer(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		s := NewSession(delta, true)
-		want(t, s, Endpoint, "a")
-		s.SetSnapshot(0, eds(res("a", "1", lease)))
+		subscribe(t, s, Endpoint, "a")
+		s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", testTTL)))
 		ack(t, s, 0, s.NextResponse(0), "a")
 		beat := s.NextResponse(80 * ms)
 		ack(t, s, 241*ms, beat, "a")
@@ -203,42 +203,42 @@
 	})
 }
 
-// The last good state of a proxy that rejects an update is prolonged only
-// while it sends nobody where the update would not.
-func TestARejectedDrainIsNotProlonged(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+// The TTL of the version held by a proxy that rejected an update must be extended
+// only if all its active servers are still active in the update.
+func TestHeartbeatsStopAfterRejectedDrain(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		for _, c := range []struct {
-			name string
-			live []string
-			beat bool
-		}{{"a drain", []string{"h:1"}, false}, {"a new server", []string{"h:1", "h:2", "h:3"}, true}} {
+			name          string
+			activeAddrs   []string
+			wantHeartbeat bool
+		}{{"drain", []string{"h:1"}, false}, {"new server", []string{"h:1", "h:2", "h:3"}, true}} {
 			s := NewSession(delta, true)
-			want(t, s, Endpoint, "a")
-			s.SetSnapshot(0, eds(res("a", "1", lease, "h:1", "h:2")))
+			subscribe(t, s, Endpoint, "a")
+			s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", testTTL, "h:1", "h:2")))
 			ack(t, s, 0, s.NextResponse(0), "a")
-			s.SetSnapshot(10*ms, eds(res("a", "2", lease, c.live...)))
+			s.SetSnapshot(10*ms, endpointSnapshot(testResource("a", "2", testTTL, c.activeAddrs...)))
 			nack(t, s, 11*ms, s.NextResponse(10*ms), "a")
-			if r := s.NextResponse(100 * ms); (r != nil) != c.beat {
+			if r := s.NextResponse(100 * ms); (r != nil) != c.wantHeartbeat {
 				t.Errorf("%s: %v", c.name, names(r))
 			}
 			if w := s.NextWakeup(100 * ms); w < 101*ms {
-				t.Errorf("%s: it would wake at %v, for nothing", c.name, w)
+				t.Errorf("%s: next wakeup too early, at %v", c.name, w)
 			}
 		}
 	})
 }
 
-// Make before break: endpoints after their clusters, routes after both, and a
-// cluster goes only when no route names it any more.
-func TestNothingIsNamedBeforeItIsThereOrAfterItIsGone(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+// Make before break: endpoints must follow their clusters, routes must follow
+// both, and a cluster must stay until no route refers to it.
+func TestRoutesReferOnlyToExistingClusters(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		of := func(cluster string) *Snapshot {
-			route := res("r", "to-"+cluster, 0)
-			route.refs = []string{cluster}
-			return snap(map[Type][]*Resource{Cluster: {res(cluster, "1", 0)}, Endpoint: {res(cluster, "1", 0)}, Route: {route}})
+			route := testResource("r", "to-"+cluster, 0)
+			route.clusterRefs = []string{cluster}
+			return snapshotOf(map[Type][]*Resource{Cluster: {testResource(cluster, "1", 0)}, Endpoint: {testResource(cluster, "1", 0)}, Route: {route}})
 		}
 		s := NewSession(delta, false)
-		// What a proxy has and what its routes name.
+		// What the proxy has, and the cluster that its route refers to.
 		has, route := map[string]bool{}, ""
 		endpoints := map[string]bool{}
 		settle := func(now time.Duration) {
@@ -260,7 +260,7 @@
 						delete(has, n)
 					}
 					if route != "" && !has[route] {
-						t.Fatalf("the route names %s, which is gone", route)
+						t.Fatalf("route refers to removed cluster %s", route)
 					}
 				case Endpoint:
 					for _, x := range r.Resources {
@@ -270,7 +270,7 @@
 				case Route:
 					route = r.Resources[0].Version[len("to-"):]
 					if !has[route] || !endpoints[route] {
-						t.Fatalf("the route names %s before it is there", route)
+						t.Fatalf("route refers to cluster %s before its clusters and endpoints were sent", route)
 					}
 					wants = []string{"r"}
 				}
@@ -283,7 +283,7 @@
 				if err := s.HandleRequest(now, Request{Type: r.Type, Nonce: r.Nonce, Names: wants}); err != nil {
 					t.Fatal(err)
 				}
-				if r.Type == Cluster { // a proxy asks for the endpoints of its clusters
+				if r.Type == Cluster { // subscribes to the endpoints of its clusters
 					var all []string
 					for n := range has {
 						all = append(all, n)
@@ -293,11 +293,11 @@
 					}
 				}
 			}
-			t.Fatal("it does not settle")
+			t.Fatal("responses do not stop")
 		}
 		s.SetSnapshot(0, of("one"))
-		want(t, s, Cluster)
-		want(t, s, Route, "r")
+		subscribe(t, s, Cluster)
+		subscribe(t, s, Route, "r")
 		settle(0)
 		if route != "one" {
 			t.Fatalf("first route %q", route)
@@ -313,54 +313,54 @@
 	})
 }
 
-// A route whose clusters are rejected waits, but not for ever.
-func TestARouteDoesNotWaitForEver(t *testing.T) {
+// A route whose clusters were rejected must be sent after a timeout.
+func TestRouteWaitsForItsClustersUntilTimeout(t *testing.T) {
 	s := NewSession(false, false)
-	route := res("r", "1", 0)
-	route.refs = []string{"a"}
-	s.SetSnapshot(0, snap(map[Type][]*Resource{Cluster: {res("a", "1", 0)}, Route: {route}}))
-	want(t, s, Cluster)
-	want(t, s, Route, "r")
+	route := testResource("r", "1", 0)
+	route.clusterRefs = []string{"a"}
+	s.SetSnapshot(0, snapshotOf(map[Type][]*Resource{Cluster: {testResource("a", "1", 0)}, Route: {route}}))
+	subscribe(t, s, Cluster)
+	subscribe(t, s, Route, "r")
 	nack(t, s, 0, s.NextResponse(0))
 	if r := s.NextResponse(time.Second); r != nil {
-		t.Fatalf("at once: %v", names(r))
+		t.Fatalf("route did not wait: %v", names(r))
 	}
-	if w := s.NextWakeup(time.Second); w != gateFor {
-		t.Errorf("wakes at %v", w)
+	if w := s.NextWakeup(time.Second); w != routeHoldTimeout {
+		t.Errorf("next wakeup at %v", w)
 	}
-	if r := s.NextResponse(gateFor); !slices.Equal(names(r), []string{"r=1"}) {
-		t.Errorf("after %v: %v", gateFor, names(r))
+	if r := s.NextResponse(routeHoldTimeout); !slices.Equal(names(r), []string{"r=1"}) {
+		t.Errorf("response after %v: %v", routeHoldTimeout, names(r))
 	}
 }
 
-func TestAResourceThatGoesIsToldGone(t *testing.T) {
+func TestRemovedResourceIsReported(t *testing.T) {
 	s := NewSession(true, false)
-	want(t, s, Endpoint, "a", "never")
-	s.SetSnapshot(0, eds(res("a", "1", 0)))
+	subscribe(t, s, Endpoint, "a", "never")
+	s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", 0)))
 	r := s.NextResponse(0)
 	if !slices.Equal(names(r), []string{"a=1"}) || !slices.Equal(r.Removed, []string{"never"}) {
-		t.Fatalf("%v, gone %v", names(r), r.Removed)
+		t.Fatalf("first response: %v, removed %v", names(r), r.Removed)
 	}
 	ack(t, s, 0, r)
 	if r := s.NextResponse(0); r != nil {
-		t.Errorf("again: %v, gone %v", names(r), r.Removed)
+		t.Errorf("removal was reported again: %v, removed %v", names(r), r.Removed)
 	}
-	s.SetSnapshot(1, eds())
+	s.SetSnapshot(1, endpointSnapshot())
 	if r = s.NextResponse(1); r == nil || !slices.Equal(r.Removed, []string{"a"}) {
 		t.Errorf("%+v", r)
 	}
 	ack(t, s, 1, r)
-	s.SetSnapshot(2, eds(res("never", "1", 0)))
+	s.SetSnapshot(2, endpointSnapshot(testResource("never", "1", 0)))
 	if r = s.NextResponse(2); !slices.Equal(names(r), []string{"never=1"}) {
 		t.Errorf("%v", names(r))
 	}
 }
 
-// A proxy that comes back on the incremental variant with what it has is sent
-// the rest; what has a lease is sent whole, as that may just have run out.
-func TestWhoComesBackKeepsWhatIsCurrent(t *testing.T) {
+// A proxy that reconnects with its resource versions must be sent only the
+// differences, except that resources with a TTL are sent again.
+func TestReconnectWithInitialVersionsSendsDifferences(t *testing.T) {
 	s := NewSession(true, true)
-	s.SetSnapshot(0, snap(map[Type][]*Resource{Cluster: {res("a", "1", 0), res("b", "2", 0)}, Endpoint: {res("a", "1", lease)}}))
+	s.SetSnapshot(0, snapshotOf(map[Type][]*Resource{Cluster: {testResource("a", "1", 0), testResource("b", "2", 0)}, Endpoint: {testResource("a", "1", testTTL)}}))
 	if err := s.HandleRequest(0, Request{Type: Cluster, InitialVersions: map[string]string{"a": "1", "b": "1", "old": "1"}}); err != nil {
 		t.Fatal(err)
 	}
@@ -369,14 +369,14 @@
 	}
 	r := s.NextResponse(0)
 	if !slices.Equal(names(r), []string{"b=2"}) || !slices.Equal(r.Removed, []string{"old"}) {
-		t.Errorf("clusters: %v, gone %v", names(r), r.Removed)
+		t.Errorf("clusters: %v, removed %v", names(r), r.Removed)
 	}
 	if r = s.NextResponse(0); r == nil || r.Heartbeat || !slices.Equal(names(r), []string{"a=1"}) {
 		t.Errorf("endpoints: %+v", r)
 	}
 }
 
-func TestBoundsOfARequest(t *testing.T) {
+func TestRequestLimits(t *testing.T) {
 	many := make([]string, maxNames+1)
 	for i := range many {
 		many[i] = fmt.Sprint(i)
@@ -385,99 +385,98 @@
 		{Names: many}, {Names: []string{""}}, {Names: []string{string(make([]byte, maxNameLen+1))}},
 	} {
 		if NewSession(false, false).HandleRequest(0, r) == nil {
-			t.Errorf("state of the world: %d names are taken", len(r.Names))
+			t.Errorf("state of the world: request with %d names was accepted", len(r.Names))
 		}
 		if NewSession(true, false).HandleRequest(0, Request{Subscribe: r.Names}) == nil {
-			t.Errorf("incremental: %d names are taken", len(r.Names))
+			t.Errorf("incremental: request with %d names was accepted", len(r.Names))
 		}
 	}
-	s := NewSession(true, false) // in several requests
+	s := NewSession(true, false) // the limit applies across requests
 	if s.HandleRequest(0, Request{Subscribe: many[:maxNames]}) != nil || s.HandleRequest(0, Request{Subscribe: many[maxNames:]}) == nil {
-		t.Error("more than the bound in two requests")
+		t.Error("limit does not apply across two requests")
 	}
 }
 
-// A proxy as the protocol page wants it, over a connection that holds back
-// what is under way for any time until it is broken. It must not use a server
-// for longer than two leases after the control service was told of its drain.
-func TestALeaseEndsInTimeWhateverTheNetworkDoes(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
-		late, breaks := 0, 0
+// Whatever the network delays, a proxy must not use a server for longer than two
+// TTLs after the control service was notified of its drain.
+func TestDrainTakesEffectWithinTwoTTLsOnSlowNetwork(t *testing.T) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
+		usedAfterDrain, timeouts := 0, 0
 		for seed := range uint64(200) {
 			rnd := rand.New(rand.NewPCG(seed, 7))
-			any := func(d time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(d))) }
-			drain := 300*ms + any(300*ms)
-			bad, good := drain-any(500*ms), drain+any(800*ms) // the network is bad in between
-			before, after := eds(res("a", "1", lease, "h:1", "h:2")), eds(res("a", "2", lease, "h:1"))
-			type flying struct {
+			randomDuration := func(d time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(d))) }
+			drain := 300*ms + randomDuration(300*ms)
+			slowFrom, slowUntil := drain-randomDuration(500*ms), drain+randomDuration(800*ms) // slow network
+			before, after := endpointSnapshot(testResource("a", "1", testTTL, "h:1", "h:2")), endpointSnapshot(testResource("a", "2", testTTL, "h:1"))
+			type delayed struct {
 				at time.Duration
 				r  *Response
 			}
 			var s *Session
-			var down, up []flying
-			var last [2]time.Duration // deliveries are in order
-			var holds *Resource
-			until, connect := time.Duration(0), time.Duration(0)
-			pass := func(way int, now time.Duration) time.Duration {
-				at := now + any(30*ms)
-				if at >= bad && at < good {
-					at = now + any(3*lease)
+			var toProxy, toServer []delayed
+			var lastDelivery [2]time.Duration // deliveries stay in order
+			var held *Resource
+			validUntil, connectAt := time.Duration(0), time.Duration(0)
+			deliverAt := func(direction int, now time.Duration) time.Duration {
+				at := now + randomDuration(30*ms)
+				if at >= slowFrom && at < slowUntil {
+					at = now + randomDuration(3*testTTL)
 				}
-				last[way] = max(last[way], at)
-				return last[way]
+				lastDelivery[direction] = max(lastDelivery[direction], at)
+				return lastDelivery[direction]
 			}
 			for now := time.Duration(0); now < 3*time.Second; now += ms {
 				state := before
 				if now >= drain {
 					state = after
 				}
-				if s == nil && now >= connect {
-					s, last = NewSession(delta, true), [2]time.Duration{}
-					want(t, s, Endpoint, "a")
+				if s == nil && now >= connectAt {
+					s, lastDelivery = NewSession(delta, true), [2]time.Duration{}
+					subscribe(t, s, Endpoint, "a")
 				}
 				if s != nil {
-					if s.snap != state {
+					if s.snapshot != state {
 						s.SetSnapshot(now, state)
 					}
-					for len(up) > 0 && up[0].at <= now {
-						ack(t, s, now, up[0].r, "a")
-						up = up[1:]
+					for len(toServer) > 0 && toServer[0].at <= now {
+						ack(t, s, now, toServer[0].r, "a")
+						toServer = toServer[1:]
 					}
 					for r := s.NextResponse(now); r != nil; r = s.NextResponse(now) {
-						down = append(down, flying{pass(0, now), r})
+						toProxy = append(toProxy, delayed{deliverAt(0, now), r})
 					}
 					if at, ok := s.AckDeadline(time.Second); ok && now >= at {
-						breaks++
-						s, down, up, connect = nil, nil, nil, now+any(100*ms)
+						timeouts++
+						s, toProxy, toServer, connectAt = nil, nil, nil, now+randomDuration(100*ms)
 					}
 				}
-				if holds != nil && now >= until {
-					holds = nil
+				if held != nil && now >= validUntil {
+					held = nil
 				}
-				for len(down) > 0 && down[0].at <= now {
-					r := down[0].r
-					down = down[1:]
+				for len(toProxy) > 0 && toProxy[0].at <= now {
+					r := toProxy[0].r
+					toProxy = toProxy[1:]
 					switch x := r.Resources[0]; {
 					case !r.Heartbeat:
-						holds, until = x, now+lease
-					case holds != nil && holds.Version == x.Version:
-						until = now + lease
+						held, validUntil = x, now+testTTL
+					case held != nil && held.Version == x.Version:
+						validUntil = now + testTTL
 					}
-					up = append(up, flying{pass(1, now), r})
+					toServer = append(toServer, delayed{deliverAt(1, now), r})
 				}
-				if holds != nil && slices.Contains(holds.live, "h:2") && now > drain {
-					if now > drain+2*lease {
-						t.Fatalf("seed %d: at %v it uses a server that drained at %v", seed, now, drain)
+				if held != nil && slices.Contains(held.activeAddrs, "h:2") && now > drain {
+					if now > drain+2*testTTL {
+						t.Fatalf("seed %d: at %v the proxy uses a server that drained at %v", seed, now, drain)
 					}
-					late++
+					usedAfterDrain++
 				}
 			}
-			if holds == nil || holds.Version != "2" {
-				t.Fatalf("seed %d: in the end it holds %+v", seed, holds)
+			if held == nil || held.Version != "2" {
+				t.Fatalf("seed %d: finally holds %+v", seed, held)
 			}
 		}
-		if late == 0 || breaks == 0 {
-			t.Errorf("nothing came late (%d) or nothing was broken (%d)", late, breaks)
+		if usedAfterDrain == 0 || timeouts == 0 {
+			t.Errorf("no use after a drain (%d) or no timeout (%d) in any run", usedAfterDrain, timeouts)
 		}
 	})
 }
@@ -495,7 +494,7 @@
 			name := fmt.Sprint(b % 7)
 			switch b / 4 % 6 {
 			case 0:
-				s.SetSnapshot(now, snap(map[Type][]*Resource{ty: {res(name, fmt.Sprint(i), time.Duration(b%2)*lease)}}))
+				s.SetSnapshot(now, snapshotOf(map[Type][]*Resource{ty: {testResource(name, fmt.Sprint(i), time.Duration(b%2)*testTTL)}}))
 			case 1:
 				s.HandleRequest(now, Request{Type: ty, Names: []string{name}, Subscribe: []string{name}})
 			case 2:
@@ -511,38 +510,38 @@
 					break
 				}
 				sent[r.Type]++
-				if n > 2*int(types) {
-					t.Fatal("it sends without an answer")
+				if n > 2*int(numTypes) {
+					t.Fatal("too many responses before an answer")
 				}
 			}
 			if w := s.NextWakeup(now); w <= now {
-				t.Fatalf("at %v it would wake at %v", now, w)
+				t.Fatalf("at %v the next wakeup is %v", now, w)
 			}
 			s.AckDeadline(time.Second)
 		}
 	})
 }
 
-// A proxy may ask for more when it has answered all that it was sent: it names
-// the last nonce once more. Only what answers an older response is ignored.
-func TestMoreNamesAfterAnAnswerAreNotStale(t *testing.T) {
+// A proxy may change its subscription with the nonce of a response that it has
+// already answered. Only requests with an older nonce must be ignored.
+func TestSubscriptionChangeWithAnsweredNonceIsNotStale(t *testing.T) {
 	s := NewSession(false, false)
-	s.SetSnapshot(0, eds(res("a", "1", 0), res("b", "1", 0), res("c", "1", 0)))
-	want(t, s, Endpoint, "a")
+	s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", 0), testResource("b", "1", 0), testResource("c", "1", 0)))
+	subscribe(t, s, Endpoint, "a")
 	first := s.NextResponse(0)
 	ack(t, s, 0, first, "a")
-	ack(t, s, 0, first, "a", "b") // the same nonce again, with another name
+	ack(t, s, 0, first, "a", "b") // same nonce, further name
 	second := s.NextResponse(0)
 	if got := names(second); !slices.Contains(got, "b=1") {
-		t.Fatalf("asked for b as well, got %v", got)
+		t.Fatalf("response after subscribing to b: %v", got)
 	}
-	ack(t, s, 0, first, "a", "b", "c") // it has not read the second one yet
+	ack(t, s, 0, first, "a", "b", "c") // the proxy has not read the second response yet
 	if r := s.NextResponse(0); r != nil {
-		t.Errorf("an answer to an older response was believed: %v", names(r))
+		t.Errorf("stale request was processed: %v", names(r))
 	}
 	ack(t, s, 0, second, "a", "b", "c")
 	if got := names(s.NextResponse(0)); !slices.Contains(got, "c=1") {
-		t.Errorf("asked for c as well, got %v", got)
+		t.Errorf("response after subscribing to c: %v", got)
 	}
 	if s.StaleRequests != 1 {
 		t.Errorf("%d stale requests", s.StaleRequests)
--- a/internal/xds/status.go
+++ b/internal/xds/status.go
@@ -13,21 +13,21 @@
 	"google.golang.org/grpc/status"
 )
 
-// statuses is the client status discovery service: what each proxy was sent
-// and what it has acknowledged.
-type statuses struct{ s *Server }
+// clientStatusService implements the client status discovery service (CSDS),
+// which shows the resources that each proxy was sent and has acknowledged.
+type clientStatusService struct{ s *Server }
 
-// FetchClientStatus answers once.
-func (c statuses) FetchClientStatus(ctx context.Context, _ *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
-	if err := c.may(ctx); err != nil {
+// FetchClientStatus returns the status of all proxies.
+func (c clientStatusService) FetchClientStatus(ctx context.Context, _ *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
+	if err := c.authorize(ctx); err != nil {
 		return nil, err
 	}
-	return c.s.clients(), nil
+	return c.s.clientStatuses(), nil
 }
 
-// StreamClientStatus answers each request.
-func (c statuses) StreamClientStatus(g statusv3.ClientStatusDiscoveryService_StreamClientStatusServer) error {
-	if err := c.may(g.Context()); err != nil {
+// StreamClientStatus returns the status of all proxies for each request.
+func (c clientStatusService) StreamClientStatus(g statusv3.ClientStatusDiscoveryService_StreamClientStatusServer) error {
+	if err := c.authorize(g.Context()); err != nil {
 		return err
 	}
 	for {
@@ -36,53 +36,53 @@
 		} else if err != nil {
 			return err
 		}
-		if err := g.Send(c.s.clients()); err != nil {
+		if err := g.Send(c.s.clientStatuses()); err != nil {
 			return err
 		}
 	}
 }
 
-func (c statuses) may(ctx context.Context) error {
+func (c clientStatusService) authorize(ctx context.Context) error {
 	s := c.s
 	id, err := identity(ctx, s.cfg.TLS == nil)
-	if err == nil && !s.operator(id) {
+	if err == nil && !s.isOperator(id) {
 		err = status.Error(codes.PermissionDenied, "client status is for operators")
 	}
 	if err != nil {
 		s.Counters.StreamsRefused.Add(1)
-		return s.refuse(ctx, "client status", id, err)
+		return s.rejectStream(ctx, "client status", id, err)
 	}
 	return nil
 }
 
-// clients lists all proxies, by name.
-func (s *Server) clients() *statusv3.ClientStatusResponse {
-	all := s.all()
+// clientStatuses returns the status of all streams, sorted by proxy.
+func (s *Server) clientStatuses() *statusv3.ClientStatusResponse {
+	all := s.openStreams()
 	slices.SortFunc(all, func(a, b *stream) int { return strings.Compare(string(a.proxy), string(b.proxy)) })
 	out := &statusv3.ClientStatusResponse{}
 	for _, x := range all {
-		out.Config = append(out.Config, x.status())
+		out.Config = append(out.Config, x.clientConfig())
 	}
 	return out
 }
 
-func (x *stream) status() *statusv3.ClientConfig {
+func (x *stream) clientConfig() *statusv3.ClientConfig {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	c := &statusv3.ClientConfig{Node: x.node, ClientScope: string(x.proxy)}
-	for t := range types {
-		a := &x.session.asks[t]
-		if !a.wanted {
+	for t := range numTypes {
+		sub := &x.session.subscriptions[t]
+		if !sub.active {
 			continue
 		}
 		names := map[string]bool{}
-		for n := range a.names {
+		for n := range sub.names {
 			names[n] = true
 		}
-		for n := range a.has {
+		for n := range sub.held {
 			names[n] = true
 		}
-		for n := range a.refused {
+		for n := range sub.rejected {
 			names[n] = true
 		}
 		sorted := make([]string, 0, len(names))
@@ -91,28 +91,28 @@
 		}
 		slices.Sort(sorted)
 		for _, n := range sorted {
-			c.GenericXdsConfigs = append(c.GenericXdsConfigs, x.one(t, a, n))
+			c.GenericXdsConfigs = append(c.GenericXdsConfigs, x.resourceStatus(t, sub, n))
 		}
 	}
 	return c
 }
 
-func (x *stream) one(t Type, a *ask, name string) *statusv3.ClientConfig_GenericXdsConfig {
+func (x *stream) resourceStatus(t Type, sub *subscription, name string) *statusv3.ClientConfig_GenericXdsConfig {
 	g := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: t.URL(), Name: name,
 		ConfigStatus: statusv3.ConfigStatus_NOT_SENT, ClientStatus: adminv3.ClientResourceStatus_REQUESTED}
-	want := x.snap.Get(t, name)
-	if had, ok := a.has[name]; ok {
-		g.VersionInfo = had.Version
+	want := x.snapshot.Get(t, name)
+	if held, ok := sub.held[name]; ok {
+		g.VersionInfo = held.Version
 		g.ConfigStatus, g.ClientStatus = statusv3.ConfigStatus_SYNCED, adminv3.ClientResourceStatus_ACKED
-		if want == nil || want.Version != had.Version {
+		if want == nil || want.Version != held.Version {
 			g.ConfigStatus = statusv3.ConfigStatus_STALE
 		}
 	} else if want == nil {
 		g.ClientStatus = adminv3.ClientResourceStatus_DOES_NOT_EXIST
 	}
-	if v, ok := a.refused[name]; ok {
+	if v, ok := sub.rejected[name]; ok {
 		g.ConfigStatus, g.ClientStatus = statusv3.ConfigStatus_ERROR, adminv3.ClientResourceStatus_NACKED
-		g.ErrorState = &adminv3.UpdateFailureState{VersionInfo: v, Details: a.nack}
+		g.ErrorState = &adminv3.UpdateFailureState{VersionInfo: v, Details: sub.nackReason}
 	}
 	return g
 }
