--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -19,32 +19,32 @@
 	"ivylock/steer"
 )
 
-// ttlFeature is the word by which a proxy tells that it knows TTLs (xDS
-// protocol, "Time to live").
-const ttlFeature = "xds.config.supports-resource-ttl"
+// ttlClientFeature is the client feature of proxies that support resource TTLs
+// (xDS protocol, "Time to live").
+const ttlClientFeature = "xds.config.supports-resource-ttl"
 
-// lookAgain is when a stream looks whether what was published is current again.
-const lookAgain = 10 * time.Millisecond
+// currencyCheckInterval is how often a stream checks Config.IsCurrent while it is false.
+const currencyCheckInterval = 10 * time.Millisecond
 
-// ads is the aggregated discovery service in both variants.
-type ads struct{ s *Server }
+// discoveryService implements the aggregated discovery service (ADS) in both variants.
+type discoveryService struct{ s *Server }
 
-// variant is one stream of either variant: what is different between them.
-type variant struct {
+// transport hides the differences between streams of the two variants.
+type transport struct {
 	ctx  context.Context
 	recv func() (Request, *corev3.Node, error)
 	send func(*Response) error
 }
 
-// StreamAggregatedResources is the state-of-the-world variant.
-func (a ads) StreamAggregatedResources(g discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	return a.s.serve(false, variant{ctx: g.Context(),
+// StreamAggregatedResources serves a stream of the state-of-the-world variant.
+func (a discoveryService) StreamAggregatedResources(g discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+	return a.s.serveDiscovery(false, transport{ctx: g.Context(),
 		recv: func() (Request, *corev3.Node, error) {
 			m, err := g.Recv()
 			if err != nil {
 				return Request{}, nil, err
 			}
-			r, err := wholeRequest(m)
+			r, err := sotwRequest(m)
 			return r, m.GetNode(), err
 		},
 		send: func(r *Response) error {
@@ -64,9 +64,9 @@
 		}})
 }
 
-// DeltaAggregatedResources is the incremental variant.
-func (a ads) DeltaAggregatedResources(g discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	return a.s.serve(true, variant{ctx: g.Context(),
+// DeltaAggregatedResources serves a stream of the incremental variant.
+func (a discoveryService) DeltaAggregatedResources(g discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
+	return a.s.serveDiscovery(true, transport{ctx: g.Context(),
 		recv: func() (Request, *corev3.Node, error) {
 			m, err := g.Recv()
 			if err != nil {
@@ -85,44 +85,44 @@
 		}})
 }
 
-func wholeRequest(m *discoveryv3.DiscoveryRequest) (Request, error) {
-	t, ok := typeOf(m.GetTypeUrl())
+func sotwRequest(m *discoveryv3.DiscoveryRequest) (Request, error) {
+	t, ok := typeFromURL(m.GetTypeUrl())
 	if !ok {
-		return Request{}, badRequest("resource type %q is not served", clip(m.GetTypeUrl()))
+		return Request{}, badRequest("resource type %q is not served", truncate(m.GetTypeUrl()))
 	}
-	return Request{Type: t, Nonce: m.GetResponseNonce(), RejectReason: complaint(m.GetErrorDetail()), Names: m.GetResourceNames()}, nil
+	return Request{Type: t, Nonce: m.GetResponseNonce(), RejectReason: rejectReason(m.GetErrorDetail()), Names: m.GetResourceNames()}, nil
 }
 
 func deltaRequest(m *discoveryv3.DeltaDiscoveryRequest) (Request, error) {
-	t, ok := typeOf(m.GetTypeUrl())
+	t, ok := typeFromURL(m.GetTypeUrl())
 	if !ok {
-		return Request{}, badRequest("resource type %q is not served", clip(m.GetTypeUrl()))
+		return Request{}, badRequest("resource type %q is not served", truncate(m.GetTypeUrl()))
 	}
-	return Request{Type: t, Nonce: m.GetResponseNonce(), RejectReason: complaint(m.GetErrorDetail()),
+	return Request{Type: t, Nonce: m.GetResponseNonce(), RejectReason: rejectReason(m.GetErrorDetail()),
 		Subscribe: m.GetResourceNamesSubscribe(), Unsubscribe: m.GetResourceNamesUnsubscribe(), InitialVersions: m.GetInitialResourceVersions()}, nil
 }
 
-// wrap puts a resource in its frame; a heartbeat has no body.
-func (r *Resource) wrap(beat bool) *discoveryv3.Resource {
+// wrap returns the message that wraps a resource; for a heartbeat it has no body.
+func (r *Resource) wrap(heartbeat bool) *discoveryv3.Resource {
 	w := &discoveryv3.Resource{Name: r.Name, Version: r.Version}
 	if r.TTL > 0 {
 		w.Ttl = durationpb.New(r.TTL)
 	}
-	if !beat {
+	if !heartbeat {
 		w.Resource = r.Body
 	}
 	return w
 }
 
-func clip(s string) string { return s[:min(len(s), 200)] }
+func truncate(s string) string { return s[:min(len(s), 200)] }
 
 func badRequest(format string, args ...any) error {
 	return status.Errorf(codes.InvalidArgument, format, args...)
 }
 
-// complaint is a proxy's reason to reject a response, never empty when there
-// is one.
-func complaint(st interface {
+// rejectReason returns the reason of a NACK, which is never empty, or "" for an
+// ACK.
+func rejectReason(st interface {
 	GetMessage() string
 	GetCode() int32
 }) string {
@@ -137,95 +137,95 @@
 
 // stream is one proxy's discovery stream.
 type stream struct {
-	proxy  steer.ProxyID
-	node   *corev3.Node
-	key    viewKey
-	delta  bool
-	notify chan struct{} // of one: there is a new state
+	proxy   steer.ProxyID
+	node    *corev3.Node
+	key     snapshotKey
+	delta   bool
+	changed chan struct{} // of capacity 1: signals a new state or new permissions
 
-	mu      sync.Mutex // guards what follows
-	session *Session
-	snap    *Snapshot
-	nacks   uint64
-	sent    [types]uint64 // number of the state that the response without an answer is of
-	holds   uint64        // number of the newest state of which it was seen to have all
+	mu            sync.Mutex // guards the fields below
+	session       *Session
+	snapshot      *Snapshot
+	nacks         uint64
+	sentVersions  [numTypes]uint64 // state version of the last update sent, by type
+	inSyncVersion uint64           // newest state version that the proxy was in sync with
 }
 
-func (x *stream) wake() {
+func (x *stream) notify() {
 	select {
-	case x.notify <- struct{}{}:
+	case x.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (x *stream) waiting() bool {
+func (x *stream) hasUnacked() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	_, ok := x.session.AckDeadline(0)
 	return ok
 }
 
-// serve runs one discovery stream. The goroutine of the call holds the
+// serveDiscovery runs one discovery stream. The calling goroutine owns the
 // session; one goroutine receives and one sends, so that a proxy that does not
-// read holds up nobody and its own stream still ends in time. Both end with
+// read blocks neither other streams nor the timeout of its own. Both end with
 // the call.
-func (s *Server) serve(delta bool, w variant) error {
-	id, err := identity(w.ctx, s.cfg.TLS == nil)
+func (s *Server) serveDiscovery(delta bool, conn transport) error {
+	id, err := identity(conn.ctx, s.cfg.TLS == nil)
 	if err != nil {
 		s.Counters.StreamsRefused.Add(1)
-		return s.refuse(w.ctx, "discovery", "", err)
+		return s.rejectStream(conn.ctx, "discovery", "", err)
 	}
-	visible := s.visible(id)
+	visible := s.visibleServices(id)
 	if visible == "" {
 		s.Counters.StreamsRefused.Add(1)
-		return s.refuse(w.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service"))
+		return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service"))
 	}
-	type got struct {
+	type received struct {
 		r    Request
 		node *corev3.Node
 		err  error
 	}
-	in, ended := make(chan got), make(chan struct{})
-	defer close(ended)
+	requests, done := make(chan received), make(chan struct{})
+	defer close(done)
 	go func() {
 		for {
-			var g got
-			g.r, g.node, g.err = w.recv()
+			var msg received
+			msg.r, msg.node, msg.err = conn.recv()
 			select {
-			case in <- g:
-			case <-ended:
+			case requests <- msg:
+			case <-done:
 				return
 			}
-			if g.err != nil {
+			if msg.err != nil {
 				return
 			}
 		}
 	}()
-	first := time.NewTimer(s.cfg.AckTimeout)
-	defer first.Stop()
-	var g got
+	firstTimer := time.NewTimer(s.cfg.AckTimeout)
+	defer firstTimer.Stop()
+	var msg received
 	select {
-	case g = <-in:
-	case <-first.C:
+	case msg = <-requests:
+	case <-firstTimer.C:
 		s.Counters.AckTimeouts.Add(1)
-		return s.refuse(w.ctx, "discovery", id, status.Error(codes.DeadlineExceeded, "no first request"))
+		return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.DeadlineExceeded, "no first request"))
 	}
-	if g.err != nil {
-		return s.broken(w.ctx, id, g.err)
+	if msg.err != nil {
+		return s.streamError(conn.ctx, id, msg.err)
 	}
-	if g.node.GetId() == "" || len(g.node.GetId()) > maxNameLen {
+	if msg.node.GetId() == "" || len(msg.node.GetId()) > maxNameLen {
 		s.Counters.MalformedRequests.Add(1)
-		return s.refuse(w.ctx, "discovery", id, badRequest("the first request must name its node, in 1 to %d bytes", maxNameLen))
+		return s.rejectStream(conn.ctx, "discovery", id, badRequest("the first request must name its node, in 1 to %d bytes", maxNameLen))
 	}
 	x := &stream{
-		proxy: proxyID(id, g.node), node: g.node, delta: delta, notify: make(chan struct{}, 1),
-		key: viewKey{Kind{Zone: g.node.GetLocality().GetZone(), SupportsTTL: slices.Contains(g.node.GetClientFeatures(), ttlFeature), Group: subset.AllServers}, visible},
+		proxy: proxyID(id, msg.node), node: msg.node, delta: delta, changed: make(chan struct{}, 1),
+		key: snapshotKey{Kind{Zone: msg.node.GetLocality().GetZone(), SupportsTTL: slices.Contains(msg.node.GetClientFeatures(), ttlClientFeature), Group: subset.AllServers}, visible},
 	}
 	x.session = NewSession(delta, x.key.SupportsTTL)
-	wait, err := s.admit(x)
+	delay, err := s.admit(x)
 	if err != nil {
 		s.Counters.StreamsRefused.Add(1)
-		return s.refuse(w.ctx, "discovery", id, status.Error(codes.ResourceExhausted, err.Error()))
+		return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.ResourceExhausted, err.Error()))
 	}
 	s.Counters.OpenStreams.Add(1)
 	s.Counters.StreamsOpened.Add(1)
@@ -239,167 +239,167 @@
 		}
 	}()
 
-	out, sent := make(chan *Response), make(chan error, 1)
+	responses, results := make(chan *Response), make(chan error, 1)
 	go func() {
 		for {
 			select {
-			case r := <-out:
-				err := w.send(r)
+			case r := <-responses:
+				err := conn.send(r)
 				select {
-				case sent <- err:
-				case <-ended:
+				case results <- err:
+				case <-done:
 					return
 				}
 				if err != nil {
 					return
 				}
-			case <-ended:
+			case <-done:
 				return
 			}
 		}
 	}()
 
-	begun := s.now() + wait
-	busy := false // a response is being sent
-	timer := time.NewTimer(wait)
+	startAt := s.now() + delay
+	sending := false
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	if err := s.take(x, g.r); err != nil {
+	if err := s.handleRequest(x, msg.r); err != nil {
 		s.Counters.MalformedRequests.Add(1)
-		return s.refuse(w.ctx, "discovery", id, err)
+		return s.rejectStream(conn.ctx, "discovery", id, err)
 	}
 	for {
 		now := s.now()
-		if x.key.services = s.visible(id); x.key.services == "" {
+		if x.key.services = s.visibleServices(id); x.key.services == "" {
 			s.Counters.StreamsRefused.Add(1)
-			return s.refuse(w.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service any more"))
+			return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service any more"))
 		}
 		x.key.Group = s.groupOf(x.proxy)
 		x.mu.Lock()
-		if snap := s.snapshot(x.key); snap != nil && snap != x.snap {
-			x.snap = snap
+		if snap := s.snapshot(x.key); snap != nil && snap != x.snapshot {
+			x.snapshot = snap
 			x.session.SetSnapshot(now, snap)
 		}
 		var r *Response
-		alive := s.cfg.IsCurrent == nil || s.cfg.IsCurrent()
-		if !busy && now >= begun && alive {
+		current := s.cfg.IsCurrent == nil || s.cfg.IsCurrent()
+		if !sending && now >= startAt && current {
 			if r = x.session.NextResponse(now); r != nil && !r.Heartbeat {
-				x.sent[r.Type] = x.snap.StateVersion
+				x.sentVersions[r.Type] = x.snapshot.StateVersion
 				if s.cfg.OnSent != nil {
-					s.cfg.OnSent(x.proxy, x.snap.StateVersion, r.lease())
+					s.cfg.OnSent(x.proxy, x.snapshot.StateVersion, r.longestTTL())
 				}
 			}
 		}
-		if s.cfg.OnInSync != nil && r == nil && x.snap != nil && x.holds != x.snap.StateVersion && x.session.InSync() {
-			x.holds = x.snap.StateVersion
-			s.cfg.OnInSync(x.proxy, x.holds)
+		if s.cfg.OnInSync != nil && r == nil && x.snapshot != nil && x.inSyncVersion != x.snapshot.StateVersion && x.session.InSync() {
+			x.inSyncVersion = x.snapshot.StateVersion
+			s.cfg.OnInSync(x.proxy, x.inSyncVersion)
 		}
-		overdue, waits := x.session.AckDeadline(s.cfg.AckTimeout)
-		at := x.session.NextWakeup(now)
-		if now < begun {
-			at = begun
+		deadline, unacked := x.session.AckDeadline(s.cfg.AckTimeout)
+		wakeAt := x.session.NextWakeup(now)
+		if now < startAt {
+			wakeAt = startAt
 		}
-		if !alive {
-			at = min(at, now+lookAgain)
+		if !current {
+			wakeAt = min(wakeAt, now+currencyCheckInterval)
 		}
 		x.mu.Unlock()
 		if r != nil {
-			s.count(r)
-			busy = true
-			out <- r // the sender is free, so it takes it
+			s.countResponse(r)
+			sending = true
+			responses <- r // does not block, as the sender is idle
 		}
-		if waits {
-			if at = min(at, overdue); now >= overdue {
+		if unacked {
+			if wakeAt = min(wakeAt, deadline); now >= deadline {
 				s.Counters.AckTimeouts.Add(1)
-				s.conns.abort(w.ctx) // what it has not read must not come later
-				return s.refuse(w.ctx, "discovery", id, status.Error(codes.DeadlineExceeded, "no answer to a response in time"))
+				s.conns.abort(conn.ctx) // discards unread responses, which must not arrive later
+				return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.DeadlineExceeded, "no answer to a response in time"))
 			}
 		}
-		timer.Reset(max(0, min(at-now, time.Minute)))
+		timer.Reset(max(0, min(wakeAt-now, time.Minute)))
 		select {
-		case <-x.notify:
+		case <-x.changed:
 		case <-timer.C:
-		case err := <-sent:
-			if busy = false; err != nil {
-				return s.broken(w.ctx, id, err)
+		case err := <-results:
+			if sending = false; err != nil {
+				return s.streamError(conn.ctx, id, err)
 			}
-		case g := <-in:
-			if g.err != nil {
-				return s.broken(w.ctx, id, g.err)
+		case msg := <-requests:
+			if msg.err != nil {
+				return s.streamError(conn.ctx, id, msg.err)
 			}
-			if err := s.take(x, g.r); err != nil {
+			if err := s.handleRequest(x, msg.r); err != nil {
 				s.Counters.MalformedRequests.Add(1)
-				return s.refuse(w.ctx, "discovery", id, err)
+				return s.rejectStream(conn.ctx, "discovery", id, err)
 			}
-		case <-w.ctx.Done():
-			return status.FromContextError(w.ctx.Err()).Err()
+		case <-conn.ctx.Done():
+			return status.FromContextError(conn.ctx.Err()).Err()
 		}
 	}
 }
 
-// proxyID tells proxies apart: many may share a certificate.
+// proxyID combines identity and node ID, as several proxies may share a certificate.
 func proxyID(id string, node *corev3.Node) steer.ProxyID {
 	return steer.ProxyID(id + " " + node.GetId())
 }
 
-// take hands a request to the session and tells operators of a rejection.
-func (s *Server) take(x *stream, r Request) error {
+// handleRequest passes a request to the session, reports its answer and logs rejections.
+func (s *Server) handleRequest(x *stream, r Request) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	a := &x.session.asks[r.Type]
-	waits, nacks := a.out != nil && !a.out.Heartbeat, a.nacks
+	sub := &x.session.subscriptions[r.Type]
+	unacked, nacksBefore := sub.unacked != nil && !sub.unacked.Heartbeat, sub.nackCount
 	err := x.session.HandleRequest(s.now(), r)
-	if waits && a.out == nil && s.cfg.OnAckOrNack != nil {
-		why := ""
-		if a.nacks > nacks {
-			why = a.nack
+	if unacked && sub.unacked == nil && s.cfg.OnAckOrNack != nil {
+		reason := ""
+		if sub.nackCount > nacksBefore {
+			reason = sub.nackReason
 		}
-		s.cfg.OnAckOrNack(x.proxy, x.sent[r.Type], why)
+		s.cfg.OnAckOrNack(x.proxy, x.sentVersions[r.Type], reason)
 	}
-	n, why := uint64(0), ""
-	for t := range types {
-		n += x.session.asks[t].nacks
+	nacks, reason := uint64(0), ""
+	for t := range numTypes {
+		nacks += x.session.subscriptions[t].nackCount
 		if t == r.Type {
-			why = x.session.asks[t].nack
+			reason = x.session.subscriptions[t].nackReason
 		}
 	}
-	if n > x.nacks {
-		x.nacks = n
+	if nacks > x.nacks {
+		x.nacks = nacks
 		s.Counters.Nacks.Add(1)
-		s.cfg.Log.Warn("a proxy rejects an update", "proxy", string(x.proxy), "type", r.Type.String(), "why", why)
+		s.cfg.Log.Warn("proxy rejected an update", "proxy", string(x.proxy), "type", r.Type.String(), "why", reason)
 	}
 	return err
 }
 
-// lease is the longest time after which a resource of a response runs out; 0: none
-// does.
-func (r *Response) lease() (longest time.Duration) {
+// longestTTL returns the longest TTL among the resources of a response; 0: none
+// has one.
+func (r *Response) longestTTL() (longest time.Duration) {
 	for _, x := range r.Resources {
 		longest = max(longest, x.TTL)
 	}
 	return longest
 }
 
-func (s *Server) count(r *Response) {
+func (s *Server) countResponse(r *Response) {
 	s.Counters.Responses.Add(1)
 	if r.Heartbeat {
 		s.Counters.Heartbeats.Add(1)
 		return
 	}
-	n := 0
+	bytes := 0
 	for _, x := range r.Resources {
-		n += len(x.Body.GetValue())
+		bytes += len(x.Body.GetValue())
 	}
-	s.Counters.ResourceBytes.Add(int64(n))
+	s.Counters.ResourceBytes.Add(int64(bytes))
 }
 
-// broken ends a stream that can't be read or written. What a proxy does by
-// itself, to close or to go away, is no line in the log.
-func (s *Server) broken(ctx context.Context, id string, err error) error {
+// streamError returns the status of a stream that failed to receive or send.
+// Streams closed or canceled by the proxy are not logged.
+func (s *Server) streamError(ctx context.Context, id string, err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	switch c := status.Code(err); {
-	case c == codes.ResourceExhausted: // a message over the bound; the library has ended the stream with it
+	case c == codes.ResourceExhausted: // message over the size limit; gRPC has already ended the stream
 		s.Counters.MalformedRequests.Add(1)
 		s.cfg.Log.Warn("stream ended", "service", "discovery", "proxy", id, "code", c, "why", err.Error())
 		return err
@@ -407,5 +407,5 @@
 		return status.Error(codes.Canceled, "the proxy is gone")
 	}
 	s.Counters.MalformedRequests.Add(1)
-	return s.refuse(ctx, "discovery", id, err)
+	return s.rejectStream(ctx, "discovery", id, err)
 }
--- a/internal/xds/subset_test.go
+++ b/internal/xds/subset_test.go
@@ -12,29 +12,29 @@
 	"ivylock/steer"
 )
 
-// Each proxy is told of its group's servers, drains of them among it, and of
-// nothing else; one that sends much of all there is is told of all.
-func TestAProxyIsToldOfItsGroupsServers(t *testing.T) {
+// Each proxy must get exactly the servers of its group, and a proxy with a full
+// view all servers.
+func TestProxyGetsServersOfItsGroup(t *testing.T) {
 	ids := map[string]steer.ProxyID{}
 	joined := make(chan steer.ProxyID, 10)
-	s, addr := up(t, Config{OnJoined: func(p steer.ProxyID, _ string) { joined <- p }})
-	part := func(version uint64, draining int, whole ...steer.ProxyID) *steer.State {
+	s, addr := startServer(t, Config{OnJoined: func(p steer.ProxyID, _ string) { joined <- p }})
+	subsetState := func(version uint64, draining int, fullView ...steer.ProxyID) *steer.State {
 		health := make([]steer.Health, 64)
 		for i := range health {
 			if i == draining {
 				health[i] = steer.Draining
 			}
 		}
-		st := state(version, health...)
-		st.Subsetted, st.FullViewProxies = true, whole
-		ends := st.Views[""].Localities[0].Endpoints
-		for i := range ends {
-			o := subset.RankGroups(fmt.Sprint("pod-", i/2))
-			ends[i].Groups = o.First(8)
+		st := testState(version, health...)
+		st.Subsetted, st.FullViewProxies = true, fullView
+		endpoints := st.Views[""].Localities[0].Endpoints
+		for i := range endpoints {
+			order := subset.RankGroups(fmt.Sprint("pod-", i/2))
+			endpoints[i].Groups = order.First(8)
 		}
 		return st
 	}
-	addresses := func(g sotw) (out []string) {
+	addresses := func(g sotwClient) (out []string) {
 		t.Helper()
 		m := recv(t, g)
 		for _, raw := range m.Resources {
@@ -44,15 +44,15 @@
 			}
 			for _, l := range a.Endpoints {
 				for _, e := range l.LbEndpoints {
-					p := e.GetEndpoint().Address.GetSocketAddress().GetPortValue()
-					out = append(out, fmt.Sprint("127.0.0.1:", p))
+					port := e.GetEndpoint().Address.GetSocketAddress().GetPortValue()
+					out = append(out, fmt.Sprint("127.0.0.1:", port))
 				}
 			}
 		}
 		slices.Sort(out)
 		return slices.Compact(out)
 	}
-	told := func(st *steer.State, group int) (out []string) {
+	expected := func(st *steer.State, group int) (out []string) {
 		for _, l := range st.View("a").ForGroup(group).Localities {
 			for _, e := range l.Endpoints {
 				if e.Health == steer.Healthy {
@@ -63,18 +63,18 @@
 		slices.Sort(out)
 		return out
 	}
-	first := part(1, -1)
+	first := subsetState(1, -1)
 	s.Publish(first)
 	seen := map[string]bool{}
-	streams := map[string]sotw{}
+	streams := map[string]sotwClient{}
 	for i := range 6 {
 		name := fmt.Sprint("proxy-", i)
-		g := open(t, dial(t, addr))
+		g := openStream(t, dial(t, addr))
 		send(t, g, &discoveryv3.DiscoveryRequest{Node: node(name), TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}})
 		got := addresses(g)
 		ids[name] = <-joined
-		if want := told(first, first.GroupOf(ids[name])); !slices.Equal(got, want) || len(got) == 0 || len(got) > 32 {
-			t.Errorf("%s of group %d is told of %d servers, want %d", name, first.GroupOf(ids[name]), len(got), len(want))
+		if want := expected(first, first.GroupOf(ids[name])); !slices.Equal(got, want) || len(got) == 0 || len(got) > 32 {
+			t.Errorf("%s of group %d got %d servers, want %d", name, first.GroupOf(ids[name]), len(got), len(want))
 		}
 		for _, a := range got {
 			seen[a] = true
@@ -82,13 +82,13 @@
 		streams[name] = g
 	}
 	if len(seen) < 30 {
-		t.Errorf("six proxies know %d of 64 servers", len(seen))
+		t.Errorf("six proxies together got %d of 64 servers", len(seen))
 	}
-	// One of them sends much from now on, and a server drains.
-	big := ids["proxy-0"]
-	s.Publish(part(2, 5, big))
+	// One proxy gets a full view, and a server drains.
+	fullView := ids["proxy-0"]
+	s.Publish(subsetState(2, 5, fullView))
 	send(t, streams["proxy-0"], &discoveryv3.DiscoveryRequest{TypeUrl: Endpoint.URL(), ResourceNames: []string{"clips/other"}, ResponseNonce: "1"})
 	if got := addresses(streams["proxy-0"]); len(got) < 63 {
-		t.Errorf("the one that sends much is told of %d servers", len(got))
+		t.Errorf("proxy with a full view got %d servers", len(got))
 	}
 }
