--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,6 @@
-// Package ctl is ivylockctl's command line: it reads the records of processes from
-// their consoles or from files and shows what package audit makes of them.
+// Package ctl implements the command line of ivylockctl, which reads the records
+// of processes from their consoles or from files and prints the results of package
+// audit.
 package ctl
 
 import (
@@ -16,126 +17,126 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitOK            = 0
-	ExitProblemsFound = 1 // sends that were too late, or a process that is behind
-	ExitUsage         = 2 // unknown words
-	ExitNoRecords     = 3 // no record was to be had
+	ExitProblemsFound = 1 // late sends, a process that is behind, or another problem
+	ExitUsage         = 2 // invalid arguments
+	ExitNoRecords     = 3 // no record could be read
 )
 
-// errFound ends a command that has shown something that is wrong.
-var errFound = errors.New("found")
+// errProblemsFound is returned by commands that have printed a problem.
+var errProblemsFound = errors.New("found")
 
-// errNothing ends a command that had no record to go by.
-var errNothing = errors.New("no record was to be had; name consoles with --console, or files with --file")
+// errNoRecords is returned by commands that could not read any record.
+var errNoRecords = errors.New("no record was to be had; name consoles with --console, or files with --file")
 
-// app is one call.
-type app struct {
-	out, err io.Writer
-	from     source
-	json     bool
-	plot     string
-	options  audit.Options
+// invocation holds the output streams and flags of one invocation.
+type invocation struct {
+	stdout, stderr io.Writer
+	sources        sources
+	json           bool
+	plot           string
+	options        audit.Options
 }
 
-// Run carries out one call and gives its exit code.
-func Run(args []string, out, errs io.Writer) int {
-	a := &app{out: out, err: errs, options: audit.DefaultOptions()}
-	root := a.root()
+// Run runs the command given by args and returns the exit code.
+func Run(args []string, stdout, stderr io.Writer) int {
+	inv := &invocation{stdout: stdout, stderr: stderr, options: audit.DefaultOptions()}
+	root := inv.root()
 	root.SetArgs(args)
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	switch err := root.Execute(); {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, errFound):
+	case errors.Is(err, errProblemsFound):
 		return ExitProblemsFound
-	case errors.Is(err, errNothing):
-		fmt.Fprintln(errs, "ivylockctl:", err)
+	case errors.Is(err, errNoRecords):
+		fmt.Fprintln(stderr, "ivylockctl:", err)
 		return ExitNoRecords
 	default:
-		fmt.Fprintln(errs, "ivylockctl:", err)
+		fmt.Fprintln(stderr, "ivylockctl:", err)
 		return ExitUsage
 	}
 }
 
-func (a *app) root() *cobra.Command {
-	root := &cobra.Command{Use: "ivylockctl", Short: "asks the fleet", SilenceErrors: true, SilenceUsage: true}
+func (inv *invocation) root() *cobra.Command {
+	root := &cobra.Command{Use: "ivylockctl", Short: "inspects what the processes of a fleet have acted on", SilenceErrors: true, SilenceUsage: true}
 	fleet := &cobra.Command{Use: "fleet", Short: "what the fleet's processes have acted on"}
 	flags := fleet.PersistentFlags()
-	flags.StringSliceVarP(&a.from.consoles, "console", "c", nil, "a process's console, host:port; several by commas")
-	flags.StringSliceVarP(&a.from.files, "file", "f", nil, "a file of records; several by commas")
-	flags.DurationVar(&a.from.wait, "wait", 2*time.Second, "for each console")
-	flags.BoolVar(&a.json, "json", false, "JSON in place of a table")
-	flags.DurationVar(&a.options.Grace, "grace", a.options.Grace, "after a withdrawal, in which sends may still go there")
-	flags.IntVar(&a.options.FleetSize, "size", 0, "processes that the fleet has; 0: as many as the records name")
-	versions := a.command("versions", "who acts on which version, and who is behind", a.versions)
-	versions.Flags().StringVar(&a.plot, "plot", "", "draws the versions of each process over time into a file (.png, .svg or .pdf)")
-	why := a.command("why NODE", "one process: what it acted on, when, and what else is known", nil)
+	flags.StringSliceVarP(&inv.sources.consoles, "console", "c", nil, "a process's console, host:port; several by commas")
+	flags.StringSliceVarP(&inv.sources.files, "file", "f", nil, "a file of records; several by commas")
+	flags.DurationVar(&inv.sources.timeout, "wait", 2*time.Second, "timeout for each console")
+	flags.BoolVar(&inv.json, "json", false, "JSON in place of a table")
+	flags.DurationVar(&inv.options.Grace, "grace", inv.options.Grace, "time after a withdrawal in which requests to the server are tolerated")
+	flags.IntVar(&inv.options.FleetSize, "size", 0, "number of processes in the fleet; 0: as many as the records name")
+	versions := inv.command("versions", "who acts on which version, and who is behind", inv.versions)
+	versions.Flags().StringVar(&inv.plot, "plot", "", "draws the versions of each process over time into a file (.png, .svg or .pdf)")
+	why := inv.command("why NODE", "one process: what it acted on, when, and what else is known", nil)
 	why.Args = cobra.ExactArgs(1)
 	why.RunE = func(_ *cobra.Command, args []string) error {
-		return a.with(func(x *audit.Audit) error { return a.why(x, args[0]) })
+		return inv.withAudit(func(result *audit.Audit) error { return inv.why(result, args[0]) })
 	}
 	fleet.AddCommand(versions, why,
-		a.command("audit", "sends that happened although the sender, or another process, knew better", a.breaks),
-		a.command("proxies", "how each proxy that control services steer follows them", a.proxies),
-		a.command("members", "whom each process takes to be in the fleet", a.members),
-		a.command("shares", "what each process holds of the wholes that the fleet shares, and their sums", a.shares),
-		a.command("changes", "how long each version took to reach the fleet", a.changes))
+		inv.command("audit", "sends that happened although the sender, or another process, knew better", inv.lateSends),
+		inv.command("proxies", "what the proxies of control services act on, and which of them are behind", inv.proxies),
+		inv.command("members", "which members of the fleet each process considers alive", inv.members),
+		inv.command("shares", "what each process holds of the fleet's shared quotas, and the sums", inv.quotas),
+		inv.command("changes", "how long each version took to reach the fleet", inv.propagations))
 	root.AddCommand(fleet)
 	return root
 }
 
-func (a *app) command(use, short string, do func(*audit.Audit) error) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return a.with(do) }}
+func (inv *invocation) command(use, short string, run func(*audit.Audit) error) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return inv.withAudit(run) }}
 }
 
-// with reads the records and hands them to a command.
-func (a *app) with(do func(*audit.Audit) error) error {
-	records, notes := a.from.read()
+// withAudit reads the records and runs a command on their audit.
+func (inv *invocation) withAudit(run func(*audit.Audit) error) error {
+	records, notes := inv.sources.read()
 	for _, n := range notes {
-		fmt.Fprintln(a.err, "ivylockctl:", n)
+		fmt.Fprintln(inv.stderr, "ivylockctl:", n)
 	}
 	if len(records) == 0 {
-		return errNothing
+		return errNoRecords
 	}
-	return do(audit.New(records, a.options))
+	return run(audit.New(records, inv.options))
 }
 
-// table writes rows under a head, or a value in JSON.
-func (a *app) table(v any, head string, rows func(w io.Writer)) error {
-	if a.json {
-		enc := json.NewEncoder(a.out)
+// table prints a table with the given header, or v as JSON if --json is set.
+func (inv *invocation) table(v any, head string, rows func(w io.Writer)) error {
+	if inv.json {
+		enc := json.NewEncoder(inv.stdout)
 		enc.SetIndent("", "  ")
 		return enc.Encode(v)
 	}
-	w := tabwriter.NewWriter(a.out, 0, 8, 2, ' ', 0)
+	w := tabwriter.NewWriter(inv.stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	rows(w)
 	return w.Flush()
 }
 
-func (a *app) versions(x *audit.Audit) error {
-	all := x.Processes()
-	if a.plot != "" {
-		if err := plotSpans(x.Spans(), a.plot); err != nil {
+func (inv *invocation) versions(result *audit.Audit) error {
+	all := result.Processes()
+	if inv.plot != "" {
+		if err := plotSpans(result.Spans(), inv.plot); err != nil {
 			return err
 		}
 	}
-	err := a.table(all, "process\tstate\tacts on\twithdrawals to\tbehind\tsettings\tbuild\tstanding\tsure\twhy", func(w io.Writer) {
+	err := inv.table(all, "process\tstate\tacts on\twithdrawals to\tbehind\tsettings\tbuild\tstanding\tsure\twhy", func(w io.Writer) {
 		for _, p := range all {
-			by := "-"
+			behind := "-"
 			if p.GenerationsBehind > 0 {
-				by = fmt.Sprint(p.GenerationsBehind)
+				behind = fmt.Sprint(p.GenerationsBehind)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%04x\t%04x\t%s\t%s\t%s\n", p.Process, p.State, p.Version.List, p.AppliedVersion, by,
+			fmt.Fprintf(w, "%s\t%s\t%v\t%v\t%s\t%04x\t%04x\t%s\t%s\t%s\n", p.Process, p.State, p.Version.List, p.AppliedVersion, behind,
 				p.Version.Settings, p.Version.Build, orDash(p.Mode), p.Confidence, orDash(p.Why))
 		}
 	})
 	for _, p := range all {
 		if err == nil && p.State == audit.Behind {
-			return errFound
+			return errProblemsFound
 		}
 	}
 	return err
@@ -148,33 +149,33 @@
 	return s
 }
 
-func (a *app) breaks(x *audit.Audit) error {
-	all := x.LateSends()
-	err := a.table(all, "process\tserver\twithdrawn by\tsends\tlast\tafter\tknew\tsure", func(w io.Writer) {
+func (inv *invocation) lateSends(result *audit.Audit) error {
+	all := result.LateSends()
+	err := inv.table(all, "process\tserver\twithdrawn by\tsends\tlast\tafter\tknew\tsure", func(w io.Writer) {
 		for _, b := range all {
-			knew, sends := "another", fmt.Sprint(b.MinSends)
+			knownBy, sends := "another", fmt.Sprint(b.MinSends)
 			if b.SelfKnew {
-				knew = "itself"
+				knownBy = "itself"
 			}
 			if b.MaxSends > b.MinSends {
 				sends = fmt.Sprintf("%d to %d", b.MinSends, b.MaxSends)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%v (%s)\t%s\t%s\t%v\t%s\t%s\n", b.Process, b.Server, b.Version, b.State, sends, audit.FormatTime(b.LastSend),
-				b.Lateness.Round(time.Millisecond), knew, b.Confidence)
+				b.Lateness.Round(time.Millisecond), knownBy, b.Confidence)
 		}
 		if len(all) == 0 {
-			fmt.Fprintf(w, "none on record of %d processes; %d are unknown\n", len(x.Processes()), unknown(x))
+			fmt.Fprintf(w, "none on record of %d processes; %d are unknown\n", len(result.Processes()), countUnknown(result))
 		}
 	})
 	if err == nil && len(all) > 0 {
-		return errFound
+		return errProblemsFound
 	}
 	return err
 }
 
-func unknown(x *audit.Audit) int {
+func countUnknown(result *audit.Audit) int {
 	n := 0
-	for _, p := range x.Processes() {
+	for _, p := range result.Processes() {
 		if p.State == audit.StateUnknown {
 			n++
 		}
@@ -182,27 +183,27 @@
 	return n
 }
 
-func (a *app) changes(x *audit.Audit) error {
-	all := x.Propagations()
-	took := func(d time.Duration) string {
+func (inv *invocation) propagations(result *audit.Audit) error {
+	all := result.Propagations()
+	formatDelay := func(d time.Duration) string {
 		if d < 0 {
 			return "never"
 		}
 		return d.Round(time.Millisecond).String()
 	}
-	return a.table(all, "version\tfirst\tat\thalf\tnine in ten\tall\treached\tnever\tno record", func(w io.Writer) {
+	return inv.table(all, "version\tfirst\tat\thalf\tnine in ten\tall\treached\tnever\tno record", func(w io.Writer) {
 		for _, c := range all {
-			fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Version, c.FirstProcess, audit.FormatTime(c.FirstAt), took(c.ToHalf), took(c.ToNineTenths), took(c.ToAll),
+			fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Version, c.FirstProcess, audit.FormatTime(c.FirstAt), formatDelay(c.ToHalf), formatDelay(c.ToNineTenths), formatDelay(c.ToAll),
 				c.Reached, len(c.NotReached), c.NoRecord)
 		}
 	})
 }
 
-// proxies shows, for each proxy on control services' records, what it acts on and
-// whether it went back when it moved.
-func (a *app) proxies(x *audit.Audit) error {
-	all := x.Proxies()
-	err := a.table(all, "proxy\tstate\tasks\taccepted\tacts on\tmoves\tsure\twhy", func(w io.Writer) {
+// proxies prints the version that each proxy of the recorded control services acts
+// on. A change of control service that led to an older version is a problem.
+func (inv *invocation) proxies(result *audit.Audit) error {
+	all := result.Proxies()
+	err := inv.table(all, "proxy\tstate\tasks\taccepted\tacts on\tmoves\tsure\twhy", func(w io.Writer) {
 		for _, p := range all {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v\t%d\t%s\t%s\n", p.Proxy, p.State, p.Service, p.Accepted, p.BasedOn, len(p.ServiceChanges), p.Confidence, orDash(p.Why))
 		}
@@ -212,20 +213,20 @@
 	})
 	for _, p := range all {
 		if err == nil && p.State == audit.Behind {
-			return errFound
+			return errProblemsFound
 		}
 	}
-	if err == nil && len(x.Regressions()) > 0 {
-		return errFound
+	if err == nil && len(result.Regressions()) > 0 {
+		return errProblemsFound
 	}
 	return err
 }
 
-// members shows, for each process on record, how it sees the others: those that it
-// takes for anything but alive by name.
-func (a *app) members(x *audit.Audit) error {
-	all := x.Views()
-	err := a.table(all, "process\talive\tof\tview\tmajority\tseats\tguards\tnot alive", func(w io.Writer) {
+// members prints each process's view of the fleet's membership; members that are
+// not alive are listed by name.
+func (inv *invocation) members(result *audit.Audit) error {
+	all := result.Views()
+	err := inv.table(all, "process\talive\tof\tview\tmajority\tseats\tguards\tnot alive", func(w io.Writer) {
 		for _, v := range all {
 			guards := "answer"
 			if !v.HasQuorum {
@@ -239,20 +240,20 @@
 	})
 	for _, v := range all {
 		if err == nil && (len(v.NotAlive) > 0 || !v.Majority) {
-			return errFound
+			return errProblemsFound
 		}
 	}
 	return err
 }
 
-// overheld is by how much the sum of parts may exceed a whole, as records are of
-// different moments.
-const overheld = 1.1
+// maxOvercommit is the tolerated ratio of the sum of all leases to the quota. It is
+// above 1 because the records are taken at different times.
+const maxOvercommit = 1.1
 
-// shares shows what each process holds of each whole, and what that comes to.
-func (a *app) shares(x *audit.Audit) error {
-	all := x.SharedQuotas()
-	err := a.table(all, "whole\tprocess\tbase\theld\tneed", func(w io.Writer) {
+// quotas prints the leases of each shared quota and their sums.
+func (inv *invocation) quotas(result *audit.Audit) error {
+	all := result.SharedQuotas()
+	err := inv.table(all, "whole\tprocess\tbase\theld\tneed", func(w io.Writer) {
 		for _, s := range all {
 			for _, p := range s.Leases {
 				fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\n", s.Quota, p.Process, p.EqualShare, p.Held, p.Demand)
@@ -264,58 +265,58 @@
 		}
 	})
 	for _, s := range all {
-		if err == nil && s.Held > overheld*s.Total {
-			return errFound
+		if err == nil && s.Held > maxOvercommit*s.Total {
+			return errProblemsFound
 		}
 	}
 	return err
 }
 
-// story is all that is known of one process.
-type story struct {
+// processHistory is the output of the why command for one process.
+type processHistory struct {
 	audit.Process
-	Spans  []audit.Span           `json:"spans"`
-	Breaks []audit.LateSendReport `json:"breaks"`
-	Events []audit.Event          `json:"events"`
+	Spans     []audit.Span           `json:"spans"`
+	LateSends []audit.LateSendReport `json:"breaks"`
+	Events    []audit.Event          `json:"events"`
 }
 
-func (a *app) why(x *audit.Audit, name string) error {
-	var s story
+func (inv *invocation) why(result *audit.Audit, name string) error {
+	var history processHistory
 	found := false
-	for _, p := range x.Processes() {
+	for _, p := range result.Processes() {
 		if p.Process == name {
-			s.Process, found = p, true
+			history.Process, found = p, true
 		}
 	}
 	if !found {
 		return fmt.Errorf("no process %q on record; fleet versions lists those that are", name)
 	}
-	for _, sp := range x.Spans() {
-		if sp.Process == name {
-			s.Spans = append(s.Spans, sp)
+	for _, span := range result.Spans() {
+		if span.Process == name {
+			history.Spans = append(history.Spans, span)
 		}
 	}
-	for _, b := range x.LateSends() {
+	for _, b := range result.LateSends() {
 		if b.Process == name {
-			s.Breaks = append(s.Breaks, b)
+			history.LateSends = append(history.LateSends, b)
 		}
 	}
-	s.Events = x.Events(name)
-	if a.json {
-		return a.table(s, "", nil)
+	history.Events = result.Events(name)
+	if inv.json {
+		return inv.table(history, "", nil)
 	}
-	fmt.Fprintf(a.out, "%s: %s (%s)", s.Process.Process, s.State, s.Confidence)
-	if s.Why != "" {
-		fmt.Fprintf(a.out, ": %s", s.Why)
+	fmt.Fprintf(inv.stdout, "%s: %s (%s)", history.Process.Process, history.State, history.Confidence)
+	if history.Why != "" {
+		fmt.Fprintf(inv.stdout, ": %s", history.Why)
 	}
-	fmt.Fprintln(a.out)
-	for _, e := range s.Events {
-		fmt.Fprintf(a.out, "  %s  %s\n", audit.FormatTime(e.At), e.Description)
+	fmt.Fprintln(inv.stdout)
+	for _, e := range history.Events {
+		fmt.Fprintf(inv.stdout, "  %s  %s\n", audit.FormatTime(e.At), e.Description)
 	}
-	for _, b := range s.Breaks {
-		fmt.Fprintf(a.out, "sent %d or more to %s too late, the last %v after it was withdrawn:\n", b.MinSends, b.Server, b.Lateness.Round(time.Millisecond))
+	for _, b := range history.LateSends {
+		fmt.Fprintf(inv.stdout, "sent %d or more to %s too late, the last %v after it was withdrawn:\n", b.MinSends, b.Server, b.Lateness.Round(time.Millisecond))
 		for _, line := range b.Evidence {
-			fmt.Fprintf(a.out, "  %s\n", line)
+			fmt.Fprintf(inv.stdout, "  %s\n", line)
 		}
 	}
 	return nil
--- a/internal/ctl/plot.go
+++ b/internal/ctl/plot.go
@@ -14,16 +14,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotSpans draws a line a process, in the colour of the version that it acted on,
-// older ones darker: who was behind when is seen at a glance.
+// plotSpans draws one horizontal line per process over time. Its colour is the
+// version that the process acted on; older versions are darker.
 func plotSpans(spans []audit.Span, path string) error {
 	if len(spans) == 0 {
-		return errNothing
+		return errNoRecords
 	}
 	var lists []version.List
-	from := spans[0].From
+	start := spans[0].From
 	for _, s := range spans {
-		from = min(from, s.From)
+		start = min(start, s.From)
 		if v := s.Version.List; !slices.Contains(lists, v) {
 			lists = append(lists, v)
 		}
@@ -38,27 +38,27 @@
 		return int(x.Digest) - int(y.Digest)
 	})
 	colours := moreland.Kindlmann()
-	colours.SetMax(1.2) // not up to white, which does not show
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Versions acted on, from %s UTC", time.UnixMilli(from.Time().Milliseconds()).UTC().Format("2006-01-02 15:04:05.000"))
-	p.X.Label.Text, p.Y.Label.Text = "s", "process"
-	var names []plot.Tick
+	colours.SetMax(1.2) // leaves out white, which is invisible on the background
+	plt := plot.New()
+	plt.Title.Text = fmt.Sprintf("Versions acted on, from %s UTC", time.UnixMilli(start.Time().Milliseconds()).UTC().Format("2006-01-02 15:04:05.000"))
+	plt.X.Label.Text, plt.Y.Label.Text = "s", "process"
+	var ticks []plot.Tick
 	for _, s := range spans {
 		y := float64(s.Number)
-		names = append(names, plot.Tick{Value: y, Label: s.Process})
-		l, err := plotter.NewLine(plotter.XYs{{X: s.From.Sub(from).Seconds(), Y: y}, {X: max(s.Until, s.From).Sub(from).Seconds(), Y: y}})
+		ticks = append(ticks, plot.Tick{Value: y, Label: s.Process})
+		line, err := plotter.NewLine(plotter.XYs{{X: s.From.Sub(start).Seconds(), Y: y}, {X: max(s.Until, s.From).Sub(start).Seconds(), Y: y}})
 		if err != nil {
 			return err
 		}
-		at := slices.Index(lists, s.Version.List)
-		c, err := colours.At(float64(at+1) / float64(len(lists)+1))
+		index := slices.Index(lists, s.Version.List)
+		c, err := colours.At(float64(index+1) / float64(len(lists)+1))
 		if err != nil {
 			return err
 		}
-		l.Color, l.Width = c, vg.Points(5)
-		p.Add(l)
+		line.Color, line.Width = c, vg.Points(5)
+		plt.Add(line)
 	}
-	p.Y.Tick.Marker = plot.ConstantTicks(names)
-	height := max(8, min(60, 1.0+0.5*float64(len(names))))
-	return p.Save(24*vg.Centimeter, vg.Length(height)*vg.Centimeter, path)
+	plt.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	height := max(8, min(60, 1.0+0.5*float64(len(ticks))))
+	return plt.Save(24*vg.Centimeter, vg.Length(height)*vg.Centimeter, path)
 }
--- a/internal/ctl/source.go
+++ b/internal/ctl/source.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	atOnce  = 16      // consoles that are asked at once
-	maxFile = 1 << 30 // bytes of a file of records
+	maxConcurrentRequests = 16      // to consoles
+	maxFileBytes          = 1 << 30 // of a file of records
 )
 
-// source is where records are read from.
-type source struct {
+// sources lists where records are read from.
+type sources struct {
 	consoles, files []string
-	wait            time.Duration
+	timeout         time.Duration
 }
 
-// read gives all records that were to be had, and a note on each place that had
-// none, or a spoilt one.
-func (s *source) read() (records []version.Record, notes []string) {
+// read returns all records that could be read, and a note on each source that
+// failed or holds damaged records.
+func (s *sources) read() (records []version.Record, notes []string) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	room := make(chan struct{}, atOnce)
-	client := &http.Client{Timeout: s.wait}
+	var requests sync.WaitGroup
+	semaphore := make(chan struct{}, maxConcurrentRequests)
+	client := &http.Client{Timeout: s.timeout}
 	for _, addr := range s.consoles {
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			r, err := ask(client, addr)
+		requests.Go(func() {
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			r, err := fetchRecord(client, addr)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -44,34 +44,34 @@
 			records = append(records, r)
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	for _, path := range s.files {
 		raw, err := readFile(path)
 		if err != nil {
 			notes = append(notes, fmt.Sprintf("no record from %s: %v", path, err))
 			continue
 		}
-		found, spoilt := version.ReadLines(raw)
-		if spoilt > 0 {
-			notes = append(notes, fmt.Sprintf("%s: %d lines are spoilt or cut short; the whole ones count", path, spoilt))
+		valid, damaged := version.ReadLines(raw)
+		if damaged > 0 {
+			notes = append(notes, fmt.Sprintf("%s: %d lines are spoilt or cut short; the whole ones count", path, damaged))
 		}
-		records = append(records, found...)
+		records = append(records, valid...)
 	}
 	return records, notes
 }
 
 func readFile(path string) ([]byte, error) {
-	st, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if st.Size() > maxFile {
-		return nil, fmt.Errorf("%d bytes are over the bound of %d; cut it", st.Size(), maxFile)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("%d bytes are over the bound of %d; cut it", info.Size(), maxFileBytes)
 	}
 	return os.ReadFile(path)
 }
 
-func ask(client *http.Client, addr string) (version.Record, error) {
+func fetchRecord(client *http.Client, addr string) (version.Record, error) {
 	var r version.Record
 	resp, err := client.Get("http://" + addr + "/fleet/record")
 	if err != nil {
@@ -80,8 +80,8 @@
 	defer resp.Body.Close()
 	body := io.LimitReader(resp.Body, version.MaxRecordBytes)
 	if resp.StatusCode != http.StatusOK {
-		why, _ := io.ReadAll(io.LimitReader(body, 200))
-		return r, fmt.Errorf("%s: %s", resp.Status, why)
+		detail, _ := io.ReadAll(io.LimitReader(body, 200))
+		return r, fmt.Errorf("%s: %s", resp.Status, detail)
 	}
 	return r, json.NewDecoder(body).Decode(&r)
 }
