--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,6 +1,6 @@
-// Command benchlink hosts instances of the decision module on the simulator's
-// wire: a batch of events a line on standard input, a reply a line on standard
-// output.
+// Command benchlink connects instances of the decision module to a simulator: it
+// reads one batch of events per line from standard input and writes one line of
+// actions per batch to standard output.
 package main
 
 import (
@@ -23,22 +23,22 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*decider.Decider{}
-	var reply []byte
-	for number := 1; ; number++ {
+	instances := map[int]*decider.Decider{}
+	var encoded []byte
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := r.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		replies, err := answer(nodes, line)
+		replies, err := handleBatch(instances, line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		reply = wire.AppendReply(reply[:0], replies)
-		if _, err := w.Write(reply); err != nil {
+		encoded = wire.AppendReply(encoded[:0], replies)
+		if _, err := w.Write(encoded); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
@@ -47,27 +47,27 @@
 	}
 }
 
-func answer(nodes map[int]*decider.Decider, line []byte) ([]wire.Reply, error) {
+func handleBatch(instances map[int]*decider.Decider, line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
 	var replies []wire.Reply
-	for _, g := range batch.Groups {
-		reply := wire.Reply{Node: g.Node}
-		for i, h := range g.Events {
+	for _, group := range batch.Groups {
+		reply := wire.Reply{Node: group.Node}
+		for i, event := range group.Events {
 			switch {
-			case h.Start != nil:
-				nodes[g.Node] = decider.New(h.Start.Settings, h.Start.Seed)
-			case h.Retire:
-				delete(nodes, g.Node)
-				reply.Actions = nil // a dead instance does nothing
+			case event.Start != nil:
+				instances[group.Node] = decider.New(event.Start.Settings, event.Start.Seed)
+			case event.Retire:
+				delete(instances, group.Node)
+				reply.Actions = nil // a retired instance must not act
 			default:
-				m := nodes[g.Node]
-				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Node, i)
+				instance := instances[group.Node]
+				if instance == nil {
+					return nil, fmt.Errorf("node %d, event %d: no up came before it", group.Node, i)
 				}
-				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
+				reply.Actions = append(reply.Actions, instance.Handle(batch.Now, event.Event)...)
 			}
 		}
 		replies = append(replies, reply)
