--- a/cmd/ivylab/main.go
+++ b/cmd/ivylab/main.go
@@ -1,5 +1,6 @@
-// Command ivylab plays a whole hall on loopback: clip servers, discovery,
-// clients and real nodes, faults on a script, and a judge of the four rules.
+// Command ivylab runs a test lab on the loopback interface: simulated servers,
+// discovery and clients, real ivylock nodes, scripted faults, and checks of the
+// node's four rules.
 package main
 
 import (
@@ -15,7 +16,7 @@
 )
 
 func main() {
-	if sysfault.Launching() { // a copy of itself that starts a node whose system calls fail
+	if sysfault.Launching() { // this process is the launcher of a node with injected system call faults
 		sysfault.Launch()
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/cmd/ivylockctl/main.go
+++ b/cmd/ivylockctl/main.go
@@ -1,5 +1,5 @@
-// Command ivylockctl asks processes of the fleet what they have acted on and says
-// what that comes to. docs/audit.md is its operators' page.
+// Command ivylockctl shows what the processes of a fleet have acted on. It is
+// documented in docs/audit.md.
 package main
 
 import (
