--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -110,8 +110,8 @@
 }
 
 const (
-	ok    = steer.Healthy
-	drain = steer.Draining
+	healthy  = steer.Healthy
+	draining = steer.Draining
 )
 
 func TestGRPCGoClientAppliesWeightsAndDrains(t *testing.T) {
@@ -125,7 +125,7 @@
 		}
 	}})
 	backends := startBackends(t, 3)
-	s.Publish(stateOf(1, backends, []uint32{100, 200, 700}, ok, ok, ok))
+	s.Publish(stateOf(1, backends, []uint32{100, 200, 700}, healthy, healthy, healthy))
 	client := xdsClient(t, addr)
 	callUntil(t, client, "all three servers are in use", func() bool {
 		return backends[0].calls.Load() > 0 && backends[1].calls.Load() > 0 && backends[2].calls.Load() > 0
@@ -142,17 +142,17 @@
 		}
 	}
 
-	s.Publish(stateOf(2, backends, []uint32{100, 200, 700}, ok, ok, drain))
-	callsSinceLast := int64(0)
+	s.Publish(stateOf(2, backends, []uint32{100, 200, 700}, healthy, healthy, draining))
+	callsToOthers := int64(0)
 	callUntil(t, client, "the draining server gets no calls", func() bool {
 		if n := backends[2].calls.Swap(0); n > 0 {
-			callsSinceLast = 0
+			callsToOthers = 0
 		} else {
-			callsSinceLast++
+			callsToOthers++
 		}
-		return callsSinceLast > 300
+		return callsToOthers > 300
 	})
-	s.Publish(stateOf(3, backends, []uint32{100, 200, 700}, ok, ok, ok))
+	s.Publish(stateOf(3, backends, []uint32{100, 200, 700}, healthy, healthy, healthy))
 	callUntil(t, client, "the server is in use again", func() bool { return backends[2].calls.Load() > 0 })
 	for start := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		mu.Lock()
@@ -173,7 +173,7 @@
 func TestGRPCGoClientAppliesDropRates(t *testing.T) {
 	s, addr := startServer(t, Config{})
 	backends := startBackends(t, 2)
-	st := stateOf(1, backends, []uint32{1000, 1000}, ok, ok)
+	st := stateOf(1, backends, []uint32{1000, 1000}, healthy, healthy)
 	st.Views[""].DropOtherPPM, st.Views[""].DropPriorityPPM = 400_000, 100_000
 	s.Publish(st)
 	client := xdsClient(t, addr)
@@ -202,7 +202,7 @@
 func TestGRPCGoClientSurvivesControlServiceRestart(t *testing.T) {
 	s, addr := startServer(t, Config{})
 	backends := startBackends(t, 3)
-	s.Publish(stateOf(77, backends, []uint32{1000, 1000, 1000}, ok, ok, ok))
+	s.Publish(stateOf(77, backends, []uint32{1000, 1000, 1000}, healthy, healthy, healthy))
 	client := xdsClient(t, addr)
 	var failed, done atomic.Int64
 	stop := make(chan struct{})
@@ -248,10 +248,10 @@
 	restarted := New(Config{Access: Access{Services: []*Service{testService()}}})
 	go restarted.Serve(l)
 	defer restarted.Stop()
-	unconfirmed := stateOf(1, backends[:1], []uint32{1000}, ok)
+	unconfirmed := stateOf(1, backends[:1], []uint32{1000}, healthy)
 	unconfirmed.Confirmed = false
 	restarted.Publish(unconfirmed) // outdated list: must not be sent to proxies
-	restarted.Publish(stateOf(2, backends, []uint32{1000, 1000, 1000}, ok, drain, ok))
+	restarted.Publish(stateOf(2, backends, []uint32{1000, 1000, 1000}, healthy, draining, healthy))
 	waitFor("the draining server gets no calls", func() bool {
 		backends[1].calls.Store(0)
 		n := done.Load()
--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -57,7 +57,8 @@
 }
 
 // cluster returns the name of a service's cluster. For proxies that support
-// TTLs it is an aggregate of a leased cluster and a fallback cluster.
+// TTLs it is an aggregate of a leased cluster, whose endpoints expire unless they
+// are refreshed, and a fallback cluster with the last known good servers.
 func (s *Service) cluster(priority bool) string { return s.Name + "/" + rankSuffix(priority) }
 
 func (s *Service) podCluster(podID int, priority bool) string {
@@ -184,8 +185,8 @@
 	}
 	slices.Sort(podIDs)
 	pods := make([]pod, 0, len(podIDs))
-	for _, c := range podIDs {
-		pods = append(pods, pod{c, weights[c]})
+	for _, id := range podIDs {
+		pods = append(pods, pod{id, weights[id]})
 	}
 	return pods
 }
@@ -254,7 +255,7 @@
 		c.HealthChecks = []*corev3.HealthCheck{{
 			Timeout:            durationpb.New(100 * time.Millisecond),
 			Interval:           durationpb.New(100 * time.Millisecond),
-			NoTrafficInterval:  durationpb.New(5 * time.Second), // fallback clusters are rarely used
+			NoTrafficInterval:  durationpb.New(5 * time.Second), // rarely used, so checked rarely
 			UnhealthyThreshold: wrapperspb.UInt32(1),
 			HealthyThreshold:   wrapperspb.UInt32(1),
 			HealthChecker: &corev3.HealthCheck_HttpHealthCheck_{
@@ -344,12 +345,12 @@
 // servers with equal weights, so that the resource seldom changes. Without a
 // health check that detects drains it stays empty, because a proxy could
 // otherwise keep sending requests to a draining server.
-func (e *encoder) addFallbackAssignment(name string, checked bool, podID *int, ttl time.Duration) {
+func (e *encoder) addFallbackAssignment(name string, hasHealthCheck bool, podID *int, ttl time.Duration) {
 	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: name}
 	var active []string
 	for _, l := range e.view.Localities {
 		for _, x := range l.Endpoints {
-			if !checked || x.Health != steer.Healthy || podID != nil && x.Cell != *podID {
+			if !hasHealthCheck || x.Health != steer.Healthy || podID != nil && x.Cell != *podID {
 				continue
 			}
 			ep, err := endpoint(x.Addr)
--- a/internal/xds/load.go
+++ b/internal/xds/load.go
@@ -69,14 +69,14 @@
 		} else {
 			last = now
 		}
-		e, ok := ParseLoadReport(proxy, m.GetClusterStats(), s.cfg.LoadReportInterval)
+		report, ok := ParseLoadReport(proxy, m.GetClusterStats(), s.cfg.LoadReportInterval)
 		if !ok {
 			s.Counters.LoadReportsRejected.Add(1)
 			continue
 		}
 		s.Counters.LoadReports.Add(1)
 		if s.cfg.OnLoadReport != nil {
-			s.cfg.OnLoadReport(e)
+			s.cfg.OnLoadReport(report)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 // by the sub-zone. defaultInterval is used for a report without an interval. It
 // returns false if the report is too large.
 func ParseLoadReport(proxy steer.ProxyID, stats []*endpointv3.ClusterStats, defaultInterval time.Duration) (steer.LoadReported, bool) {
-	e := steer.LoadReported{Proxy: proxy, Interval: defaultInterval}
+	report := steer.LoadReported{Proxy: proxy, Interval: defaultInterval}
 	index := map[steer.Load]int{} // into e.Loads, by the server's ID or address
 	entries := 0
 	add := func(key steer.Load, x requestCounts) (issued uint64, utilisation *float64) {
@@ -123,11 +123,11 @@
 		}
 		i, ok := index[key]
 		if !ok {
-			i = len(e.Loads)
+			i = len(report.Loads)
 			index[key] = i
-			e.Loads = append(e.Loads, key)
+			report.Loads = append(report.Loads, key)
 		}
-		l := &e.Loads[i]
+		l := &report.Loads[i]
 		l.Issued += issued
 		l.OK += x.GetTotalSuccessfulRequests()
 		l.Errors += x.GetTotalErrorRequests()
@@ -137,13 +137,13 @@
 	for _, c := range stats {
 		if d := c.GetLoadReportInterval(); d != nil {
 			if v := d.AsDuration(); v > 0 && v < time.Minute {
-				e.Interval = v
+				report.Interval = v
 			}
 		}
 		arrived := c.GetTotalDroppedRequests()
 		for _, l := range c.GetUpstreamLocalityStats() {
 			if entries += 1 + len(l.GetUpstreamEndpointStats()); entries > maxReportEntries {
-				return e, false
+				return report, false
 			}
 			if endpoints := l.GetUpstreamEndpointStats(); len(endpoints) > 0 {
 				for _, x := range endpoints {
@@ -162,12 +162,12 @@
 			}
 		}
 		if isPriority(c.GetClusterName()) {
-			e.PriorityArrivals += arrived
+			report.PriorityArrivals += arrived
 		} else {
-			e.OtherArrivals += arrived
+			report.OtherArrivals += arrived
 		}
 	}
-	return e, true
+	return report, true
 }
 
 // isPriority reports whether a cluster's name is one for priority requests.
--- a/internal/xds/scale_test.go
+++ b/internal/xds/scale_test.go
@@ -80,7 +80,7 @@
 	lastAt    []time.Time // time of the last response, by stream
 	bytes     int64
 	responses int
-	round     chan struct{}
+	round     chan struct{} // signals that all streams got a response
 }
 
 func scaleState(version uint64) *steer.State {
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -43,7 +43,7 @@
 	TLS    *Certificates // nil: plain text
 	Log    *slog.Logger
 
-	MaxDiscoveryStreams int           // concurrent discovery streams; default 4,096
+	MaxDiscoveryStreams int           // concurrent discovery streams, and proxies with load streams; default 4,096
 	MaxStreamsPerProxy  int           // concurrent streams of either kind from one proxy; default 4
 	MaxMessageBytes     int           // size limit of a request; default 1 MiB
 	AckTimeout          time.Duration // limit for the first request and for each answer; default 5 s
--- a/internal/xds/server_test.go
+++ b/internal/xds/server_test.go
@@ -198,9 +198,9 @@
 	names := []string{"clips/other/held", "clips/other/leased"}
 	send(t, g, &discoveryv3.DiscoveryRequest{Node: node("p", ttlClientFeature), TypeUrl: Endpoint.URL(), ResourceNames: names})
 	m := recv(t, g)
-	held, leased := unpack(t, m.Resources[0], &endpointv3.ClusterLoadAssignment{}), unpack(t, m.Resources[1], &endpointv3.ClusterLoadAssignment{})
-	if len(held.Endpoints) != 1 || len(leased.Endpoints) != 0 {
-		t.Errorf("unconfirmed list: %d fallback endpoints, %d with TTL", len(held.Endpoints), len(leased.Endpoints))
+	fallback, leased := unpack(t, m.Resources[0], &endpointv3.ClusterLoadAssignment{}), unpack(t, m.Resources[1], &endpointv3.ClusterLoadAssignment{})
+	if len(fallback.Endpoints) != 1 || len(leased.Endpoints) != 0 {
+		t.Errorf("unconfirmed list: %d fallback endpoints, %d with TTL", len(fallback.Endpoints), len(leased.Endpoints))
 	}
 	w := &discoveryv3.Resource{}
 	if err := m.Resources[1].UnmarshalTo(w); err != nil || w.Ttl.AsDuration() != 240*time.Millisecond {
--- a/internal/xds/session_test.go
+++ b/internal/xds/session_test.go
@@ -166,9 +166,9 @@
 		if r := s.NextResponse(79 * ms); r != nil {
 			t.Errorf("heartbeat sent too early: %v", names(r))
 		}
-		beat := s.NextResponse(80 * ms)
-		if beat == nil || !beat.Heartbeat {
-			t.Fatalf("no heartbeat: %+v", beat)
+		heartbeat := s.NextResponse(80 * ms)
+		if heartbeat == nil || !heartbeat.Heartbeat {
+			t.Fatalf("no heartbeat: %+v", heartbeat)
 		}
 		// A drain while the heartbeat is unanswered.
 		s.SetSnapshot(90*ms, endpointSnapshot(testResource("a", "2", testTTL, "h:1")))
@@ -179,7 +179,7 @@
 		if x := s.NextResponse(91 * ms); x != nil {
 			t.Errorf("third response before an answer: %v", names(x))
 		}
-		ack(t, s, 95*ms, beat, "a") // stale answer
+		ack(t, s, 95*ms, heartbeat, "a") // stale answer
 		ack(t, s, 99*ms, r, "a")
 		if got := s.subscriptions[Endpoint].held["a"].Version; got != "2" {
 			t.Errorf("held version %v", got)
@@ -195,8 +195,8 @@
 		subscribe(t, s, Endpoint, "a")
 		s.SetSnapshot(0, endpointSnapshot(testResource("a", "1", testTTL)))
 		ack(t, s, 0, s.NextResponse(0), "a")
-		beat := s.NextResponse(80 * ms)
-		ack(t, s, 241*ms, beat, "a")
+		heartbeat := s.NextResponse(80 * ms)
+		ack(t, s, 241*ms, heartbeat, "a")
 		if r := s.NextResponse(241 * ms); r == nil || r.Heartbeat || !slices.Equal(names(r), []string{"a=1"}) {
 			t.Errorf("%+v", r)
 		}
