--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -16,45 +16,45 @@
 	"ivylock/internal/nodetest"
 )
 
-// newPool makes a pool whose connections need no rest.
+// newPool returns a pool without a reuse delay.
 func newPool() *Pool {
 	p := NewPool(375, 250*time.Millisecond, time.Minute)
-	p.settle = 0
+	p.reuseDelay = 0
 	return p
 }
 
-func TestExchangeLooksAgainBeforeTheFirstByte(t *testing.T) {
+func TestExchangeSendsNothingUnlessMayWrite(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	p := newPool()
-	to := &Server{addr: b.Addr}
-	p.Add(to)
+	server := &Server{addr: b.Addr}
+	p.Add(server)
 	req := NewRequest("GET", "/clip", nil)
-	if res := p.Exchange(context.Background(), to, Call{Request: req, MayWrite: func() bool { return false }}); res.Code != balance.Moot {
+	if res := p.Exchange(context.Background(), server, Call{Request: req, MayWrite: func() bool { return false }}); res.Code != balance.Moot {
 		t.Errorf("got outcome %d", res.Code)
 	}
 	if b.Count() != 0 {
-		t.Error("something was sent")
+		t.Error("the request was sent")
 	}
-	if res := p.Exchange(context.Background(), to, Call{Request: req, MayWrite: func() bool { return true }}); res.Code != balance.OK || p.open != 1 {
+	if res := p.Exchange(context.Background(), server, Call{Request: req, MayWrite: func() bool { return true }}); res.Code != balance.OK || p.open != 1 {
 		t.Errorf("got outcome %d, %d connections", res.Code, p.open)
 	}
 }
 
-// Guards against an attempt that is lost on a connection which is known to be dead.
-func TestADeadIdleConnectionIsNotUsed(t *testing.T) {
+// Guards against spending an attempt on a connection that is known to be dead.
+func TestDeadIdleConnectionIsNotReused(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		nodetest.Reply(c, "200 OK", "")
-		return false // closes without having said so
+		return false // closes without "Connection: close"
 	})
 	p := newPool()
-	to := &Server{addr: b.Addr}
-	p.Add(to)
+	server := &Server{addr: b.Addr}
+	p.Add(server)
 	for i := range 3 {
-		res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
+		res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
 		if res.Code != balance.OK {
 			t.Fatalf("exchange %d: outcome %d", i, res.Code)
 		}
-		for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(to.idle[0].Conn) && time.Now().Before(end); {
+		for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(server.idle[0].Conn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -63,18 +63,18 @@
 	}
 }
 
-// A second answer that is still on its way when its connection is used again would be
-// taken for the next request's: once a server has sent one, connections to all rest first.
-func TestALateSecondAnswerIsNotTheNextRequests(t *testing.T) {
-	last := map[net.Conn]string{}
+// Guards against matching a late duplicate response to the next request on its connection:
+// once a server has sent one, no connection is reused before the reuse delay.
+func TestLateDuplicateResponseIsNotMatchedToNextRequest(t *testing.T) {
+	lastURI := map[net.Conn]string{}
 	var mu sync.Mutex
 	serve := func(c net.Conn, r *http.Request) bool {
 		mu.Lock()
-		before := last[c]
-		last[c] = r.RequestURI
+		previous := lastURI[c]
+		lastURI[c] = r.RequestURI
 		mu.Unlock()
-		if before != "" { // the late one to the request before
-			nodetest.Reply(c, "200 OK", before)
+		if previous != "" { // late duplicate for the previous request
+			nodetest.Reply(c, "200 OK", previous)
 		}
 		if r.RequestURI == "/twice" {
 			nodetest.Reply(c, "200 OK", "/twice")
@@ -82,60 +82,60 @@
 		return nodetest.Reply(c, "200 OK", r.RequestURI)
 	}
 	p := newPool()
-	p.settle = time.Hour
+	p.reuseDelay = time.Hour
 	one, other := &Server{addr: nodetest.NewRawServer(t, serve).Addr}, &Server{addr: nodetest.NewRawServer(t, serve).Addr}
 	p.Add(one)
 	p.Add(other)
-	for i, to := range []*Server{one, one, other, other, one, other} {
+	for i, server := range []*Server{one, one, other, other, one, other} {
 		id := fmt.Sprint("/", i)
 		if i == 0 {
 			id = "/twice"
 		}
-		if res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", id, nil)}); string(res.Body) != id {
+		if res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", id, nil)}); string(res.Body) != id {
 			t.Errorf("%s got outcome %d, %q", id, res.Code, res.Body)
 		}
-		if i == 0 { // its second answer may come a moment later
-			p.spoilt()
+		if i == 0 { // the duplicate may arrive a moment later
+			p.noteMalformed()
 		}
 	}
 }
 
-// Where nothing speaks for such answers no connection is opened for it: the one that has
-// rested longest is used, and one that has rested before a new one.
-func TestConnectionsRestOnlyWithCause(t *testing.T) {
+// Without malformed responses the reuse delay opens no new connections, and a connection
+// that has rested is preferred to a new one.
+func TestReuseDelayAppliesOnlyAfterMalformedResponses(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
-	for _, x := range []struct {
-		settle time.Duration
-		spoilt bool
-		open   int
+	for _, testCase := range []struct {
+		reuseDelay time.Duration
+		malformed  bool
+		open       int
 	}{{time.Hour, false, 1}, {0, false, 1}, {time.Hour, true, 10}, {0, true, 1}} {
 		p := newPool()
-		p.settle = x.settle
-		to := &Server{addr: b.Addr}
-		p.Add(to)
-		if x.spoilt {
-			p.spoilt()
+		p.reuseDelay = testCase.reuseDelay
+		server := &Server{addr: b.Addr}
+		p.Add(server)
+		if testCase.malformed {
+			p.noteMalformed()
 		}
 		for range 10 {
-			p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)})
+			p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)})
 		}
-		if p.open != x.open {
-			t.Errorf("%+v: %d connections are open", x, p.open)
+		if p.open != testCase.open {
+			t.Errorf("%+v: %d connections are open", testCase, p.open)
 		}
 	}
 }
 
-// What shows that a server sends such things: something behind an answer, something that is no
-// answer, bytes on a connection that rests.
-func TestWhatShowsThatAnswersAreSpoilt(t *testing.T) {
-	for name, text := range map[string]string{"behind": "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", "none": "hello\r\n"} {
+// Bytes after a response, a response that is not HTTP and bytes on an idle connection all
+// count as malformed responses.
+func TestMalformedResponsesAreDetected(t *testing.T) {
+	for name, text := range map[string]string{"bytes after the response": "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", "not HTTP": "hello\r\n"} {
 		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { _, err := io.WriteString(c, text); return err == nil })
 		p := newPool()
-		to := &Server{addr: b.Addr}
-		p.Add(to)
-		p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)})
-		if p.spoiltAt.IsZero() {
-			t.Errorf("%s: not seen", name)
+		server := &Server{addr: b.Addr}
+		p.Add(server)
+		p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)})
+		if p.lastMalformedAt.IsZero() {
+			t.Errorf("%s: not detected", name)
 		}
 	}
 	late := make(chan bool)
@@ -146,53 +146,53 @@
 		return err == nil
 	})
 	p := newPool()
-	to := &Server{addr: b.Addr}
-	p.Add(to)
-	p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)})
+	server := &Server{addr: b.Addr}
+	p.Add(server)
+	p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)})
 	close(late)
-	for end := time.Now().Add(nodetest.Patience); !bounded.HasUnread(to.idle[0].Conn) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); !bounded.HasUnread(server.idle[0].Conn) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	if p.take(to); p.spoiltAt.IsZero() {
-		t.Error("late: not seen")
+	if p.acquire(server); p.lastMalformedAt.IsZero() {
+		t.Error("bytes on an idle connection: not detected")
 	}
 }
 
-func TestPoolKeepsItsBudgetAndForgetsOldProcesses(t *testing.T) {
+func TestPoolKeepsConnectionLimitAndDropsOldIncarnations(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	p := newPool()
-	p.most = 1
+	p.maxConns = 1
 	one, two := &Server{ID: 1, addr: b.Addr}, &Server{ID: 2, addr: b.Addr}
 	p.Add(one)
 	p.Add(two)
-	yes := func() bool { return true }
-	for _, to := range []*Server{one, two} { // the idle connection to one makes room for two
-		if res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: yes}); res.Code != balance.OK {
-			t.Fatalf("backend %d: outcome %d", to.ID, res.Code)
+	allow := func() bool { return true }
+	for _, server := range []*Server{one, two} { // the idle connection to one is closed for two
+		if res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: allow}); res.Code != balance.OK {
+			t.Fatalf("server %d: outcome %d", server.ID, res.Code)
 		}
 	}
 	if len(one.idle) != 0 || len(two.idle) != 1 || p.open != 1 {
 		t.Errorf("idle %d and %d, open %d", len(one.idle), len(two.idle), p.open)
 	}
-	busy, _, _, _ := p.take(two)
-	if res := p.Exchange(context.Background(), one, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: yes}); res.Code != balance.Moot {
-		t.Errorf("with the budget spent: outcome %d", res.Code)
+	inUse, _, _, _ := p.acquire(two)
+	if res := p.Exchange(context.Background(), one, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: allow}); res.Code != balance.Moot {
+		t.Errorf("at the connection limit: outcome %d", res.Code)
 	}
-	p.Update(two, b.Addr, 5) // it has restarted meanwhile
-	p.put(two, busy)
+	p.Update(two, b.Addr, 5) // the server has restarted
+	p.release(two, inUse)
 	if p.open != 0 || len(two.idle) != 0 {
 		t.Errorf("a connection to the old process was kept")
 	}
-	p.Exchange(context.Background(), two, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: yes})
-	p.idleTime = 0
+	p.Exchange(context.Background(), two, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: allow})
+	p.idleTimeout = 0
 	p.CloseExpired()
 	if p.open != 0 {
-		t.Errorf("%d connections left after their idle time", p.open)
+		t.Errorf("%d connections left after the idle timeout", p.open)
 	}
 }
 
-// Guards against waiting for a deadline when it is clear that no answer comes,
-// and against taking a backend that answers for a dead one.
-func TestASpoiltAnswerEndsItsAttemptAndIsNoReset(t *testing.T) {
+// Guards against waiting for the deadline when no valid response can come, and against
+// treating a server that responds as dead.
+func TestMalformedResponseIsServerErrorNotReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":       "\x00\x7fhello",
 		"half a head": "HTTP/1.1 200 OK\r\nContent-Le",
@@ -203,42 +203,42 @@
 	} {
 		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { fmt.Fprint(c, text); return true })
 		p := newPool()
-		to := &Server{addr: b.Addr}
-		p.Add(to)
-		res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
+		server := &Server{addr: b.Addr}
+		p.Add(server)
+		res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
 		if res.Code != balance.ServerError || res.Body != nil || p.open != 0 {
 			t.Errorf("%s: outcome %d %q, %d open", name, res.Code, res.Body, p.open)
 		}
 	}
 }
 
-func TestInterimAnswersAreSkipped(t *testing.T) {
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprint(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
 		return nodetest.Reply(c, "200 OK", "done")
 	})
 	p := newPool()
-	to := &Server{addr: b.Addr}
-	p.Add(to)
+	server := &Server{addr: b.Addr}
+	p.Add(server)
 	for range 2 {
-		res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
+		res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
 		if res.Code != balance.OK || string(res.Body) != "done" || p.open != 1 {
 			t.Errorf("outcome %d %q, %d open", res.Code, res.Body, p.open)
 		}
 	}
 }
 
-func TestConnectFailedNeverRan(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	p := newPool()
-	to := &Server{addr: nodetest.ClosedAddr(t)}
-	p.Add(to)
-	res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
+	server := &Server{addr: nodetest.ClosedAddr(t)}
+	p.Add(server)
+	res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil), MayWrite: func() bool { return true }})
 	if res.Code != balance.ConnectFailed || p.open != 0 {
 		t.Errorf("outcome %d, %d open", res.Code, p.open)
 	}
 }
 
-func TestProbeReadsTheReport(t *testing.T) {
+func TestProbeReadsLoadReport(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.URL.Path != "/metrics/load" {
 			return nodetest.Reply(c, "404 Not Found", "")
@@ -246,9 +246,9 @@
 		return nodetest.Reply(c, "200 OK", "inflight=3,queue=1")
 	})
 	p := newPool()
-	to := &Server{addr: b.Addr}
-	p.Add(to)
-	if res := p.Probe(to); res.Code != balance.OK || res.Report == nil || res.Report.InFlight != 3 {
+	server := &Server{addr: b.Addr}
+	p.Add(server)
+	if res := p.Probe(server); res.Code != balance.OK || res.Report == nil || res.Report.InFlight != 3 {
 		t.Errorf("got %+v", res)
 	}
 }
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	dialRetryFirst = time.Millisecond // after a dial that this machine failed; it doubles
-	dialRetryLast  = 8 * time.Millisecond
-	// dialRetryTime is for how long such a dial is made again at most, where the
-	// settings' time for a connection is not shorter: another server may have an
-	// idle connection, which needs none.
-	dialRetryTime = 50 * time.Millisecond
+	dialRetryMinDelay = time.Millisecond // doubled with each retry
+	dialRetryMaxDelay = 8 * time.Millisecond
+	// dialRetryTimeout limits the retries of a dial that failed for lack of local
+	// resources, if the connect timeout is not shorter. Another server may have an idle
+	// connection that needs no dial.
+	dialRetryTimeout = 50 * time.Millisecond
 )
 
-// dialer opens a connection.
-type dialer func(ctx context.Context, addr string) (net.Conn, error)
+// dialFunc opens a connection.
+type dialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// netDialer opens TCP connections, each of which has so long to come up.
-func netDialer(timeout time.Duration) dialer {
+// netDialer returns a dialFunc for TCP with the given timeout per dial.
+func netDialer(timeout time.Duration) dialFunc {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
-		d := net.Dialer{Timeout: timeout}
-		return d.DialContext(ctx, "tcp", addr)
+		dialer := net.Dialer{Timeout: timeout}
+		return dialer.DialContext(ctx, "tcp", addr)
 	}
 }
 
-// connect opens a connection to a server. What the machine had no room for is tried
-// again for a short time.
+// connect opens a connection to a server. Dials that fail for lack of local resources are
+// retried for a short time.
 func (p *Pool) connect(ctx context.Context, addr string) (net.Conn, error) {
-	end := time.Now().Add(min(dialRetryTime, p.connectTimeout))
-	for pause := dialRetryFirst; ; pause = min(2*pause, dialRetryLast) {
-		nc, err := p.dial(ctx, addr)
+	deadline := time.Now().Add(min(dialRetryTimeout, p.connectTimeout))
+	for delay := dialRetryMinDelay; ; delay = min(2*delay, dialRetryMaxDelay) {
+		netConn, err := p.dial(ctx, addr)
 		if err == nil {
-			return nc, nil
+			return netConn, nil
 		}
 		if p.OnDialError != nil && ctx.Err() == nil {
 			p.OnDialError(err)
 		}
-		if !neterr.Exhausted(err) || !time.Now().Add(pause).Before(end) {
+		if !neterr.Exhausted(err) || !time.Now().Add(delay).Before(deadline) {
 			return nil, err
 		}
-		p.makeRoom()
+		p.closeOldestIdle()
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// makeRoom closes an idle connection, as the machine has no room for a new one.
-func (p *Pool) makeRoom() {
+// closeOldestIdle closes an idle connection to free local resources for a new one.
+func (p *Pool) closeOldestIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.evict()
+	p.evictIdle()
 }
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -14,28 +14,28 @@
 	"ivylock/internal/nodetest"
 )
 
-// failing makes a pool's dials fail with an errno, so many times.
-func failing(p *Pool, errno syscall.Errno, times int64) *atomic.Int64 {
-	var calls atomic.Int64
-	real := p.dial
+// failDials makes the pool's first count dials fail with errno.
+func failDials(p *Pool, errno syscall.Errno, count int64) *atomic.Int64 {
+	var dials atomic.Int64
+	realDial := p.dial
 	p.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		if calls.Add(1) <= times {
+		if dials.Add(1) <= count {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("socket", errno)}
 		}
-		return real(ctx, addr)
+		return realDial(ctx, addr)
 	}
-	return &calls
+	return &dials
 }
 
-// What the machine has no room for, for a moment, is tried again within the attempt; for longer
-// it ends an attempt that is known not to have run and is no fault of the server.
-func TestWhatTheMachineHasNoRoomForIsNoFaultOfTheServer(t *testing.T) {
+// A short lack of local resources is retried within the attempt. A longer one ends the
+// attempt as not run, without counting as a failure of the server.
+func TestLocalResourceExhaustionIsNotServerFailure(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		errno syscall.Errno
-		times int64
+		count int64
 		want  balance.OutcomeCode
-		again bool
+		retry bool
 	}{
 		{syscall.EMFILE, 3, balance.OK, true}, {syscall.ENOBUFS, 3, balance.OK, true}, {syscall.EADDRNOTAVAIL, 3, balance.OK, true},
 		{syscall.ENFILE, 1 << 30, balance.Moot, true}, {syscall.ENOMEM, 1 << 30, balance.Moot, true}, {syscall.ENETDOWN, 1 << 30, balance.Moot, true},
@@ -43,76 +43,76 @@
 		{syscall.ETIMEDOUT, 1, balance.ConnectFailed, false}, {syscall.EPROTO, 1, balance.ConnectFailed, false},
 	} {
 		p := newPool()
-		var told atomic.Int64
-		p.OnDialError = func(error) { told.Add(1) }
-		to := &Server{addr: b.Addr}
-		p.Add(to)
-		calls := failing(p, c.errno, c.times)
-		began := time.Now()
-		if res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != c.want {
-			t.Errorf("%v, %d times: outcome %d, want %d", c.errno, c.times, res.Code, c.want)
+		var reported atomic.Int64
+		p.OnDialError = func(error) { reported.Add(1) }
+		server := &Server{addr: b.Addr}
+		p.Add(server)
+		dials := failDials(p, testCase.errno, testCase.count)
+		start := time.Now()
+		if res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != testCase.want {
+			t.Errorf("%v, %d times: outcome %d, want %d", testCase.errno, testCase.count, res.Code, testCase.want)
 		}
-		if again := calls.Load() > 1; again != c.again {
-			t.Errorf("%v: %d dials", c.errno, calls.Load())
+		if retried := dials.Load() > 1; retried != testCase.retry {
+			t.Errorf("%v: %d dials", testCase.errno, dials.Load())
 		}
-		if told.Load() != min(calls.Load(), c.times) {
-			t.Errorf("%v: %d of %d were told", c.errno, told.Load(), calls.Load())
+		if reported.Load() != min(dials.Load(), testCase.count) {
+			t.Errorf("%v: %d of %d failed dials were reported", testCase.errno, reported.Load(), dials.Load())
 		}
-		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("%v: it took %v", c.errno, took)
+		if took := time.Since(start); took > 2*time.Second {
+			t.Errorf("%v: the exchange took %v", testCase.errno, took)
 		}
-		if want := map[bool]int{true: 1}[c.want == balance.OK]; p.OpenConns() != want {
-			t.Errorf("%v: %d connections are counted, want %d", c.errno, p.OpenConns(), want)
+		if want := map[bool]int{true: 1}[testCase.want == balance.OK]; p.OpenConns() != want {
+			t.Errorf("%v: %d connections, want %d", testCase.errno, p.OpenConns(), want)
 		}
 	}
 }
 
-// An idle connection gives its descriptor to the dial that found none.
-func TestADialThatFindsNoDescriptorFreesOne(t *testing.T) {
+// A dial that found no free descriptor closes an idle connection.
+func TestDialWithoutDescriptorClosesIdleConnection(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	p := newPool()
-	idle, to := &Server{addr: b.Addr}, &Server{addr: b.Addr}
+	idle, server := &Server{addr: b.Addr}, &Server{addr: b.Addr}
 	p.Add(idle)
-	p.Add(to)
+	p.Add(server)
 	if res := p.Exchange(context.Background(), idle, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != balance.OK || len(idle.idle) != 1 {
 		t.Fatalf("outcome %d, %d idle", res.Code, len(idle.idle))
 	}
-	failing(p, syscall.EMFILE, 1)
-	if res := p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != balance.OK {
+	failDials(p, syscall.EMFILE, 1)
+	if res := p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != balance.OK {
 		t.Errorf("outcome %d", res.Code)
 	}
 	if len(idle.idle) != 0 || p.OpenConns() != 1 {
-		t.Errorf("%d idle at the other, %d open", len(idle.idle), p.OpenConns())
+		t.Errorf("%d idle connections at the other server, %d open", len(idle.idle), p.OpenConns())
 	}
 }
 
-// An attempt that is called off while its dial is made again ends at once, and never ran.
-func TestADialThatIsMadeAgainIsCalledOff(t *testing.T) {
+// An attempt that is cancelled while its dial is retried ends at once as not run.
+func TestDialRetryStopsOnCancellation(t *testing.T) {
 	p := newPool()
-	to := &Server{addr: "127.0.0.1:1"}
-	p.Add(to)
-	calls := failing(p, syscall.ENOBUFS, 1<<30)
+	server := &Server{addr: "127.0.0.1:1"}
+	p.Add(server)
+	dials := failDials(p, syscall.ENOBUFS, 1<<30)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	time.AfterFunc(5*time.Millisecond, func() { cancel(context.Canceled) })
-	if res := p.Exchange(ctx, to, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != balance.Moot {
-		t.Errorf("outcome %d after %d dials", res.Code, calls.Load())
+	if res := p.Exchange(ctx, server, Call{Request: NewRequest("GET", "/clip", nil)}); res.Code != balance.Moot {
+		t.Errorf("outcome %d after %d dials", res.Code, dials.Load())
 	}
 }
 
-// Dials are not made again for longer than the settings give a connection.
-func TestDialsAreMadeAgainWithinTheTimeForAConnection(t *testing.T) {
-	calls := func(connectTimeout time.Duration) int64 {
+// Dials are not retried beyond the connect timeout.
+func TestDialRetriesStayWithinConnectTimeout(t *testing.T) {
+	countDials := func(connectTimeout time.Duration) int64 {
 		p := NewPool(1, connectTimeout, time.Minute)
-		to := &Server{addr: "127.0.0.1:1"}
-		p.Add(to)
-		calls := failing(p, syscall.ENOBUFS, 1<<30)
-		p.Exchange(context.Background(), to, Call{Request: NewRequest("GET", "/clip", nil)})
-		return calls.Load()
+		server := &Server{addr: "127.0.0.1:1"}
+		p.Add(server)
+		countDials := failDials(p, syscall.ENOBUFS, 1<<30)
+		p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)})
+		return countDials.Load()
 	}
-	if short := calls(time.Microsecond); short != 1 {
+	if short := countDials(time.Microsecond); short != 1 {
 		t.Errorf("%d dials within 1 \u00b5s", short)
 	}
-	if long := calls(time.Second); long < 2 {
+	if long := countDials(time.Second); long < 2 {
 		t.Errorf("%d dials within 1 s", long)
 	}
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -16,196 +16,194 @@
 )
 
 const (
-	probeTimeout = 400 * time.Millisecond // for the answer, once the connection is up
-	stallTime    = 5 * time.Second        // in which a backend must take a piece of a body that is passed on
+	probeTimeout      = 400 * time.Millisecond // from an established connection to the response
+	writeStallTimeout = 5 * time.Second        // for each write of a streamed body
 )
 
-// Result is how an exchange with a server ended.
+// Result is the outcome of an exchange with a server.
 type Result struct {
 	Code        balance.OutcomeCode
-	Body        []byte          // of a 200 that was read whole
-	Report      *balance.Report // nil if none came
-	FirstByteAt time.Time       // when the answer's first byte came; zero if none was read
+	Body        []byte          // of a 200 that was read completely
+	Report      *balance.Report // nil if the response carried none
+	FirstByteAt time.Time       // zero if nothing was read
 }
 
-// Call is one message to a server. All but Request may be nil.
+// Call is one message to a server. All fields but Request may be nil.
 type Call struct {
-	// Request is sent once. Its body may come from elsewhere in pieces, and
-	// need not be whole when the sending begins.
+	// Request is sent once. Its body may be streamed from elsewhere and need not be
+	// complete when sending starts.
 	Request *http.Request
-	// Prepare is called once a connection is up, just before the message is
-	// worded: it sets what depends on the time.
+	// Prepare is called on an established connection just before the message is
+	// serialized. It sets the headers that depend on the time.
 	Prepare func(*http.Request)
-	// MayWrite is asked just before the first byte: guards against sending to
-	// a backend that has begun to drain, or for a request that is over, while
-	// the connection came up.
+	// MayWrite is called just before the first byte is written. Guards against sending
+	// to a server that began to drain, or for a request that ended, during the dial.
 	MayWrite func() bool
-	// OnWritten is called once the last byte is written: from then on it may run.
+	// OnWritten is called once the last byte is written. From then on the request may run.
 	OnWritten func()
-	// OnStream is called with a 200 that is too long to be held. Whoever takes it
-	// reads it to its end and then calls its Done; until then the exchange
-	// goes on.
+	// OnStream is called with a 200 that is too long to be buffered. The receiver reads
+	// it to its end and calls its Done; the exchange lasts until then.
 	OnStream func(*Stream)
 }
 
-// Stream is an answer that is passed on in pieces.
+// Stream is a response body that is forwarded while it is read.
 type Stream struct {
-	Prefix []byte // read already
-	Length int64  // of all; -1: not known before it ends
-	answer *bounded.Response
-	ended  func(error)
+	Prefix   []byte // what has been read already
+	Length   int64  // of the whole body; -1 if it is unknown before the end
+	response *bounded.Response
+	onDone   func(error)
 }
 
-// NewStream makes a stream of an answer; ended is told how the passing on ended.
-func NewStream(answer *bounded.Response, ended func(error)) *Stream {
-	s := &Stream{Length: -1, answer: answer, ended: ended}
-	if answer != nil {
-		s.Prefix, s.Length = answer.Prefix, answer.BodyLength
+// NewStream returns a stream of a response. Done calls onDone.
+func NewStream(response *bounded.Response, onDone func(error)) *Stream {
+	stream := &Stream{Length: -1, response: response, onDone: onDone}
+	if response != nil {
+		stream.Prefix, stream.Length = response.Prefix, response.BodyLength
 	}
-	return s
+	return stream
 }
 
-// Read reads what comes after Start. The error is io.EOF at the answer's
-// proper end and nothing else.
-func (s *Stream) Read(b []byte) (int, error) { return s.answer.Read(b) }
+// Read reads what follows Prefix. It returns io.EOF only at the proper end of the
+// response.
+func (s *Stream) Read(b []byte) (int, error) { return s.response.Read(b) }
 
-// Done tells how the passing on ended: nil if all of it has been read, else
-// what kept it from that. It is called once.
-func (s *Stream) Done(err error) { s.ended(err) }
+// Done ends the stream. The error is nil if all of it was read, else the reason why not.
+// Done is called once.
+func (s *Stream) Done(err error) { s.onDone(err) }
 
-// ErrAbandoned is for Done: the client takes no more, through no fault of the
-// backend.
-var ErrAbandoned = errors.New("the client takes no more")
+// ErrAbandoned is passed to Done if the client stopped reading, which is no failure of
+// the server.
+var ErrAbandoned = errors.New("client stopped reading the response")
 
-// Exchange sends one message once and reads the answer, within ctx. If ctx is
-// cancelled with the cause context.DeadlineExceeded it has timed out.
-func (p *Pool) Exchange(ctx context.Context, b *Server, call Call) Result {
-	c, addr, startedAt, ok := p.take(b)
+// Exchange sends one message once and reads the response, within ctx. It counts as timed
+// out if ctx is cancelled with the cause context.DeadlineExceeded.
+func (p *Pool) Exchange(ctx context.Context, server *Server, call Call) Result {
+	c, addr, startedAt, ok := p.acquire(server)
 	if !ok {
-		return Result{Code: balance.Moot} // no descriptor left: no fault of the backend
+		return Result{Code: balance.Moot} // connection limit reached: not a server failure
 	}
 	if c == nil {
-		nc, err := p.connect(ctx, addr)
+		netConn, err := p.connect(ctx, addr)
 		if err != nil {
-			p.drop(nil)
-			if called(ctx) || neterr.Exhausted(err) { // no fault of the backend
+			p.discard(nil)
+			if isCancelled(ctx) || neterr.Exhausted(err) { // not a server failure
 				return Result{Code: balance.Moot}
 			}
 			return Result{Code: balance.ConnectFailed}
 		}
-		c = &conn{Conn: nc, r: bounded.NewReader(nc), addr: addr, startedAt: startedAt}
+		c = &conn{Conn: netConn, reader: bounded.NewReader(netConn), addr: addr, startedAt: startedAt}
 	}
 	if call.Prepare != nil {
 		call.Prepare(call.Request)
 	}
-	first, err := render(call.Request)
+	serialized, err := serialize(call.Request)
 	if err != nil {
-		p.drop(c)
-		return Result{Code: balance.ConnectFailed} // nothing of it was written
+		p.discard(c)
+		return Result{Code: balance.ConnectFailed} // nothing was written
 	}
 	if call.MayWrite != nil && !call.MayWrite() {
-		p.put(b, c)
+		p.release(server, c)
 		return Result{Code: balance.Moot}
 	}
-	unwatch := context.AfterFunc(ctx, c.r.Stop)
-	res, keep := c.roundTrip(call, first)
-	if !unwatch() {
-		keep = false
+	stopWatching := context.AfterFunc(ctx, c.reader.Stop)
+	result, reuse := c.roundTrip(call, serialized)
+	if !stopWatching() {
+		reuse = false
 	}
-	if c.spoilt {
-		p.spoilt()
+	if c.malformed {
+		p.noteMalformed()
 	}
-	if keep {
-		p.put(b, c)
+	if reuse {
+		p.release(server, c)
 	} else {
-		p.drop(c)
+		p.discard(c)
 	}
 	switch {
-	case res.Code == balance.Reset && called(ctx):
-		res.Code = balance.Cancelled
-	case res.Code == balance.Reset && ctx.Err() != nil:
-		res.Code = balance.TimedOut
-	case res.Code == balance.ConnectFailed && called(ctx):
-		res.Code = balance.Moot // called off before it was wholly written: no fault of the backend
+	case result.Code == balance.Reset && isCancelled(ctx):
+		result.Code = balance.Cancelled
+	case result.Code == balance.Reset && ctx.Err() != nil:
+		result.Code = balance.TimedOut
+	case result.Code == balance.ConnectFailed && isCancelled(ctx):
+		result.Code = balance.Moot // cancelled before it was completely written: not a server failure
 	}
-	return res
+	return result
 }
 
-// called tells that an exchange was called off, and did not time out.
-func called(ctx context.Context) bool {
+// isCancelled reports whether an exchange was cancelled rather than timed out.
+func isCancelled(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// roundTrip writes the request, in one piece where it is whole, and reads the
-// answer.
-func (c *conn) roundTrip(call Call, first []byte) (res Result, keep bool) {
-	if err := c.write(call.Request, first); err != nil {
-		if b, is := call.Request.Body.(*elsewhere); is && b.failed {
-			return Result{Code: balance.Moot}, false // the body did not come: no fault of the backend
+// roundTrip writes the request, with a single write if its body is buffered, and reads
+// the response.
+func (c *conn) roundTrip(call Call, serialized []byte) (result Result, reuse bool) {
+	if err := c.write(call.Request, serialized); err != nil {
+		if body, streamed := call.Request.Body.(*streamedBody); streamed && body.failed {
+			return Result{Code: balance.Moot}, false // the client's body failed: not a server failure
 		}
-		return Result{Code: balance.ConnectFailed}, false // its last byte was never written: it has not run
+		return Result{Code: balance.ConnectFailed}, false // the last byte was not written: it has not run
 	}
 	if call.OnWritten != nil {
 		call.OnWritten()
 	}
-	a, err := c.r.ReadResponse(call.Request)
-	c.spoilt = errors.Is(err, bounded.ErrMalformedResponse)
-	if c.spoilt {
-		return Result{Code: balance.ServerError}, false // the backend works, so it is not taken for dead
+	response, err := c.reader.ReadResponse(call.Request)
+	c.malformed = errors.Is(err, bounded.ErrMalformedResponse)
+	if c.malformed {
+		return Result{Code: balance.ServerError}, false // not Reset: the server is alive
 	}
 	if err != nil {
 		return Result{Code: balance.Reset}, false
 	}
-	res.FirstByteAt, res.Body, res.Report = a.FirstByteAt, a.Prefix, loadreport.Parse(a.Header.Get("Server-Load"))
+	result.FirstByteAt, result.Body, result.Report = response.FirstByteAt, response.Prefix, loadreport.Parse(response.Header.Get("Server-Load"))
 	switch {
-	case a.StatusCode == http.StatusOK && a.Complete:
-		res.Code = balance.OK
-	case a.StatusCode == http.StatusOK && call.OnStream != nil:
-		ended := make(chan error, 1)
-		call.OnStream(NewStream(a, func(err error) { ended <- err }))
-		err := <-ended
+	case response.StatusCode == http.StatusOK && response.Complete:
+		result.Code = balance.OK
+	case response.StatusCode == http.StatusOK && call.OnStream != nil:
+		done := make(chan error, 1)
+		call.OnStream(NewStream(response, func(err error) { done <- err }))
+		err := <-done
 		switch {
 		case err == nil:
-			res.Code = balance.OK
+			result.Code = balance.OK
 		case errors.Is(err, ErrAbandoned):
 			return Result{Code: balance.Cancelled}, false
 		default:
 			return Result{Code: balance.Reset}, false
 		}
-	case (a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusGatewayTimeout) &&
-		a.Header.Get("Not-Started") == "1":
-		res.Code = balance.Full
+	case (response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout) &&
+		response.Header.Get("Not-Started") == "1":
+		result.Code = balance.Full
 	default:
-		res.Code = balance.ServerError
+		result.Code = balance.ServerError
 	}
-	c.spoilt, c.usedAt = !c.r.BufferEmpty(), time.Now()
-	return res, (a.Complete || res.Code == balance.OK) && !a.Close && !c.spoilt
+	c.malformed, c.lastResponseAt = !c.reader.BufferEmpty(), time.Now()
+	return result, (response.Complete || result.Code == balance.OK) && !response.Close && !c.malformed
 }
 
-// whole is a body that is all there.
-type whole struct{ *bytes.Reader }
+// bufferedBody is a request body that is completely in memory.
+type bufferedBody struct{ *bytes.Reader }
 
-func (whole) Close() error { return nil }
+func (bufferedBody) Close() error { return nil }
 
-// elsewhere is a body that is read as it is sent.
-type elsewhere struct {
+// streamedBody is a request body that is read while it is sent.
+type streamedBody struct {
 	io.Reader
-	failed bool // it broke off
+	failed bool // reading it failed before its end
 }
 
-func (e *elsewhere) Read(b []byte) (int, error) {
-	n, err := e.Reader.Read(b)
-	e.failed = e.failed || err != nil && !errors.Is(err, io.EOF)
+func (s *streamedBody) Read(b []byte) (int, error) {
+	n, err := s.Reader.Read(b)
+	s.failed = s.failed || err != nil && !errors.Is(err, io.EOF)
 	return n, err
 }
 
-func (*elsewhere) Close() error { return nil }
+func (*streamedBody) Close() error { return nil }
 
-// render words a request whose body is whole; nil for another one. It is done before
-// MayWrite is asked: guards against a process that stands still between its last look
-// and the write, and writes for a request that is long over when it goes on.
-func render(req *http.Request) ([]byte, error) {
-	if _, is := req.Body.(whole); !is && req.Body != nil && req.Body != http.NoBody {
+// serialize returns the bytes of a request whose body is buffered; nil for a streamed one.
+// It runs before MayWrite is called. Guards against a process pause between that check and
+// the write, after which the request might be written long after its deadline.
+func serialize(req *http.Request) ([]byte, error) {
+	if _, buffered := req.Body.(bufferedBody); !buffered && req.Body != nil && req.Body != http.NoBody {
 		return nil, nil
 	}
 	var out bytes.Buffer
@@ -213,49 +211,49 @@
 	return out.Bytes(), err
 }
 
-// write sends a request. One whose body is whole goes in one piece, so that it
-// is certain what an error means; of another one the last byte is written last.
-func (c *conn) write(req *http.Request, whole []byte) error {
-	if whole == nil {
-		err := req.Write(pieces{c})
+// write sends a request. A buffered one is sent with a single write, so that an error
+// proves that it was incomplete; of a streamed one the last byte is written last.
+func (c *conn) write(req *http.Request, serialized []byte) error {
+	if serialized == nil {
+		err := req.Write(streamWriter{c})
 		c.SetWriteDeadline(time.Time{})
 		return err
 	}
-	if n, err := c.Write(whole); err != nil && n < len(whole) {
+	if n, err := c.Write(serialized); err != nil && n < len(serialized) {
 		return err
 	}
 	return nil
 }
 
-// pieces writes to a backend that must go on reading.
-type pieces struct{ *conn }
+// streamWriter writes to a server that has to keep reading.
+type streamWriter struct{ *conn }
 
-func (p pieces) Write(b []byte) (int, error) {
-	p.SetWriteDeadline(time.Now().Add(stallTime))
-	if p.r.Stopped() { // guards against a Stop that came just before
-		p.SetWriteDeadline(time.Unix(1, 0))
+func (w streamWriter) Write(b []byte) (int, error) {
+	w.SetWriteDeadline(time.Now().Add(writeStallTimeout))
+	if w.reader.Stopped() { // Stop may have been called before the deadline was set
+		w.SetWriteDeadline(time.Unix(1, 0))
 	}
-	return p.conn.Write(b)
+	return w.conn.Write(b)
 }
 
-// Probe asks a backend for its load.
-func (p *Pool) Probe(b *Server) Result {
+// Probe requests the load report of a server.
+func (p *Pool) Probe(server *Server) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), p.connectTimeout+probeTimeout)
 	defer cancel()
-	res := p.Exchange(ctx, b, Call{Request: NewRequest(http.MethodGet, "/metrics/load", nil),
-		MayWrite: func() bool { return !b.Disabled() }})
-	if res.Code == balance.OK {
-		res.Report = loadreport.Parse(string(res.Body))
+	result := p.Exchange(ctx, server, Call{Request: NewRequest(http.MethodGet, "/metrics/load", nil),
+		MayWrite: func() bool { return !server.Disabled() }})
+	if result.Code == balance.OK {
+		result.Report = loadreport.Parse(string(result.Body))
 	}
-	return res
+	return result
 }
 
-// NewRequest makes a message for a backend, with a body that is whole. Only
-// what is set here goes out.
+// NewRequest returns a message for a server with a buffered body. It carries only the
+// headers that are set here or by the caller.
 func NewRequest(method, uri string, body []byte) *http.Request {
 	req := newRequest(method, uri)
 	if method == http.MethodPost {
-		req.Body, req.ContentLength = whole{bytes.NewReader(body)}, int64(len(body))
+		req.Body, req.ContentLength = bufferedBody{bytes.NewReader(body)}, int64(len(body))
 		if len(body) == 0 {
 			req.Body = http.NoBody
 		}
@@ -263,11 +261,11 @@
 	return req
 }
 
-// NewStreamedRequest makes one whose body is read as it is sent; its length is -1 if
-// it is not known before the end.
+// NewStreamedRequest returns a message whose body is read while it is sent. The length is
+// -1 if it is unknown before the end.
 func NewStreamedRequest(method, uri string, body io.Reader, length int64) *http.Request {
 	req := newRequest(method, uri)
-	req.Body, req.ContentLength = &elsewhere{Reader: body}, length
+	req.Body, req.ContentLength = &streamedBody{Reader: body}, length
 	return req
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,6 +1,6 @@
-// Package backend keeps connections to the servers that discovery names and
-// sends messages over them: one write on one connection, so that it is known
-// whether a message may have run. It decides nothing.
+// Package backend manages connections to the servers named by discovery and sends
+// messages over them. Each message is written once on one connection, so that the
+// caller knows whether it may have run.
 package backend
 
 import (
@@ -16,133 +16,134 @@
 )
 
 const (
-	idleMargin = time.Second // an idle connection is closed this long before the backend may close it
-	// A second answer to the request before may be on its way on a connection, and would be
-	// taken for the next one's: it rests so long before it is used again, if another one can
-	// be used, or if any server has sent such a thing, or what was no answer, of late.
-	settleTime  = 20 * time.Millisecond
-	spoiltLasts = time.Minute
+	idleMargin = time.Second // idle connections are closed this long before the server may close them
+	// reuseDelay is how long a connection rests after a response before it is reused.
+	// Guards against matching a late duplicate response to the next request. It is
+	// skipped if no other connection can be used and no server has recently sent a
+	// duplicate or malformed response.
+	reuseDelay      = 20 * time.Millisecond
+	malformedMemory = time.Minute
 )
 
-// Server is one server. Its owner, a single goroutine, writes it; idle
-// connections are the pool's.
+// Server is one backend server. A single owner goroutine writes its exported fields; the
+// pool owns its idle connections.
 type Server struct {
 	ID             balance.ServerID
-	Name           string                    // discovery's
-	Removed        bool                      // not on the list any more
-	InFlight       int                       // attempts and probes whose outcome is to come
-	Location       guard.Location            // the loop's
-	closed         atomic.Pointer[time.Time] // since when it drains or is gone: nothing new may be sent; nil: neither
-	LastResponseAt balance.Time              // when it last answered an attempt or a probe; the loop's
+	Name           string                    // instance ID in discovery
+	Removed        bool                      // no longer listed by discovery
+	InFlight       int                       // attempts and probes without an outcome yet
+	Location       guard.Location            // used by the owner only
+	disabledAt     atomic.Pointer[time.Time] // when sending was disabled; nil if it is enabled
+	LastResponseAt balance.Time              // to an attempt or a probe; used by the owner only
 	addr           string
 	startedAt      balance.Time
-	idle           []*conn // the warmest last
+	idle           []*conn // most recently used last
 }
 
-// Disable notes that the server drains or is gone: nothing new may be sent. Open takes it
-// back.
-func (b *Server) Disable(now time.Time) { b.closed.CompareAndSwap(nil, &now) }
+// Disable forbids new messages to the server, which drains or has been removed. Enable
+// reverts it.
+func (s *Server) Disable(now time.Time) { s.disabledAt.CompareAndSwap(nil, &now) }
 
-// Enable notes that the server may be used.
-func (b *Server) Enable() { b.closed.Store(nil) }
+// Enable allows new messages to the server.
+func (s *Server) Enable() { s.disabledAt.Store(nil) }
 
-// Disabled tells whether nothing new may be sent.
-func (b *Server) Disabled() bool { return b.closed.Load() != nil }
+// Disabled reports whether new messages are forbidden.
+func (s *Server) Disabled() bool { return s.disabledAt.Load() != nil }
 
-// DisabledAt tells since when; zero if the server may be used.
-func (b *Server) DisabledAt() time.Time {
-	if at := b.closed.Load(); at != nil {
+// DisabledAt returns when the server was disabled; zero if it is enabled.
+func (s *Server) DisabledAt() time.Time {
+	if at := s.disabledAt.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
-// conn is a connection to a server; it carries one request at a time.
+// conn is a connection to a server. It carries one request at a time.
 type conn struct {
 	net.Conn
-	r         *bounded.Reader
-	addr      string
-	startedAt balance.Time // of the process that it leads to, as far as known
-	idleSince time.Time
-	usedAt    time.Time // when it last brought an answer; zero: it carried nothing yet
-	spoilt    bool      // something came on it that was no answer, or behind one
+	reader         *bounded.Reader
+	addr           string
+	startedAt      balance.Time // start of the server process that it leads to, as far as known
+	idleSince      time.Time
+	lastResponseAt time.Time // zero if it has carried no request yet
+	malformed      bool      // a malformed or unsolicited response was received
 }
 
-// Pool keeps the connections to all servers within one budget. Its methods may
-// be called from several goroutines.
+// Pool manages the connections to all servers within one limit. It is safe for
+// concurrent use.
 type Pool struct {
-	// OnDialError is told of each connection that did not come up, if it is not nil. It
-	// is set before the first exchange, and must not wait.
+	// OnDialError, if not nil, is called for each failed dial. It is set before the
+	// first exchange and must not block.
 	OnDialError func(error)
 
-	dial                     dialer
-	connectTimeout, idleTime time.Duration
-	settle                   time.Duration
-	spoiltAt                 time.Time // when a server last sent what was no answer, or came behind one
-	mu                       sync.Mutex
-	open, most               int
-	servers                  map[*Server]bool
+	dial                        dialFunc
+	connectTimeout, idleTimeout time.Duration
+	reuseDelay                  time.Duration
+	lastMalformedAt             time.Time // when a server last sent a malformed or unsolicited response
+	mu                          sync.Mutex
+	open, maxConns              int
+	servers                     map[*Server]bool
 }
 
-// NewPool makes a pool of so many connections at most. A connection has
-// connectTimeout to come up; one that has been idle for a little less than
-// connIdle, after which servers may close it, is closed.
-func NewPool(most int, connectTimeout, connIdle time.Duration) *Pool {
-	return &Pool{dial: netDialer(connectTimeout), connectTimeout: connectTimeout, settle: settleTime, most: most, servers: map[*Server]bool{},
-		idleTime: max(connIdle-idleMargin, connIdle/2)}
+// NewPool returns a pool of at most maxConns connections. A dial may take connectTimeout.
+// Servers may close connections that were idle for idleTimeout; the pool closes them a
+// little earlier.
+func NewPool(maxConns int, connectTimeout, idleTimeout time.Duration) *Pool {
+	return &Pool{dial: netDialer(connectTimeout), connectTimeout: connectTimeout, reuseDelay: reuseDelay, maxConns: maxConns, servers: map[*Server]bool{},
+		idleTimeout: max(idleTimeout-idleMargin, idleTimeout/2)}
 }
 
-// Add takes a server in.
-func (p *Pool) Add(b *Server) {
+// Add adds a server.
+func (p *Pool) Add(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.servers[b] = true
+	p.servers[server] = true
 }
 
-// Remove forgets a server that has no connection any more.
-func (p *Pool) Remove(b *Server) {
+// Remove closes a server's idle connections and removes it.
+func (p *Pool) Remove(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropIdle(b)
-	delete(p.servers, b)
+	p.closeIdle(server)
+	delete(p.servers, server)
 }
 
-// Update takes a server's new address and start. Connections to an older
-// process lead nowhere.
-func (p *Pool) Update(b *Server, addr string, startedAt balance.Time) {
+// Update sets a server's address and start time. If either has changed, idle connections
+// lead to a former process and are closed.
+func (p *Pool) Update(server *Server, addr string, startedAt balance.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if b.addr != addr || b.startedAt != startedAt {
-		b.addr, b.startedAt = addr, startedAt
-		p.dropIdle(b)
+	if server.addr != addr || server.startedAt != startedAt {
+		server.addr, server.startedAt = addr, startedAt
+		p.closeIdle(server)
 	}
 }
 
-// ServerCount tells how many servers the pool knows.
+// ServerCount returns the number of servers in the pool.
 func (p *Pool) ServerCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.servers)
 }
 
-// SetMaxConns changes how many connections there may be. Idle ones above it are
-// closed; those in use go on.
-func (p *Pool) SetMaxConns(most int) {
+// SetMaxConns sets the connection limit. Idle connections above it are closed; those in
+// use continue.
+func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most = most
-	for p.open > p.most && p.evict() {
+	p.maxConns = maxConns
+	for p.open > p.maxConns && p.evictIdle() {
 	}
 }
 
-// SetIdleTimeout changes how long connections are kept idle.
-func (p *Pool) SetIdleTimeout(keep time.Duration) {
+// SetIdleTimeout sets how long connections are kept idle.
+func (p *Pool) SetIdleTimeout(timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idleTime = keep
+	p.idleTimeout = timeout
 }
 
-// Enable tells how many connections there are.
+// OpenConns returns the number of connections.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,100 +151,101 @@
 }
 
 // CloseIdle closes a server's idle connections.
-func (p *Pool) CloseIdle(b *Server) {
+func (p *Pool) CloseIdle(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropIdle(b)
+	p.closeIdle(server)
 }
 
-func (p *Pool) dropIdle(b *Server) {
-	for _, c := range b.idle {
+func (p *Pool) closeIdle(server *Server) {
+	for _, c := range server.idle {
 		c.Close()
 	}
-	p.open -= len(b.idle)
-	b.idle = nil
+	p.open -= len(server.idle)
+	server.idle = nil
 }
 
-// take gives the warmest idle connection that still stands and has rested, or nil and
-// leave to open a new one; ok is false if the budget is spent.
-func (p *Pool) take(b *Server) (c *conn, addr string, startedAt balance.Time, ok bool) {
+// acquire returns the most recently used idle connection that is still usable and has
+// rested for reuseDelay. If there is none, c is nil and the caller may open a new
+// connection; ok is false if the limit is reached.
+func (p *Pool) acquire(server *Server) (c *conn, addr string, startedAt balance.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for i := p.rested(b, now); i >= 0; i = p.rested(b, now) {
-		c := b.idle[i]
-		b.idle = slices.Delete(b.idle, i, i+1)
-		// Guards against spending an attempt, which may count as run, on a
-		// connection that is known to be dead.
-		if now.Sub(c.idleSince) < p.idleTime && bounded.OpenAndIdle(c.Conn) {
+	for i := p.pickIdle(server, now); i >= 0; i = p.pickIdle(server, now) {
+		c := server.idle[i]
+		server.idle = slices.Delete(server.idle, i, i+1)
+		// Guards against spending an attempt, which might count as run, on a connection
+		// that is known to be dead.
+		if now.Sub(c.idleSince) < p.idleTimeout && bounded.OpenAndIdle(c.Conn) {
 			return c, c.addr, c.startedAt, true
 		}
 		if bounded.HasUnread(c.Conn) {
-			p.spoiltAt = now
+			p.lastMalformedAt = now
 		}
 		p.open--
 		c.Close()
 	}
-	if p.open >= p.most && !p.evict() {
+	if p.open >= p.maxConns && !p.evictIdle() {
 		return nil, "", 0, false
 	}
 	p.open++
-	return nil, b.addr, b.startedAt, true
+	return nil, server.addr, server.startedAt, true
 }
 
-// rested finds the idle connection that is to be used next: the warmest that has rested,
-// else the one that has rested longest; -1: a new one.
-func (p *Pool) rested(b *Server, now time.Time) int {
-	for i := len(b.idle) - 1; i >= 0; i-- {
-		if now.Sub(b.idle[i].usedAt) >= p.settle {
+// pickIdle returns the index of the idle connection to use next: the most recently used
+// one that has rested, else the one that has rested longest; -1 if a new one is needed.
+func (p *Pool) pickIdle(server *Server, now time.Time) int {
+	for i := len(server.idle) - 1; i >= 0; i-- {
+		if now.Sub(server.idle[i].lastResponseAt) >= p.reuseDelay {
 			return i
 		}
 	}
-	if len(b.idle) == 0 || now.Sub(p.spoiltAt) < spoiltLasts {
+	if len(server.idle) == 0 || now.Sub(p.lastMalformedAt) < malformedMemory {
 		return -1
 	}
 	return 0
 }
 
-// spoilt takes that a server has sent what was no answer.
-func (p *Pool) spoilt() {
+// noteMalformed records that a server has sent a malformed or unsolicited response.
+func (p *Pool) noteMalformed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spoiltAt = time.Now()
+	p.lastMalformedAt = time.Now()
 }
 
-// evict closes the idle connection that has waited longest.
-func (p *Pool) evict() bool {
-	var coldest *Server
-	for b := range p.servers {
-		if len(b.idle) > 0 && (coldest == nil || b.idle[0].idleSince.Before(coldest.idle[0].idleSince)) {
-			coldest = b
+// evictIdle closes the connection that has been idle longest.
+func (p *Pool) evictIdle() bool {
+	var oldest *Server
+	for server := range p.servers {
+		if len(server.idle) > 0 && (oldest == nil || server.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
+			oldest = server
 		}
 	}
-	if coldest == nil {
+	if oldest == nil {
 		return false
 	}
-	coldest.idle[0].Close()
-	coldest.idle = coldest.idle[1:]
+	oldest.idle[0].Close()
+	oldest.idle = oldest.idle[1:]
 	p.open--
 	return true
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(b *Server, c *conn) {
+// release returns a connection to the idle list.
+func (p *Pool) release(server *Server, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if b.Disabled() || c.addr != b.addr || c.startedAt != b.startedAt {
+	if server.Disabled() || c.addr != server.addr || c.startedAt != server.startedAt {
 		c.Close()
 		p.open--
 		return
 	}
 	c.idleSince = time.Now()
-	b.idle = append(b.idle, c)
+	server.idle = append(server.idle, c)
 }
 
-// drop gives up a connection, or the leave to open one where c is nil.
-func (p *Pool) drop(c *conn) {
+// discard closes a connection, or returns the permission to open one if c is nil.
+func (p *Pool) discard(c *conn) {
 	if c != nil {
 		c.Close()
 	}
@@ -252,15 +254,15 @@
 	p.open--
 }
 
-// CloseExpired closes connections that have been idle for so long that their backend
-// may soon close them: guards against a request crossing that close.
+// CloseExpired closes connections that were idle for so long that their server may soon
+// close them. Guards against sending a request on a connection that is being closed.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for b := range p.servers {
-		for len(b.idle) > 0 && time.Since(b.idle[0].idleSince) >= p.idleTime {
-			b.idle[0].Close()
-			b.idle = b.idle[1:]
+	for server := range p.servers {
+		for len(server.idle) > 0 && time.Since(server.idle[0].idleSince) >= p.idleTimeout {
+			server.idle[0].Close()
+			server.idle = server.idle[1:]
 			p.open--
 		}
 	}
