--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -11,39 +11,39 @@
 	"ivylock/internal/eventlog"
 )
 
-// emptyTime is for how long nothing comes at a listener that is empty.
-const emptyTime = 2 * time.Millisecond
+// emptyBacklogTimeout is how long an accept waits before the backlog counts as empty.
+const emptyBacklogTimeout = 2 * time.Millisecond
 
-// Accept waits until there is room for one more connection, and then for that. It
-// fails only once the listening has been ended.
+// Accept waits until the connection limit allows one more connection and then accepts it.
+// It fails only once the listener is closed.
 func (c *clientConns) Accept() (net.Conn, error) {
 	for {
-		room, err := c.waitForRoom()
+		hasRoom, err := c.waitForRoom()
 		if err != nil {
 			return nil, err
 		}
-		nc, err := c.acceptOnce()
+		conn, err := c.acceptOnce()
 		switch {
-		case err == nil && room:
-			return c.admit(nc), nil
+		case err == nil && hasRoom:
+			return c.admit(conn), nil
 		case err == nil:
-			c.turnAway(nc)
-		case errors.Is(err, net.ErrClosed) || c.isEmpty(err):
+			c.rejectConn(conn)
+		case errors.Is(err, net.ErrClosed) || c.backlogDone(err):
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// waitForRoom waits until there is room for one more connection; while the listener is
-// being emptied it does not wait, and tells whether there is. The error is net.ErrClosed
-// once the listening has been ended.
-func (c *clientConns) waitForRoom() (room bool, err error) {
-	for !c.room(time.Now()) {
-		if c.emptying.Load() {
+// waitForRoom waits until the limit allows one more connection. While the backlog is being
+// drained it does not wait but reports whether there is room. It returns net.ErrClosed once
+// the listener is closed.
+func (c *clientConns) waitForRoom() (hasRoom bool, err error) {
+	for !c.makeRoom(time.Now()) {
+		if c.drainingBacklog.Load() {
 			return false, nil
 		}
 		select {
-		case <-time.After(roomPause):
+		case <-time.After(pollInterval):
 		case <-c.closed:
 			return false, net.ErrClosed
 		}
@@ -51,84 +51,85 @@
 	return true, nil
 }
 
-// acceptOnce waits for a connection; while the listener is being emptied not for long.
+// acceptOnce waits for a connection, only briefly while the backlog is being drained.
 func (c *clientConns) acceptOnce() (net.Conn, error) {
-	if c.emptying.Load() {
+	if c.drainingBacklog.Load() {
 		c.setAcceptDeadline()
 	}
 	return c.Listener.Accept()
 }
 
-// setAcceptDeadline has an accept that waits end soon; false if the listener has no
-// such thing.
+// setAcceptDeadline makes a waiting accept time out soon. It returns false if the listener
+// has no deadlines.
 func (c *clientConns) setAcceptDeadline() bool {
-	return c.Listener.SetDeadline(time.Now().Add(emptyTime))
+	return c.Listener.SetDeadline(time.Now().Add(emptyBacklogTimeout))
 }
 
-// isEmpty tells that an accept has found nothing at a listener that is being emptied.
-func (c *clientConns) isEmpty(err error) bool {
-	if !c.emptying.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+// backlogDone reports whether an accept timed out because the backlog being drained is empty.
+func (c *clientConns) backlogDone(err error) bool {
+	if !c.drainingBacklog.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	c.once.Do(func() { close(c.emptied) })
+	c.backlogOnce.Do(func() { close(c.backlogEmpty) })
 	return true
 }
 
-// admit counts a connection and gives it a number.
-func (c *clientConns) admit(nc net.Conn) net.Conn {
-	tcp, is := nc.(*net.TCPConn)
-	if !is {
-		return nc
+// admit counts a connection and numbers it.
+func (c *clientConns) admit(conn net.Conn) net.Conn {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return conn
 	}
 	c.figures.ConnectionsOpened.Add(1)
-	k := &client{TCPConn: tcp, conns: c, number: c.numbers.Add(1), opened: time.Now()}
-	c.history.Add(eventlog.Event{At: k.opened, Kind: eventlog.ConnectionOpened, Connection: k.number})
-	return k
+	client := &clientConn{TCPConn: tcp, owner: c, number: c.lastNumber.Add(1), openedAt: time.Now()}
+	c.history.Add(eventlog.Event{At: client.openedAt, Kind: eventlog.ConnectionOpened, Connection: client.number})
+	return client
 }
 
-// Close ends the listening. What waits there is reset by the kernel, but for what was accepted
-// by empty, which comes before. Where the socket is shared, whoever
-// starts another process on it may make it a blocking one for all, and an accept
-// that blocks in the kernel then keeps the close waiting for the next client: so the
-// close itself comes as one. Connections that others take instead do no harm.
+// Close closes the listener. The kernel resets what is still in the backlog; drainBacklog is
+// called before. Starting another process with a shared socket may put it into blocking mode
+// for all its users. An accept that blocks in the kernel then keeps the listener from closing
+// until a client connects, so Close connects itself. It is harmless if another process
+// accepts these connections.
 func (c *clientConns) Close() error {
 	c.close.Do(func() {
 		close(c.closed)
-		ended := make(chan error, 1)
-		go func() { ended <- c.Listener.Close() }()
-		for range kicks {
+		done := make(chan error, 1)
+		go func() { done <- c.Listener.Close() }()
+		for range unblockAttempts {
 			select {
-			case c.end = <-ended:
+			case c.closeErr = <-done:
 				return
-			case <-time.After(kickPause):
+			case <-time.After(unblockInterval):
 			}
-			a := c.Listener.Addr()
-			if kick, err := net.DialTimeout(a.Network(), a.String(), kickPause); err == nil {
-				kick.Close()
+			addr := c.Listener.Addr()
+			if conn, err := net.DialTimeout(addr.Network(), addr.String(), unblockInterval); err == nil {
+				conn.Close()
 			}
 		}
 	})
-	return c.end
+	return c.closeErr
 }
 
-// empty accepts what waits at the listener, for so long at most, before that is closed.
-func (c *clientConns) empty(within time.Duration) {
-	c.emptying.Store(true)
+// drainBacklog accepts what is in the backlog before the listener is closed, for timeout at
+// most.
+func (c *clientConns) drainBacklog(timeout time.Duration) {
+	c.drainingBacklog.Store(true)
 	if !c.setAcceptDeadline() {
 		return
 	}
 	select {
-	case <-c.emptied:
-	case <-time.After(within):
+	case <-c.backlogEmpty:
+	case <-time.After(timeout):
 	}
 }
 
-// closing is the state of a listener's end.
-type closing struct {
-	emptying atomic.Bool
-	emptied  chan struct{} // closed when nothing waits at the listener
-	once     sync.Once
-	closed   chan struct{}
-	close    sync.Once
-	end      error // of the listener's close
+// listenerState is the progress of closing the listener.
+type listenerState struct {
+	drainingBacklog atomic.Bool
+	backlogEmpty    chan struct{} // closed once the backlog is empty
+	backlogOnce     sync.Once
+	closed          chan struct{}
+	close           sync.Once
+	closeErr        error // from closing the listener
 }
--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -135,7 +135,7 @@
 	io.WriteString(theirs, get("crossing"))
 	wait(t, "it is there", func() bool { return !quiet(ours) })
 	ours.Close() // as net/http does
-	conns.track(ours, http.StateClosed)
+	conns.onConnState(ours, http.StateClosed)
 	resp, err := http.ReadResponse(bufio.NewReader(theirs), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("got %v, %v", resp, err)
@@ -144,7 +144,7 @@
 	wait(t, "its descriptor is free", func() bool { return conns.count() == 0 })
 }
 
-func quiet(c *client) bool {
+func quiet(c *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.state().UnreadData
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -13,215 +13,214 @@
 )
 
 const (
-	// MaxBudgetedBody is the most of one body that is held, where the room for all
-	// bodies allows it: a request whose body is held can be sent again.
+	// MaxBudgetedBody is how many bytes of one body are buffered if the budget for all bodies
+	// allows it. A request whose body is buffered can be retried.
 	MaxBudgetedBody = 256 << 10
 
-	lingerTime = 2 * time.Second // for what still comes after an early answer
+	earlyResponseLinger = 2 * time.Second // for reading a body after an early response
 
-	bodyPause = time.Second     // for the next piece of a body
-	bodyGrace = 2 * time.Second // before the rate counts
-	bodyRate  = 32 << 10        // bytes a second, at least, on average after the grace
-	firstPart = 4 << 10         // what is set aside for a body of unknown length
+	bodyReadTimeout   = time.Second     // for each read
+	bodyRateGrace     = 2 * time.Second // before minBodyRate applies
+	minBodyRate       = 32 << 10        // bytes per second, on average after the grace period
+	initialBodyBuffer = 4 << 10         // bytes, for a body of unknown length
 )
 
-var errTooLong = &badRequest{http.StatusRequestEntityTooLarge, "the body is too long"}
+var errTooLong = &requestError{http.StatusRequestEntityTooLarge, "request body too long"}
 
-// bodies reads clients' bodies. Up to MaxBody of each is held; more, up to
-// MaxBudgetedBody, while there is room in a budget for all; the rest passes through.
-type bodies struct{ room atomic.Int64 }
+// bodyReader reads request bodies. Up to bounded.MaxBufferedBody of each is buffered, and up
+// to MaxBudgetedBody while the budget for all bodies allows it. The rest is streamed.
+type bodyReader struct{ budget atomic.Int64 }
 
-func newBodies(room int64) *bodies {
-	b := &bodies{}
-	b.room.Store(room)
+func newBodyReader(budget int64) *bodyReader {
+	b := &bodyReader{}
+	b.budget.Store(budget)
 	return b
 }
 
-// reserve takes room for n more bytes, if there is any.
-func (b *bodies) reserve(n int64) bool {
-	if b.room.Add(-n) >= 0 {
+// reserve takes n bytes from the budget and reports whether there were as many.
+func (b *bodyReader) reserve(n int64) bool {
+	if b.budget.Add(-n) >= 0 {
 		return true
 	}
-	b.room.Add(n)
+	b.budget.Add(n)
 	return false
 }
 
-// received is a body as far as it was read.
-type received struct {
-	held    []byte
-	rest    *upload // nil if held is all
-	release func()  // gives back what was reserved for it; it may be called twice
+// receivedBody is the part of a body that has been read, and the rest.
+type receivedBody struct {
+	buffered []byte
+	rest     *streamedBody // nil if all is buffered
+	release  func()        // returns what was reserved from the budget; may be called twice
 }
 
-// read reads a body, or its first part.
-func (b *bodies) read(w http.ResponseWriter, r *http.Request) (in received, err error) {
-	in.release = func() {}
+// read reads a body, or its first part if it is too long to be buffered.
+func (b *bodyReader) read(w http.ResponseWriter, r *http.Request) (body receivedBody, err error) {
+	body.release = func() {}
 	if r.ContentLength == 0 {
-		return in, nil
+		return body, nil
 	}
 	if r.ContentLength > bounded.MaxBodyLength {
-		return in, errTooLong
+		return body, errTooLong
 	}
-	u := &upload{c: http.NewResponseController(w), body: r.Body, length: r.ContentLength, began: time.Now()}
-	most, size := bounded.MaxBufferedBody, firstPart
+	stream := &streamedBody{controller: http.NewResponseController(w), body: r.Body, length: r.ContentLength, startedAt: time.Now()}
+	limit, size := bounded.MaxBufferedBody, initialBodyBuffer
 	if r.ContentLength > 0 {
 		size = int(min(bounded.MaxBufferedBody, r.ContentLength))
 	}
-	in.held = make([]byte, 0, size)
+	body.buffered = make([]byte, 0, size)
 	for {
-		if len(in.held) == most {
-			if most == MaxBudgetedBody || r.ContentLength > MaxBudgetedBody || !b.reserve(MaxBudgetedBody-bounded.MaxBufferedBody) {
-				in.rest = u
-				return in, nil
+		if len(body.buffered) == limit {
+			if limit == MaxBudgetedBody || r.ContentLength > MaxBudgetedBody || !b.reserve(MaxBudgetedBody-bounded.MaxBufferedBody) {
+				body.rest = stream
+				return body, nil
 			}
-			in.release = sync.OnceFunc(func() { b.room.Add(MaxBudgetedBody - bounded.MaxBufferedBody) })
-			most = MaxBudgetedBody
+			body.release = sync.OnceFunc(func() { b.budget.Add(MaxBudgetedBody - bounded.MaxBufferedBody) })
+			limit = MaxBudgetedBody
 		}
-		if len(in.held) == cap(in.held) {
-			in.held = append(in.held, 0)[:len(in.held)]
+		if len(body.buffered) == cap(body.buffered) {
+			body.buffered = append(body.buffered, 0)[:len(body.buffered)]
 		}
-		n, err := u.Read(in.held[len(in.held):min(cap(in.held), most)])
-		in.held = in.held[:len(in.held)+n]
-		if u.done {
-			return in, nil
+		n, err := stream.Read(body.buffered[len(body.buffered):min(cap(body.buffered), limit)])
+		body.buffered = body.buffered[:len(body.buffered)+n]
+		if stream.done {
+			return body, nil
 		}
 		if err != nil {
-			in.release()
-			return in, err
+			body.release()
+			return body, err
 		}
 	}
 }
 
-// upload is a body that is read as it is sent on. It satisfies node.BodyStream.
-type upload struct {
-	c        *http.ResponseController
-	body     io.Reader
-	length   int64 // -1: not known before the end
-	began    time.Time
-	patience time.Duration
-	whole    func() // called when the last byte has come
-	over     func() // called when the request has ended, if the last byte has come
-
-	mu     sync.Mutex // held by a read that waits
-	got    int64
-	done   bool // the last byte has come
-	doneAt time.Time
-	failed error
-	ended  atomic.Bool // nobody may read any more
+// streamedBody is a body that is forwarded while it is read. It implements node.BodyStream.
+type streamedBody struct {
+	controller *http.ResponseController
+	body       io.Reader
+	length     int64 // -1 if unknown before the end
+	startedAt  time.Time
+	timeout    time.Duration
+	onComplete func() // called when the last byte has been read
+	onEnd      func() // called at the end of the request if the last byte has been read
+
+	mu          sync.Mutex // held during a read
+	received    int64
+	done        bool // the last byte has been read
+	completedAt time.Time
+	err         error
+	ended       atomic.Bool // reads are no longer allowed
 }
 
-// longest is a bound on the time that the rest may take to come.
-func (u *upload) longest() time.Duration {
-	left := int64(bounded.MaxBodyLength)
-	if u.length >= 0 {
-		left = u.length
+// maxDuration is an upper bound on the time that the rest of the body may take.
+func (s *streamedBody) maxDuration() time.Duration {
+	remaining := int64(bounded.MaxBodyLength)
+	if s.length >= 0 {
+		remaining = s.length
 	}
-	return bodyGrace + time.Duration(left/bodyRate)*time.Second
+	return bodyRateGrace + time.Duration(remaining/minBodyRate)*time.Second
 }
 
-// Length is that of the whole body.
-func (u *upload) Length() int64 { return u.length }
+// Length returns the length of the whole body; -1 if it is unknown.
+func (s *streamedBody) Length() int64 { return s.length }
 
-// Timeout is how long the client waits from the last byte on.
-func (u *upload) Timeout() time.Duration { return u.patience }
+// Timeout returns how long the client waits after the last byte.
+func (s *streamedBody) Timeout() time.Duration { return s.timeout }
 
-// Deadline is when the client stops waiting for the answer.
-func (u *upload) Deadline() time.Time {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.doneAt.Add(u.patience)
+// Deadline returns when the client stops waiting for the response.
+func (s *streamedBody) Deadline() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.completedAt.Add(s.timeout)
 }
 
-func (u *upload) complete() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.done
+func (s *streamedBody) complete() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.done
 }
 
-// broken tells why the body broke off, if it did.
-func (u *upload) broken() error {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.failed
+// failure returns the error that ended the body early; nil if there was none.
+func (s *streamedBody) failure() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.err
 }
 
-// Read reads the next piece. A client that stops, or goes on too slowly, has
-// failed.
-func (u *upload) Read(b []byte) (int, error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// Read reads the next part of the body. It fails if the client stalls or is too slow.
+func (s *streamedBody) Read(b []byte) (int, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
-	case u.done:
+	case s.done:
 		return 0, io.EOF
-	case u.failed != nil:
-		return 0, u.failed
+	case s.err != nil:
+		return 0, s.err
 	case len(b) == 0:
 		return 0, nil
 	}
 	now := time.Now()
-	end := u.began.Add(bodyGrace + time.Duration(float64(u.got)/bodyRate*float64(time.Second)))
-	if pause := now.Add(bodyPause); u.got == 0 || pause.Before(end) {
-		end = pause
+	deadline := s.startedAt.Add(bodyRateGrace + time.Duration(float64(s.received)/minBodyRate*float64(time.Second)))
+	if stallDeadline := now.Add(bodyReadTimeout); s.received == 0 || stallDeadline.Before(deadline) {
+		deadline = stallDeadline
 	}
-	u.c.SetReadDeadline(end)
-	if u.ended.Load() { // guards against an end that came just before
-		u.c.SetReadDeadline(time.Unix(1, 0))
+	s.controller.SetReadDeadline(deadline)
+	if s.ended.Load() { // end may have been called before the deadline was set
+		s.controller.SetReadDeadline(time.Unix(1, 0))
 	}
-	n, err := u.body.Read(b)
-	u.got += int64(n)
+	n, err := s.body.Read(b)
+	s.received += int64(n)
 	switch {
-	case errors.Is(err, io.EOF) || err == nil && u.got == u.length:
-		u.finish()
-		if u.whole != nil {
-			u.whole()
+	case errors.Is(err, io.EOF) || err == nil && s.received == s.length:
+		s.markComplete()
+		if s.onComplete != nil {
+			s.onComplete()
 		}
 		err = nil
 		if n == 0 {
 			err = io.EOF
 		}
-	case err == nil && u.got > bounded.MaxBodyLength:
-		u.failed = errTooLong
+	case err == nil && s.received > bounded.MaxBodyLength:
+		s.err = errTooLong
 	case err != nil:
-		u.failed = err
+		s.err = err
 	}
 	return n, err
 }
 
-// finish notes that the last byte has come. What is wholly taken is never cut
-// off, so the time-out ends with it.
-func (u *upload) finish() {
-	if !u.done {
-		u.done, u.doneAt = true, time.Now()
-		u.c.SetReadDeadline(time.Time{})
+// markComplete records that the last byte has been read, and removes the read deadline:
+// a complete request is not cut off.
+func (s *streamedBody) markComplete() {
+	if !s.done {
+		s.done, s.completedAt = true, time.Now()
+		s.controller.SetReadDeadline(time.Time{})
 	}
 }
 
-// discard reads and forgets what still comes after an early answer, until a
-// time: guards against an answer that is lost because its connection was
-// closed on a client that still writes.
-func (u *upload) discard(until time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.done || u.failed != nil || u.ended.Load() {
+// discard reads and drops the rest of the body after an early response, until the given
+// time. Guards against losing the response by closing the connection while the client still
+// writes.
+func (s *streamedBody) discard(until time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.done || s.err != nil || s.ended.Load() {
 		return
 	}
-	u.c.SetReadDeadline(until)
-	io.Copy(io.Discard, io.LimitReader(u.body, bounded.MaxBodyLength))
-	u.failed = os.ErrDeadlineExceeded
+	s.controller.SetReadDeadline(until)
+	io.Copy(io.Discard, io.LimitReader(s.body, bounded.MaxBodyLength))
+	s.err = os.ErrDeadlineExceeded
 }
 
-// end lets nobody read any more, and waits for a read that goes on.
-func (u *upload) end() {
-	u.ended.Store(true)
-	if !u.mu.TryLock() {
-		u.c.SetReadDeadline(time.Unix(1, 0))
-		u.mu.Lock()
+// end forbids further reads and waits for a running one.
+func (s *streamedBody) end() {
+	s.ended.Store(true)
+	if !s.mu.TryLock() {
+		s.controller.SetReadDeadline(time.Unix(1, 0))
+		s.mu.Lock()
 	}
-	defer u.mu.Unlock()
-	if u.done && u.over != nil {
-		u.over()
+	defer s.mu.Unlock()
+	if s.done && s.onEnd != nil {
+		s.onEnd()
 	}
-	if !u.done && u.failed == nil {
-		u.failed = os.ErrDeadlineExceeded
+	if !s.done && s.err == nil {
+		s.err = os.ErrDeadlineExceeded
 	}
 }
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -21,68 +21,68 @@
 )
 
 const (
-	maxAhead   = 32 << 10               // bytes beyond the open request that are kept: clients send one at a time
-	aheadPiece = 2 << 10                // read at once of them
-	lateRead   = 100 * time.Millisecond // for what had come when its time was over
-	lingerMost = 300 * time.Millisecond // what a closed connection's client still sends is read for so long
+	maxReadAhead    = 32 << 10               // bytes kept beyond the open request: clients rarely pipeline
+	readAheadChunk  = 2 << 10                // bytes
+	lateReadTimeout = 100 * time.Millisecond // for bytes that arrived before the read timed out
+	lingerTimeout   = 300 * time.Millisecond // for reading what a client still sends after the close
 )
 
-// phase is what a client's connection is at.
+// phase is the phase of a client's connection.
 type phase int
 
 const (
-	fresh   phase = iota // no whole request yet
-	open                 // a request is being served
-	resting              // between requests
+	phaseNew  phase = iota // no complete request yet
+	phaseOpen              // a request is being served
+	phaseIdle              // between requests
 )
 
-// client is a client's connection. One lock orders what is read against the end: what was
-// handed out before it is served and answered; what comes after it is dropped, so that its
-// client, which sees the connection end, may send it anew. While a request is open it
-// reads on, so that a client that has gone is noticed behind whatever it had sent.
-type client struct {
+// clientConn is a connection of a client. Its lock orders reads and the close: requests read
+// before the close are served and answered, later ones are dropped, so that a client that
+// sees the close without a response may safely resend. While a request is open the
+// connection is read ahead to notice when the client closes it.
+type clientConn struct {
 	*net.TCPConn
-	conns  *clientConns
-	number uint64 // of this process, from 1 on
-	opened time.Time
-
-	mu        sync.Mutex
-	requests  int       // whose head has been read so far
-	handed    int64     // bytes that net/http was given since the last request
-	lastRead  time.Time // when the last of them was read
-	receiving bool      // the open request's body has not come whole
-	seen      []byte    // read since the last request, as net/http forgets a Content-Length beside a Transfer-Encoding; bounded.MaxHeaderBytes at most
-	ahead     []byte    // read beyond the open request and not handed out yet; maxAhead at most
-	phase     phase
-	ended     bool  // nothing that is read from here on is handed out
-	gone      error // what showed that the client has gone
-	flooded   bool  // bytes beyond maxAhead were dropped: no further request can be read
-	abrupt    bool  // it is reset, whatever is unread
-	lingering bool
-	answered  bool   // something of the open request's answer was written
-	request   string // id of the open request, once that is known
-	passesOn  bool   // the open request's answer is passed on in pieces
-	timedOut  bool   // the time for a request was over with nothing unread
+	owner    *clientConns
+	number   uint64 // within this process, from 1
+	openedAt time.Time
+
+	mu              sync.Mutex
+	requests        int       // heads read so far
+	delivered       int64     // bytes returned to net/http since the last request
+	lastRead        time.Time // of the last delivered byte
+	receivingBody   bool      // the open request's body is incomplete
+	recorded        []byte    // first bounded.MaxHeaderBytes bytes delivered since the last request
+	readAhead       []byte    // read beyond the open request and not delivered yet; at most maxReadAhead
+	phase           phase
+	closed          bool  // nothing more is delivered
+	goneErr         error // the read error that showed that the client has gone
+	readAheadFull   bool  // bytes beyond maxReadAhead were dropped: no further request can be read
+	resetOnClose    bool  // Close resets the connection
+	lingering       bool
+	responseStarted bool   // part of the open request's response was written
+	request         string // id of the open request, once known
+	streaming       bool   // the open request's response is streamed
+	readTimedOut    bool   // a read timed out with no bytes waiting
 }
 
-// Read is net/http's. While a request is open it asks for a single byte, to notice that
-// the client has gone.
-func (c *client) Read(b []byte) (int, error) {
+// Read is called by net/http. While a request is open net/http reads a single byte in the
+// background to notice that the client has gone.
+func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	watch := c.phase == open && len(b) == 1
+	watching := c.phase == phaseOpen && len(b) == 1
 	switch {
-	case c.ended || c.flooded && !watch && len(c.ahead) == 0:
+	case c.closed || c.readAheadFull && !watching && len(c.readAhead) == 0:
 		c.mu.Unlock()
 		return 0, net.ErrClosed
-	case c.gone != nil:
+	case c.goneErr != nil:
 		c.mu.Unlock()
-		return 0, c.gone
-	case len(c.ahead) > 0 && !watch:
-		n := copy(b, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
+		return 0, c.goneErr
+	case len(c.readAhead) > 0 && !watching:
+		n := copy(b, c.readAhead)
+		if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+			c.readAhead = nil
 		}
-		c.note(b[:n])
+		c.record(b[:n])
 		c.mu.Unlock()
 		return n, nil
 	}
@@ -90,50 +90,50 @@
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return 0, net.ErrClosed
 	}
-	if !watch {
-		if n == 0 && isTimeout(err) && c.phase != open {
+	if !watching {
+		if n == 0 && isTimeout(err) && c.phase != phaseOpen {
 			n, err = c.readLate(b, err)
 		}
-		c.note(b[:n])
+		c.record(b[:n])
 		return n, err
 	}
-	for piece := b[:n]; ; piece = piece[:n] {
-		if room := maxAhead - len(c.ahead); len(piece) > room {
-			c.flooded, piece = true, piece[:room]
+	for chunk := b[:n]; ; chunk = chunk[:n] {
+		if space := maxReadAhead - len(c.readAhead); len(chunk) > space {
+			c.readAheadFull, chunk = true, chunk[:space]
 		}
-		c.ahead = append(c.ahead, piece...)
+		c.readAhead = append(c.readAhead, chunk...)
 		if err != nil {
-			if !isTimeout(err) { // net/http ends the watch with a time-out
-				c.gone = err
+			if !isTimeout(err) { // net/http ends its background read with a timeout
+				c.goneErr = err
 			}
 			return 0, err
 		}
-		if cap(piece) < aheadPiece {
-			piece = make([]byte, aheadPiece)
+		if cap(chunk) < readAheadChunk {
+			chunk = make([]byte, readAheadChunk)
 		}
-		piece = piece[:cap(piece)]
+		chunk = chunk[:cap(chunk)]
 		c.mu.Unlock()
-		n, err = c.TCPConn.Read(piece)
+		n, err = c.TCPConn.Read(chunk)
 		c.mu.Lock()
-		if c.ended {
+		if c.closed {
 			return 0, net.ErrClosed
 		}
 	}
 }
 
-// readLate takes a read whose time was over. What had come by then is read all the same:
-// guards against a request that waits unread because the process stood still, and is cut
-// off by the time that it was to come in. The caller holds the lock.
-func (c *client) readLate(b []byte, late error) (int, error) {
+// readLate handles a read that timed out. Bytes that had arrived by then are read all the
+// same. Guards against rejecting a request that waited unread during a process pause. The
+// caller holds the lock.
+func (c *clientConn) readLate(b []byte, timeoutErr error) (int, error) {
 	if !bounded.HasUnread(c.TCPConn) {
-		c.timedOut = true
-		return 0, late
+		c.readTimedOut = true
+		return 0, timeoutErr
 	}
-	c.SetReadDeadline(time.Now().Add(lateRead))
-	n, err := c.TCPConn.Read(b) // returns at once
+	c.SetReadDeadline(time.Now().Add(lateReadTimeout))
+	n, err := c.TCPConn.Read(b) // does not block
 	return n, err
 }
 
@@ -142,61 +142,62 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// note keeps what was handed out, for framing.
-func (c *client) note(b []byte) {
+// record keeps the bytes delivered to net/http, which hides how a body was framed: it drops
+// a Content-Length beside a Transfer-Encoding.
+func (c *clientConn) record(b []byte) {
 	if len(b) > 0 {
-		c.handed += int64(len(b))
+		c.delivered += int64(len(b))
 		c.lastRead = time.Now()
 	}
-	if room := bounded.MaxHeaderBytes - len(c.seen); room > 0 {
-		c.seen = append(c.seen, b[:min(len(b), room)]...)
+	if space := bounded.MaxHeaderBytes - len(c.recorded); space > 0 {
+		c.recorded = append(c.recorded, b[:min(len(b), space)]...)
 	}
 }
 
-// at takes what net/http says of the connection.
-func (c *client) at(p phase) {
+// setPhase follows the connection states reported by net/http.
+func (c *clientConn) setPhase(next phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch c.phase = p; p {
-	case open:
+	switch c.phase = next; next {
+	case phaseOpen:
 		c.requests++
-		c.answered, c.request, c.passesOn = false, "", false
-	case resting:
-		c.handed = c.beyond()
-		c.seen = c.seen[:0]
+		c.responseStarted, c.request, c.streaming = false, "", false
+	case phaseIdle:
+		c.delivered = c.bytesPastRequest()
+		c.recorded = c.recorded[:0]
 	}
 }
 
-// beyond is how many bytes have been handed out behind the request whose head was
-// handed out last: a part of the next one. The caller holds the lock.
-func (c *client) beyond() int64 {
-	head, _, whole := bytes.Cut(c.seen, endOfHead)
-	if !whole {
-		return 0 // it was longer than what is kept
+// bytesPastRequest returns how many bytes have been delivered beyond the request whose head
+// was read last. They belong to the next request. The caller holds the lock.
+func (c *clientConn) bytesPastRequest() int64 {
+	head, _, complete := bytes.Cut(c.recorded, headEnd)
+	if !complete {
+		return 0 // the head was longer than what is recorded
 	}
-	return max(0, c.handed-int64(len(head)+len(endOfHead))-bodyLength(head))
+	return max(0, c.delivered-int64(len(head)+len(headEnd))-bodyLength(head))
 }
 
-// more tells whether the head of a further request has been read already, behind the
-// open one: such a request is owed an answer too.
-func (c *client) more() bool {
+// hasNextRequest reports whether the head of a further request has been read behind the open
+// one. Such a request must be answered too.
+func (c *clientConn) hasNextRequest() bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.flooded {
+	if c.readAheadFull {
 		return false
 	}
-	behind := c.ahead
-	if n := c.beyond(); n > 0 && n <= int64(len(c.seen)) {
-		behind = slices.Concat(c.seen[int64(len(c.seen))-n:], c.ahead)
+	following := c.readAhead
+	if n := c.bytesPastRequest(); n > 0 && n <= int64(len(c.recorded)) {
+		following = slices.Concat(c.recorded[int64(len(c.recorded))-n:], c.readAhead)
 	}
-	return bytes.Contains(behind, endOfHead)
+	return bytes.Contains(following, headEnd)
 }
 
-// readAt is when the latest byte that was handed out was read.
-func (c *client) readAt() time.Time {
+// lastReadTime returns when the last delivered byte was read.
+func (c *clientConn) lastReadTime() time.Time {
 	if c == nil {
 		return time.Now()
 	}
@@ -205,19 +206,19 @@
 	return c.lastRead
 }
 
-// Write is net/http's. What it writes while a request is open is that request's answer,
-// but for the word that its body may come.
-func (c *client) Write(b []byte) (int, error) {
+// Write is called by net/http. What it writes while a request is open is that request's
+// response, except "100 Continue".
+func (c *clientConn) Write(b []byte) (int, error) {
 	if !bytes.HasPrefix(b, []byte("HTTP/1.1 100 ")) {
 		c.mu.Lock()
-		c.answered = true
+		c.responseStarted = true
 		c.mu.Unlock()
 	}
 	return c.TCPConn.Write(b)
 }
 
-// serves notes the id of the open request.
-func (c *client) serves(request string) {
+// setRequest records the id of the open request.
+func (c *clientConn) setRequest(request string) {
 	if c == nil {
 		return
 	}
@@ -226,195 +227,196 @@
 	c.request = request
 }
 
-// id is the connection's number; 0 for one that has none.
-func (c *client) id() uint64 {
+// id returns the connection's number; 0 if there is no connection.
+func (c *clientConn) id() uint64 {
 	if c == nil {
 		return 0
 	}
 	return c.number
 }
 
-// past tells how long the connection has been open and how many requests came on it
-// before the open one.
-func (c *client) past() (age time.Duration, requests int) {
+// history returns how long the connection has been open and how many requests preceded the
+// open one.
+func (c *clientConn) history() (age time.Duration, requests int) {
 	if c == nil {
 		return 0, 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.opened), c.requests - 1
+	return time.Since(c.openedAt), c.requests - 1
 }
 
-// closes counts the connection's end. The caller holds its lock.
-func (c *client) closes(why figures.Closed) {
-	c.conns.figures.ConnectionsClosed.Add(int(why))
-	c.conns.history.Add(eventlog.Event{Kind: eventlog.ConnectionClosed, Connection: c.number,
-		Reason: c.conns.figures.ConnectionsClosed.Word(int(why))})
+// recordClose counts the close of the connection. The caller holds the lock.
+func (c *clientConn) recordClose(reason figures.Closed) {
+	c.owner.figures.ConnectionsClosed.Add(int(reason))
+	c.owner.history.Add(eventlog.Event{Kind: eventlog.ConnectionClosed, Connection: c.number,
+		Reason: c.owner.figures.ConnectionsClosed.Word(int(reason))})
 }
 
-// last tells that no request can follow the open one.
-func (c *client) last() bool {
+// isLastRequest reports whether no request can follow the open one.
+func (c *clientConn) isLastRequest() bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.flooded
+	return c.readAheadFull
 }
 
-// endSilent closes the connection if no request has come on it that waits for its answer or
-// to be read. With partial, one of which a part has come is refused: its client is slow.
-func (c *client) endSilent(why figures.Closed, partial bool) bool {
+// closeIfIdle closes the connection unless a request on it waits to be read or answered, and
+// reports whether it did. With rejectPartial a partly received request is rejected and its
+// connection closed.
+func (c *clientConn) closeIfIdle(reason figures.Closed, rejectPartial bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch ending := c.state().CloseMode(); {
-	case ending == guard.RejectThenClose && partial && c.phase != open:
-		c.refuse(http.StatusServiceUnavailable, 0)
-	case ending != guard.CloseNow:
+	switch mode := c.state().CloseMode(); {
+	case mode == guard.RejectThenClose && rejectPartial && c.phase != phaseOpen:
+		c.writeRejection(http.StatusServiceUnavailable, 0)
+	case mode != guard.CloseNow:
 		return false
 	}
-	c.ended = true
-	c.closes(why)
+	c.closed = true
+	c.recordClose(reason)
 	c.TCPConn.Close()
 	return true
 }
 
-// state is what is known of the connection when it is to be ended. The caller holds the
-// lock.
-func (c *client) state() guard.Connection {
-	return guard.Connection{Closed: c.ended, RequestOpen: c.phase == open, ReceivingBody: c.receiving,
-		HeadPending: len(c.ahead) > 0 || bytes.Contains(c.seen, endOfHead), PartialRequest: c.handed > 0, UnreadData: !bounded.OpenAndIdle(c.TCPConn)}
+// state returns what decides how the connection may be closed. The caller holds the lock.
+func (c *clientConn) state() guard.Connection {
+	return guard.Connection{Closed: c.closed, RequestOpen: c.phase == phaseOpen, ReceivingBody: c.receivingBody,
+		HeadPending: len(c.readAhead) > 0 || bytes.Contains(c.recorded, headEnd), PartialRequest: c.delivered > 0, UnreadData: !bounded.OpenAndIdle(c.TCPConn)}
 }
 
-// receives notes that the open request's body is being read, and received that it has
-// come or never will. That gives false if the request has been answered meanwhile.
-func (c *client) receives() {
+// beginBody records that the open request's body is being read.
+func (c *clientConn) beginBody() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.receiving = true
+	c.receivingBody = true
 }
 
-func (c *client) received() bool {
+// endBody records that the open request's body is no longer being read. It returns false if
+// the connection was closed meanwhile.
+func (c *clientConn) endBody() bool {
 	if c == nil {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.receiving = false
-	return !c.ended
+	c.receivingBody = false
+	return !c.closed
 }
 
-// endUnfinished answers a request that has not come whole, and ends the connection.
-func (c *client) endUnfinished(a node.Response) {
+// rejectUnfinished answers a partly received request and closes the connection.
+func (c *clientConn) rejectUnfinished(response node.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state().CloseMode() != guard.RejectThenClose {
 		return
 	}
-	c.ended = true
-	c.closes(figures.ClosedAnswered)
-	c.refuse(a.Status, a.RetryAfter)
+	c.closed = true
+	c.recordClose(figures.ClosedAnswered)
+	c.writeRejection(response.Status, response.RetryAfter)
 	c.linger()
 }
 
-// refuse answers what has not come whole. The caller holds the lock.
-func (c *client) refuse(status int, holdOff time.Duration) {
+// writeRejection answers a partly received request. The caller holds the lock.
+func (c *clientConn) writeRejection(status int, delay time.Duration) {
 	retryAfter := ""
-	if holdOff > 0 {
-		retryAfter = fmt.Sprintf("Retry-After: %.3f\r\n", holdOff.Seconds())
+	if delay > 0 {
+		retryAfter = fmt.Sprintf("Retry-After: %.3f\r\n", delay.Seconds())
 	}
-	c.TCPConn.SetWriteDeadline(time.Now().Add(lingerMost))
+	c.TCPConn.SetWriteDeadline(time.Now().Add(lingerTimeout))
 	fmt.Fprintf(c.TCPConn, "HTTP/1.1 %d %s\r\nConnection: close\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), retryAfter)
 }
 
-// owes tells whether a request on it is without its whole answer, which is to be written
-// at once when it is there.
-func (c *client) owes() bool {
+// responsePending reports whether a request is open whose response is still to be written,
+// other than a streamed one.
+func (c *clientConn) responsePending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.phase == open && !c.passesOn && !c.ended
+	return c.phase == phaseOpen && !c.streaming && !c.closed
 }
 
-// passes notes that the open request's answer is passed on in pieces.
-func (c *client) passes() {
+// setStreaming records that the open request's response is streamed.
+func (c *clientConn) setStreaming() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.passesOn = true
+	c.streaming = true
 }
 
-// left tells whether the client has gone, also if net/http has not noticed yet: a process
-// that was held up reads a request and the end behind it in one moment.
-func (c *client) left() bool {
+// clientGone reports whether the client has gone, even if net/http has not noticed: after a
+// process pause a request and the close behind it are read at once.
+func (c *clientConn) clientGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gone != nil || bounded.PeerClosed(c.TCPConn)
+	return c.goneErr != nil || bounded.PeerClosed(c.TCPConn)
 }
 
-// lingers tells whether the connection is still open although it was closed.
-func (c *client) lingers() bool {
+// isLingering reports whether the socket is still open after Close.
+func (c *clientConn) isLingering() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lingering
 }
 
-// reset has Close reset the connection: its client can tell that what it got is not whole.
-func (c *client) reset() {
+// reset makes Close reset the connection, so that the client sees a truncated response.
+func (c *clientConn) reset() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.abrupt = true
+	c.resetOnClose = true
 	c.SetLinger(0)
 }
 
-// Close ends the connection. If its client has sent more than was read, a plain close
-// would reset it, and what it was just answered might be lost: then only the sending is
-// ended, and what still comes is read and dropped for a while.
-func (c *client) Close() error {
+// Close closes the connection. If the client has sent more than was read, a plain close
+// would reset the connection and might destroy the last response. Then only the sending side
+// is closed, and the socket is read for a while.
+func (c *clientConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return nil
 	}
-	c.ended = true
-	whole := bytes.Contains(c.seen, endOfHead)
+	c.closed = true
+	headComplete := bytes.Contains(c.recorded, headEnd)
 	switch {
-	case c.gone != nil:
-		c.closes(figures.ClosedByClient)
-	case c.phase == open && c.answered:
-		c.closes(figures.ClosedAnswered)
-	case c.phase == open && whole:
-		c.closes(figures.ClosedUnanswered)
-		c.conns.checker.Broken(invariant.Unanswered, c.request, "connection %d was closed, open for %v", c.number, time.Since(c.opened))
-	case c.timedOut:
-		c.closes(figures.ClosedTimeout)
+	case c.goneErr != nil:
+		c.recordClose(figures.ClosedByClient)
+	case c.phase == phaseOpen && c.responseStarted:
+		c.recordClose(figures.ClosedAnswered)
+	case c.phase == phaseOpen && headComplete:
+		c.recordClose(figures.ClosedUnanswered)
+		c.owner.checker.Broken(invariant.Unanswered, c.request, "connection %d was closed, open for %v", c.number, time.Since(c.openedAt))
+	case c.readTimedOut:
+		c.recordClose(figures.ClosedTimeout)
 		switch {
-		case c.handed > 0: // its last byte may be on its way
-			c.refuse(http.StatusRequestTimeout, 0)
+		case c.delivered > 0: // the rest of the request may be on its way
+			c.writeRejection(http.StatusRequestTimeout, 0)
 			return c.linger()
-		case bounded.HasUnread(c.TCPConn): // it came in this moment, and nobody will read it
-			c.refuse(http.StatusServiceUnavailable, 0)
+		case bounded.HasUnread(c.TCPConn): // a request arrived just now and will not be read
+			c.writeRejection(http.StatusServiceUnavailable, 0)
 			return c.linger()
 		}
 	default:
-		c.closes(figures.ClosedByClient)
+		c.recordClose(figures.ClosedByClient)
 	}
-	if c.abrupt || bounded.OpenAndIdle(c.TCPConn) {
+	if c.resetOnClose || bounded.OpenAndIdle(c.TCPConn) {
 		return c.TCPConn.Close()
 	}
 	return c.linger()
 }
 
-// linger ends the sending; what still comes is read and dropped for a while. The caller
-// holds the lock.
-func (c *client) linger() error {
+// linger closes the sending side and then reads and drops what still arrives for a while.
+// The caller holds the lock.
+func (c *clientConn) linger() error {
 	if c.CloseWrite() != nil {
 		return c.TCPConn.Close()
 	}
@@ -422,20 +424,20 @@
 	go func() {
 		c.discardRest()
 		c.TCPConn.Close()
-		c.conns.lingered()
+		c.owner.onLingerEnd()
 	}()
 	return nil
 }
 
-// discardRest reads and drops what still comes, for a while.
-func (c *client) discardRest() {
-	c.SetReadDeadline(time.Now().Add(lingerMost))
+// discardRest reads and drops what still arrives, for a limited time.
+func (c *clientConn) discardRest() {
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	io.Copy(io.Discard, io.LimitReader(c.TCPConn, bounded.MaxBodyLength))
 }
 
-var endOfHead = []byte("\r\n\r\n")
+var headEnd = []byte("\r\n\r\n")
 
-// bodyLength is the Content-Length that a head names; 0 if it names none.
+// bodyLength returns the Content-Length of a head; 0 if it has none.
 func bodyLength(head []byte) int64 {
 	for line := range bytes.Lines(head) {
 		name, value, found := bytes.Cut(line, []byte(":"))
@@ -449,30 +451,30 @@
 	return 0
 }
 
-// How the body behind a head is framed.
-type framing int
+// bodyFraming is how the body behind a head is framed.
+type bodyFraming int
 
 const (
-	unclear  framing = iota // by two things at once, or the head was not kept whole
-	byLength                // by Content-Length, or there is no body
-	byChunks
+	framingAmbiguous bodyFraming = iota // two framings at once, or the head was not recorded completely
+	framingLength                       // by Content-Length, or there is no body
+	framingChunked
 )
 
-// framing tells how the body behind the head that was read last is framed.
-func (c *client) framing() framing {
+// framing returns how the body behind the last head is framed.
+func (c *clientConn) framing() bodyFraming {
 	if c == nil {
-		return unclear // a connection whose bytes are not kept
+		return framingAmbiguous // the bytes were not recorded
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	head, _, whole := bytes.Cut(c.seen, endOfHead)
+	head, _, complete := bytes.Cut(c.recorded, headEnd)
 	head = bytes.ToLower(head)
-	chunks, length := bytes.Contains(head, []byte("\ntransfer-encoding:")), bytes.Contains(head, []byte("\ncontent-length"))
+	chunked, hasLength := bytes.Contains(head, []byte("\ntransfer-encoding:")), bytes.Contains(head, []byte("\ncontent-length"))
 	switch {
-	case !whole || chunks && length:
-		return unclear
-	case chunks:
-		return byChunks
+	case !complete || chunked && hasLength:
+		return framingAmbiguous
+	case chunked:
+		return framingChunked
 	}
-	return byLength
+	return framingLength
 }
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -16,189 +16,187 @@
 	"ivylock/internal/node"
 )
 
-// clientConns keeps the number of client connections within its budget, so
-// that the process never runs out of descriptors. At the budget the next one
-// waits in the kernel's backlog until there is room, which is made by closing
-// the longest silent connection: first one that never sent a whole request,
-// else one between requests. A fresh one is spared, as it may have a request
-// on its way.
+// clientConns keeps the number of client connections within a limit, so that the process
+// does not run out of descriptors. At the limit, new connections wait in the kernel's backlog
+// until idle ones are evicted: first the one that has been open longest without a complete
+// request, then the one that has been idle longest between requests. New connections are
+// spared for a moment, as their first request may be on its way.
 type clientConns struct {
 	*accept.Listener
-	most  int
-	mu    sync.Mutex
-	open  int
-	ends  bool                   // the front drains: who waits to come in has little time left
-	fresh map[net.Conn]time.Time // since when: no whole request yet
-	idle  map[net.Conn]time.Time // between requests
-	all   map[*client]bool
-	closing
-
-	turningAway  chan struct{}        // holds one for each connection that is being turned away
-	endingAnswer func() node.Response // what those are answered
-
-	figures *figures.Set
-	history *eventlog.Log // nil: nothing is kept
-	checker *invariant.Checker
-	numbers atomic.Uint64 // of connections accepted so far
+	limit    int
+	mu       sync.Mutex
+	open     int
+	draining bool                   // connections in the backlog have little time left
+	fresh    map[net.Conn]time.Time // opened, without a complete request so far
+	idle     map[net.Conn]time.Time // idle since, between requests
+	all      map[*clientConn]bool
+	listenerState
+
+	rejecting        chan struct{}        // semaphore of connections that are being rejected
+	shutdownResponse func() node.Response // the response to those
+
+	figures    *figures.Set
+	history    *eventlog.Log // nil if no events are kept
+	checker    *invariant.Checker
+	lastNumber atomic.Uint64 // number of the latest connection
 }
 
-func newClientConns(l net.Listener, most int, count *figures.Set, history *eventlog.Log, checker *invariant.Checker) *clientConns {
-	again := accept.New(l, func(err error) { count.AcceptErrors.Add(neterr.Number(err)) })
-	return &clientConns{Listener: again, most: most, fresh: map[net.Conn]time.Time{}, idle: map[net.Conn]time.Time{}, all: map[*client]bool{},
-		closing: closing{emptied: make(chan struct{}), closed: make(chan struct{})}, turningAway: make(chan struct{}, mostTurnedAway), figures: count, history: history, checker: checker}
+func newClientConns(listener net.Listener, limit int, metrics *figures.Set, history *eventlog.Log, checker *invariant.Checker) *clientConns {
+	retrying := accept.New(listener, func(err error) { metrics.AcceptErrors.Add(neterr.Number(err)) })
+	return &clientConns{Listener: retrying, limit: limit, fresh: map[net.Conn]time.Time{}, idle: map[net.Conn]time.Time{}, all: map[*clientConn]bool{},
+		listenerState: listenerState{backlogEmpty: make(chan struct{}), closed: make(chan struct{})}, rejecting: make(chan struct{}, maxRejecting), figures: metrics, history: history, checker: checker}
 }
 
-// room tells whether there is room, and makes some if there is none.
-func (c *clientConns) room(now time.Time) bool {
+// makeRoom reports whether the limit allows one more connection. If not, it evicts some.
+func (c *clientConns) makeRoom(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open < c.most {
+	if c.open < c.limit {
 		return true
 	}
-	spare := idleSpare
-	if c.ends { // guards against a reset, at the end of the listening, of those that wait for room
-		spare = restSpare
+	minIdle := minIdleAge
+	if c.draining { // guards against a reset of waiting connections when the listener closes
+		minIdle = minIdleAtShutdown
 	}
-	for range roomBatch {
-		if !closeLongest(c.fresh, now.Add(-freshSpare)) && !closeLongest(c.idle, now.Add(-spare)) {
+	for range evictBatch {
+		if !closeLongestIdle(c.fresh, now.Add(-minNewConnAge)) && !closeLongestIdle(c.idle, now.Add(-minIdle)) {
 			break
 		}
 	}
-	return false // until the server tells that it is closed
+	return false // until the server reports the closed state
 }
 
-// drains takes that the front drains.
-func (c *clientConns) drains() {
+// setDraining records that the front end is draining.
+func (c *clientConns) setDraining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ends = true
+	c.draining = true
 }
 
-// setMost changes the budget. Connections above it end with their answers.
-func (c *clientConns) setMost(most int) {
+// setLimit sets the limit. Connections above it are closed after their responses.
+func (c *clientConns) setLimit(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = most
+	c.limit = limit
 }
 
-// count tells how many connections are open.
+// count returns the number of open connections.
 func (c *clientConns) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.open
 }
 
-// crowded tells that the budget is nearly spent. Connections then end with
-// their answers: guards against idle ones, which may not be closed at once,
-// that keep all others waiting.
-func (c *clientConns) crowded() bool {
+// nearLimit reports whether the limit is nearly reached. Connections are then closed after
+// their responses. Guards against idle connections, which may not be evicted at once,
+// blocking new ones.
+func (c *clientConns) nearLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return 4*c.open > 3*c.most
+	return 4*c.open > 3*c.limit
 }
 
-// closeLongest closes the connection that has been silent longest, if it has
-// been so since before a time. One on which something waits to be read is not
-// silent: guards against a request that is lost because this process had no
-// core for as long as that.
-func closeLongest(silent map[net.Conn]time.Time, before time.Time) bool {
-	var longest net.Conn
-	for conn, since := range silent {
-		if c, is := conn.(*client); is && !bounded.OpenAndIdle(c.TCPConn) {
+// closeLongestIdle closes the connection that has been idle longest, if it was idle before
+// the given time. Connections with unread data are not idle. Guards against losing a request
+// because this process was not scheduled for that long.
+func closeLongestIdle(idle map[net.Conn]time.Time, before time.Time) bool {
+	var oldest net.Conn
+	for conn, since := range idle {
+		if client, ok := conn.(*clientConn); ok && !bounded.OpenAndIdle(client.TCPConn) {
 			continue
 		}
 		if since.Before(before) {
-			longest, before = conn, since
+			oldest, before = conn, since
 		}
 	}
-	if longest == nil {
+	if oldest == nil {
 		return false
 	}
-	delete(silent, longest)
-	if c, is := longest.(*client); is {
-		return c.endSilent(figures.ClosedForRoom, true)
+	delete(idle, oldest)
+	if client, ok := oldest.(*clientConn); ok {
+		return client.closeIfIdle(figures.ClosedForRoom, true)
 	}
-	longest.Close()
+	oldest.Close()
 	return true
 }
 
-// endIdle closes connections that have been idle, or unused, since before a time, and on
-// which no part of a request has come.
-func (c *clientConns) endIdle(before time.Time) {
+// closeIdleSince closes connections that have been idle since before the given time and on
+// which no part of a request has arrived.
+func (c *clientConns) closeIdleSince(before time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, silent := range []map[net.Conn]time.Time{c.fresh, c.idle} {
-		for conn, since := range silent {
-			if k, is := conn.(*client); is && since.Before(before) {
-				k.endSilent(figures.ClosedDraining, false)
+	for _, conns := range []map[net.Conn]time.Time{c.fresh, c.idle} {
+		for conn, since := range conns {
+			if client, ok := conn.(*clientConn); ok && since.Before(before) {
+				client.closeIfIdle(figures.ClosedDraining, false)
 			}
 		}
 	}
 }
 
-// refuseUnfinished ends connections on which a part of a request has come, and no more,
-// with an answer: its last byte may be on its way.
-func (c *clientConns) refuseUnfinished(a node.Response) {
+// rejectUnfinished answers connections on which only a part of a request has arrived, whose
+// rest may be on its way, and closes them.
+func (c *clientConns) rejectUnfinished(response node.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k := range c.all {
-		k.endUnfinished(a)
+	for client := range c.all {
+		client.rejectUnfinished(response)
 	}
 }
 
-// owed counts connections with a request whose answer has not been written. One whose
-// answer is passed on takes as long as its client and server do, and is not counted.
-func (c *clientConns) owed() (n int) {
+// pendingResponses counts connections with a request whose response has not been written.
+// Streamed responses last as long as their client and server take and are not counted.
+func (c *clientConns) pendingResponses() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k := range c.all {
-		if k.owes() {
+	for client := range c.all {
+		if client.responsePending() {
 			n++
 		}
 	}
 	return n
 }
 
-// census counts connections by what they are at.
-func (c *clientConns) census() (withoutRequest, idle, withOpenRequest int) {
+// countByPhase counts connections by their phase.
+func (c *clientConns) countByPhase() (withoutRequest, idle, withOpenRequest int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.fresh), len(c.idle), c.open - len(c.fresh) - len(c.idle)
 }
 
-// track is the server's ConnState hook.
-func (c *clientConns) track(conn net.Conn, state http.ConnState) {
+// onConnState is the server's ConnState hook.
+func (c *clientConns) onConnState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.fresh, conn)
 	delete(c.idle, conn)
-	cl, is := conn.(*client)
+	client, ok := conn.(*clientConn)
 	switch state {
 	case http.StateNew:
 		c.open++
 		c.fresh[conn] = time.Now()
-		if is {
-			c.all[cl] = true
+		if ok {
+			c.all[client] = true
 		}
 	case http.StateActive:
-		if is {
-			cl.at(open)
+		if ok {
+			client.setPhase(phaseOpen)
 		}
 	case http.StateIdle:
-		if is {
-			cl.at(resting)
+		if ok {
+			client.setPhase(phaseIdle)
 		}
 		c.idle[conn] = time.Now()
 	case http.StateClosed, http.StateHijacked:
-		delete(c.all, cl)
-		if !is || !cl.lingers() {
+		delete(c.all, client)
+		if !ok || !client.isLingering() {
 			c.open--
 		}
 	}
 }
 
-// lingered takes the end of a connection that net/http had closed before.
-func (c *clientConns) lingered() {
+// onLingerEnd counts the end of a connection that was still open after its Close.
+func (c *clientConns) onLingerEnd() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open--
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -64,7 +64,7 @@
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
 	id := 0
 	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": get("x")[:40],
-		"a whole one": get("y"), "many": strings.Repeat(get("z"), 3*maxAhead/len(get("z")))} {
+		"a whole one": get("y"), "many": strings.Repeat(get("z"), 3*maxReadAhead/len(get("z")))} {
 		for how, leave := range map[string]func(*net.TCPConn){
 			"close": func(c *net.TCPConn) { c.Close() }, "half-close": func(c *net.TCPConn) { c.CloseWrite() },
 			"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }} {
@@ -119,12 +119,12 @@
 		switch what {
 		case "room":
 			n.front.SetMaxConns(1)
-			n.front.clients.room(time.Now().Add(time.Minute)) // all have been silent for long
+			n.front.clients.makeRoom(time.Now().Add(time.Minute)) // all have been silent for long
 		case "shutdown":
 			n.stop()
 			wait(t, "the drain goes on", func() bool { return n.front.draining.Load() })
 			<-n.front.clients.closed
-			n.front.clients.endIdle(time.Now().Add(time.Minute))
+			n.front.clients.closeIdleSince(time.Now().Add(time.Minute))
 		case "close":
 			c.Close()
 			select {
@@ -250,11 +250,11 @@
 			<-h.reached // it has been read, and nobody was told yet
 			if end == "room" {
 				h.front.SetMaxConns(1)
-				h.front.clients.room(time.Now().Add(time.Minute)) // all have been silent for long
+				h.front.clients.makeRoom(time.Now().Add(time.Minute)) // all have been silent for long
 			} else {
 				h.stop()
 				wait(t, "the drain goes on", func() bool { return h.front.draining.Load() })
-				h.front.clients.endIdle(time.Now().Add(time.Minute))
+				h.front.clients.closeIdleSince(time.Now().Add(time.Minute))
 			}
 			close(h.let)
 			resp, err := http.ReadResponse(r, nil)
@@ -307,7 +307,7 @@
 	t.Parallel()
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
-	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: idleSpare * 3 / 4, ServeUntil: idleSpare, AnswerBy: 2 * idleSpare, ExitBy: 2 * idleSpare})
+	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: minIdleAge * 3 / 4, ServeUntil: minIdleAge, AnswerBy: 2 * minIdleAge, ExitBy: 2 * minIdleAge})
 	for _, id := range []string{"rests", "is let in by an accept that had room", "waits"} {
 		c := dial(t, n.url)
 		io.WriteString(c, get(strings.ReplaceAll(id, " ", "-")))
@@ -339,13 +339,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours := got.(*client)
-	conns.track(ours, http.StateNew)
-	conns.track(ours, http.StateActive)
-	if ours.endSilent(figures.ClosedDraining, true) {
+	ours := got.(*clientConn)
+	conns.onConnState(ours, http.StateNew)
+	conns.onConnState(ours, http.StateActive)
+	if ours.closeIfIdle(figures.ClosedDraining, true) {
 		t.Error("ended with a request open")
 	}
-	conns.track(ours, http.StateIdle)
+	conns.onConnState(ours, http.StateIdle)
 	// The read has the bytes in its hands when the end comes: with the lock held they have
 	// left the kernel, and it waits to hand them out.
 	read := make(chan error, 1)
@@ -360,7 +360,7 @@
 		for end := time.Now().Add(100 * time.Millisecond); !crossed && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			crossed = bounded.OpenAndIdle(ours.TCPConn)
 		}
-		ours.ended = crossed
+		ours.closed = crossed
 		ours.mu.Unlock()
 		if err := <-read; crossed != errors.Is(err, net.ErrClosed) {
 			t.Errorf("read in the moment of the end: %v", err)
@@ -383,8 +383,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours := got.(*client)
-	conns.track(ours, http.StateNew)
+	ours := got.(*clientConn)
+	conns.onConnState(ours, http.StateNew)
 	io.WriteString(theirs, get("unread"))
 	wait(t, "the bytes are there", func() bool { return !bounded.OpenAndIdle(ours.TCPConn) })
 	ours.SetNoDelay(false)
@@ -393,7 +393,7 @@
 		io.WriteString(ours, piece)
 	}
 	ours.Close()
-	conns.track(ours, http.StateClosed)
+	conns.onConnState(ours, http.StateClosed)
 	if conns.count() != 1 {
 		t.Error("its descriptor is no more counted")
 	}
@@ -649,7 +649,7 @@
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
 	texts := []string{"", "G", get("x")[:50], get("y"), strings.Repeat(get("z"), 20), strings.Repeat("x", 9<<10), "\x00\x01\r\n\r\n",
 		"POST /order/a HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 900\r\nContent-Length: 90\r\n\r\nhalf",
-		strings.Repeat(get("f"), 2*maxAhead/len(get("f")))}
+		strings.Repeat(get("f"), 2*maxReadAhead/len(get("f")))}
 	wave := func(count int) {
 		var all sync.WaitGroup
 		for i := range count {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,4 @@
-// Package front takes requests from clients over HTTP/1.1 and hands them to a
-// node, in the form of the protocol page.
+// Package front serves clients over HTTP/1.1 and hands their requests to a node.
 package front
 
 import (
@@ -26,183 +25,187 @@
 )
 
 const (
-	maxPatience = time.Hour // a longer Request-Timeout-Ms is taken for a mistake
+	maxRequestTimeout = time.Hour // a longer Request-Timeout-Ms is rejected as a mistake
 
-	// A client may spend 2 s on a head; an incomplete request is owed an error
-	// or a close within 3 s.
-	headTime   = 2500 * time.Millisecond // for the head, from the connection's start or the head's first byte
-	clientIdle = 2 * time.Second         // between requests
+	// Clients may take 2 s for a request head; an incomplete request must get an error or a
+	// close within 3 s.
+	headTimeout       = 2500 * time.Millisecond // from the connection's start or the head's first byte
+	clientIdleTimeout = 2 * time.Second         // between requests
 
-	restSpare  = 50 * time.Millisecond // no earlier is an idle connection closed at a shutdown: its next request may be in net/http's buffer
-	freshSpare = 50 * time.Millisecond // a connection's first request comes right behind it
-	pieceSize  = 32 << 10              // of an answer that is passed on
-	stallTime  = 5 * time.Second       // in which a client must take a piece
+	// minIdleAtShutdown is how long a connection must have been idle before a shutdown closes
+	// it: its next request may be in net/http's buffer.
+	minIdleAtShutdown = 50 * time.Millisecond
+	minNewConnAge     = 50 * time.Millisecond // before eviction: the first request follows the connect
+	streamBufferSize  = 32 << 10              // bytes
+	writeStallTimeout = 5 * time.Second       // for each write of a streamed response
 
-	idleSpare = 2 * time.Second // no earlier may an idle connection be closed
-	roomBatch = 16              // how many are closed at once: a crowd comes by hundreds
-	roomPause = 2 * time.Millisecond
+	minIdleAge   = 2 * time.Second // before an idle connection may be evicted
+	evictBatch   = 16              // connections evicted at once
+	pollInterval = 2 * time.Millisecond
 
-	maxLateLines = 100 // of the log in one shutdown
+	maxLateLogLines = 100 // per shutdown
 
-	kicks     = 20 // at an accept that keeps the listener from closing
-	kickPause = 10 * time.Millisecond
+	unblockAttempts = 20 // dials to wake an accept that keeps the listener from closing
+	unblockInterval = 10 * time.Millisecond
 )
 
-// HTTP is the front. Its methods may be called from several goroutines.
+// HTTP is the front end for clients. It is safe for concurrent use.
 type HTTP struct {
-	// SharedListener says that the platform holds the listening socket: what waits at it when this
-	// process closes it is not reset, and the next process takes it. It is set before Serve.
+	// SharedListener means that the listening socket outlives this process. Connections in
+	// its backlog are not reset when this process closes it but are left to the next process.
+	// It is set before Serve.
 	SharedListener bool
 
-	node      *node.Node
-	classes   map[string]balance.Class
-	bodies    *bodies
-	server    *http.Server
-	clients   *clientConns
-	draining  atomic.Bool
-	lateLines atomic.Int64
-	accepted  chan struct{} // closed when the last connection has been accepted, and is counted
-	drained   chan struct{} // closed when Drain has ended
+	node         *node.Node
+	classes      map[string]balance.Class
+	bodies       *bodyReader
+	server       *http.Server
+	clients      *clientConns
+	draining     atomic.Bool
+	lateLogLines atomic.Int64
+	acceptDone   chan struct{} // closed once the last connection has been accepted and counted
+	drainDone    chan struct{} // closed when Drain returns
 }
 
-// New makes a front for a node, on a listener, with so many client
-// connections at most and so many bytes for long bodies, all together.
-func New(n *node.Node, listener net.Listener, classes []balance.Class, most int, room int64) *HTTP {
-	f := &HTTP{node: n, classes: map[string]balance.Class{}, accepted: make(chan struct{}), drained: make(chan struct{}), bodies: newBodies(room), clients: newClientConns(listener, most, n.Metrics(), n.History(), n.Checker())}
-	f.clients.endingAnswer = n.ShutdownResponse
+// New returns a front end for a node. It serves at most maxConns client connections and
+// buffers at most bodyBudget bytes for long request bodies in total.
+func New(n *node.Node, listener net.Listener, classes []balance.Class, maxConns int, bodyBudget int64) *HTTP {
+	f := &HTTP{node: n, classes: map[string]balance.Class{}, acceptDone: make(chan struct{}), drainDone: make(chan struct{}), bodies: newBodyReader(bodyBudget), clients: newClientConns(listener, maxConns, n.Metrics(), n.History(), n.Checker())}
+	f.clients.shutdownResponse = n.ShutdownResponse
 	for _, c := range classes {
 		f.classes[c.Name] = c
 	}
-	// ReadTimeout and WriteTimeout would cut off a request that has been taken.
-	f.server = &http.Server{Handler: f, MaxHeaderBytes: bounded.MaxHeaderBytes, ReadHeaderTimeout: headTime, IdleTimeout: clientIdle,
-		ConnState:   f.clients.track,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, clientKey{}, c) }}
+	// ReadTimeout and WriteTimeout are not set: they would cut off accepted requests.
+	f.server = &http.Server{Handler: f, MaxHeaderBytes: bounded.MaxHeaderBytes, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout,
+		ConnState: f.clients.onConnState,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, c)
+		}}
 	return f
 }
 
-type clientKey struct{}
+type connContextKey struct{}
 
-// Serve takes requests until Drain.
+// Serve serves requests until Drain returns.
 func (f *HTTP) Serve() error {
 	err := f.server.Serve(f.clients)
-	close(f.accepted)
+	close(f.acceptDone)
 	if f.draining.Load() && errors.Is(err, net.ErrClosed) {
-		<-f.drained
+		<-f.drainDone
 	}
 	return err
 }
 
-// Drain ends the service by the node's schedule. Connections still come for a while
-// and end with their next answer; then those that are idle are ended, each only if
-// nothing was read on it since (net/http's Shutdown would close one whose request it
-// has just read, and drop a request that it has read and not yet handed on). What
-// has not come whole by the time for answers is refused, and its connection ends.
+// Drain ends the service by the node's shutdown schedule. For a while it accepts further
+// connections, each of which ends with its next response. Then it closes idle connections
+// unless something has been read on them: net/http's Shutdown would close a connection
+// whose request it has just read, and drop the request. Requests that are incomplete by
+// the time for responses are rejected and their connections closed.
 func (f *HTTP) Drain() error {
 	schedule := f.node.ShutdownSchedule()
 	f.draining.Store(true)
-	f.clients.drains()
-	defer close(f.drained)
+	f.clients.setDraining()
+	defer close(f.drainDone)
 	f.logStep("draining")
 	time.Sleep(time.Until(f.node.ShutdownStepTime(schedule.AcceptUntil)))
 	if !f.SharedListener {
-		f.clients.empty(schedule.BacklogTime())
+		f.clients.drainBacklog(schedule.BacklogTime())
 	}
 	f.clients.Close()
 	f.logStep("listener closed")
-	answer := f.node.ShutdownStepTime(schedule.AnswerBy)
+	answerBy := f.node.ShutdownStepTime(schedule.AnswerBy)
 	select {
-	case <-f.accepted: // guards against ending while a connection is accepted and not yet counted
-	case <-time.After(time.Until(answer)):
+	case <-f.acceptDone: // guards against ending while an accepted connection is not counted yet
+	case <-time.After(time.Until(answerBy)):
 	}
 	f.endConnections(schedule)
 	f.logStep("ending")
 	return f.server.Close()
 }
 
-// endConnections ends connections as their requests get their answers, until there is
-// none or the schedule allows no more time.
+// endConnections closes connections as their requests are answered, until none is left or
+// the schedule ends.
 func (f *HTTP) endConnections(schedule guard.ShutdownSchedule) {
-	settled := schedule.AnswerBy
+	lastPending := schedule.AnswerBy
 	for f.clients.count() > 0 {
-		f.clients.endIdle(time.Now().Add(-restSpare))
+		f.clients.closeIdleSince(time.Now().Add(-minIdleAtShutdown))
 		if f.sinceSignal() >= schedule.AnswerBy {
-			f.clients.refuseUnfinished(f.node.ShutdownResponse())
+			f.clients.rejectUnfinished(f.node.ShutdownResponse())
 		}
-		owed, now := f.clients.owed() > 0, f.sinceSignal()
-		if owed {
-			settled = now
+		pending, now := f.clients.pendingResponses() > 0, f.sinceSignal()
+		if pending {
+			lastPending = now
 		}
-		if schedule.MayExit(now, settled, owed) {
+		if schedule.MayExit(now, lastPending, pending) {
 			return
 		}
-		time.Sleep(roomPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// logStep logs a step of a shutdown, with the connections that are open then.
+// logStep logs a step of the shutdown with the number of open connections.
 func (f *HTTP) logStep(name string) {
 	f.node.History().Add(eventlog.Event{Kind: eventlog.PhaseChanged, Reason: name})
-	unused, idle, open := f.clients.census()
+	unused, idle, open := f.clients.countByPhase()
 	log.Printf("shutdown: %s %.3f s after the signal; connections without a request %d, idle %d, with an open request %d",
 		name, f.sinceSignal().Seconds(), unused, idle, open)
 }
 
-// sinceSignal is how long ago the process was told to end.
+// sinceSignal returns the time since the shutdown signal.
 func (f *HTTP) sinceSignal() time.Duration { return time.Since(f.node.ShutdownStepTime(0)) }
 
-// late logs a request that is read after a shutdown has closed the listener, and the
+// logLate logs a request that is read after a shutdown has closed the listener, with the
 // history of its connection.
-func (f *HTTP) late(req *taken, conn *client) {
+func (f *HTTP) logLate(req *receivedRequest, conn *clientConn) {
 	f.node.Metrics().RequestsLate.Add(1)
-	if f.lateLines.Add(1) > maxLateLines {
-		return // it is counted
+	if f.lateLogLines.Add(1) > maxLateLogLines {
+		return // only counted
 	}
-	age, before := conn.past()
+	age, requests := conn.history()
 	log.Printf("shutdown: request %.64q read %.3f s after the signal on connection %d, open for %.3f s with %d requests before it",
-		req.ID, f.sinceSignal().Seconds(), conn.id(), age.Seconds(), before)
+		req.ID, f.sinceSignal().Seconds(), conn.id(), age.Seconds(), requests)
 }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (f *HTTP) Addr() net.Addr { return f.clients.Addr() }
 
-// SetMaxConns changes how many client connections there may be.
-func (f *HTTP) SetMaxConns(most int) { f.clients.setMost(most) }
+// SetMaxConns sets the limit of client connections.
+func (f *HTTP) SetMaxConns(maxConns int) { f.clients.setLimit(maxConns) }
 
-// Connections tells how many client connections there are.
+// Connections returns the number of client connections.
 func (f *HTTP) Connections() int { return f.clients.count() }
 
-// badRequest is a request that is turned down before the module hears of it.
-type badRequest struct {
-	status int
-	why    string
+// requestError is the reason why a request is rejected before it reaches the node.
+type requestError struct {
+	status  int
+	message string
 }
 
-func (e *badRequest) Error() string { return e.why }
+func (e *requestError) Error() string { return e.message }
 
-func bad(format string, args ...any) error {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+func badRequestf(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// ServeHTTP takes one request and waits for its final answer.
+// ServeHTTP serves one request and waits for its final response.
 func (f *HTTP) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn, _ := r.Context().Value(clientKey{}).(*client)
-	old := !r.ProtoAtLeast(1, 1)
-	if old {
-		w.Header().Set("Connection", "close") // what a kept connection means is too unclear there
-	}
-	if len(r.TransferEncoding) > 0 || old {
-		// Guards against a request hidden in the body of another: net/http
-		// forgets a Content-Length beside a Transfer-Encoding, and any
-		// Transfer-Encoding in HTTP/1.0; what follows the body that it saw would
-		// be read as the next request.
+	conn, _ := r.Context().Value(connContextKey{}).(*clientConn)
+	http10 := !r.ProtoAtLeast(1, 1)
+	if http10 {
+		w.Header().Set("Connection", "close") // persistent connections of HTTP/1.0 are ill-defined
+	}
+	if len(r.TransferEncoding) > 0 || http10 {
+		// Guards against request smuggling: net/http ignores a Content-Length beside a
+		// Transfer-Encoding, and any Transfer-Encoding in HTTP/1.0, and would read what
+		// follows the body that it saw as the next request.
 		w.Header().Set("Connection", "close")
-		if framing := conn.framing(); old && framing != byLength || !old && framing != byChunks {
+		if framing := conn.framing(); http10 && framing != framingLength || !http10 && framing != framingChunked {
 			http.Error(w, "a body is framed by Content-Length or, in HTTP/1.1, by chunks, not by both", http.StatusBadRequest)
 			return
 		}
 	}
 	if r.URL.Path == "/up" {
-		w.Header().Set("Connection", "close") // guards against checks that stay and fill the budget
+		w.Header().Set("Connection", "close") // guards against health checks that fill the connection limit
 		if f.draining.Load() {
 			http.Error(w, "draining", http.StatusServiceUnavailable)
 		} else if !f.node.Ready() {
@@ -212,93 +215,93 @@
 	}
 	req, err := f.readRequest(w, r, conn)
 	if err != nil {
-		f.turnDown(w, err)
+		f.reject(w, err)
 		return
 	}
 	f.serve(w, r, req, conn)
 }
 
-// serve hands a request to the node and gives its answer.
-func (f *HTTP) serve(w http.ResponseWriter, r *http.Request, req *taken, conn *client) {
-	count, rest := f.node.Metrics(), req.body.rest
+// serve hands a request to the node and writes its response.
+func (f *HTTP) serve(w http.ResponseWriter, r *http.Request, req *receivedRequest, conn *clientConn) {
+	metrics, rest := f.node.Metrics(), req.body.rest
 	defer req.body.release()
 	if rest == nil {
-		count.Open.Add(1)
-		defer count.Open.Add(-1)
-	} else { // it is open from its last byte on
-		rest.whole = func() { count.Open.Add(1) }
-		rest.over = func() { count.Open.Add(-1) }
-		defer rest.end() // nothing reads from the connection once the handler has returned
+		metrics.Open.Add(1)
+		defer metrics.Open.Add(-1)
+	} else { // it counts as open from its last byte on
+		rest.onComplete = func() { metrics.Open.Add(1) }
+		rest.onEnd = func() { metrics.Open.Add(-1) }
+		defer rest.end() // nothing may read from the connection once the handler has returned
 	}
 	if f.node.ShutdownPhase() >= guard.Finishing {
-		f.late(req, conn)
+		f.logLate(req, conn)
 	}
-	conn.serves(string(req.ID))
-	f.event(eventlog.RequestRead, req, conn, 0, "")
-	answer := f.node.Submit(req.Request)
-	var a node.Response
+	conn.setRequest(string(req.ID))
+	f.logEvent(eventlog.RequestRead, req, conn, 0, "")
+	responses := f.node.Submit(req.Request)
+	var response node.Response
 	select {
-	case a = <-answer:
-		f.event(eventlog.RequestEnded, req, conn, a.Status, f.why(a))
-	case <-f.node.Done(): // it may have answered just before
+	case response = <-responses:
+		f.logEvent(eventlog.RequestEnded, req, conn, response.Status, f.reasonText(response))
+	case <-f.node.Done(): // the node may have answered just before
 		select {
-		case a = <-answer:
+		case response = <-responses:
 		default:
-			a = f.node.ShutdownResponse()
+			response = f.node.ShutdownResponse()
 		}
-		f.event(eventlog.RequestEnded, req, conn, a.Status, f.why(a))
-	case <-r.Context().Done(): // the client is gone, or net/http waited for its body in vain
+		f.logEvent(eventlog.RequestEnded, req, conn, response.Status, f.reasonText(response))
+	case <-r.Context().Done(): // the client is gone, or net/http timed out waiting for the body
 		f.node.Abandon(req.Request)
-		f.event(eventlog.RequestEnded, req, conn, 0, "abandoned")
-		if rest != nil && rest.broken() != nil {
-			f.turnDown(w, rest.broken())
+		f.logEvent(eventlog.RequestEnded, req, conn, 0, "abandoned")
+		if rest != nil && rest.failure() != nil {
+			f.reject(w, rest.failure())
 			return
 		}
-		panic(http.ErrAbortHandler) // guards against net/http's own answer, which would be an empty 200
+		panic(http.ErrAbortHandler) // keeps net/http from sending an empty 200
 	}
 	if rest != nil {
-		if err := rest.broken(); err != nil { // it was never taken, so it is not counted
-			f.turnDown(w, err)
+		if err := rest.failure(); err != nil { // the request never became complete, so it is not counted
+			f.reject(w, err)
 			return
 		}
 	}
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
+	if response.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	early := rest != nil && !rest.complete()
-	if early || f.draining.Load() && !conn.more() || f.clients.crowded() || conn.last() {
+	bodyUnfinished := rest != nil && !rest.complete()
+	if bodyUnfinished || f.draining.Load() && !conn.hasNextRequest() || f.clients.nearLimit() || conn.isLastRequest() {
 		w.Header().Set("Connection", "close")
 	}
-	if a.BodyStream != nil {
-		conn.passes()
-		cut := func() { panic(http.ErrAbortHandler) }
-		if !r.ProtoAtLeast(1, 1) && a.BodyStream.Length < 0 {
-			// Guards against an answer cut short that looks whole: to HTTP/1.0 it
-			// ends with its connection, so one that breaks off is reset.
-			cut = func() {
+	if response.BodyStream != nil {
+		conn.setStreaming()
+		abort := func() { panic(http.ErrAbortHandler) }
+		if !r.ProtoAtLeast(1, 1) && response.BodyStream.Length < 0 {
+			// Guards against a truncated response that looks complete: to HTTP/1.0 it ends
+			// with its connection, so the connection is reset.
+			abort = func() {
 				conn.reset()
 				panic(http.ErrAbortHandler)
 			}
 		}
-		f.passOn(w, req.Request, a, cut)
+		f.forwardStream(w, req.Request, response, abort)
 		return
 	}
-	count.Ended(req.Class, figures.OutcomeOf(a.Status))
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	w.Write(a.Body)
+	metrics.Ended(req.Class, figures.OutcomeOf(response.Status))
+	w.Header().Set("Content-Length", strconv.Itoa(len(response.Body)))
+	w.WriteHeader(response.Status)
+	w.Write(response.Body)
 	if rest == nil {
 		f.node.Checker().Answered(string(req.ID), time.Now(), req.Deadline)
 	}
-	if early {
+	if bodyUnfinished {
 		http.NewResponseController(w).Flush()
 		rest.discard(f.lingerUntil())
 	}
 }
 
-// lingerUntil is how long what still comes behind an early answer is read.
+// lingerUntil returns until when a body is read on after an early response.
 func (f *HTTP) lingerUntil() time.Time {
-	until := time.Now().Add(lingerTime)
+	until := time.Now().Add(earlyResponseLinger)
 	if f.draining.Load() {
 		if end := f.node.ShutdownStepTime(f.node.ShutdownSchedule().ExitBy); end.Before(until) {
 			return end
@@ -307,89 +310,87 @@
 	return until
 }
 
-// event keeps an event of a request.
-func (f *HTTP) event(kind eventlog.Kind, req *taken, conn *client, status int, reason string) {
+// logEvent records an event of a request.
+func (f *HTTP) logEvent(kind eventlog.Kind, req *receivedRequest, conn *clientConn, status int, reason string) {
 	f.node.History().Add(eventlog.Event{Kind: kind, Request: string(req.ID), Connection: conn.id(), Status: status, Reason: reason})
 }
 
-// why words the cause of an answer that no server made.
-func (f *HTTP) why(a node.Response) string {
-	if a.Status == http.StatusOK {
+// reasonText returns the reason of a response that does not come from a server.
+func (f *HTTP) reasonText(response node.Response) string {
+	if response.Status == http.StatusOK {
 		return ""
 	}
-	return f.node.Metrics().RequestsTurned.Word(int(a.Reason))
+	return f.node.Metrics().RequestsTurned.Word(int(response.Reason))
 }
 
-// turnDown answers a request that the module has not heard of, or whose body
-// broke off.
-func (f *HTTP) turnDown(w http.ResponseWriter, err error) {
+// reject answers a request that did not reach the node, or whose body could not be read.
+func (f *HTTP) reject(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	var b *badRequest
+	var requestErr *requestError
 	switch {
-	case errors.As(err, &b):
-		status = b.status
+	case errors.As(err, &requestErr):
+		status = requestErr.status
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = http.StatusRequestTimeout
 	}
-	w.Header().Set("Connection", "close") // nothing that follows it is believed
+	w.Header().Set("Connection", "close") // the bytes that follow cannot be trusted to be a request
 	http.Error(w, err.Error(), status)
 }
 
-// passOn passes an answer on in pieces, each as it comes. The backend is read
-// no faster than the client reads. If the backend breaks off the client's
-// connection is cut, so that it can tell that the answer is not whole; cut
-// does not return.
-func (f *HTTP) passOn(w http.ResponseWriter, req *node.Request, a node.Response, cut func()) {
-	c, count := http.NewResponseController(w), f.node.Metrics()
-	if a.BodyStream.Length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.BodyStream.Length, 10))
-	}
-	w.WriteHeader(a.Status)
-	piece, buf := a.Body, make([]byte, pieceSize)
+// forwardStream forwards a response as it arrives. It reads from the server no faster than
+// the client reads. If the server fails, abort, which does not return, closes the client's
+// connection so that the client sees that the response is truncated.
+func (f *HTTP) forwardStream(w http.ResponseWriter, req *node.Request, response node.Response, abort func()) {
+	controller, metrics := http.NewResponseController(w), f.node.Metrics()
+	if response.BodyStream.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(response.BodyStream.Length, 10))
+	}
+	w.WriteHeader(response.Status)
+	chunk, buffer := response.Body, make([]byte, streamBufferSize)
 	for {
-		c.SetWriteDeadline(time.Now().Add(stallTime))
-		_, err := w.Write(piece)
+		controller.SetWriteDeadline(time.Now().Add(writeStallTimeout))
+		_, err := w.Write(chunk)
 		if err == nil {
-			err = c.Flush()
+			err = controller.Flush()
 		}
 		if err != nil {
-			a.BodyStream.Done(backend.ErrAbandoned)
-			cut()
+			response.BodyStream.Done(backend.ErrAbandoned)
+			abort()
 		}
-		n, err := a.BodyStream.Read(buf)
-		if piece = buf[:n]; n > 0 {
-			continue // an error comes again
+		n, err := response.BodyStream.Read(buffer)
+		if chunk = buffer[:n]; n > 0 {
+			continue // Read returns an error again
 		}
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			a.BodyStream.Done(err)
-			count.Ended(req.Class, figures.Faulted)
-			cut()
+			response.BodyStream.Done(err)
+			metrics.Ended(req.Class, figures.Faulted)
+			abort()
 		}
 	}
-	a.BodyStream.Done(nil)
-	count.Ended(req.Class, figures.Fulfilled)
-	c.SetWriteDeadline(time.Time{})
+	response.BodyStream.Done(nil)
+	metrics.Ended(req.Class, figures.Fulfilled)
+	controller.SetWriteDeadline(time.Time{})
 }
 
-// taken is a request with its body as far as that was read.
-type taken struct {
+// receivedRequest is a request with the part of its body that has been read.
+type receivedRequest struct {
 	*node.Request
-	body received
+	body receivedBody
 }
 
-// readRequest checks a client's request against the protocol.
-func (f *HTTP) readRequest(w http.ResponseWriter, r *http.Request, conn *client) (*taken, error) {
+// readRequest reads a client's request and checks it against the protocol.
+func (f *HTTP) readRequest(w http.ResponseWriter, r *http.Request, conn *clientConn) (*receivedRequest, error) {
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key"} {
 		if len(r.Header.Values(name)) > 1 {
-			return nil, bad("%s stands there twice", name)
+			return nil, badRequestf("repeated header %s", name)
 		}
 	}
 	class, known := f.classes[r.Header.Get("Request-Class")]
 	if !known {
-		return nil, bad("unknown Request-Class")
+		return nil, badRequestf("unknown Request-Class")
 	}
 	method := http.MethodPost
 	if class.Effect == balance.Safe {
@@ -397,56 +398,56 @@
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
-		return nil, &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
+		return nil, &requestError{http.StatusMethodNotAllowed, "the request class requires method " + method}
 	}
 	id, key := r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key")
 	if id == "" {
-		return nil, bad("no Request-Id")
+		return nil, badRequestf("missing Request-Id")
 	}
 	if (class.Effect == balance.Keyed) != (key != "") {
-		return nil, bad("Idempotency-Key goes with keyed classes")
+		return nil, badRequestf("Idempotency-Key is required for keyed classes and not allowed for others")
 	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != class.Name ||
+	if pathClass, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); pathClass != class.Name ||
 		!strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
-		return nil, bad("the path does not begin with the class")
+		return nil, badRequestf("the path does not start with the request class")
 	}
-	ms, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64)
-	if err != nil || ms <= 0 || ms > maxPatience.Milliseconds() {
-		return nil, bad("bad Request-Timeout-Ms")
+	timeoutMs, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64)
+	if err != nil || timeoutMs <= 0 || timeoutMs > maxRequestTimeout.Milliseconds() {
+		return nil, badRequestf("invalid Request-Timeout-Ms")
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return nil, bad("a GET has no body")
+		return nil, badRequestf("a GET request must not have a body")
 	}
-	conn.receives()
-	in, err := f.bodies.read(w, r)
-	if !conn.received() && err == nil {
+	conn.beginBody()
+	body, err := f.bodies.read(w, r)
+	if !conn.endBody() && err == nil {
 		err = net.ErrClosed
 	}
 	if err != nil {
 		return nil, fmt.Errorf("body: %w", err)
 	}
 	hint, err := strconv.ParseInt(r.Header.Get("Work-Hint"), 10, 64)
-	hasHint := err == nil && hint > 0 && hint <= maxPatience.Microseconds()
+	hasHint := err == nil && hint > 0 && hint <= maxRequestTimeout.Microseconds()
 	if !hasHint {
 		hint = 0
 	}
-	// A request's time counts from its last byte, and not from when a process
-	// that stood still came to read it.
-	patience := time.Duration(ms) * time.Millisecond
-	deadline := time.Now().Add(patience - f.node.PauseDelay())
+	// The timeout counts from the request's last byte, even if a process pause delayed
+	// reading it.
+	timeout := time.Duration(timeoutMs) * time.Millisecond
+	deadline := time.Now().Add(timeout - f.node.PauseDelay())
 	req := &node.Request{
 		RequestArrived: balance.RequestArrived{ID: balance.RequestID(id), Class: class.Name,
 			Tenant: r.Header.Get("Tenant"), Key: r.URL.Query().Get("sid"), ClientTimeout: time.Until(deadline),
 			WorkHint: time.Duration(hint) * time.Microsecond, HasHint: hasHint,
 			ClientRetry: r.Header.Get("Client-Retry") == "1"},
-		Method: method, URI: r.RequestURI, Key: key, Body: in.held, Deadline: deadline, ReadAt: conn.readAt(),
+		Method: method, URI: r.RequestURI, Key: key, Body: body.buffered, Deadline: deadline, ReadAt: conn.lastReadTime(),
 	}
 	if conn != nil {
-		req.ClientGone = conn.left
+		req.ClientGone = conn.clientGone
 	}
-	if in.rest != nil {
-		in.rest.patience = patience
-		req.BodyStream, req.Deadline = in.rest, deadline.Add(in.rest.longest())
+	if body.rest != nil {
+		body.rest.timeout = timeout
+		req.BodyStream, req.Deadline = body.rest, deadline.Add(body.rest.maxDuration())
 	}
-	return &taken{req, in}, nil
+	return &receivedRequest{req, body}, nil
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -530,7 +530,7 @@
 // never cut off, however long its answer takes.
 func TestIncompleteRequestsEndAndOthersAreServed(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
-		time.Sleep(headTime + bodyPause + 500*time.Millisecond)
+		time.Sleep(headTimeout + bodyReadTimeout + 500*time.Millisecond)
 		return nodetest.Reply(c, "200 OK", "done")
 	})
 	c := nodeConfig(t, nodetest.ClosedAddr(t), b.Addr)
@@ -623,7 +623,7 @@
 	}
 	check := func(when string, after time.Duration, room bool, want ...int) {
 		t.Helper()
-		if got := c.room(time.Now().Add(after)); got != room {
+		if got := c.makeRoom(time.Now().Add(after)); got != room {
 			t.Errorf("%s: room %v", when, got)
 		}
 		var got []int
@@ -636,25 +636,25 @@
 			t.Errorf("%s: closed %v, want %v", when, got, want)
 		}
 	}
-	c.track(conns[0], http.StateNew)
-	c.track(conns[0], http.StateActive)
-	c.track(conns[0], http.StateIdle)
-	c.track(conns[1], http.StateNew) // sends nothing
+	c.onConnState(conns[0], http.StateNew)
+	c.onConnState(conns[0], http.StateActive)
+	c.onConnState(conns[0], http.StateIdle)
+	c.onConnState(conns[1], http.StateNew) // sends nothing
 	check("under the budget", time.Hour, true)
-	if c.crowded() {
+	if c.nearLimit() {
 		t.Error("crowded with two of three")
 	}
-	c.track(conns[2], http.StateNew)
-	c.track(conns[2], http.StateActive) // has a request open
+	c.onConnState(conns[2], http.StateNew)
+	c.onConnState(conns[2], http.StateActive) // has a request open
 	check("all of them fresh", 0, false)
-	if !c.crowded() {
+	if !c.nearLimit() {
 		t.Error("not crowded at the budget")
 	}
-	check("one that never sent a request", idleSpare/2, false, 1)
-	check("one idle for a moment", idleSpare/2, false, 1)
+	check("one that never sent a request", minIdleAge/2, false, 1)
+	check("one idle for a moment", minIdleAge/2, false, 1)
 	check("one idle for long", time.Hour, false, 0, 1)
 	check("none left to close", time.Hour, false, 0, 1)
-	c.track(conns[1], http.StateClosed)
+	c.onConnState(conns[1], http.StateClosed)
 	check("once it is closed", 0, true, 0, 1)
 }
 
@@ -680,12 +680,12 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		c.track(conn, http.StateNew)
+		c.onConnState(conn, http.StateNew)
 		ours = append(ours, conn)
 	}
 	for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(ours[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	c.room(time.Now().Add(time.Minute)) // both have been silent for long
+	c.makeRoom(time.Now().Add(time.Minute)) // both have been silent for long
 	if len(c.fresh) != 1 || c.fresh[ours[0]].IsZero() {
 		t.Errorf("closed the wrong one: %d are left", len(c.fresh))
 	}
--- a/internal/front/turnaway.go
+++ b/internal/front/turnaway.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	// mostTurnedAway is how many connections are turned away at once. Each takes one of the
-	// descriptors that are kept for the node itself.
-	mostTurnedAway = 8
-	// firstByteTime is how long the first byte of a request may take on a connection that
-	// is turned away: a client writes right behind its connect.
-	firstByteTime = 20 * time.Millisecond
+	// maxRejecting limits the connections that are rejected at once. Each takes one of the
+	// descriptors reserved for the node itself.
+	maxRejecting = 8
+	// firstByteTimeout limits the wait for the first byte on a connection that is rejected:
+	// clients write right after the connect.
+	firstByteTimeout = 20 * time.Millisecond
 )
 
-// turnAway ends a connection for which there is no room while the listener is being
-// emptied: the kernel would reset it when the listener closes, and a request on it would
-// have no answer. It waits while as many as may be are being turned away.
-func (c *clientConns) turnAway(nc net.Conn) {
-	k, is := c.admit(nc).(*client)
-	if !is {
-		nc.Close()
+// rejectConn rejects a connection above the limit while the backlog is being drained.
+// Otherwise the kernel would reset it when the listener closes, and its request would get no
+// response. It blocks while maxRejecting connections are being rejected.
+func (c *clientConns) rejectConn(conn net.Conn) {
+	client, ok := c.admit(conn).(*clientConn)
+	if !ok {
+		conn.Close()
 		return
 	}
-	c.turningAway <- struct{}{}
+	c.rejecting <- struct{}{}
 	c.mu.Lock()
-	c.open++ // the drain waits for it
+	c.open++ // makes the shutdown wait for it
 	c.mu.Unlock()
 	go func() {
-		k.turnAway(c.endingAnswer())
-		c.lingered()
-		<-c.turningAway
+		client.reject(c.shutdownResponse())
+		c.onLingerEnd()
+		<-c.rejecting
 	}()
 }
 
-// turnAway answers the request that comes on a connection that nobody serves, and closes
-// the connection. One on which nothing has come is closed with no word.
-func (c *client) turnAway(answer node.Response) {
+// reject answers the request on a connection that is not served, and closes the connection.
+// If nothing arrives it is closed without a response.
+func (c *clientConn) reject(response node.Response) {
 	defer c.TCPConn.Close()
-	c.SetReadDeadline(time.Now().Add(firstByteTime))
+	c.SetReadDeadline(time.Now().Add(firstByteTimeout))
 	if _, err := io.ReadFull(c.TCPConn, make([]byte, 1)); err != nil {
-		c.closes(figures.ClosedForRoom)
+		c.recordClose(figures.ClosedForRoom)
 		return
 	}
-	c.closes(figures.ClosedAnswered)
-	c.conns.figures.RequestsTurned.Add(int(answer.Reason))
-	c.refuse(answer.Status, answer.RetryAfter)
+	c.recordClose(figures.ClosedAnswered)
+	c.owner.figures.RequestsTurned.Add(int(response.Reason))
+	c.writeRejection(response.Status, response.RetryAfter)
 	if c.CloseWrite() == nil {
 		c.discardRest()
 	}
--- a/internal/front/unfinished_test.go
+++ b/internal/front/unfinished_test.go
@@ -19,7 +19,7 @@
 )
 
 // accepted gives both ends of a connection that a budget of two has accepted.
-func accepted(t *testing.T) (theirs *net.TCPConn, ours *client, conns *clientConns) {
+func accepted(t *testing.T) (theirs *net.TCPConn, ours *clientConn, conns *clientConns) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conns.track(got, http.StateNew)
-	return theirs, got.(*client), conns
+	conns.onConnState(got, http.StateNew)
+	return theirs, got.(*clientConn), conns
 }
 
 // What had come before the time for it was over is read, although nobody came to read it in
@@ -60,19 +60,19 @@
 func TestAClientThatHasGoneIsSeenBeforeAnythingIsWritten(t *testing.T) {
 	t.Parallel()
 	theirs, ours, _ := accepted(t)
-	if ours.left() {
+	if ours.clientGone() {
 		t.Error("gone at once")
 	}
 	io.WriteString(theirs, "x")
 	wait(t, "it is there", func() bool { return bounded.HasUnread(ours.TCPConn) })
-	if ours.left() {
+	if ours.clientGone() {
 		t.Error("gone by what it sent")
 	}
 	if _, err := ours.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	theirs.Close()
-	wait(t, "its end is seen", ours.left)
+	wait(t, "its end is seen", ours.clientGone)
 }
 
 // A request that does not come whole in its time is answered, as its last byte may be on its
@@ -122,8 +122,8 @@
 	if _, err := io.ReadFull(ours, make([]byte, 10)); err != nil {
 		t.Fatal(err)
 	}
-	conns.setMost(1)
-	if conns.room(time.Now().Add(time.Minute)) {
+	conns.setLimit(1)
+	if conns.makeRoom(time.Now().Add(time.Minute)) {
 		t.Error("there is room")
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(theirs), nil)
@@ -144,7 +144,7 @@
 	io.WriteString(finished, get("finished")[:parts])
 	io.WriteString(never, get("never")[:parts])
 	wait(t, "all are accepted", func() bool { return n.front.Connections() == 3 })
-	time.Sleep(2 * restSpare) // no connection ends while it is new
+	time.Sleep(2 * minIdleAtShutdown) // no connection ends while it is new
 	n.stop()
 	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the unused one: %v", err)
@@ -240,7 +240,7 @@
 	defer n.front.clients.mu.Unlock()
 	for c := range n.front.clients.all {
 		c.mu.Lock()
-		ahead := len(c.ahead)
+		ahead := len(c.readAhead)
 		c.mu.Unlock()
 		if ahead > 0 {
 			return true
