--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -19,15 +19,15 @@
 	"ivylock/internal/nodetest"
 )
 
-// Whatever an accept fails with, the node goes on, and serves within milliseconds; each failure
-// is counted by its name.
-func TestAcceptsThatFailAreMadeAgain(t *testing.T) {
+// After any accept error the node continues to serve without a noticeable delay, and counts
+// the error by its name.
+func TestAcceptErrorsAreRetriedAndCounted(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
 	l := nodetest.NewFailingListener(t, 100)
-	cfg := nodeConfig(t, nodetest.ClosedAddr(t), b.Addr)
-	n := &running{Node: node.New(cfg), cfg: cfg, url: "http://" + l.Addr().String(), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
-	n.SetShutdownSchedule(quickSchedule)
+	cfg := nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr)
+	n := &testNode{Node: node.New(cfg), cfg: cfg, url: "http://" + l.Addr().String(), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
+	n.SetShutdownSchedule(shortSchedule)
 	n.front = New(n.Node, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { n.ended <- n.Run(ctx, n.front) }()
@@ -37,17 +37,17 @@
 		for range 4 {
 			l.Errors <- errno
 		}
-		began := time.Now()
-		for i := range 2 { // the first lets an accept go that waits already
+		start := time.Now()
+		for i := range 2 { // the first one also releases an accept that waits already
 			c := dial(t, n.url)
-			io.WriteString(c, get(errno.Error()[:4]+string(rune('0'+i))))
+			io.WriteString(c, getRequest(errno.Error()[:4]+string(rune('0'+i))))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("%v: %v, %v", errno, resp, err)
 			}
 			c.Close()
 		}
-		slowest = max(slowest, time.Since(began))
+		slowest = max(slowest, time.Since(start))
 	}
 	if slowest > time.Second {
 		t.Errorf("a client waited %v", slowest)
@@ -59,14 +59,13 @@
 	}
 	stop()
 	if err := <-n.ended; err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("Run: %v", err)
 	}
-	n.keptInvariants(t)
+	n.checkInvariants(t)
 }
 
-// An accept that fails all the time costs some hundred calls a second, and the node still ends
-// when it is told to.
-func TestAcceptsThatFailForEverDoNotSpin(t *testing.T) {
+// A persistent accept error must not cause a busy loop or keep the node from shutting down.
+func TestPersistentAcceptErrorsDoNotSpin(t *testing.T) {
 	t.Parallel()
 	l := nodetest.NewFailingListener(t, 100_000)
 	for range cap(l.Errors) {
@@ -90,24 +89,24 @@
 			t.Error(err)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Error("it goes on")
+		t.Error("the shutdown did not end")
 	}
 }
 
-// What waits at the listener when it is closed has been accepted: the kernel would reset it.
-func TestWhatWaitsAtTheListenerIsAcceptedBeforeItCloses(t *testing.T) {
+// The kernel resets what is in the backlog when the listener closes, so it is accepted before.
+func TestBacklogIsAcceptedBeforeListenerCloses(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
 	for range 20 {
-		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 		var waiting []net.Conn
 		for range 10 {
 			waiting = append(waiting, dial(t, n.url))
 		}
 		n.stop() // the listener is closed at once
 		for i, c := range waiting {
-			// Those that have been accepted may end, as they have carried nothing for long enough.
-			if _, err := io.WriteString(c, get(string(rune('a'+i)))); err != nil {
+			// Accepted connections that were idle for long enough may have been closed.
+			if _, err := io.WriteString(c, getRequest(string(rune('a'+i)))); err != nil {
 				continue
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -123,50 +122,49 @@
 	}
 }
 
-// A request that comes in the moment in which its connection ends for its silence is refused
-// and not cut off.
-func TestARequestThatComesAsItsConnectionTimesOutIsRefused(t *testing.T) {
+// A request that arrives just as its connection times out is answered with an error instead
+// of a reset.
+func TestRequestArrivingAtConnectionTimeoutIsRejected(t *testing.T) {
 	t.Parallel()
-	theirs, ours, conns := accepted(t)
-	ours.SetReadDeadline(time.Unix(1, 0))
-	if _, err := ours.Read(make([]byte, 10)); !errors.Is(err, os.ErrDeadlineExceeded) {
+	remote, local, conns := acceptedConn(t)
+	local.SetReadDeadline(time.Unix(1, 0))
+	if _, err := local.Read(make([]byte, 10)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatal(err)
 	}
-	io.WriteString(theirs, get("crossing"))
-	wait(t, "it is there", func() bool { return !quiet(ours) })
-	ours.Close() // as net/http does
-	conns.onConnState(ours, http.StateClosed)
-	resp, err := http.ReadResponse(bufio.NewReader(theirs), nil)
+	io.WriteString(remote, getRequest("crossing"))
+	waitFor(t, "the request has arrived", func() bool { return !noUnreadData(local) })
+	local.Close() // as net/http does
+	conns.onConnState(local, http.StateClosed)
+	resp, err := http.ReadResponse(bufio.NewReader(remote), nil)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("got %v, %v", resp, err)
 	}
-	theirs.Close()
-	wait(t, "its descriptor is free", func() bool { return conns.count() == 0 })
+	remote.Close()
+	waitFor(t, "the connection is closed", func() bool { return conns.count() == 0 })
 }
 
-func quiet(c *clientConn) bool {
+func noUnreadData(c *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.state().UnreadData
 }
 
-// Where all room is taken by open requests, what waits at the listener when it closes is
-// refused with an answer, or ends with no reset where nothing has come: the kernel would reset
-// it, and a request that a client has sent whole to an accepted connection is taken.
-func TestWhoFindsNoRoomAtAShutdownIsRefused(t *testing.T) {
+// If open requests fill the connection limit, connections in the backlog at a shutdown are
+// rejected with a response, or closed without a reset if nothing has arrived on them.
+func TestConnectionsOverLimitAtShutdownAreRejected(t *testing.T) {
 	t.Parallel()
 	hang := make(chan bool)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { <-hang; return nodetest.Reply(c, "200 OK", "served") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { <-hang; return nodetest.Reply(c, "200 OK", "served") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.front.SetMaxConns(1)
 	open := dial(t, n.url)
-	io.WriteString(open, get("open"))
-	wait(t, "it is open", func() bool { return n.Metrics().Open.Load() == 1 })
+	io.WriteString(open, getRequest("open"))
+	waitFor(t, "the request is open", func() bool { return n.Metrics().Open.Load() == 1 })
 	var waiting []net.Conn
 	for i := range 24 {
 		c := dial(t, n.url)
 		if i%3 > 0 {
-			io.WriteString(c, get("w"+string(rune('a'+i))))
+			io.WriteString(c, getRequest("w"+string(rune('a'+i))))
 		}
 		waiting = append(waiting, c)
 	}
@@ -176,11 +174,11 @@
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		switch {
 		case i%3 > 0 && err != nil:
-			t.Errorf("request %d has no answer: %v", i, err)
+			t.Errorf("request %d has no response: %v", i, err)
 		case i%3 > 0 && (resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == ""):
 			t.Errorf("request %d: %s, %v", i, resp.Status, resp.Header)
 		case i%3 == 0 && !errors.Is(err, io.ErrUnexpectedEOF):
-			t.Errorf("connection %d on which nothing came: %v, %v", i, resp, err)
+			t.Errorf("connection %d without a request: %v, %v", i, resp, err)
 		}
 		c.Close()
 	}
@@ -192,12 +190,12 @@
 		t.Error(err)
 	}
 	if got := n.front.Connections(); got != 0 {
-		t.Errorf("%d connections are counted", got)
+		t.Errorf("%d connections are still counted", got)
 	}
 }
 
-// What waits at a socket that the platform holds is left to the next process.
-func TestWhatWaitsAtAKeptSocketIsLeftToTheNextProcess(t *testing.T) {
+// The backlog of a listening socket that outlives this process is left to the next process.
+func TestBacklogOfSharedListenerIsLeftToNextProcess(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -210,18 +208,18 @@
 	defer held.Close()
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t))
 	n := node.New(cfg)
-	n.SetShutdownSchedule(quickSchedule)
+	n.SetShutdownSchedule(shortSchedule)
 	f := New(n, l, cfg.Settings.Classes, 1, cfg.BodyBudget())
 	f.SharedListener = true
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, f) }()
 	url := "http://" + l.Addr().String()
-	first := dial(t, url) // takes all room, as it has sent a part of a request
+	first := dial(t, url) // fills the limit and is not evicted, as it has sent a part of a request
 	io.WriteString(first, "GET ")
-	wait(t, "it is in", func() bool { return f.Connections() == 1 })
+	waitFor(t, "the first connection is accepted", func() bool { return f.Connections() == 1 })
 	waiting := dial(t, url)
-	io.WriteString(waiting, get("waits"))
+	io.WriteString(waiting, getRequest("waits"))
 	stop()
 	next, err := net.FileListener(held)
 	if err != nil {
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -20,29 +20,29 @@
 	"ivylock/internal/nodetest"
 )
 
-// noise gives n bytes that differ from place to place, without holding them.
-type noise struct{ left, at int64 }
+// patternReader returns left bytes of a position-dependent pattern without storing them.
+type patternReader struct{ left, offset int64 }
 
-func (s *noise) Read(b []byte) (int, error) {
-	if s.left == 0 {
+func (r *patternReader) Read(b []byte) (int, error) {
+	if r.left == 0 {
 		return 0, io.EOF
 	}
-	n := min(s.left, int64(len(b)))
+	n := min(r.left, int64(len(b)))
 	for i := range b[:n] {
-		x := s.at + int64(i)
+		x := r.offset + int64(i)
 		b[i] = byte(x ^ x>>8 ^ x>>16)
 	}
-	s.left, s.at = s.left-n, s.at+n
+	r.left, r.offset = r.left-n, r.offset+n
 	return int(n), nil
 }
 
-func sum(r io.Reader) string {
+func sha256Hex(r io.Reader) string {
 	h := sha256.New()
 	io.Copy(h, r)
 	return fmt.Sprintf("%x", h.Sum(nil))
 }
 
-func (n *running) post(t *testing.T, id string, body io.Reader, length int64) (*http.Response, error) {
+func (n *testNode) post(t *testing.T, id string, body io.Reader, length int64) (*http.Response, error) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, n.url+"/order", io.NopCloser(body))
 	if err != nil {
@@ -55,14 +55,14 @@
 	return n.client.Do(req)
 }
 
-// Long bodies arrive unchanged both ways, whichever way they are framed, and
-// the node holds little of them.
-func TestLongBodiesPassThroughUnchanged(t *testing.T) {
-	const size, many = 8 << 20, 12
-	want := sum(&noise{left: size})
-	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if got := sum(r.Body); got != want {
-			http.Error(w, "spoilt", http.StatusInternalServerError)
+// Long bodies are forwarded unchanged both ways in any framing, and the node does not buffer
+// them completely.
+func TestLongBodiesAreStreamedUnchanged(t *testing.T) {
+	const size, count = 8 << 20, 12
+	want := sha256Hex(&patternReader{left: size})
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if got := sha256Hex(r.Body); got != want {
+			http.Error(w, "body differs", http.StatusInternalServerError)
 			return
 		}
 		if strings.HasPrefix(r.Header.Get("Request-Id"), "length") {
@@ -71,12 +71,12 @@
 			w.Header().Set("Trailer", "Sum")
 			defer w.Header().Set("Sum", want)
 		}
-		io.Copy(w, &noise{left: size})
+		io.Copy(w, &patternReader{left: size})
 	}))
-	defer b.Close()
-	addr := b.Listener.Addr().String()
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), addr, addr, addr, addr, addr, addr)) // a new node sends 4 to each
-	var most atomic.Uint64
+	defer backend.Close()
+	addr := backend.Listener.Addr().String()
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), addr, addr, addr, addr, addr, addr)) // a new node sends at most 4 requests to each
+	var peakHeap atomic.Uint64
 	stop := make(chan bool)
 	go func() {
 		var m runtime.MemStats
@@ -86,12 +86,12 @@
 				return
 			case <-time.After(10 * time.Millisecond):
 				runtime.ReadMemStats(&m)
-				most.Store(max(most.Load(), m.HeapAlloc))
+				peakHeap.Store(max(peakHeap.Load(), m.HeapAlloc))
 			}
 		}
 	}()
 	var all sync.WaitGroup
-	for i := range many {
+	for i := range count {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -99,30 +99,30 @@
 			if i%2 == 1 {
 				id, length = fmt.Sprint("chunks", i), -1
 			}
-			resp, err := n.post(t, id, &noise{left: size}, length)
+			resp, err := n.post(t, id, &patternReader{left: size}, length)
 			if err != nil {
 				t.Errorf("%s: %v", id, err)
 				return
 			}
 			defer resp.Body.Close()
-			if got := sum(resp.Body); resp.StatusCode != 200 || got != want {
-				t.Errorf("%s: %d, spoilt: %v", id, resp.StatusCode, got != want)
+			if got := sha256Hex(resp.Body); resp.StatusCode != 200 || got != want {
+				t.Errorf("%s: %d, body differs: %v", id, resp.StatusCode, got != want)
 			}
 		}()
 	}
 	all.Wait()
 	close(stop)
-	if got := most.Load(); got > size*many/2 { // with what clients and the server hold
-		t.Errorf("%d MB in use while %d MB pass both ways", got>>20, size*many>>20)
+	if got := peakHeap.Load(); got > size*count/2 { // includes what the clients and the backend hold
+		t.Errorf("%d MB in use while %d MB pass both ways", got>>20, size*count>>20)
 	}
-	if text := string(n.Figures()); !strings.Contains(text, fmt.Sprintf("app.operations.order.fulfilled:%d|c", many)) || !strings.Contains(text, "app.open_requests:0|g") {
-		t.Errorf("the figures say\n%s", text)
+	if text := string(n.Figures()); !strings.Contains(text, fmt.Sprintf("app.operations.order.fulfilled:%d|c", count)) || !strings.Contains(text, "app.open_requests:0|g") {
+		t.Errorf("unexpected figures:\n%s", text)
 	}
 }
 
-// An answer that breaks off after it has begun is cut off for the client too,
-// and the request is not tried again.
-func TestAnAnswerThatBreaksOffNeverEndsWell(t *testing.T) {
+// A response that breaks off in its body is truncated for the client too, and the request is
+// not retried.
+func TestTruncatedResponseIsTruncatedForClient(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 8000000", "chunks": "Transfer-Encoding: chunked"} {
 		serve := func(c net.Conn, r *http.Request) bool {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
@@ -132,63 +132,62 @@
 			c.Write(make([]byte, 300000))
 			return false
 		}
-		b, spare := nodetest.NewRawServer(t, serve), nodetest.NewRawServer(t, serve)
-		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr, spare.Addr))
-		status, body, _, err := n.ask(context.Background(), "clip", "one", 5*time.Second)
+		backend, spare := nodetest.NewRawServer(t, serve), nodetest.NewRawServer(t, serve)
+		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr, spare.Addr))
+		status, body, _, err := n.request(context.Background(), "clip", "one", 5*time.Second)
 		if err == nil || status != 200 || len(body) > 300000 {
 			t.Errorf("%s: %d, %d bytes, %v", name, status, len(body), err)
 		}
-		if sent := b.Count() + spare.Count(); sent != 1 {
+		if sent := backend.Count() + spare.Count(); sent != 1 {
 			t.Errorf("%s: sent %d times", name, sent)
 		}
 		for end := time.Now().Add(nodetest.Patience); !strings.Contains(string(n.Figures()), "clip.faulted:1|c"); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: the figures say\n%s", name, n.Figures())
+				t.Fatalf("%s: unexpected figures:\n%s", name, n.Figures())
 			}
 		}
 	}
 }
 
-// A client that stops in the middle of a long body is told, and what it sent
-// never runs; neither does a body that is shorter than it said.
-func TestABodyThatBreaksOffNeverRuns(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+// A request whose body breaks off or is malformed gets an error and is never run.
+func TestTruncatedRequestBodyNeverRuns(t *testing.T) {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	head := "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: "
 	long := strings.Repeat("x", 500000)
 	for name, text := range map[string]string{
 		"long, with a length":   head + "a\r\nContent-Length: 1000000\r\n\r\n" + long,
 		"long, in chunks":       head + "b\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n", len(long)) + long + "\r\n",
 		"short, in chunks":      head + "c\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
-		"a chunk of 2^64":       head + "d\r\nTransfer-Encoding: chunked\r\n\r\n10000000000000000\r\nhello",
-		"a chunk of no number":  head + "e\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nhello\r\n0\r\n\r\n",
-		"a chunk with no end":   head + "f\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhelloworld\r\n0\r\n\r\n",
-		"longer than allowed":   head + "g\r\nContent-Length: 100000000\r\n\r\n" + long,
-		"two kinds of encoding": head + "h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+		"chunk size 2^64":       head + "d\r\nTransfer-Encoding: chunked\r\n\r\n10000000000000000\r\nhello",
+		"invalid chunk size":    head + "e\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nhello\r\n0\r\n\r\n",
+		"chunk without CRLF":    head + "f\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhelloworld\r\n0\r\n\r\n",
+		"over the length limit": head + "g\r\nContent-Length: 100000000\r\n\r\n" + long,
+		"two transfer codings":  head + "h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
 	} {
-		answer := n.send(t, text)
-		if _, status, _ := strings.Cut(answer, " "); !strings.HasPrefix(status, "4") && !strings.HasPrefix(status, "5") {
-			t.Errorf("%s: got %.80q", name, answer)
+		response := n.sendRaw(t, text)
+		if _, status, _ := strings.Cut(response, " "); !strings.HasPrefix(status, "4") && !strings.HasPrefix(status, "5") {
+			t.Errorf("%s: got %.80q", name, response)
 		}
 	}
-	if b.Count() != 0 {
-		t.Errorf("%d of them ran", b.Count())
+	if backend.Count() != 0 {
+		t.Errorf("%d requests with an invalid body ran", backend.Count())
 	}
 	if text := string(n.Figures()); !strings.Contains(text, "app.open_requests:0|g") || !strings.Contains(text, "app.relayed:0|c") {
-		t.Errorf("the figures say\n%s", text)
+		t.Errorf("unexpected figures:\n%s", text)
 	}
 }
 
-// Chunks with extensions and trailers, cut at every byte, and a request behind
-// a long one that ends with its connection.
-func TestEveryFramingIsRead(t *testing.T) {
+// Chunks with extensions and trailers are read byte by byte, and a body after
+// "100 Continue" is read too.
+func TestRequestBodyFramings(t *testing.T) {
 	got := make(chan string, 10)
-	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
 		got <- string(raw)
 	}))
-	defer b.Close()
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Listener.Addr().String()))
+	defer backend.Close()
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Listener.Addr().String()))
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -213,7 +212,7 @@
 	if body := <-got; body != "hello!" {
 		t.Errorf("the backend got %q", body)
 	}
-	// Expect: 100-continue is answered before the body comes.
+	// Expect: 100-continue is answered before the body arrives.
 	c, err = net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -232,19 +231,19 @@
 	}
 }
 
-// Answers in every framing, cut at every byte, and an answer that ends with
-// its connection.
-func TestEveryFramingOfAnswersIsPassedOn(t *testing.T) {
+// Responses in all framings, sent in small pieces, are forwarded, also those that end with
+// their connection.
+func TestResponseFramingsAreForwarded(t *testing.T) {
 	note := "X-Note: " + strings.Repeat("n", 6000) + "\r\n"
 	for name, text := range map[string]string{
-		"length":         "HTTP/1.1 200 OK\r\n" + note + "Content-Length: 6\r\n\r\nhello!",
-		"chunks":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n5;a=b\r\nhello\r\n1\r\n!\r\n0\r\nSum: 1\r\n\r\n",
-		"the end of all": "HTTP/1.1 200 OK\r\n\r\nhello!",
-		"1xx before":     "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello!",
+		"length":           "HTTP/1.1 200 OK\r\n" + note + "Content-Length: 6\r\n\r\nhello!",
+		"chunks":           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: Sum\r\n\r\n5;a=b\r\nhello\r\n1\r\n!\r\n0\r\nSum: 1\r\n\r\n",
+		"connection close": "HTTP/1.1 200 OK\r\n\r\nhello!",
+		"after a 1xx":      "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello!",
 	} {
-		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+		backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 			for i := 0; i < len(text); i++ {
-				if text[i] == 'n' && i%100 != 0 { // the note goes by hundreds
+				if text[i] == 'n' && i%100 != 0 { // the note is sent in blocks of about 100 bytes
 					end := min(len(text), i+99)
 					io.WriteString(c, text[i:end])
 					i = end - 1
@@ -253,28 +252,28 @@
 				}
 				time.Sleep(100 * time.Microsecond)
 			}
-			return name != "the end of all"
+			return name != "connection close"
 		})
-		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 		for i := range 2 {
-			if status, body, _ := n.mustAsk(t, "order", fmt.Sprint(i), 5*time.Second); status != 200 || body != "hello!" {
+			if status, body, _ := n.mustRequest(t, "order", fmt.Sprint(i), 5*time.Second); status != 200 || body != "hello!" {
 				t.Errorf("%s: %d %q", name, status, body)
 			}
 		}
 	}
 }
 
-// A client that reads no more gives its server's connection back in time, and
-// holds up nobody.
-func TestAClientThatReadsNoMoreIsGivenUp(t *testing.T) {
-	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A client that stops reading releases its server connection in time and delays no other
+// client.
+func TestStalledClientReleasesServerConnection(t *testing.T) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Request-Id") == "long" {
 			w.Header().Set("Content-Length", fmt.Sprint(60<<20))
-			io.Copy(w, &noise{left: 60 << 20})
+			io.Copy(w, &patternReader{left: 60 << 20})
 		}
 	}))
-	defer b.Close()
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Listener.Addr().String()))
+	defer backend.Close()
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Listener.Addr().String()))
 	req, _ := http.NewRequest(http.MethodGet, n.url+"/clip", nil)
 	req.Header.Set("Request-Id", "long")
 	req.Header.Set("Request-Class", "clip")
@@ -285,8 +284,8 @@
 	}
 	defer resp.Body.Close()
 	for i := range 20 {
-		if status, _, _ := n.mustAsk(t, "order", fmt.Sprint(i), 5*time.Second); status != 200 {
-			t.Errorf("beside it: %d", status)
+		if status, _, _ := n.mustRequest(t, "order", fmt.Sprint(i), 5*time.Second); status != 200 {
+			t.Errorf("request beside the stalled client: %d", status)
 		}
 	}
 	for end := time.Now().Add(nodetest.Patience); n.BackendPool().OpenConns() > 1; time.Sleep(10 * time.Millisecond) {
@@ -295,23 +294,23 @@
 		}
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err == nil || errors.Is(err, io.EOF) {
-		t.Error("the answer ended well")
+		t.Error("the stalled client got a complete response")
 	}
 }
 
-// A server is taken out by hand: what it has in flight ends well, and nothing
-// that was chosen for it and is not yet written goes out after the yes.
-func TestTakingAServerOutEndsNothingAndSendsNothing(t *testing.T) {
+// A server that is put into maintenance finishes its open requests, and gets no request after
+// Maintain has returned.
+func TestMaintenanceFinishesOpenRequestsAndSendsNoNew(t *testing.T) {
 	arrived, release := make(chan bool, 10), make(chan bool)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		<-release
 		return nodetest.Reply(c, "200 OK", "done")
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	got := make(chan error, 1)
 	go func() {
-		status, body, _, err := n.ask(context.Background(), "order", "one", 10*time.Second)
+		status, body, _, err := n.request(context.Background(), "order", "one", 10*time.Second)
 		if err == nil && (status != 200 || body != "done") {
 			err = fmt.Errorf("%d %q", status, body)
 		}
@@ -321,43 +320,42 @@
 	if err := n.Maintain(context.Background(), "s-0", true); err != nil {
 		t.Fatal(err)
 	}
-	if status, _, _ := n.mustAsk(t, "order", "two", time.Second); status != http.StatusServiceUnavailable {
-		t.Errorf("with the only server out: %d", status)
+	if status, _, _ := n.mustRequest(t, "order", "two", time.Second); status != http.StatusServiceUnavailable {
+		t.Errorf("with the only server in maintenance: %d", status)
 	}
 	close(release)
 	if err := <-got; err != nil {
-		t.Errorf("the one in flight: %v", err)
+		t.Errorf("the open request: %v", err)
 	}
 	for end := time.Now().Add(nodetest.Patience); n.BackendPool().OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the connection to it is kept")
+			t.Fatal("the connection to the server is still open")
 		}
 	}
 	if err := n.Maintain(context.Background(), "s-0", false); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(nodetest.Patience); ; time.Sleep(20 * time.Millisecond) { // it is cold: a trickle
-		if status, _, _ := n.mustAsk(t, "clip", fmt.Sprint("back", time.Now().UnixNano()), time.Second); status == 200 {
+	for end := time.Now().Add(nodetest.Patience); ; time.Sleep(20 * time.Millisecond) { // a cold server gets few requests
+		if status, _, _ := n.mustRequest(t, "clip", fmt.Sprint("back", time.Now().UnixNano()), time.Second); status == 200 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("it gets nothing after the word back")
+			t.Fatal("the server gets no requests after the end of maintenance")
 		}
 	}
-	if n := b.Count(); n != 2 {
-		t.Errorf("it got %d requests", n)
+	if n := backend.Count(); n != 2 {
+		t.Errorf("the server got %d requests", n)
 	}
 }
 
-// A second request right behind a large one, on the same connection, gets its
-// own answer after the first one's.
-func TestARequestBehindALargeBodyGetsItsOwnAnswer(t *testing.T) {
-	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A request pipelined behind one with a large body gets its own response after the first.
+func TestPipelinedRequestAfterLargeBodyGetsItsResponse(t *testing.T) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		fmt.Fprintf(w, "%s had %d", r.Header.Get("Request-Id"), n)
 	}))
-	defer b.Close()
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Listener.Addr().String()))
+	defer backend.Close()
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Listener.Addr().String()))
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -379,34 +377,34 @@
 	}
 }
 
-// A client of HTTP/1.0 gets its answer, also one of unknown length, which ends
-// with its connection; one that breaks off is reset and never looks whole.
-func TestOldClientsAreServedAndNeverTakeAPartForTheWhole(t *testing.T) {
+// HTTP/1.0 clients get their responses, also those of unknown length, which end with the
+// connection. A truncated one of these is reset, so that it does not look complete.
+func TestHTTP10ClientsDetectTruncatedResponses(t *testing.T) {
 	const size = 300000
 	for name, c := range map[string]struct {
-		head string
-		size int
-		ends bool // well
+		head     string
+		size     int
+		complete bool
 	}{
-		"a length":           {fmt.Sprintf("Content-Length: %d", size), size, true},
-		"chunks":             {"Transfer-Encoding: chunked", size, true},
-		"a length, cut off":  {fmt.Sprintf("Content-Length: %d", size), size / 2, false},
-		"chunks, cut off":    {"Transfer-Encoding: chunked", size / 2, false},
-		"a small one":        {"Content-Length: 6", 6, true},
-		"a small one, chunk": {"Transfer-Encoding: chunked", 6, true},
+		"length":            {fmt.Sprintf("Content-Length: %d", size), size, true},
+		"chunks":            {"Transfer-Encoding: chunked", size, true},
+		"length, truncated": {fmt.Sprintf("Content-Length: %d", size), size / 2, false},
+		"chunks, truncated": {"Transfer-Encoding: chunked", size / 2, false},
+		"small":             {"Content-Length: 6", 6, true},
+		"small, chunked":    {"Transfer-Encoding: chunked", 6, true},
 	} {
-		b := nodetest.NewRawServer(t, func(w net.Conn, r *http.Request) bool {
+		backend := nodetest.NewRawServer(t, func(w net.Conn, r *http.Request) bool {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", c.head)
 			if strings.HasPrefix(c.head, "Transfer") {
 				fmt.Fprintf(w, "%x\r\n", c.size)
 			}
-			io.Copy(w, &noise{left: int64(c.size)})
-			if strings.HasPrefix(c.head, "Transfer") && c.ends {
+			io.Copy(w, &patternReader{left: int64(c.size)})
+			if strings.HasPrefix(c.head, "Transfer") && c.complete {
 				io.WriteString(w, "\r\n0\r\n\r\n")
 			}
-			return c.ends
+			return c.complete
 		})
-		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 		conn, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -418,11 +416,11 @@
 		head, body, _ := strings.Cut(string(raw), "\r\n\r\n")
 		switch {
 		case strings.Contains(strings.ToLower(head), "transfer-encoding"):
-			t.Errorf("%s: the answer is in chunks: %q", name, head)
-		case c.ends && (err != nil || len(body) != c.size):
+			t.Errorf("%s: the response is chunked: %q", name, head)
+		case c.complete && (err != nil || len(body) != c.size):
 			t.Errorf("%s: %d bytes of %d, %v", name, len(body), c.size, err)
-		case !c.ends && err == nil && !strings.Contains(head, "Content-Length: "):
-			t.Errorf("%s: %d bytes of %d look whole", name, len(body), size)
+		case !c.complete && err == nil && !strings.Contains(head, "Content-Length: "):
+			t.Errorf("%s: %d bytes of %d look complete", name, len(body), size)
 		}
 	}
 }
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -24,8 +24,8 @@
 	"ivylock/internal/nodetest"
 )
 
-// get is a whole request in the protocol's form.
-func get(id string) string {
+// getRequest returns a complete request that follows the protocol.
+func getRequest(id string) string {
 	return "GET /clip/a HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: clip\r\nRequest-Timeout-Ms: 60000\r\n\r\n"
 }
 
@@ -40,75 +40,75 @@
 	return c.(*net.TCPConn)
 }
 
-// wait waits until something holds.
-func wait(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(nodetest.Patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-// A client that has gone is noticed behind whatever it had sent beyond its open request,
-// which ends at once.
-func TestAClientThatIsGoneIsNoticedBehindWhatItHadSent(t *testing.T) {
+// A client that closes its connection is noticed behind whatever it has sent after its open
+// request, whose attempt is cancelled at once.
+func TestClientCloseIsNoticedBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	arrived, closed := make(chan bool, 1), make(chan bool, 1)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
-		io.Copy(io.Discard, c) // returns when the node gives the attempt up
+		io.Copy(io.Discard, c) // returns when the node cancels the attempt
 		closed <- true
 		return false
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	id := 0
-	for name, behind := range map[string]string{"nothing": "", "a byte": "G", "half a request": get("x")[:40],
-		"a whole one": get("y"), "many": strings.Repeat(get("z"), 3*maxReadAhead/len(get("z")))} {
-		for how, leave := range map[string]func(*net.TCPConn){
+	for name, pipelined := range map[string]string{"nothing": "", "a byte": "G", "partial request": getRequest("x")[:40],
+		"complete request": getRequest("y"), "many requests": strings.Repeat(getRequest("z"), 3*maxReadAhead/len(getRequest("z")))} {
+		for how, closeConn := range map[string]func(*net.TCPConn){
 			"close": func(c *net.TCPConn) { c.Close() }, "half-close": func(c *net.TCPConn) { c.CloseWrite() },
 			"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }} {
 			id++
 			c := dial(t, n.url)
-			io.WriteString(c, get(fmt.Sprint(id)))
+			io.WriteString(c, getRequest(fmt.Sprint(id)))
 			<-arrived
-			io.WriteString(c, behind)
-			before := b.Count()
-			leave(c)
+			io.WriteString(c, pipelined)
+			before := backend.Count()
+			closeConn(c)
 			select {
 			case <-closed:
 			case <-time.After(nodetest.Patience):
-				t.Fatalf("%s, then %s: the attempt was not given up", name, how)
+				t.Fatalf("%s, then %s: the attempt was not cancelled", name, how)
 			}
-			if got := b.Count(); got != before {
+			if got := backend.Count(); got != before {
 				t.Errorf("%s, then %s: %d further attempts", name, how, got-before)
 			}
 		}
 	}
 }
 
-// The same where the open request was read together with the one before; and no such
-// connection is ended as a silent one.
-func TestARequestReadTogetherWithTheOneBeforeIsOpen(t *testing.T) {
+// The same if the open request was read together with the previous one. Such a connection
+// does not count as idle.
+func TestRequestReadTogetherWithPreviousIsNotEvicted(t *testing.T) {
 	t.Parallel()
-	for _, what := range []string{"room", "shutdown", "close"} {
+	for _, event := range []string{"room", "shutdown", "close"} {
 		arrived, release, closed := make(chan bool, 1), make(chan bool), make(chan bool, 1)
-		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+		backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 			if r.Header.Get("Request-Id") != "second" {
 				return nodetest.Reply(c, "200 OK", "first")
 			}
 			arrived <- true
-			if what == "close" {
-				io.Copy(io.Discard, c) // returns when the node gives the attempt up
+			if event == "close" {
+				io.Copy(io.Discard, c) // returns when the node cancels the attempt
 				closed <- true
 				return false
 			}
 			<-release
 			return nodetest.Reply(c, "200 OK", "second")
 		})
-		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 		c := dial(t, n.url)
-		io.WriteString(c, get("first")+get("second")+get("x")[:40])
+		io.WriteString(c, getRequest("first")+getRequest("second")+getRequest("x")[:40])
 		<-arrived
 		r := bufio.NewReader(c)
 		if resp, err := http.ReadResponse(r, nil); err != nil {
@@ -116,13 +116,13 @@
 		} else {
 			io.Copy(io.Discard, resp.Body)
 		}
-		switch what {
+		switch event {
 		case "room":
 			n.front.SetMaxConns(1)
-			n.front.clients.makeRoom(time.Now().Add(time.Minute)) // all have been silent for long
+			n.front.clients.makeRoom(time.Now().Add(time.Minute)) // all count as idle for long
 		case "shutdown":
 			n.stop()
-			wait(t, "the drain goes on", func() bool { return n.front.draining.Load() })
+			waitFor(t, "the shutdown has begun", func() bool { return n.front.draining.Load() })
 			<-n.front.clients.closed
 			n.front.clients.closeIdleSince(time.Now().Add(time.Minute))
 		case "close":
@@ -130,39 +130,39 @@
 			select {
 			case <-closed:
 			case <-time.After(nodetest.Patience):
-				t.Fatal("the attempt was not given up")
+				t.Fatal("the attempt was not cancelled")
 			}
 			continue
 		}
 		close(release)
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Errorf("%s: no answer: %v", what, err)
+			t.Errorf("%s: no response: %v", event, err)
 			continue
 		}
 		if body, err := io.ReadAll(resp.Body); string(body) != "second" || err != nil {
-			t.Errorf("%s: %d %q, %v", what, resp.StatusCode, body, err)
+			t.Errorf("%s: %d %q, %v", event, resp.StatusCode, body, err)
 		}
 	}
 }
 
-// Requests that a client sends ahead are answered in their order, each once.
-func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
+// Pipelined requests are answered in order and once each.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	t.Parallel()
 	first, release := make(chan bool, 1), make(chan bool)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Request-Id") == "0" {
 			first <- true
 			<-release
 		}
 		return nodetest.Reply(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	c := dial(t, n.url)
-	io.WriteString(c, get("0"))
+	io.WriteString(c, getRequest("0"))
 	<-first
-	for i := 1; i < 20; i++ { // read while the first one is open, in pieces
-		text := get(fmt.Sprint(i))
+	for i := 1; i < 20; i++ { // read ahead while the first one is open, in pieces
+		text := getRequest(fmt.Sprint(i))
 		io.WriteString(c, text[:i])
 		io.WriteString(c, text[i:])
 	}
@@ -171,47 +171,47 @@
 	for i := range 20 {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatalf("answer %d: %v", i, err)
+			t.Fatalf("response %d: %v", i, err)
 		}
 		if body, _ := io.ReadAll(resp.Body); string(body) != fmt.Sprint("answer to ", i) {
-			t.Fatalf("answer %d: %d %q", i, resp.StatusCode, body)
+			t.Fatalf("response %d: %d %q", i, resp.StatusCode, body)
 		}
 	}
 }
 
-// held is a front in which, once it is armed, the next connection that comes to a state is
-// held there: net/http has accepted it, or has read its request, and has told nobody.
-type held struct {
-	*running
-	armed   atomic.Int64 // 1 more than the state; 0: none
+// heldFront is a front end that, once armed, holds the next connection that changes to a
+// given state: net/http has accepted it or read its request, but has not reported it yet.
+type heldFront struct {
+	*testNode
+	armed   atomic.Int64 // state + 1; 0 if not armed
 	reached chan net.Conn
-	let     chan bool
+	resume  chan bool
 }
 
-func startHeld(t *testing.T, cfg *node.Config) *held {
+func startHeldFront(t *testing.T, cfg *node.Config) *heldFront {
 	t.Helper()
-	h := startHeldUnchecked(t, cfg)
-	t.Cleanup(func() { h.stop(); <-h.Done(); h.keptInvariants(t) })
+	h := startHeldFrontUnchecked(t, cfg)
+	t.Cleanup(func() { h.stop(); <-h.Done(); h.checkInvariants(t) })
 	return h
 }
 
-// startHeldUnchecked starts one that may break invariants.
-func startHeldUnchecked(t *testing.T, cfg *node.Config) *held {
+// startHeldFrontUnchecked starts a heldFront whose test may break invariants.
+func startHeldFrontUnchecked(t *testing.T, cfg *node.Config) *heldFront {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	h := &held{running: &running{Node: node.New(cfg), url: "http://" + l.Addr().String(), stop: stop, ended: make(chan error, 1)},
-		reached: make(chan net.Conn, 1), let: make(chan bool)}
+	h := &heldFront{testNode: &testNode{Node: node.New(cfg), url: "http://" + l.Addr().String(), stop: stop, ended: make(chan error, 1)},
+		reached: make(chan net.Conn, 1), resume: make(chan bool)}
 	h.front = New(h.Node, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
-	h.SetShutdownSchedule(quickSchedule)
+	h.SetShutdownSchedule(shortSchedule)
 	track := h.front.server.ConnState
 	h.front.server.ConnState = func(c net.Conn, s http.ConnState) {
 		if h.armed.CompareAndSwap(int64(s)+1, 0) {
 			h.reached <- c
-			<-h.let
+			<-h.resume
 		}
 		track(c, s)
 	}
@@ -220,52 +220,52 @@
 	return h
 }
 
-// A request that has been read in the very moment in which connections are ended, to make
-// room or at a shutdown, is served and answered: on a new connection and on a resting one.
-func TestARequestReadInTheMomentOfAnEndIsAnswered(t *testing.T) {
+// A request that is read just as its connection would be closed, for eviction or at a
+// shutdown, is served and answered, on a new connection as well as on an idle one.
+func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		return nodetest.Reply(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 	})
-	for _, rested := range []bool{false, true} {
-		for _, end := range []string{"room", "shutdown"} {
-			h := startHeld(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	for _, reused := range []bool{false, true} {
+		for _, event := range []string{"room", "shutdown"} {
+			h := startHeldFront(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 			c := dial(t, h.url)
 			r := bufio.NewReader(c)
-			if rested {
-				io.WriteString(c, get("before"))
+			if reused {
+				io.WriteString(c, getRequest("before"))
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
 				io.Copy(io.Discard, resp.Body)
-				wait(t, "the connection rests", func() bool {
+				waitFor(t, "the connection is idle", func() bool {
 					h.front.clients.mu.Lock()
 					defer h.front.clients.mu.Unlock()
 					return len(h.front.clients.idle) == 1
 				})
 			}
 			h.armed.Store(int64(http.StateActive) + 1)
-			io.WriteString(c, get("crossing"))
-			<-h.reached // it has been read, and nobody was told yet
-			if end == "room" {
+			io.WriteString(c, getRequest("crossing"))
+			<-h.reached // the request has been read but not reported
+			if event == "room" {
 				h.front.SetMaxConns(1)
-				h.front.clients.makeRoom(time.Now().Add(time.Minute)) // all have been silent for long
+				h.front.clients.makeRoom(time.Now().Add(time.Minute)) // all count as idle for long
 			} else {
 				h.stop()
-				wait(t, "the drain goes on", func() bool { return h.front.draining.Load() })
+				waitFor(t, "the shutdown has begun", func() bool { return h.front.draining.Load() })
 				h.front.clients.closeIdleSince(time.Now().Add(time.Minute))
 			}
-			close(h.let)
+			close(h.resume)
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil {
-				t.Errorf("rested %v, %s: no answer: %v", rested, end, err)
+				t.Errorf("reused %v, %s: no response: %v", reused, event, err)
 				continue
 			}
 			if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != "answer to crossing" || err != nil {
-				t.Errorf("rested %v, %s: %d %q, %v", rested, end, resp.StatusCode, body, err)
+				t.Errorf("reused %v, %s: %d %q, %v", reused, event, resp.StatusCode, body, err)
 			}
-			if end == "shutdown" {
+			if event == "shutdown" {
 				if err := <-h.ended; err != nil {
 					t.Error(err)
 				}
@@ -274,24 +274,24 @@
 	}
 }
 
-// A connection that is accepted just as the word to end comes, and that nobody has counted
-// yet, is served before the process ends.
-func TestAConnectionAcceptedInTheMomentOfAShutdownIsServed(t *testing.T) {
+// A connection that is accepted just as a shutdown begins, and is not counted yet, is served
+// before the process exits.
+func TestConnectionAcceptedDuringShutdownIsServed(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
-	h := startHeld(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	h := startHeldFront(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	h.armed.Store(int64(http.StateNew) + 1)
 	c := dial(t, h.url)
-	io.WriteString(c, get("behind an accept"))
+	io.WriteString(c, getRequest("behind an accept"))
 	<-h.reached
 	h.stop()
 	<-h.front.clients.closed
-	select { // what does not wait for it has all the time to end
+	select { // an implementation that does not wait for it has time to exit
 	case err := <-h.ended:
-		t.Errorf("it ended, %v", err)
+		t.Errorf("exited early: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
-	close(h.let)
+	close(h.resume)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -301,16 +301,16 @@
 	}
 }
 
-// A connection that waits for room as the word to end comes is served too: resting ones
-// make room for it while the listener is open.
-func TestWhoWaitsForRoomAtAShutdownIsServed(t *testing.T) {
+// A connection that waits for room as a shutdown begins is served too: idle connections are
+// evicted for it while the listener is open.
+func TestConnectionsWaitingForRoomAtShutdownAreServed(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: minIdleAge * 3 / 4, ServeUntil: minIdleAge, AnswerBy: 2 * minIdleAge, ExitBy: 2 * minIdleAge})
 	for _, id := range []string{"rests", "is let in by an accept that had room", "waits"} {
 		c := dial(t, n.url)
-		io.WriteString(c, get(strings.ReplaceAll(id, " ", "-")))
+		io.WriteString(c, getRequest(strings.ReplaceAll(id, " ", "-")))
 		if id == "waits" {
 			n.stop()
 		}
@@ -321,56 +321,56 @@
 		if body, err := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(body) != "served" || err != nil {
 			t.Errorf("%s: %d %q, %v", id, resp.StatusCode, body, err)
 		}
-		n.front.SetMaxConns(1) // of which the first, which rests, has all from here on
+		n.front.SetMaxConns(1) // the first connection, now idle, fills the limit
 	}
 }
 
-// What comes once a connection was ended is not handed out: its client, which sees the end
-// and no answer, sends it anew, and it would run twice.
-func TestWhatComesAfterTheEndIsNotRead(t *testing.T) {
+// Bytes that arrive after a connection was closed are not delivered: the client, which sees
+// the close without a response, resends its request, which would run twice.
+func TestBytesAfterCloseAreNotDelivered(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns := newClientConns(l, 2, figures.New(nil), eventlog.New(), nil)
 	defer conns.Close()
-	theirs := dial(t, l.Addr().String())
+	remote := dial(t, l.Addr().String())
 	got, err := conns.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours := got.(*clientConn)
-	conns.onConnState(ours, http.StateNew)
-	conns.onConnState(ours, http.StateActive)
-	if ours.closeIfIdle(figures.ClosedDraining, true) {
-		t.Error("ended with a request open")
+	local := got.(*clientConn)
+	conns.onConnState(local, http.StateNew)
+	conns.onConnState(local, http.StateActive)
+	if local.closeIfIdle(figures.ClosedDraining, true) {
+		t.Error("closed with an open request")
 	}
-	conns.onConnState(ours, http.StateIdle)
-	// The read has the bytes in its hands when the end comes: with the lock held they have
-	// left the kernel, and it waits to hand them out.
+	conns.onConnState(local, http.StateIdle)
+	// The read overlaps the close: while the lock is held it takes the bytes from the kernel
+	// and waits to deliver them.
 	read := make(chan error, 1)
-	for crossed := false; !crossed; {
+	for overlapped := false; !overlapped; {
 		go func() {
-			_, err := ours.Read(make([]byte, 64))
+			_, err := local.Read(make([]byte, 64))
 			read <- err
 		}()
-		time.Sleep(time.Millisecond) // mostly it waits for bytes by now; if not, once more
-		ours.mu.Lock()
-		io.WriteString(theirs, "G")
-		for end := time.Now().Add(100 * time.Millisecond); !crossed && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			crossed = bounded.OpenAndIdle(ours.TCPConn)
+		time.Sleep(time.Millisecond) // by now it usually waits for bytes; if not, the loop tries again
+		local.mu.Lock()
+		io.WriteString(remote, "G")
+		for end := time.Now().Add(100 * time.Millisecond); !overlapped && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			overlapped = bounded.OpenAndIdle(local.TCPConn)
 		}
-		ours.closed = crossed
-		ours.mu.Unlock()
-		if err := <-read; crossed != errors.Is(err, net.ErrClosed) {
-			t.Errorf("read in the moment of the end: %v", err)
+		local.closed = overlapped
+		local.mu.Unlock()
+		if err := <-read; overlapped != errors.Is(err, net.ErrClosed) {
+			t.Errorf("read overlapping the close: %v", err)
 		}
 	}
 }
 
-// An answer that ends its connection gets through although its client has sent more, which
-// nobody reads, and although the system still holds it back.
-func TestAnAnswerOutlivesACloseOverUnreadBytes(t *testing.T) {
+// A response that ends its connection arrives although the client has sent more that is not
+// read, and although the kernel may still buffer the response.
+func TestResponseSurvivesCloseWithUnreadBytes(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -378,84 +378,83 @@
 	}
 	conns := newClientConns(l, 2, figures.New(nil), eventlog.New(), nil)
 	defer conns.Close()
-	theirs := dial(t, l.Addr().String())
+	remote := dial(t, l.Addr().String())
 	got, err := conns.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ours := got.(*clientConn)
-	conns.onConnState(ours, http.StateNew)
-	io.WriteString(theirs, get("unread"))
-	wait(t, "the bytes are there", func() bool { return !bounded.OpenAndIdle(ours.TCPConn) })
-	ours.SetNoDelay(false)
-	answer := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
-	for _, piece := range strings.SplitAfter(answer, "\n") {
-		io.WriteString(ours, piece)
-	}
-	ours.Close()
-	conns.onConnState(ours, http.StateClosed)
+	local := got.(*clientConn)
+	conns.onConnState(local, http.StateNew)
+	io.WriteString(remote, getRequest("unread"))
+	waitFor(t, "the bytes are there", func() bool { return !bounded.OpenAndIdle(local.TCPConn) })
+	local.SetNoDelay(false)
+	response := "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
+	for _, piece := range strings.SplitAfter(response, "\n") {
+		io.WriteString(local, piece)
+	}
+	local.Close()
+	conns.onConnState(local, http.StateClosed)
 	if conns.count() != 1 {
-		t.Error("its descriptor is no more counted")
+		t.Error("the lingering connection is not counted")
 	}
-	if raw, err := io.ReadAll(theirs); err != nil || string(raw) != answer {
+	if raw, err := io.ReadAll(remote); err != nil || string(raw) != response {
 		t.Errorf("%q, %v", raw, err)
 	}
-	theirs.Close()
-	wait(t, "the connection is gone", func() bool { return conns.count() == 0 })
+	remote.Close()
+	waitFor(t, "the connection is closed", func() bool { return conns.count() == 0 })
 }
 
-// A connection to a server that comes up late leaves the server no more time than the
-// client has.
-func TestTheTimeToldIsWhatIsLeft(t *testing.T) {
+// After a slow dial the server is given only the time that the client has left.
+func TestForwardedTimeoutIsRemainingTime(t *testing.T) {
 	t.Parallel()
 	server := nodetest.NewHeldListener(t)
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), server.Addr().String())
 	cfg.Settings.ConnectTimeout = 5 * time.Second
 	n := startNode(t, cfg)
-	told := make(chan string, 1)
-	from := time.Now()
+	forwarded := make(chan string, 1)
+	start := time.Now()
 	answered := make(chan time.Time, 1)
 	go func() {
-		n.ask(context.Background(), "clip", "one", 10*time.Second)
+		n.request(context.Background(), "clip", "one", 10*time.Second)
 		answered <- time.Now()
 	}()
-	wait(t, "the attempt dials", func() bool { return n.BackendPool().OpenConns() == 1 })
-	server.LetGo(t) // the kernel knocks again 1 s after the first time
+	waitFor(t, "the attempt dials", func() bool { return n.BackendPool().OpenConns() == 1 })
+	server.LetGo(t) // the kernel retransmits the SYN 1 s after the first
 	go http.Serve(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		told <- r.Header.Get("Request-Timeout-Ms")
+		forwarded <- r.Header.Get("Request-Timeout-Ms")
 	}))
-	took := (<-answered).Sub(from)
+	took := (<-answered).Sub(start)
 	var ms int64
-	fmt.Sscan(<-told, &ms)
+	fmt.Sscan(<-forwarded, &ms)
 	if left := 10*time.Second - took; time.Duration(ms)*time.Millisecond > left+100*time.Millisecond || ms <= 0 {
-		t.Errorf("told %d ms with %v left", ms, left)
+		t.Errorf("forwarded %d ms with %v left", ms, left)
 	}
 }
 
-// A repeat of a keyed request whose connection comes up after the end of its window is not
-// written: its server's group may have forgotten the first one.
-func TestNoRepeatIsWrittenAfterItsWindow(t *testing.T) {
+// A retry of a keyed request whose connection is established after the deduplication window
+// is not written: the server group may have forgotten the first attempt.
+func TestNoRetryIsWrittenAfterDedupWindow(t *testing.T) {
 	t.Parallel()
 	const window = 700 * time.Millisecond
-	ran, reset := make(chan bool, 1), make(chan bool)
+	received, reset := make(chan bool, 1), make(chan bool)
 	first := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
-		ran <- true
+		received <- true
 		<-reset
-		return false // it may have run
+		return false // the request may have run
 	})
-	second, more := nodetest.NewHeldListener(t), make(chan bool)
-	lists := newLists(t, func(_ *lists, _ int, w http.ResponseWriter, r *http.Request) {
+	second, listSecond := nodetest.NewHeldListener(t), make(chan bool)
+	discovery := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("hold_ms") == "0" {
 			io.WriteString(w, `{"generation":7,"reset":false,"instances":[]}`)
 			return
 		}
 		select {
-		case <-more:
+		case <-listSecond:
 			fmt.Fprintf(w, `{"generation":8,"reset":false,"instances":[{"instanceId":"s-1","hostPort":%q,"cell":0,"lifecycle":"up"}]}`, second.Addr())
 		case <-r.Context().Done():
 		}
 	})
-	cfg, err := node.ParseConfig([]byte(strings.Replace(nodetest.ConfigJSON(addr(lists.Server), first.Addr),
+	cfg, err := node.ParseConfig([]byte(strings.Replace(nodetest.ConfigJSON(addr(discovery.Server), first.Addr),
 		`"dedup_window_ns":8000000000`, fmt.Sprintf(`"dedup_window_ns":%d`, window), 1)))
 	if err != nil {
 		t.Fatal(err)
@@ -463,56 +462,55 @@
 	cfg.Settings.ConnectTimeout = 5 * time.Second
 	n := startNode(t, cfg)
 	status := make(chan int, 1)
-	from := time.Now()
+	start := time.Now()
 	go func() {
-		got, _, _, _ := n.ask(context.Background(), "tag", "one", 4*time.Second)
+		got, _, _, _ := n.request(context.Background(), "tag", "one", 4*time.Second)
 		status <- got
 	}()
-	<-ran
-	more <- true
-	wait(t, "the second server is listed", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:2|g") })
-	close(reset) // the repeat begins to dial
-	if dialled := time.Since(from); dialled > window {
-		t.Fatalf("the crossing was not forced: the machine took %v", dialled)
+	<-received
+	listSecond <- true
+	waitFor(t, "the second server is listed", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:2|g") })
+	close(reset) // the retry starts to dial
+	if dialled := time.Since(start); dialled > window {
+		t.Fatalf("the machine was too slow to force the race: %v", dialled)
 	}
 	written := make(chan bool, 1)
-	time.Sleep(time.Until(from.Add(window + 50*time.Millisecond))) // the kernel knocks again 1 s after the first time
+	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // the kernel retransmits the SYN 1 s after the first
 	second.LetGo(t)
 	go http.Serve(second, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { written <- true }))
 	if got := <-status; got != http.StatusBadGateway {
-		t.Errorf("answered %d", got)
+		t.Errorf("got status %d", got)
 	}
 	select {
 	case <-written:
-		t.Error("a repeat was written after its window")
+		t.Error("a retry was written after the window")
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
-// What changes while a connection to a server comes up counts: nothing is written to a
-// server that drains by then, nor for a client that has gone. The other classes' requests
-// are not lost: a drain sends them elsewhere, or they are refused.
-func TestNothingIsWrittenForWhatEndedWhileItDialled(t *testing.T) {
+// Changes during a dial apply before the write: nothing is written to a server that drains,
+// or for a client that has gone. After a drain the request is retried elsewhere or rejected.
+func TestNothingIsWrittenIfRequestEndsDuringDial(t *testing.T) {
 	for _, class := range []string{"clip", "tag", "order"} {
-		for _, what := range []string{"drain", "close", "half-close", "reset"} {
-			t.Run(class+" "+what, func(t *testing.T) {
+		for _, event := range []string{"drain", "close", "half-close", "reset"} {
+			t.Run(class+" "+event, func(t *testing.T) {
 				t.Parallel()
-				server, tell := nodetest.NewHeldListener(t), make(chan bool)
-				lists := newLists(t, func(_ *lists, call int, w http.ResponseWriter, r *http.Request) {
+				server, sendDrain := nodetest.NewHeldListener(t), make(chan bool)
+				discovery := newFakeDiscovery(t, func(_ *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 					if call == 1 {
 						io.WriteString(w, `{"generation":7,"reset":false,"instances":[]}`)
 						return
 					}
 					select {
-					case <-tell:
+					case <-sendDrain:
 						io.WriteString(w, `{"generation":8,"reset":false,"instances":[{"instanceId":"s-0","lifecycle":"removed"}]}`)
 					case <-r.Context().Done():
 					}
 				})
-				cfg := nodeConfig(t, addr(lists.Server), server.Addr().String())
+				cfg := nodeConfig(t, addr(discovery.Server), server.Addr().String())
 				cfg.Settings.ConnectTimeout = 5 * time.Second
 				n := startNode(t, cfg)
-				wait(t, "the watch goes on", func() bool { lists.mu.Lock(); defer lists.mu.Unlock(); return lists.calls > 1 })
+				waitFor(t, "the watch is open", func() bool { discovery.mu.Lock(); defer discovery.mu.Unlock(); return discovery.calls > 1 })
 				c := dial(t, n.url)
 				method, key := "POST", ""
 				switch class {
@@ -522,11 +520,11 @@
 					key = "Idempotency-Key: k\r\n"
 				}
 				fmt.Fprintf(c, "%s /%s/a HTTP/1.1\r\nHost: h\r\nRequest-Id: one\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: 9000\r\n%sContent-Length: 0\r\n\r\n", method, class, class, key)
-				wait(t, "it dials", func() bool { return n.BackendPool().OpenConns() == 1 })
-				switch what {
+				waitFor(t, "the attempt dials", func() bool { return n.BackendPool().OpenConns() == 1 })
+				switch event {
 				case "drain":
-					tell <- true
-					wait(t, "the drain is known", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:0|g") })
+					sendDrain <- true
+					waitFor(t, "the drain is applied", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:0|g") })
 				case "close":
 					c.Close()
 				case "half-close":
@@ -535,23 +533,23 @@
 					c.SetLinger(0)
 					c.Close()
 				}
-				if what != "drain" {
-					wait(t, "its departure is known", func() bool { return n.Metrics().Open.Load() == 0 })
+				if event != "drain" {
+					waitFor(t, "the disconnect is noticed", func() bool { return n.Metrics().Open.Load() == 0 })
 				}
 				written := make(chan bool, 1)
-				server.LetGo(t) // the kernel knocks again 1 s after the first time
+				server.LetGo(t) // the kernel retransmits the SYN 1 s after the first
 				go http.Serve(server, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { written <- true }))
-				if what == "drain" {
+				if event == "drain" {
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 					if err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-						t.Errorf("the answer: %v, %v", resp, err)
+						t.Errorf("the response: %v, %v", resp, err)
 					}
 				} else {
 					time.Sleep(1100 * time.Millisecond)
 				}
 				select {
 				case <-written:
-					t.Error("it was written")
+					t.Error("the request was written")
 				default:
 				}
 			})
@@ -559,19 +557,19 @@
 	}
 }
 
-// A node serves at once, and says so, though discovery is down, hangs or turns it away.
-func TestItIsReadyWhateverDiscoveryDoes(t *testing.T) {
+// A node is ready and serves at once, even if discovery is down, hangs or rejects its calls.
+func TestNodeIsReadyWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
-	hangs := newLists(t, func(_ *lists, _ int, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	away := newLists(t, func(_ *lists, _ int, w http.ResponseWriter, _ *http.Request) {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	hangs := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	rejects := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	for name, at := range map[string]string{"down": nodetest.ClosedAddr(t), "cut off": nodetest.NewHeldListener(t).Addr().String(),
-		"hangs": addr(hangs.Server), "turns away": addr(away.Server)} {
-		n := startNode(t, nodeConfig(t, at, b.Addr))
-		from := time.Now()
-		wait(t, name, func() bool {
+	for name, discovery := range map[string]string{"down": nodetest.ClosedAddr(t), "unreachable": nodetest.NewHeldListener(t).Addr().String(),
+		"hangs": addr(hangs.Server), "rejects": addr(rejects.Server)} {
+		n := startNode(t, nodeConfig(t, discovery, backend.Addr))
+		start := time.Now()
+		waitFor(t, name, func() bool {
 			resp, err := n.client.Get(n.url + "/up")
 			if err != nil {
 				return false
@@ -579,43 +577,43 @@
 			resp.Body.Close()
 			return resp.StatusCode == http.StatusOK
 		})
-		if status, _, _ := n.mustAsk(t, "clip", "one", 3*time.Second); status != 200 || time.Since(from) > 3*time.Second {
-			t.Errorf("%s: %d after %v", name, status, time.Since(from))
+		if status, _, _ := n.mustRequest(t, "clip", "one", 3*time.Second); status != 200 || time.Since(start) > 3*time.Second {
+			t.Errorf("%s: %d after %v", name, status, time.Since(start))
 		}
 	}
 }
 
-// Idle clients fill the node's descriptors while discovery is down: once that is back the
-// node still reaches it and its servers, and good clients get through when the others go.
-func TestIdleClientsKeepNobodyFromDiscovery(t *testing.T) {
+// Idle clients fill the connection limit while discovery is down. Once discovery is back the
+// node still reaches it and its servers, and other clients are served when the idle ones go.
+func TestIdleClientsDoNotBlockDiscovery(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
 	var back atomic.Bool
-	l := newLists(t, func(_ *lists, _ int, w http.ResponseWriter, r *http.Request) {
+	discovery := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, w http.ResponseWriter, r *http.Request) {
 		switch {
 		case !back.Load():
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case r.URL.Query().Get("from") == "8":
 			<-r.Context().Done()
 		default:
-			fmt.Fprintf(w, `{"generation":8,"reset":true,"instances":[{"instanceId":"s-9","hostPort":%q,"lifecycle":"up"}]}`, b.Addr)
+			fmt.Fprintf(w, `{"generation":8,"reset":true,"instances":[{"instanceId":"s-9","hostPort":%q,"lifecycle":"up"}]}`, backend.Addr)
 		}
 	})
-	cfg := nodeConfig(t, addr(l.Server))
+	cfg := nodeConfig(t, addr(discovery.Server))
 	n := startNode(t, cfg)
 	n.front.SetMaxConns(20)
 	var idle []net.Conn
-	for range 60 { // three times as many as there is room for
+	for range 60 { // three times the limit
 		idle = append(idle, dial(t, n.url))
 	}
-	wait(t, "they fill it", func() bool { return n.front.Connections() == 20 })
+	waitFor(t, "the limit is reached", func() bool { return n.front.Connections() == 20 })
 	back.Store(true)
-	wait(t, "the list", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:1|g") })
+	waitFor(t, "the list is applied", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:1|g") })
 	for _, c := range idle {
 		c.Close()
 	}
-	if status, _, _ := n.mustAsk(t, "clip", "good", 5*time.Second); status != 200 {
-		t.Errorf("a good client: %d", status)
+	if status, _, _ := n.mustRequest(t, "clip", "good", 5*time.Second); status != 200 {
+		t.Errorf("a well-behaved client: %d", status)
 	}
 	resp, err := n.client.Get(n.url + "/up")
 	if err != nil || resp.StatusCode != 200 {
@@ -623,15 +621,15 @@
 	}
 }
 
-// Bad clients by the hundred, servers that spoil answers and a discovery that fails leave
-// nothing behind: no goroutine, no descriptor, no connection, no heap. (Not beside other
-// tests, whose own it would count.)
-func TestBadClientsLeaveNothingBehind(t *testing.T) {
+// Hundreds of bad clients and servers with malformed responses leak no goroutines,
+// descriptors, connections or heap. The test does not run in parallel, as it would count the
+// resources of other tests.
+func TestBadClientsLeakNoResources(t *testing.T) {
 	var turn atomic.Int64
-	var well atomic.Bool
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	var healthy atomic.Bool
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		switch kind := turn.Add(1) % 6; {
-		case well.Load():
+		case healthy.Load():
 		case kind == 0:
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel")
 			return false
@@ -646,10 +644,10 @@
 		}
 		return nodetest.Reply(c, "200 OK", "served")
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
-	texts := []string{"", "G", get("x")[:50], get("y"), strings.Repeat(get("z"), 20), strings.Repeat("x", 9<<10), "\x00\x01\r\n\r\n",
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
+	texts := []string{"", "G", getRequest("x")[:50], getRequest("y"), strings.Repeat(getRequest("z"), 20), strings.Repeat("x", 9<<10), "\x00\x01\r\n\r\n",
 		"POST /order/a HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 900\r\nContent-Length: 90\r\n\r\nhalf",
-		strings.Repeat(get("f"), 2*maxReadAhead/len(get("f")))}
+		strings.Repeat(getRequest("f"), 2*maxReadAhead/len(getRequest("f")))}
 	wave := func(count int) {
 		var all sync.WaitGroup
 		for i := range count {
@@ -675,12 +673,12 @@
 			}()
 		}
 		all.Wait()
-		wait(t, "all connections have ended", func() bool { return n.front.Connections() == 0 && n.Metrics().Open.Load() == 0 })
-		n.BackendPool().SetMaxConns(0) // closes what rests
-		wait(t, "those to servers too", func() bool { return n.BackendPool().OpenConns() == 0 })
+		waitFor(t, "all client connections are closed", func() bool { return n.front.Connections() == 0 && n.Metrics().Open.Load() == 0 })
+		n.BackendPool().SetMaxConns(0) // closes idle connections
+		waitFor(t, "all server connections are closed", func() bool { return n.BackendPool().OpenConns() == 0 })
 		n.BackendPool().SetMaxConns(n.cfg.BackendSockets())
 	}
-	left := func() (goroutines, descriptors int, heap uint64) {
+	usage := func() (goroutines, descriptors int, heap uint64) {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
@@ -691,20 +689,20 @@
 		return runtime.NumGoroutine(), len(fds), m.HeapAlloc
 	}
 	wave(60)
-	g, d, h := left()
+	goroutines, descriptors, heap := usage()
 	for range 2 {
 		wave(300)
 	}
-	wait(t, "goroutines and descriptors are as many as before", func() bool {
-		now, open, _ := left()
-		return now <= g+4 && open <= d+4
+	waitFor(t, "goroutines and descriptors are back to the first count", func() bool {
+		now, open, _ := usage()
+		return now <= goroutines+4 && open <= descriptors+4
 	})
-	if _, _, now := left(); now > 2*h+4<<20 {
-		t.Errorf("the heap grew from %d to %d bytes", h, now)
+	if _, _, now := usage(); now > 2*heap+4<<20 {
+		t.Errorf("the heap grew from %d to %d bytes", heap, now)
 	}
-	well.Store(true)
-	wait(t, "a good client is served", func() bool {
-		status, _, _ := n.mustAsk(t, "clip", "good", 3*time.Second)
+	healthy.Store(true)
+	waitFor(t, "a well-behaved client is served", func() bool {
+		status, _, _ := n.mustRequest(t, "clip", "good", 3*time.Second)
 		return status == 200
 	})
 }
--- a/internal/front/events_test.go
+++ b/internal/front/events_test.go
@@ -13,22 +13,21 @@
 	"ivylock/internal/nodetest"
 )
 
-// What happened to a request can be read afterwards: its connection, each attempt, why it
-// ended as it did.
-func TestTheHistoryOfARequestIsKept(t *testing.T) {
+// The events of a request show its attempts and why it ended as it did.
+func TestRequestEventsAreLogged(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Request-Id") == "reset" {
 			return false
 		}
 		return nodetest.Reply(c, "200 OK", "served")
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	for id, want := range map[string][]string{
 		"served": {"request read", "attempt started", "attempt written", "attempt ended", "request ended"},
 		"reset":  {"request read", "attempt started", "attempt written", "attempt ended", "request ended"},
 	} {
-		status, _, _ := n.mustAsk(t, "order", id, 3*time.Second)
+		status, _, _ := n.mustRequest(t, "order", id, 3*time.Second)
 		text := string(n.Events(id))
 		for _, mark := range want {
 			if !strings.Contains(text, mark+fmt.Sprintf(" request=%q", id)) {
@@ -48,17 +47,17 @@
 	}
 }
 
-// The end of each connection is counted by its reason.
-func TestTheEndsOfConnectionsAreCounted(t *testing.T) {
+// Each closed connection is counted by the reason of its close.
+func TestConnectionClosesAreCountedByReason(t *testing.T) {
 	t.Parallel()
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	has := func(figure string) func() bool {
 		return func() bool { return strings.Contains(string(n.Figures()), figure) }
 	}
 	serve := func(id, more string) net.Conn {
 		c := dial(t, n.url)
-		io.WriteString(c, strings.Replace(get(id), "\r\n\r\n", "\r\n"+more+"\r\n", 1))
+		io.WriteString(c, strings.Replace(getRequest(id), "\r\n\r\n", "\r\n"+more+"\r\n", 1))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%s: %v, %v", id, resp, err)
@@ -66,15 +65,15 @@
 		return c
 	}
 	serve("answered", "Connection: close\r\n")
-	wait(t, "one that ended with its answer", has("app.connections.closed.answered:1|c"))
+	waitFor(t, "closed after its response", has("app.connections.closed.answered:1|c"))
 	serve("left", "").Close()
-	wait(t, "one whose client left", has("app.connections.closed.by_client:1|c"))
-	serve("silent", "") // for clientIdle
-	wait(t, "one that was silent", has("app.connections.closed.timeout:1|c"))
+	waitFor(t, "closed by its client", has("app.connections.closed.by_client:1|c"))
+	serve("silent", "") // idle for clientIdleTimeout
+	waitFor(t, "idle timeout", has("app.connections.closed.timeout:1|c"))
 	serve("rests", "")
 	n.stop()
-	wait(t, "one that rested as the process ended", has("app.connections.closed.draining:1|c"))
+	waitFor(t, "idle at the shutdown", has("app.connections.closed.draining:1|c"))
 	if !has("app.connections.opened:4|c")() || !has("app.connections.closed.unanswered:0|c")() {
-		t.Errorf("the figures say\n%s", n.Figures())
+		t.Errorf("unexpected figures:\n%s", n.Figures())
 	}
 }
--- a/internal/front/figures_test.go
+++ b/internal/front/figures_test.go
@@ -14,32 +14,32 @@
 	"ivylock/internal/nodetest"
 )
 
-// counted is a node whose clients and servers count for themselves. What a
-// request meets is the first part of its id.
-type counted struct {
-	*running
-	t        *testing.T
-	mu       sync.Mutex
-	held     chan bool
-	attempts map[string]int                      // that servers read whole, by kind
-	ended    map[string]*[figures.Outcomes]int64 // by class
-	gone     map[string]int64                    // by class: counted or not
+// countingNode is a node whose clients and servers keep their own counts. The first part of a
+// request's id selects how servers respond.
+type countingNode struct {
+	*testNode
+	t         *testing.T
+	mu        sync.Mutex
+	resume    chan bool
+	attempts  map[string]int                      // received by servers, by kind of request
+	ended     map[string]*[figures.Outcomes]int64 // by class
+	cancelled map[string]int64                    // by class; the node may or may not count these
 }
 
-func newCounted(t *testing.T, mostOpen int) *counted {
-	c := &counted{t: t, held: make(chan bool), attempts: map[string]int{}, gone: map[string]int64{},
+func newCountingNode(t *testing.T, maxOpen int) *countingNode {
+	c := &countingNode{t: t, resume: make(chan bool), attempts: map[string]int{}, cancelled: map[string]int64{},
 		ended: map[string]*[figures.Outcomes]int64{"clip": {}, "tag": {}, "order": {}}}
 	var addrs []string
 	for range 12 {
 		addrs = append(addrs, nodetest.NewRawServer(t, c.serve).Addr)
 	}
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), addrs...)
-	cfg.Settings.MaxOpenRequests = mostOpen
-	c.running = startNode(t, cfg)
+	cfg.Settings.MaxOpenRequests = maxOpen
+	c.testNode = startNode(t, cfg)
 	return c
 }
 
-func (c *counted) serve(conn net.Conn, r *http.Request) bool {
+func (c *countingNode) serve(conn net.Conn, r *http.Request) bool {
 	kind, _, _ := strings.Cut(r.Header.Get("Request-Id"), "-")
 	c.mu.Lock()
 	c.attempts[kind]++
@@ -52,7 +52,7 @@
 	case "reset":
 		return false
 	case "held":
-		<-c.held
+		<-c.resume
 	case "long":
 		return nodetest.Reply(conn, "200 OK", strings.Repeat("x", 200000))
 	case "cut":
@@ -62,37 +62,37 @@
 	return nodetest.Reply(conn, "200 OK", "done")
 }
 
-func (c *counted) askOne(ctx context.Context, class, id string) {
-	status, _, _, err := c.ask(ctx, class, id, 5*time.Second)
+func (c *countingNode) requestOne(ctx context.Context, class, id string) {
+	status, _, _, err := c.request(ctx, class, id, 5*time.Second)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case ctx.Err() != nil:
-		c.gone[class]++
+		c.cancelled[class]++
 	case err != nil && status == 0:
 		c.t.Errorf("%s %s: %v", class, id, err)
-	case err != nil: // an answer that broke off
+	case err != nil: // a truncated response
 		c.ended[class][figures.Faulted]++
 	default:
 		c.ended[class][figures.OutcomeOf(status)]++
 	}
 }
 
-// wrong tells which figures are not what clients and servers counted.
-func (c *counted) wrong() (wrong string) {
+// mismatches lists the metrics that differ from what clients and servers counted.
+func (c *countingNode) mismatches() (report string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for class, w := range c.ended {
+	for class, want := range c.ended {
 		extra := int64(0)
-		for o := range figures.Outcomes {
-			got := c.Metrics().Of(class, o)
-			if got < w[o] {
-				wrong += fmt.Sprintf("%s, outcome %d: %d, clients counted %d\n", class, o, got, w[o])
+		for outcome := range figures.Outcomes {
+			got := c.Metrics().Of(class, outcome)
+			if got < want[outcome] {
+				report += fmt.Sprintf("%s, outcome %d: %d, clients counted %d\n", class, outcome, got, want[outcome])
 			}
-			extra += got - w[o]
+			extra += got - want[outcome]
 		}
-		if extra > c.gone[class] {
-			wrong += fmt.Sprintf("%s: %d more than clients counted, of which %d are gone\n", class, extra, c.gone[class])
+		if extra > c.cancelled[class] {
+			report += fmt.Sprintf("%s: %d more than clients counted, of which %d were cancelled\n", class, extra, c.cancelled[class])
 		}
 	}
 	sent := int64(0)
@@ -100,34 +100,33 @@
 		sent += int64(n)
 	}
 	if got := c.Metrics().Relayed.Load(); got != sent {
-		wrong += fmt.Sprintf("relayed %d, servers counted %d\n", got, sent)
+		report += fmt.Sprintf("relayed %d, servers counted %d\n", got, sent)
 	}
 	if got := c.Metrics().Open.Load(); got != 0 {
-		wrong += fmt.Sprintf("%d open\n", got)
+		report += fmt.Sprintf("%d open\n", got)
 	}
-	return wrong
+	return report
 }
 
-// All sums against what clients and servers counted themselves: served,
-// refused by the module and at the door, failed, tried again, given up by the
-// client, long answers that break off, and what is counted nowhere.
-func TestEachSumIsWhatClientsAndServersCounted(t *testing.T) {
+// All metrics match what clients and servers counted: served, rejected, failed, retried and
+// cancelled requests, truncated responses, and requests that are not counted at all.
+func TestMetricsMatchClientAndServerCounts(t *testing.T) {
 	classes := []string{"clip", "tag", "order"}
-	for name, play := range map[string]func(c *counted){
-		"one after another": func(c *counted) {
+	for name, run := range map[string]func(c *countingNode){
+		"one after another": func(c *countingNode) {
 			for j := range 12 {
 				for i, kind := range []string{"long", "cut", "plain", "plain"} {
-					c.askOne(context.Background(), classes[(i+j)%3], fmt.Sprint(kind, "-", i, "-", j))
+					c.requestOne(context.Background(), classes[(i+j)%3], fmt.Sprint(kind, "-", i, "-", j))
 				}
 			}
-			for i, kind := range []string{"error", "reset", "full"} { // they make servers suspects, or full
+			for i, kind := range []string{"error", "reset", "full"} { // they make servers suspected or full
 				for j := range 3 {
-					c.askOne(context.Background(), classes[j], fmt.Sprint(kind, "-", i, "-", j))
+					c.requestOne(context.Background(), classes[j], fmt.Sprint(kind, "-", i, "-", j))
 				}
 			}
-			for _, bad := range []string{"GET /clip HTTP/1.1\r\nHost: x\r\n\r\n",
+			for _, request := range []string{"GET /clip HTTP/1.1\r\nHost: x\r\n\r\n",
 				"POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: b\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9\r\nContent-Length: 9\r\n\r\nx"} {
-				c.send(c.t, bad) // malformed, and one whose body breaks off
+				c.sendRaw(c.t, request) // malformed, and one with a truncated body
 			}
 			for _, kind := range []string{"long", "cut", "plain", "error", "reset", "full"} {
 				if c.attempts[kind] == 0 {
@@ -135,37 +134,37 @@
 				}
 			}
 			if c.attempts["full"] <= 3 {
-				c.t.Error("nothing was tried again")
+				c.t.Error("no request was retried")
 			}
 		},
-		"more at once than may be open": func(c *counted) {
-			gone, goAway := context.WithCancel(context.Background())
+		"above the open-request limit": func(c *countingNode) {
+			ctx, cancel := context.WithCancel(context.Background())
 			var all sync.WaitGroup
 			for i := range 8 {
-				all.Go(func() { c.askOne(gone, "clip", fmt.Sprint("held-gone-", i)) })
+				all.Go(func() { c.requestOne(ctx, "clip", fmt.Sprint("held-gone-", i)) })
 			}
 			inFlight := func() int { c.mu.Lock(); defer c.mu.Unlock(); return c.attempts["held"] }
 			for end := time.Now().Add(nodetest.Patience); inFlight() < 8 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			for i := range 60 {
-				all.Go(func() { c.askOne(context.Background(), "order", fmt.Sprint("held-", i)) })
+				all.Go(func() { c.requestOne(context.Background(), "order", fmt.Sprint("held-", i)) })
 			}
 			for end := time.Now().Add(nodetest.Patience); c.Metrics().Of("order", figures.Throttled) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
-			goAway()
-			close(c.held)
+			cancel()
+			close(c.resume)
 			all.Wait()
-			if w := c.ended["order"]; w[figures.Fulfilled] == 0 || w[figures.Throttled] == 0 || c.gone["clip"] == 0 {
-				c.t.Errorf("not all of it happened: %v, gone %d", *w, c.gone["clip"])
+			if counts := c.ended["order"]; counts[figures.Fulfilled] == 0 || counts[figures.Throttled] == 0 || c.cancelled["clip"] == 0 {
+				c.t.Errorf("not all outcomes occurred: %v, %d cancelled", *counts, c.cancelled["clip"])
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCounted(t, 24)
-			play(c)
-			for end := time.Now().Add(nodetest.Patience); c.wrong() != ""; time.Sleep(time.Millisecond) { // a count may come just after the answer
+			c := newCountingNode(t, 24)
+			run(c)
+			for end := time.Now().Add(nodetest.Patience); c.mismatches() != ""; time.Sleep(time.Millisecond) { // counts may follow the response
 				if time.Now().After(end) {
-					t.Fatal(c.wrong())
+					t.Fatal(c.mismatches())
 				}
 			}
 		})
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -34,11 +34,11 @@
 	return c
 }
 
-// quickSchedule closes the listener at once and lets what has been accepted by then be
-// served for as long as the platform's own schedule.
-var quickSchedule = guard.ShutdownSchedule{AcceptUntil: 0, ServeUntil: 3200 * time.Millisecond, AnswerBy: 3200 * time.Millisecond, ExitBy: 3400 * time.Millisecond}
+// shortSchedule closes the listener at once and serves accepted requests for as long as the
+// production schedule.
+var shortSchedule = guard.ShutdownSchedule{AcceptUntil: 0, ServeUntil: 3200 * time.Millisecond, AnswerBy: 3200 * time.Millisecond, ExitBy: 3400 * time.Millisecond}
 
-type running struct {
+type testNode struct {
 	*node.Node
 	cfg    *node.Config
 	front  *HTTP
@@ -48,37 +48,37 @@
 	client *http.Client
 }
 
-func startNode(t testing.TB, c *node.Config) *running {
+func startNode(t testing.TB, cfg *node.Config) *testNode {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &running{Node: node.New(c), cfg: c, url: "http://" + l.Addr().String(), stop: cancel, ended: make(chan error, 1),
+	n := &testNode{Node: node.New(cfg), cfg: cfg, url: "http://" + listener.Addr().String(), stop: cancel, ended: make(chan error, 1),
 		client: &http.Client{Transport: &http.Transport{}, Timeout: nodetest.Patience}}
-	n.front = New(n.Node, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
-	n.SetShutdownSchedule(quickSchedule)
+	n.front = New(n.Node, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
+	n.SetShutdownSchedule(shortSchedule)
 	go func() { n.ended <- n.Run(ctx, n.front) }()
 	t.Cleanup(func() {
 		n.client.CloseIdleConnections()
 		cancel()
 		<-n.Done()
-		n.keptInvariants(t)
+		n.checkInvariants(t)
 	})
 	return n
 }
 
-// keptInvariants fails a test in which the node found that it had broken an invariant.
-func (n *running) keptInvariants(t testing.TB) {
+// checkInvariants fails the test if the node has broken an invariant.
+func (n *testNode) checkInvariants(t testing.TB) {
 	t.Helper()
 	if broken := n.Checker().Total(); broken != 0 {
 		t.Errorf("%d invariants were broken", broken)
 	}
 }
 
-// ask sends a request in the protocol's form.
-func (n *running) ask(ctx context.Context, class, id string, timeout time.Duration) (status int, body string, header http.Header, err error) {
+// request sends a request that follows the protocol.
+func (n *testNode) request(ctx context.Context, class, id string, timeout time.Duration) (status int, body string, header http.Header, err error) {
 	method, payload := http.MethodPost, "pay-"+id
 	if class == "clip" {
 		method, payload = http.MethodGet, ""
@@ -99,37 +99,37 @@
 		return 0, "", nil, err
 	}
 	defer resp.Body.Close()
-	if resp.Close { // the client library takes the header out
+	if resp.Close { // net/http removes the header
 		resp.Header.Set("Connection", "close")
 	}
 	raw, err := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(raw), resp.Header, err
 }
 
-func (n *running) mustAsk(t *testing.T, class, id string, timeout time.Duration) (status int, body string, header http.Header) {
+func (n *testNode) mustRequest(t *testing.T, class, id string, timeout time.Duration) (status int, body string, header http.Header) {
 	t.Helper()
-	status, body, header, err := n.ask(context.Background(), class, id, timeout)
+	status, body, header, err := n.request(context.Background(), class, id, timeout)
 	if err != nil {
 		t.Fatalf("%s %s: %v", class, id, err)
 	}
 	return status, body, header
 }
 
-func TestServesUnchangedAndPassesOnOnlyTheProtocolsForms(t *testing.T) {
+func TestForwardsRequestsUnchangedWithProtocolHeadersOnly(t *testing.T) {
 	type seen struct {
 		method, uri, body string
 		header            http.Header
 	}
 	got := make(chan seen, 10)
-	b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
 		got <- seen{r.Method, r.RequestURI, string(raw), r.Header}
 		io.WriteString(w, "answer to "+r.Header.Get("Request-Id"))
 	}))
-	defer b.Close()
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Listener.Addr().String()))
+	defer backend.Close()
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Listener.Addr().String()))
 	for class, method := range map[string]string{"clip": "GET", "tag": "POST", "order": "POST"} {
-		status, body, _ := n.mustAsk(t, class, "id-"+class, 3*time.Second)
+		status, body, _ := n.mustRequest(t, class, "id-"+class, 3*time.Second)
 		if status != 200 || body != "answer to id-"+class {
 			t.Errorf("%s: got %d %q", class, status, body)
 		}
@@ -147,18 +147,18 @@
 			switch name {
 			case "Request-Id", "Idempotency-Key", "Request-Timeout-Ms", "Content-Length":
 			default:
-				t.Errorf("%s: header %s went on", class, name)
+				t.Errorf("%s: header %s was forwarded", class, name)
 			}
 		}
 	}
 	if len(got) > 0 {
-		t.Errorf("%d requests too many", len(got))
+		t.Errorf("%d requests too many were forwarded", len(got))
 	}
 }
 
-func TestMalformedRequestsAreTurnedDownAtOnceAndNeverSentOn(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+func TestMalformedRequestsAreRejectedAndNotForwarded(t *testing.T) {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	type header = map[string]string
 	good := func(change header) header {
 		h := header{"Request-Id": "x", "Request-Class": "order", "Request-Timeout-Ms": "1000"}
@@ -203,175 +203,175 @@
 			t.Errorf("%s: got %d, want %d", c.name, resp.StatusCode, c.want)
 		}
 	}
-	if b.Count() != 0 {
-		t.Errorf("%d malformed requests were sent on", b.Count())
+	if backend.Count() != 0 {
+		t.Errorf("%d malformed requests were forwarded", backend.Count())
 	}
-	if status, _, _ := n.mustAsk(t, "order", "good", 3*time.Second); status != 200 {
-		t.Errorf("a good request after them: %d", status)
+	if status, _, _ := n.mustRequest(t, "order", "good", 3*time.Second); status != 200 {
+		t.Errorf("a valid request after them: %d", status)
 	}
 }
 
-func TestAnIDThatIsOpenFailsWithoutTouchingTheFirst(t *testing.T) {
+func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	arrived, release := make(chan bool), make(chan bool)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		<-release
 		return nodetest.Reply(c, "200 OK", "first")
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	first := make(chan string, 1)
 	go func() {
-		_, body, _, _ := n.ask(context.Background(), "order", "same", 5*time.Second)
+		_, body, _, _ := n.request(context.Background(), "order", "same", 5*time.Second)
 		first <- body
 	}()
 	<-arrived
-	if status, _, _ := n.mustAsk(t, "order", "same", 5*time.Second); status != http.StatusConflict {
-		t.Errorf("second: got %d", status)
+	if status, _, _ := n.mustRequest(t, "order", "same", 5*time.Second); status != http.StatusConflict {
+		t.Errorf("duplicate: got %d", status)
 	}
 	close(release)
 	if body := <-first; body != "first" {
 		t.Errorf("first: got %q", body)
 	}
-	if b.Count() != 1 {
-		t.Errorf("the backend got %d requests", b.Count())
+	if backend.Count() != 1 {
+		t.Errorf("the backend got %d requests", backend.Count())
 	}
 }
 
-// What ends after the last byte was written may have run: an unsafe request
-// is neither resent nor refused then, whatever the answer looked like.
-func TestWhatMayHaveRunIsNeitherResentNorRefused(t *testing.T) {
+// An attempt that ends after its last byte was written may have run. An unsafe request must
+// then neither be retried nor rejected as not run, whatever the response looked like.
+func TestUnsafeRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, serve := range map[string]func(c net.Conn, r *http.Request) bool{
 		"closed":    func(c net.Conn, r *http.Request) bool { return false },
 		"reset":     func(c net.Conn, r *http.Request) bool { c.(*net.TCPConn).SetLinger(0); return false },
 		"error":     func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "500 Internal Server Error", "no") },
 		"plain 503": func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "503 Service Unavailable", "no") },
-		"cut short": func(c net.Conn, r *http.Request) bool {
+		"truncated body": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
 			return false
 		},
-		"no length, and a reset": func(c net.Conn, r *http.Request) bool {
+		"no length, then reset": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\npart")
-			time.Sleep(50 * time.Millisecond) // the node has read it by then
+			time.Sleep(50 * time.Millisecond) // lets the node read it first
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		},
-		"no length, and no end": func(c net.Conn, r *http.Request) bool {
+		"no length, never closed": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\npart")
 			return true
 		},
-		"endless": func(c net.Conn, r *http.Request) bool {
+		"endless head": func(c net.Conn, r *http.Request) bool {
 			return nodetest.Reply(c, "200 OK\r\nX: "+strings.Repeat("x", 4<<20), "")
 		},
 		"not HTTP":                    func(c net.Conn, r *http.Request) bool { fmt.Fprint(c, "hello\r\n\r\n"); return false },
-		"no answer":                   func(c net.Conn, r *http.Request) bool { io.Copy(io.Discard, c); return false },
+		"no response":                 func(c net.Conn, r *http.Request) bool { io.Copy(io.Discard, c); return false },
 		"noise on an open connection": func(c net.Conn, r *http.Request) bool { fmt.Fprint(c, "\x00\x7fhello"); return true },
-		"half a head on an open connection": func(c net.Conn, r *http.Request) bool {
+		"partial head on an open connection": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Le")
 			return true
 		},
-		"too short on an open connection": func(c net.Conn, r *http.Request) bool {
+		"truncated body on an open connection": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
 			return true
 		},
 		"two lengths": func(c net.Conn, r *http.Request) bool {
 			return nodetest.Reply(c, "200 OK\r\nContent-Length: 2", "part")
 		},
-		"said to be huge": func(c net.Conn, r *http.Request) bool {
+		"huge Content-Length": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\npart")
 			return true
 		},
-		"1xx without end": func(c net.Conn, r *http.Request) bool {
+		"endless 1xx": func(c net.Conn, r *http.Request) bool {
 			for range 100 {
 				fmt.Fprint(c, "HTTP/1.1 102 Processing\r\n\r\n")
 			}
 			return true
 		},
-		"half chunk": func(c net.Conn, r *http.Request) bool {
+		"truncated chunk": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\npa")
 			return false
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, spare := nodetest.NewRawServer(t, serve), nodetest.NewRawServer(t, serve)
-			n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr, spare.Addr))
-			status, body, _ := n.mustAsk(t, "order", "one", 300*time.Millisecond)
+			backend, spare := nodetest.NewRawServer(t, serve), nodetest.NewRawServer(t, serve)
+			n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr, spare.Addr))
+			status, body, _ := n.mustRequest(t, "order", "one", 300*time.Millisecond)
 			if status != http.StatusBadGateway || body != "" {
-				t.Errorf("got %d %q, want a failure", status, body)
+				t.Errorf("got %d %q, want a 502 without a body", status, body)
 			}
-			if sent := b.Count() + spare.Count(); sent != 1 {
+			if sent := backend.Count() + spare.Count(); sent != 1 {
 				t.Errorf("sent %d times", sent)
 			}
 		})
 	}
 }
 
-func TestWhatNeverRanMayGoElsewhere(t *testing.T) {
+func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
 	full := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		return nodetest.Reply(c, "503 Service Unavailable\r\nNot-Started: 1", "")
 	})
 	good := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "done") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), full.Addr, nodetest.ClosedAddr(t), good.Addr))
 	for i := range 30 {
-		if status, body, _ := n.mustAsk(t, "order", fmt.Sprint(i), 3*time.Second); status != 200 || body != "done" {
+		if status, body, _ := n.mustRequest(t, "order", fmt.Sprint(i), 3*time.Second); status != 200 || body != "done" {
 			t.Errorf("request %d: %d %q", i, status, body)
 		}
 	}
 	if good.Count() != 30 {
-		t.Errorf("the good backend got %d requests", good.Count())
+		t.Errorf("the healthy backend got %d requests", good.Count())
 	}
 }
 
-func TestARefusalTellsWhenToComeBack(t *testing.T) {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), nodetest.ClosedAddr(t)))
 	begin := time.Now()
-	status, _, header := n.mustAsk(t, "order", "one", time.Minute)
+	status, _, header := n.mustRequest(t, "order", "one", time.Minute)
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if status != http.StatusServiceUnavailable || err != nil || seconds <= 0 || seconds > 2 {
 		t.Errorf("got %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
 	if took := time.Since(begin); took > nodetest.Patience {
-		t.Errorf("the refusal took %v", took)
+		t.Errorf("the rejection took %v", took)
 	}
 }
 
-func TestAClientThatIsGoneEndsItsAttempt(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	arrived, closed := make(chan bool, 10), make(chan bool, 10)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c) // returns when the node closes the connection
 		closed <- true
 		return false
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-arrived; cancel() }()
-	if _, _, _, err := n.ask(ctx, "clip", "one", time.Minute); err == nil {
-		t.Fatal("the client had an answer")
+	if _, _, _, err := n.request(ctx, "clip", "one", time.Minute); err == nil {
+		t.Fatal("the cancelled client got a response")
 	}
 	select {
 	case <-closed:
 	case <-time.After(nodetest.Patience):
-		t.Fatal("the attempt was not given up")
+		t.Fatal("the attempt was not cancelled")
 	}
-	if b.Count() != 1 {
-		t.Errorf("sent %d times", b.Count())
+	if backend.Count() != 1 {
+		t.Errorf("sent %d times", backend.Count())
 	}
 }
 
-func TestTermKeepsAcceptingAndAnswersWhatWasTaken(t *testing.T) {
+func TestShutdownKeepsAcceptingAndAnswersOpenRequests(t *testing.T) {
 	arrived, release := make(chan bool, 10), make(chan bool)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		<-release
 		return nodetest.Reply(c, "200 OK", "done")
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 2 * time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 3 * time.Second})
 	answers := make(chan int, 2)
 	ask := func(id string) {
-		status, _, header, _ := n.ask(context.Background(), "clip", id, time.Minute)
+		status, _, header, _ := n.request(context.Background(), "clip", id, time.Minute)
 		if header.Get("Connection") != "close" {
-			t.Errorf("%s: the connection was to be kept", id)
+			t.Errorf("%s: no Connection: close", id)
 		}
 		answers <- status
 	}
@@ -401,16 +401,16 @@
 	}
 }
 
-func TestTermAnswersWhatNeverEnds(t *testing.T) {
+func TestShutdownAnswersHangingRequests(t *testing.T) {
 	arrived := make(chan bool, 1)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c)
 		return false
 	})
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	go func() { <-arrived; n.stop() }()
-	if status, _, _ := n.mustAsk(t, "order", "one", time.Minute); status != http.StatusBadGateway {
+	if status, _, _ := n.mustRequest(t, "order", "one", time.Minute); status != http.StatusBadGateway {
 		t.Errorf("got %d", status)
 	}
 	if err := <-n.ended; err != nil {
@@ -418,9 +418,9 @@
 	}
 }
 
-// send writes raw bytes on a connection of its own and gives what comes back
-// until the node closes it, or nothing more comes for a while.
-func (n *running) send(t *testing.T, text string) string {
+// sendRaw writes raw bytes on a new connection and returns everything received until the
+// node closes it.
+func (n *testNode) sendRaw(t *testing.T, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(n.url, "http://"))
 	if err != nil {
@@ -428,7 +428,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(nodetest.Patience))
-	io.WriteString(c, text) // may break off: the node may close before it is all written
+	io.WriteString(c, text) // may fail: the node may close the connection early
 	raw, err := io.ReadAll(c)
 	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
 		t.Errorf("%.60q: the connection was not closed", text)
@@ -436,11 +436,10 @@
 	return string(raw)
 }
 
-// Guards against a request hidden in the body of another, and against two
-// readings of one request.
-func TestAmbiguousRequestsAreRefusedAndEndTheirConnection(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+// Guards against request smuggling and other ambiguous requests.
+func TestAmbiguousFramingIsRejectedAndClosesConnection(t *testing.T) {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	head := func(id string) string {
 		return "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 1000\r\n"
 	}
@@ -456,52 +455,52 @@
 		"huge body":         head("i") + "Content-Length: 600000000\r\n\r\n" + hidden,
 		"unknown class":     strings.Replace(head("j"), "Class: order", "Class: odd", 1) + "Content-Length: 0\r\n\r\n" + hidden,
 	} {
-		answer := n.send(t, text)
-		_, status, _ := strings.Cut(answer, " ")
-		if !strings.HasPrefix(status, "4") && !strings.HasPrefix(status, "5") || strings.Count(answer, "Date: ") > 1 {
-			t.Errorf("%s: got %q, want one error", name, answer)
+		response := n.sendRaw(t, text)
+		_, status, _ := strings.Cut(response, " ")
+		if !strings.HasPrefix(status, "4") && !strings.HasPrefix(status, "5") || strings.Count(response, "Date: ") > 1 {
+			t.Errorf("%s: got %q, want one error", name, response)
 		}
 	}
-	if b.Count() != 0 {
-		t.Errorf("%d of them were sent on", b.Count())
+	if backend.Count() != 0 {
+		t.Errorf("%d ambiguous requests were forwarded", backend.Count())
 	}
-	// Chunks alone are clear; what comes behind them is not believed all the same.
-	answer := n.send(t, head("b")+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+hidden)
-	if !strings.HasPrefix(answer, "HTTP/1.1 200") || strings.Count(answer, "HTTP/1.1") != 1 || b.Count() != 1 {
-		t.Errorf("chunks: got %q, %d sent on", answer, b.Count())
+	// A chunked request is unambiguous, but bytes behind it are still ignored.
+	response := n.sendRaw(t, head("b")+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+hidden)
+	if !strings.HasPrefix(response, "HTTP/1.1 200") || strings.Count(response, "HTTP/1.1") != 1 || backend.Count() != 1 {
+		t.Errorf("chunked: got %q, %d forwarded", response, backend.Count())
 	}
 }
 
-// Guards against a reload that loses the list.
-func TestReloadMovesToAnotherDiscovery(t *testing.T) {
+// Guards against losing the server list on a reload that changes the discovery address.
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	first := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "first") })
 	second := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "second") })
 	list := func(generation int, id, addr string) string {
 		return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"z","lifecycle":"up"}]}`, generation, id, addr)
 	}
-	watched, left := make(chan bool, 100), make(chan bool, 100)
+	watched, unwatched := make(chan bool, 100), make(chan bool, 100)
 	var calls atomic.Int32
-	before := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	oldDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
 			io.WriteString(w, list(8, "s-0", first.Addr))
 			return
 		}
 		watched <- true
 		<-r.Context().Done()
-		left <- true
+		unwatched <- true
 	}))
-	t.Cleanup(before.Close)
-	after := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	t.Cleanup(oldDiscovery.Close)
+	newDiscovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") == "3" {
 			watched <- true
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, list(3, "s-1", second.Addr)) // an older version than the one that it replaces
+		io.WriteString(w, list(3, "s-1", second.Addr)) // an older generation than the list it replaces
 	}))
-	t.Cleanup(after.Close)
-	n := startNode(t, nodeConfig(t, before.Listener.Addr().String()))
-	wait := func(what string, c chan bool) {
+	t.Cleanup(newDiscovery.Close)
+	n := startNode(t, nodeConfig(t, oldDiscovery.Listener.Addr().String()))
+	await := func(what string, c chan bool) {
 		t.Helper()
 		select {
 		case <-c:
@@ -509,55 +508,55 @@
 			t.Fatal("no " + what)
 		}
 	}
-	wait("watch at the first address", watched)
-	if _, body, _ := n.mustAsk(t, "clip", "one", 3*time.Second); body != "first" {
+	await("watch at the first address", watched)
+	if _, body, _ := n.mustRequest(t, "clip", "one", 3*time.Second); body != "first" {
 		t.Errorf("before: %q", body)
 	}
 	cfg := *n.cfg
-	cfg.Discovery = after.Listener.Addr().String()
+	cfg.Discovery = newDiscovery.Listener.Addr().String()
 	if err := n.Reload(&cfg); err != nil {
 		t.Fatal(err)
 	}
-	wait("end of the watch at the first address", left)
-	wait("watch at the second address", watched)
-	if _, body, _ := n.mustAsk(t, "clip", "two", 3*time.Second); body != "second" {
+	await("end of the watch at the first address", unwatched)
+	await("watch at the second address", watched)
+	if _, body, _ := n.mustRequest(t, "clip", "two", 3*time.Second); body != "second" {
 		t.Errorf("after: %q", body)
 	}
 }
 
-// Guards against clients that say nothing or half of it: they are owed an
-// error or a close, and take no descriptor from others. One wholly taken is
-// never cut off, however long its answer takes.
-func TestIncompleteRequestsEndAndOthersAreServed(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+// Clients that send nothing or an incomplete request get an error or a close and do not
+// exhaust the connections of others. A complete request is not cut off, however long its
+// response takes.
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		time.Sleep(headTimeout + bodyReadTimeout + 500*time.Millisecond)
 		return nodetest.Reply(c, "200 OK", "done")
 	})
-	c := nodeConfig(t, nodetest.ClosedAddr(t), b.Addr)
+	c := nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr)
 	c.Sockets = 48 // 15 of them for clients
 	n := startNode(t, c)
 	head := "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: half\r\n"
-	var ends sync.WaitGroup
+	var done sync.WaitGroup
 	for i := range 60 {
-		ends.Add(1)
+		done.Add(1)
 		go func() {
-			defer ends.Done()
-			n.send(t, []string{"", head, head + "Content-Length: 9\r\n\r\nhalf", head + "Long: " + strings.Repeat("x", 100000)}[i%4])
+			defer done.Done()
+			n.sendRaw(t, []string{"", head, head + "Content-Length: 9\r\n\r\nhalf", head + "Long: " + strings.Repeat("x", 100000)}[i%4])
 		}()
 	}
 	for _, class := range []string{"clip", "order", "tag"} {
-		if status, body, _ := n.mustAsk(t, class, "good-"+class, 15*time.Second); status != 200 || body != "done" {
+		if status, body, _ := n.mustRequest(t, class, "good-"+class, 15*time.Second); status != 200 || body != "done" {
 			t.Errorf("%s: got %d %q", class, status, body)
 		}
 	}
-	ends.Wait()
-	if b.Count() != 3 {
-		t.Errorf("%d requests were sent on", b.Count())
+	done.Wait()
+	if backend.Count() != 3 {
+		t.Errorf("%d requests were forwarded", backend.Count())
 	}
 }
 
-// Guards against connections of health checks that stay and fill the budget.
-func TestAHealthCheckEndsItsConnection(t *testing.T) {
+// Guards against idle connections of health checks that fill the connection limit.
+func TestHealthCheckClosesItsConnection(t *testing.T) {
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t)))
 	resp, err := n.client.Get(n.url + "/up")
 	if err != nil {
@@ -565,17 +564,17 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("got %s, to be closed: %v", resp.Status, resp.Close)
+		t.Errorf("got %s, Close %v", resp.Status, resp.Close)
 	}
 }
 
-// Guards against a node that goes deaf: a failed call is told to the module,
-// which asks again, and a watch goes on from the version that it has.
-func TestDiscoveryIsWatchedAndAskedAgain(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "new") })
+// Guards against a node that stops receiving updates: failed calls are retried, and a watch
+// continues from the generation that the node has.
+func TestDiscoveryIsWatchedAndRetried(t *testing.T) {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "new") })
 	calls := make(chan string, 100)
-	var number atomic.Int64 // calls come on connections of their own
-	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	var number atomic.Int64 // calls arrive on separate connections
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
 		switch number.Add(1) {
 		case 1:
@@ -583,19 +582,19 @@
 		case 2:
 			fmt.Fprint(w, `{"generation":`) // malformed: a failed call
 		case 3:
-			<-r.Context().Done() // silent
+			<-r.Context().Done() // no response
 		case 4:
-			fmt.Fprintf(w, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-9","hostPort":%q,"zone":"z","lifecycle":"up"}]}`, b.Addr)
+			fmt.Fprintf(w, `{"generation":9,"reset":true,"instances":[{"instanceId":"s-9","hostPort":%q,"zone":"z","lifecycle":"up"}]}`, backend.Addr)
 		default:
 			<-r.Context().Done()
 		}
 	}))
-	t.Cleanup(d.Close) // after the node, whose watch it holds
-	n := startNode(t, nodeConfig(t, d.Listener.Addr().String()))
+	t.Cleanup(discovery.Close) // after the node's cleanup, as the node holds a watch
+	n := startNode(t, nodeConfig(t, discovery.Listener.Addr().String()))
 	for i, want := range []string{"from=7&hold_ms=0", "from=7&hold_ms=0", "from=7&hold_ms=0", "from=7&hold_ms=0", "from=9&hold_ms="} {
 		select {
 		case got := <-calls:
-			if q, _ := url.ParseQuery(got); want == "from=9&hold_ms=" { // 0.6 to 1 of the longest
+			if q, _ := url.ParseQuery(got); want == "from=9&hold_ms=" { // with jitter: 0.6 to 1 of the longest poll
 				if ms, err := strconv.Atoi(q.Get("hold_ms")); err != nil || ms < 6000 || ms > 10000 || q.Get("from") != "9" {
 					t.Errorf("call %d: got %q", i, got)
 				}
@@ -603,17 +602,17 @@
 				t.Errorf("call %d: got %q, want %q", i, got, want)
 			}
 		case <-time.After(nodetest.Patience):
-			t.Fatalf("call %d did not come", i)
+			t.Fatalf("call %d was not made", i)
 		}
 	}
-	if status, body, _ := n.mustAsk(t, "clip", "one", 3*time.Second); status != 200 || body != "new" {
+	if status, body, _ := n.mustRequest(t, "clip", "one", 3*time.Second); status != 200 || body != "new" {
 		t.Errorf("from the new list: %d %q", status, body)
 	}
 }
 
-// Guards against silent clients that take all descriptors, and against cutting
-// off a connection that has just come and may have a request on its way.
-func TestClientConnectionsOverBudgetCloseTheLongestSilent(t *testing.T) {
+// Guards against idle clients that exhaust the descriptors, and against evicting a new
+// connection whose first request may be on its way.
+func TestConnectionLimitEvictsLongestIdle(t *testing.T) {
 	c := newClientConns(nil, 3, figures.New(nil), eventlog.New(), nil)
 	var conns []net.Conn
 	for range 4 {
@@ -640,61 +639,61 @@
 	c.onConnState(conns[0], http.StateActive)
 	c.onConnState(conns[0], http.StateIdle)
 	c.onConnState(conns[1], http.StateNew) // sends nothing
-	check("under the budget", time.Hour, true)
+	check("below the limit", time.Hour, true)
 	if c.nearLimit() {
-		t.Error("crowded with two of three")
+		t.Error("near the limit with two of three")
 	}
 	c.onConnState(conns[2], http.StateNew)
 	c.onConnState(conns[2], http.StateActive) // has a request open
-	check("all of them fresh", 0, false)
+	check("only new connections", 0, false)
 	if !c.nearLimit() {
-		t.Error("not crowded at the budget")
+		t.Error("not near the limit at the limit")
 	}
-	check("one that never sent a request", minIdleAge/2, false, 1)
+	check("one without a request", minIdleAge/2, false, 1)
 	check("one idle for a moment", minIdleAge/2, false, 1)
 	check("one idle for long", time.Hour, false, 0, 1)
-	check("none left to close", time.Hour, false, 0, 1)
+	check("none left to evict", time.Hour, false, 0, 1)
 	c.onConnState(conns[1], http.StateClosed)
-	check("once it is closed", 0, true, 0, 1)
+	check("after a close", 0, true, 0, 1)
 }
 
-// Guards against a connection that is closed for its silence although its
-// request has come and this process only had no time to read it.
-func TestAConnectionWithAnUnreadRequestIsNotSilent(t *testing.T) {
+// Guards against evicting a connection as idle although its request has arrived and was not
+// read in time.
+func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := newClientConns(l, 2, figures.New(nil), eventlog.New(), nil)
 	defer c.Close()
-	var ours []net.Conn
+	var local []net.Conn
 	for _, text := range []string{"GET / HT", ""} {
-		theirs, err := net.Dial("tcp", l.Addr().String())
+		remote, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer theirs.Close()
-		io.WriteString(theirs, text)
+		defer remote.Close()
+		io.WriteString(remote, text)
 		conn, err := c.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		c.onConnState(conn, http.StateNew)
-		ours = append(ours, conn)
+		local = append(local, conn)
 	}
-	for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(ours[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(local[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	c.makeRoom(time.Now().Add(time.Minute)) // both have been silent for long
-	if len(c.fresh) != 1 || c.fresh[ours[0]].IsZero() {
-		t.Errorf("closed the wrong one: %d are left", len(c.fresh))
+	c.makeRoom(time.Now().Add(time.Minute)) // both count as idle for long
+	if len(c.fresh) != 1 || c.fresh[local[0]].IsZero() {
+		t.Errorf("evicted the wrong connection: %d are left", len(c.fresh))
 	}
 }
 
-// Guards against a process that never ends after SIGTERM: whoever starts the
-// next one on a shared socket may make it a blocking one for both (os/exec
-// does), and an accept then waits in the kernel for a client that never comes.
-func TestADrainEndsAlthoughAnAcceptBlocks(t *testing.T) {
+// Guards against a process that does not exit after SIGTERM: starting another process with a
+// shared socket (os/exec) may put it into blocking mode for both, so that an accept waits in
+// the kernel.
+func TestShutdownEndsDespiteBlockingAccept(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -709,11 +708,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file.Fd() // makes it a blocking one
+	file.Fd() // puts it into blocking mode
 	c := nodeConfig(t, nodetest.ClosedAddr(t))
 	n := node.New(c)
 	f := New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
-	n.SetShutdownSchedule(quickSchedule)
+	n.SetShutdownSchedule(shortSchedule)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, f) }()
@@ -729,6 +728,6 @@
 			t.Error(err)
 		}
 	case <-time.After(nodetest.Patience):
-		t.Fatal("it goes on")
+		t.Fatal("the shutdown did not end")
 	}
 }
--- a/internal/front/fuzz_test.go
+++ b/internal/front/fuzz_test.go
@@ -18,15 +18,13 @@
 	"ivylock/internal/nodetest"
 )
 
-// believed gives what of a connection's bytes may run at most, each as its id
-// and body: net/http's reading of them, up to the first thing that two readers
-// could take in two ways. It is stricter than the front needs to be only where
-// it says so.
-func believed(raw []byte) (all []string) {
+// expectedRequests returns the requests in raw that may run, each as its id and body: those
+// that net/http reads, up to the first ambiguity.
+func expectedRequests(raw []byte) (all []string) {
 	rest := bytes.NewReader(raw)
 	posted := false
 	for r := bufio.NewReaderSize(rest, 1<<20); ; {
-		if posted { // RFC 9112, 2.2: empty lines behind an old client's POST; net/http's server lets two pass
+		if posted { // RFC 9112, 2.2: empty lines after a POST are skipped; net/http's server allows two
 			empty, _ := r.Peek(4)
 			r.Discard(len(empty) - len(bytes.TrimLeft(empty, "\r\n")))
 		}
@@ -41,19 +39,19 @@
 		if err != nil {
 			return all
 		}
-		chunks, length := bytes.Contains(head, []byte("\ntransfer-encoding:")), bytes.Contains(head, []byte("\ncontent-length:"))
-		if chunks && (length || !req.ProtoAtLeast(1, 1)) {
+		chunked, hasLength := bytes.Contains(head, []byte("\ntransfer-encoding:")), bytes.Contains(head, []byte("\ncontent-length:"))
+		if chunked && (hasLength || !req.ProtoAtLeast(1, 1)) {
 			return all
 		}
 		all = append(all, req.Header.Get("Request-Id")+" "+string(body))
-		if chunks || req.Close || !req.ProtoAtLeast(1, 1) {
-			return all // what is behind it is not believed
+		if chunked || req.Close || !req.ProtoAtLeast(1, 1) {
+			return all // the front end reads no further request on this connection
 		}
 	}
 }
 
-// Whatever a client sends, what runs is what net/http reads in the same bytes,
-// in the same order and with the same bodies, up to the first ambiguity.
+// Whatever a client sends, the requests that run are those that net/http reads in the same
+// bytes, in the same order and with the same bodies, up to the first ambiguity.
 func FuzzRequests(f *testing.F) {
 	log.SetOutput(io.Discard)
 	var mu sync.Mutex
@@ -110,7 +108,7 @@
 		defer c.Close()
 		go c.Write(raw)
 		buf := make([]byte, 4096)
-		for { // until it ends, or nothing more comes
+		for { // until the connection is closed or idle
 			c.SetReadDeadline(time.Now().Add(40 * time.Millisecond))
 			if _, err := c.Read(buf); err != nil {
 				break
@@ -120,16 +118,16 @@
 		mu.Lock()
 		got := ran
 		mu.Unlock()
-		want := believed(raw)
+		want := expectedRequests(raw)
 		for i, one := range got {
 			if i >= len(want) || len(want[i]) == 0 {
-				t.Fatalf("%q ran, which nobody asked for; asked for: %q", one, want)
+				t.Fatalf("%q ran but was not requested; requested: %q", one, want)
 			}
-			for len(want) > i && want[i] != one { // one that the front turned down, as it is not in the protocol's form
+			for len(want) > i && want[i] != one { // rejected, as it does not follow the protocol
 				want = append(want[:i:i], want[i+1:]...)
 			}
 			if i >= len(want) {
-				t.Fatalf("%q ran, which is not what net/http reads: %q", got, fmt.Sprint(believed(raw)))
+				t.Fatalf("%q ran, but net/http reads %q", got, fmt.Sprint(expectedRequests(raw)))
 			}
 		}
 	})
--- a/internal/front/invariant_test.go
+++ b/internal/front/invariant_test.go
@@ -10,24 +10,24 @@
 	"ivylock/internal/nodetest"
 )
 
-// A connection that is closed under a request which has no answer is a violation, and is seen
-// by what was done: here it is closed without asking anybody.
-func TestAConnectionClosedUnderARequestIsCounted(t *testing.T) {
+// Closing a connection with an unanswered request breaks an invariant, whatever code path
+// closes it.
+func TestClosedConnectionWithOpenRequestBreaksInvariant(t *testing.T) {
 	t.Parallel()
 	arrived := make(chan bool, 1)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c)
 		return false
 	})
-	h := startHeldUnchecked(t, nodeConfig(t, nodetest.ClosedAddr(t), b.Addr))
+	h := startHeldFrontUnchecked(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	c := dial(t, h.url)
-	io.WriteString(c, get("open"))
+	io.WriteString(c, getRequest("open"))
 	<-arrived
 	h.front.clients.mu.Lock()
-	for k := range h.front.clients.all {
-		k.Close()
+	for client := range h.front.clients.all {
+		client.Close()
 	}
 	h.front.clients.mu.Unlock()
-	wait(t, "the violation is counted", func() bool { return h.Metrics().InvariantsBroken.Of(int(invariant.Unanswered)) == 1 })
+	waitFor(t, "the violation is counted", func() bool { return h.Metrics().InvariantsBroken.Of(int(invariant.Unanswered)) == 1 })
 }
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -17,49 +17,49 @@
 	"ivylock/internal/nodetest"
 )
 
-// lists is a discovery that follows a script: it has a drain from some call on, and says
-// so in some form once it is no longer made to fail.
-type lists struct {
+// fakeDiscovery is a discovery server that serves a script of responses. From some call on it
+// has the drain of the first server, which it reports once it no longer fails.
+type fakeDiscovery struct {
 	*httptest.Server
-	mu    sync.Mutex
-	calls int
-	had   time.Time // since when it has the drain and can be reached
+	mu        sync.Mutex
+	calls     int
+	drainedAt time.Time // when it had the drain and was reachable
 }
 
-// has notes that it has the drain from now on.
-func (l *lists) has() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.had.IsZero() {
-		l.had = time.Now()
+// setDrained records that it has the drain from now on.
+func (d *fakeDiscovery) setDrained() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.drainedAt.IsZero() {
+		d.drainedAt = time.Now()
 	}
 }
 
-func (l *lists) since() time.Time {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.had
+func (d *fakeDiscovery) drainedSince() time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.drainedAt
 }
 
-// newLists serves calls by their number, from 1 on.
-func newLists(t *testing.T, serve func(l *lists, call int, w http.ResponseWriter, r *http.Request)) *lists {
-	l := &lists{}
-	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		l.mu.Lock()
-		l.calls++
-		call := l.calls
-		l.mu.Unlock()
-		serve(l, call, w, r)
+// newFakeDiscovery passes each call with its number, from 1, to serve.
+func newFakeDiscovery(t *testing.T, serve func(d *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request)) *fakeDiscovery {
+	d := &fakeDiscovery{}
+	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d.mu.Lock()
+		d.calls++
+		call := d.calls
+		d.mu.Unlock()
+		serve(d, call, w, r)
 	}))
-	t.Cleanup(func() { l.CloseClientConnections(); l.Close() })
-	return l
+	t.Cleanup(func() { d.CloseClientConnections(); d.Close() })
+	return d
 }
 
 func addr(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// drained is a list of changes in which the first server drains, told in pieces and indented.
-func drained(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Query().Get("from") == "9" { // told already: the watch goes on
+// serveDrain writes an update in which the first server drains, indented and in pieces.
+func serveDrain(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Query().Get("from") == "9" { // already sent: hold the watch
 		<-r.Context().Done()
 		return
 	}
@@ -69,11 +69,11 @@
 	}
 }
 
-// Whatever fails at discovery, a server that drains gets nothing later than 6.5 s after
-// discovery had the drain and could be reached. The node is one of 300, whose calls are spread,
-// but for those that are refused again and again.
-func TestADrainIsKeptWhateverFailsAtDiscovery(t *testing.T) {
-	cut := func(w http.ResponseWriter, text string) {
+// Despite discovery failures a draining server gets no requests later than 6.5 s after
+// discovery had the drain and was reachable. The node counts as one of 300, whose calls are
+// spread, except in cases with repeated rejections.
+func TestDrainIsAppliedInTimeDespiteDiscoveryFailures(t *testing.T) {
+	closeAfter := func(w http.ResponseWriter, text string) {
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
@@ -81,89 +81,92 @@
 		io.WriteString(c, text)
 		c.Close()
 	}
-	const failing = 3 // calls, the last of which is made just before discovery has the drain
-	// Where hundreds are turned away again and again each waits for its turn, for longer.
-	few := map[string]int{"refused": 3, "silent, then ok": 3}
+	const failing = 3 // calls; discovery has the drain from the last of them
+	// In a large fleet, repeated rejections lead to longer waits between calls.
+	nodeCounts := map[string]int{"refused": 3, "silent, then ok": 3}
 	failures := map[string]func(w http.ResponseWriter, r *http.Request){
 		"refused": func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "crowded", http.StatusServiceUnavailable) },
 		"hangs":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"ends in a list": func(w http.ResponseWriter, _ *http.Request) {
-			cut(w, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\":9,")
+		"truncated list": func(w http.ResponseWriter, _ *http.Request) {
+			closeAfter(w, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\":9,")
 		},
-		"reset":           func(w http.ResponseWriter, _ *http.Request) { cut(w, "") },
+		"reset":           func(w http.ResponseWriter, _ *http.Request) { closeAfter(w, "") },
 		"no list":         func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{}") },
 		"silent, then ok": nil,
 	}
 	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
+			discovery := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 				switch {
 				case fail == nil && call <= failing:
-					time.Sleep(1900 * time.Millisecond) // in turn, and refused at last
-					l.has()
+					time.Sleep(1900 * time.Millisecond) // just below the call timeout, then rejected
+					discovery.setDrained()
 					http.Error(w, "it took too long", http.StatusServiceUnavailable)
 				case call < failing:
 					fail(w, r)
 				case call == failing:
-					l.has()
+					discovery.setDrained()
 					fail(w, r)
 				default:
-					drained(w, r)
+					serveDrain(w, r)
 				}
 			})
-			keptDrain(t, l, cmp.Or(few[name], 300), nil)
+			checkDrain(t, discovery, cmp.Or(nodeCounts[name], 300), nil)
 		})
 	}
 	t.Run("refused once, one of hundreds", func(t *testing.T) {
 		t.Parallel()
-		keptDrain(t, newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
+		checkDrain(t, newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 			if call > 1 {
-				drained(w, r)
+				serveDrain(w, r)
 				return
 			}
-			l.has()
+			discovery.setDrained()
 			failures["refused"](w, r)
 		}), 300, nil)
 	})
-	t.Run("a whole list leaves it out", func(t *testing.T) {
+	t.Run("omitted from a full list", func(t *testing.T) {
 		t.Parallel()
-		l := newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
+		discovery := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 			if call > 1 {
 				<-r.Context().Done()
 				return
 			}
-			l.has()
+			discovery.setDrained()
 			fmt.Fprint(w, `{"generation":9,"reset":true,"instances":[]}`)
 		})
-		keptDrain(t, l, 300, nil)
+		checkDrain(t, discovery, 300, nil)
 	})
-	t.Run("a drain and an older word in one list", func(t *testing.T) {
+	t.Run("drain after an older entry in one list", func(t *testing.T) {
 		t.Parallel()
-		l := newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
+		discovery := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 			if call > 1 {
 				<-r.Context().Done()
 				return
 			}
-			l.has()
+			discovery.setDrained()
 			fmt.Fprint(w, `{"generation":9,"reset":false,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:1","lifecycle":"up"},{"instanceId":"s-0","lifecycle":"draining"}]}`)
 		})
-		keptDrain(t, l, 300, nil)
+		checkDrain(t, discovery, 300, nil)
 	})
 	for _, name := range []string{"a reload in the middle of a call", "a second reload during the first one's call"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			reached := make(chan bool, 64)
-			hangs := func(_ *lists, _ int, _ http.ResponseWriter, r *http.Request) { reached <- true; <-r.Context().Done() }
-			old, middle := newLists(t, hangs), newLists(t, hangs)
-			l := newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
-				if l.has(); call == 1 {
+			hangs := func(_ *fakeDiscovery, _ int, _ http.ResponseWriter, r *http.Request) {
+				reached <- true
+				<-r.Context().Done()
+			}
+			old, middle := newFakeDiscovery(t, hangs), newFakeDiscovery(t, hangs)
+			discovery := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
+				if discovery.setDrained(); call == 1 {
 					http.Error(w, "crowded", http.StatusServiceUnavailable)
 					return
 				}
-				drained(w, r)
+				serveDrain(w, r)
 			})
-			keptDrain(t, old, 300, func(n *running) *lists {
+			checkDrain(t, old, 300, func(n *testNode) *fakeDiscovery {
 				<-reached
 				if strings.Contains(name, "second") {
 					next := *n.cfg
@@ -174,73 +177,73 @@
 					<-reached
 				}
 				next := *n.cfg
-				next.Discovery = addr(l.Server)
+				next.Discovery = addr(discovery.Server)
 				if err := n.Reload(&next); err != nil {
 					t.Fatal(err)
 				}
-				return l
+				return discovery
 			})
 		})
 	}
 }
 
-// Where lists are pushed what the agent has counts as told, watch or none: a server that
-// it has draining gets nothing later than 0.5 s after that, from the first moment of a
-// process on, whatever the agent did before.
-func TestADrainIsKeptWhereListsArePushed(t *testing.T) {
+// With pushed lists, an entry counts as received once the agent has it, watched or not: a
+// draining server gets no requests later than 0.5 s after that, from the start of the process
+// on and whatever the agent did before.
+func TestDrainIsAppliedInTimeWithPushedLists(t *testing.T) {
 	hang := func(r *http.Request) { <-r.Context().Done() }
-	const whole = `{"generation":%d,"reset":true,"instances":[{"instanceId":"s-0","lifecycle":"draining"},{"instanceId":"s-1","hostPort":"%s","lifecycle":"up"}]}`
+	const fullList = `{"generation":%d,"reset":true,"instances":[{"instanceId":"s-0","lifecycle":"draining"},{"instanceId":"s-1","hostPort":"%s","lifecycle":"up"}]}`
 	for name, c := range map[string]struct {
-		after int           // calls that are answered before the agent falls silent
-		back  time.Duration // when it is back, and has the drain
-		how   func(r *http.Request)
+		after   int           // calls answered before the agent stops responding
+		back    time.Duration // when the agent responds again and has the drain
+		respond func(r *http.Request)
 	}{
-		"from the first moment on": {},
-		"silent at the start":      {0, 2600 * time.Millisecond, hang},
-		"silent under a watch":     {1, 4 * time.Second, hang},
-		"refuses at the start":     {0, 2600 * time.Millisecond, func(*http.Request) { panic(http.ErrAbortHandler) }},
+		"drained before the start":    {},
+		"unresponsive at the start":   {0, 2600 * time.Millisecond, hang},
+		"unresponsive during a watch": {1, 4 * time.Second, hang},
+		"refuses at the start":        {0, 2600 * time.Millisecond, func(*http.Request) { panic(http.ErrAbortHandler) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			begin, servers := time.Now(), new(atomic.Pointer[[]string])
-			l := newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
+			discovery := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 				switch {
-				case call <= c.after: // it has no drain yet
+				case call <= c.after: // no drain yet
 					fmt.Fprintf(w, `{"generation":8,"reset":true,"instances":[{"instanceId":"s-0","hostPort":"%s","lifecycle":"up"},{"instanceId":"s-1","hostPort":"%s","lifecycle":"up"}]}`, (*servers.Load())[0], (*servers.Load())[1])
 				case time.Since(begin) < c.back:
-					c.how(r) // and is not answered at its return either
+					c.respond(r) // this call gets no answer even after the agent is back
 				case r.URL.Query().Get("from") == "9" && r.URL.Query().Get("hold_ms") != "0":
 					hang(r)
 				default:
-					fmt.Fprintf(w, whole, 9, (*servers.Load())[1])
+					fmt.Fprintf(w, fullList, 9, (*servers.Load())[1])
 				}
 			})
-			time.AfterFunc(c.back, l.has)
-			n := keptDrainWithin(t, l, pushed(servers), 500*time.Millisecond, nil)
+			time.AfterFunc(c.back, discovery.setDrained)
+			n := checkDrainWithin(t, discovery, pushedLists(servers), 500*time.Millisecond, nil)
 			if c.back == 0 && n > 0 {
 				t.Errorf("%d requests went to a server that the agent had draining before the start", n)
 			}
 		})
 	}
-	t.Run("a reload to an agent that is behind", func(t *testing.T) {
+	t.Run("reload to an agent with an older list", func(t *testing.T) {
 		t.Parallel()
-		first := newLists(t, func(_ *lists, call int, w http.ResponseWriter, r *http.Request) {
+		first := newFakeDiscovery(t, func(_ *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 			if call > 1 {
 				hang(r)
 			}
 			fmt.Fprint(w, `{"generation":40,"reset":false,"instances":[]}`)
 		})
 		servers := new(atomic.Pointer[[]string])
-		second := newLists(t, func(l *lists, call int, w http.ResponseWriter, r *http.Request) {
+		second := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 			if call > 1 {
 				hang(r)
 			}
-			fmt.Fprintf(w, whole, 3, (*servers.Load())[1])
+			fmt.Fprintf(w, fullList, 3, (*servers.Load())[1])
 		})
-		keptDrainWithin(t, first, pushed(servers), 500*time.Millisecond, func(n *running) *lists {
+		checkDrainWithin(t, first, pushedLists(servers), 500*time.Millisecond, func(n *testNode) *fakeDiscovery {
 			next := *n.cfg
 			next.Discovery = addr(second.Server)
-			second.has()
+			second.setDrained()
 			if err := n.Reload(&next); err != nil {
 				t.Fatal(err)
 			}
@@ -249,8 +252,8 @@
 	})
 }
 
-// pushed changes a configuration to lists that are pushed, and tells the servers' addresses.
-func pushed(servers *atomic.Pointer[[]string]) func(config string) string {
+// pushedLists changes a configuration to pushed lists and stores the servers' addresses.
+func pushedLists(servers *atomic.Pointer[[]string]) func(config string) string {
 	return func(config string) string {
 		c, err := node.ParseConfig([]byte(config))
 		if err != nil {
@@ -261,41 +264,41 @@
 	}
 }
 
-// keptDrain is keptDrainWithin for a node of so many that ask discovery.
-func keptDrain(t *testing.T, l *lists, nodes int, then func(*running) *lists) {
-	keptDrainWithin(t, l, func(config string) string {
+// checkDrain is checkDrainWithin for one of several nodes that poll discovery.
+func checkDrain(t *testing.T, discovery *fakeDiscovery, nodes int, reload func(*testNode) *fakeDiscovery) {
+	checkDrainWithin(t, discovery, func(config string) string {
 		return strings.Replace(config, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, nodes), 1)
-	}, 6500*time.Millisecond, then)
+	}, 6500*time.Millisecond, reload)
 }
 
-// keptDrainWithin sends requests to a node of two servers until the first one, which discovery
-// has draining, gets no more, and checks that it came in time: it gives how many went there.
-// then may lead to another discovery.
-func keptDrainWithin(t *testing.T, l *lists, change func(config string) string, grace time.Duration, then func(*running) *lists) int64 {
-	var last atomic.Int64
+// checkDrainWithin sends requests to a node with two servers until the first one, which drains
+// in discovery, gets no more, and checks that this happens within the grace period. It returns
+// how many requests that server got. reload may change to another discovery.
+func checkDrainWithin(t *testing.T, discovery *fakeDiscovery, change func(config string) string, grace time.Duration, reload func(*testNode) *fakeDiscovery) int64 {
+	var lastToDrained atomic.Int64
 	var sent [2]atomic.Int64
 	var servers []string
 	for i := range 2 {
 		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			sent[i].Add(1)
 			if i == 0 {
-				last.Store(time.Now().UnixNano())
+				lastToDrained.Store(time.Now().UnixNano())
 			} else {
-				time.Sleep(5 * time.Millisecond) // the first one is the better choice as long as it may be used
+				time.Sleep(5 * time.Millisecond) // makes the first server the better choice while it may be used
 			}
 		}))
 		t.Cleanup(s.Close)
 		servers = append(servers, addr(s))
 	}
-	cfg, err := node.ParseConfig([]byte(change(nodetest.ConfigJSON(addr(l.Server), servers...))))
+	cfg, err := node.ParseConfig([]byte(change(nodetest.ConfigJSON(addr(discovery.Server), servers...))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := startNode(t, cfg)
-	if then != nil {
-		l = then(n)
+	if reload != nil {
+		discovery = reload(n)
 	}
-	for n.url != "" { // it is ready
+	for n.url != "" { // until the node is ready
 		if resp, err := http.Get(n.url + "/up"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -306,21 +309,21 @@
 	}
 	begin := time.Now()
 	for i := 0; ; i++ {
-		n.ask(context.Background(), "clip", fmt.Sprint("r", i), time.Second)
+		n.request(context.Background(), "clip", fmt.Sprint("r", i), time.Second)
 		time.Sleep(5 * time.Millisecond)
-		had, now := l.since(), time.Now()
-		if !had.IsZero() && now.Sub(had) > grace && last.Load() > had.Add(grace).UnixNano() {
-			t.Fatalf("still sent to it %v after discovery had its drain", now.Sub(had))
+		drainedAt, now := discovery.drainedSince(), time.Now()
+		if !drainedAt.IsZero() && now.Sub(drainedAt) > grace && lastToDrained.Load() > drainedAt.Add(grace).UnixNano() {
+			t.Fatalf("requests still sent %v after discovery had the drain", now.Sub(drainedAt))
 		}
-		// As many as this to the other one alone are no chance.
-		if !had.IsZero() && time.Unix(0, last.Load()).Before(now.Add(-time.Second)) && i > 100 {
+		// So many requests to the other server alone are not a coincidence.
+		if !drainedAt.IsZero() && time.Unix(0, lastToDrained.Load()).Before(now.Add(-time.Second)) && i > 100 {
 			if sent[1].Load() == 0 {
 				t.Error("the other server got nothing")
 			}
 			return sent[0].Load()
 		}
 		if now.Sub(begin) > nodetest.Patience {
-			t.Fatalf("sent %d and %d; discovery had it at %v", sent[0].Load(), sent[1].Load(), had)
+			t.Fatalf("sent %d and %d; discovery had the drain at %v", sent[0].Load(), sent[1].Load(), drainedAt)
 		}
 	}
 }
