--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -27,8 +27,8 @@
 	return &dials
 }
 
-// A short lack of local resources is retried within the attempt. A longer one ends the
-// attempt as not run, without counting as a failure of the server.
+// Dials that fail for lack of local resources are retried within the attempt. If the lack
+// persists the outcome is Moot: the attempt has not run and the server is not to blame.
 func TestLocalResourceExhaustionIsNotServerFailure(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	for _, testCase := range []struct {
@@ -67,7 +67,7 @@
 	}
 }
 
-// A dial that found no free descriptor closes an idle connection.
+// A dial that finds no free descriptor closes an idle connection and is retried.
 func TestDialWithoutDescriptorClosesIdleConnection(t *testing.T) {
 	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	p := newPool()
@@ -86,7 +86,7 @@
 	}
 }
 
-// An attempt that is cancelled while its dial is retried ends at once as not run.
+// An attempt that is cancelled while its dial is retried ends at once with the outcome Moot.
 func TestDialRetryStopsOnCancellation(t *testing.T) {
 	p := newPool()
 	server := &Server{addr: "127.0.0.1:1"}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -22,7 +22,7 @@
 	// skipped if no other connection can be used and no server has recently sent a
 	// duplicate or malformed response.
 	reuseDelay      = 20 * time.Millisecond
-	malformedMemory = time.Minute
+	malformedMemory = time.Minute // how long a malformed response counts as recent
 )
 
 // Server is one backend server. A single owner goroutine writes its exported fields; the
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -75,7 +75,8 @@
 	}))
 	defer backend.Close()
 	addr := backend.Listener.Addr().String()
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), addr, addr, addr, addr, addr, addr)) // a new node sends at most 4 requests to each
+	// A new node sends at most 4 requests to each server.
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), addr, addr, addr, addr, addr, addr))
 	var peakHeap atomic.Uint64
 	stop := make(chan bool)
 	go func() {
--- a/internal/front/figures_test.go
+++ b/internal/front/figures_test.go
@@ -162,7 +162,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCountingNode(t, 24)
 			run(c)
-			for end := time.Now().Add(nodetest.Patience); c.mismatches() != ""; time.Sleep(time.Millisecond) { // counts may follow the response
+			// Counts may follow the response.
+			for end := time.Now().Add(nodetest.Patience); c.mismatches() != ""; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal(c.mismatches())
 				}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -34,7 +34,7 @@
 	return c
 }
 
-// shortSchedule closes the listener at once and serves accepted requests for as long as the
+// shortSchedule closes the listener at once. Accepted requests get as much time as with the
 // production schedule.
 var shortSchedule = guard.ShutdownSchedule{AcceptUntil: 0, ServeUntil: 3200 * time.Millisecond, AnswerBy: 3200 * time.Millisecond, ExitBy: 3400 * time.Millisecond}
 
@@ -133,17 +133,17 @@
 		if status != 200 || body != "answer to id-"+class {
 			t.Errorf("%s: got %d %q", class, status, body)
 		}
-		s := <-got
-		if s.method != method || s.uri != "/"+class+"/a%2Fb?sid=k%201" || method == "POST" && s.body != "pay-id-"+class {
-			t.Errorf("%s: the backend got %s %s %q", class, s.method, s.uri, s.body)
+		forwarded := <-got
+		if forwarded.method != method || forwarded.uri != "/"+class+"/a%2Fb?sid=k%201" || method == "POST" && forwarded.body != "pay-id-"+class {
+			t.Errorf("%s: the backend got %s %s %q", class, forwarded.method, forwarded.uri, forwarded.body)
 		}
-		if key := s.header.Get("Idempotency-Key"); (key != "") != (class == "tag") {
+		if key := forwarded.header.Get("Idempotency-Key"); (key != "") != (class == "tag") {
 			t.Errorf("%s: Idempotency-Key %q", class, key)
 		}
-		if ms, _ := strconv.Atoi(s.header.Get("Request-Timeout-Ms")); ms <= 0 || ms > 3000 {
+		if ms, _ := strconv.Atoi(forwarded.header.Get("Request-Timeout-Ms")); ms <= 0 || ms > 3000 {
 			t.Errorf("%s: Request-Timeout-Ms %d", class, ms)
 		}
-		for name := range s.header {
+		for name := range forwarded.header {
 			switch name {
 			case "Request-Id", "Idempotency-Key", "Request-Timeout-Ms", "Content-Length":
 			default:
@@ -160,32 +160,32 @@
 	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	type header = map[string]string
-	good := func(change header) header {
-		h := header{"Request-Id": "x", "Request-Class": "order", "Request-Timeout-Ms": "1000"}
+	valid := func(change header) header {
+		result := header{"Request-Id": "x", "Request-Class": "order", "Request-Timeout-Ms": "1000"}
 		for k, v := range change {
-			h[k] = v
+			result[k] = v
 		}
-		return h
+		return result
 	}
 	for _, c := range []struct {
 		name, method, path, body string
 		header                   header
 		want                     int
 	}{
-		{"no id", "POST", "/order", "", good(header{"Request-Id": ""}), 400},
-		{"no class", "POST", "/order", "", good(header{"Request-Class": ""}), 400},
-		{"unknown class", "POST", "/other", "", good(header{"Request-Class": "other"}), 400},
-		{"path of another class", "POST", "/clip", "", good(nil), 400},
-		{"no timeout", "POST", "/order", "", good(header{"Request-Timeout-Ms": ""}), 400},
-		{"bad timeout", "POST", "/order", "", good(header{"Request-Timeout-Ms": "1e3"}), 400},
-		{"timeout 0", "POST", "/order", "", good(header{"Request-Timeout-Ms": "0"}), 400},
-		{"huge timeout", "POST", "/order", "", good(header{"Request-Timeout-Ms": "99999999999999"}), 400},
-		{"key on an unsafe class", "POST", "/order", "", good(header{"Idempotency-Key": "k"}), 400},
-		{"no key on a keyed class", "POST", "/tag", "", good(header{"Request-Class": "tag"}), 400},
-		{"wrong method", "GET", "/order", "", good(nil), 405},
-		{"POST for a safe class", "POST", "/clip", "", good(header{"Request-Class": "clip"}), 405},
-		{"body on a GET", "GET", "/clip", "x", good(header{"Request-Class": "clip"}), 400},
-		{"body too large", "POST", "/order", strings.Repeat("x", bounded.MaxBodyLength+1), good(nil), 413},
+		{"no id", "POST", "/order", "", valid(header{"Request-Id": ""}), 400},
+		{"no class", "POST", "/order", "", valid(header{"Request-Class": ""}), 400},
+		{"unknown class", "POST", "/other", "", valid(header{"Request-Class": "other"}), 400},
+		{"path of another class", "POST", "/clip", "", valid(nil), 400},
+		{"no timeout", "POST", "/order", "", valid(header{"Request-Timeout-Ms": ""}), 400},
+		{"bad timeout", "POST", "/order", "", valid(header{"Request-Timeout-Ms": "1e3"}), 400},
+		{"timeout 0", "POST", "/order", "", valid(header{"Request-Timeout-Ms": "0"}), 400},
+		{"huge timeout", "POST", "/order", "", valid(header{"Request-Timeout-Ms": "99999999999999"}), 400},
+		{"key on an unsafe class", "POST", "/order", "", valid(header{"Idempotency-Key": "k"}), 400},
+		{"no key on a keyed class", "POST", "/tag", "", valid(header{"Request-Class": "tag"}), 400},
+		{"wrong method", "GET", "/order", "", valid(nil), 405},
+		{"POST for a safe class", "POST", "/clip", "", valid(header{"Request-Class": "clip"}), 405},
+		{"body on a GET", "GET", "/clip", "x", valid(header{"Request-Class": "clip"}), 400},
+		{"body too large", "POST", "/order", strings.Repeat("x", bounded.MaxBodyLength+1), valid(nil), 413},
 	} {
 		req, _ := http.NewRequest(c.method, n.url+c.path, strings.NewReader(c.body))
 		for k, v := range c.header {
@@ -237,8 +237,8 @@
 	}
 }
 
-// An attempt that ends after its last byte was written may have run. An unsafe request must
-// then neither be retried nor rejected as not run, whatever the response looked like.
+// Once its last byte is written, an attempt may have run. If it fails after that, an unsafe
+// request is not retried, and its client gets a 502 rather than a 503, whatever the server sent.
 func TestUnsafeRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, serve := range map[string]func(c net.Conn, r *http.Request) bool{
 		"closed":    func(c net.Conn, r *http.Request) bool { return false },
@@ -251,7 +251,7 @@
 		},
 		"no length, then reset": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\npart")
-			time.Sleep(50 * time.Millisecond) // lets the node read it first
+			time.Sleep(50 * time.Millisecond) // so that the node reads the response before the reset
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		},
@@ -309,15 +309,15 @@
 	full := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
 		return nodetest.Reply(c, "503 Service Unavailable\r\nNot-Started: 1", "")
 	})
-	good := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "done") })
-	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), full.Addr, nodetest.ClosedAddr(t), good.Addr))
+	healthy := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "done") })
+	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), full.Addr, nodetest.ClosedAddr(t), healthy.Addr))
 	for i := range 30 {
 		if status, body, _ := n.mustRequest(t, "order", fmt.Sprint(i), 3*time.Second); status != 200 || body != "done" {
 			t.Errorf("request %d: %d %q", i, status, body)
 		}
 	}
-	if good.Count() != 30 {
-		t.Errorf("the healthy backend got %d requests", good.Count())
+	if healthy.Count() != 30 {
+		t.Errorf("the healthy backend got %d requests", healthy.Count())
 	}
 }
 
@@ -367,15 +367,15 @@
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 2 * time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 3 * time.Second})
-	answers := make(chan int, 2)
-	ask := func(id string) {
+	statuses := make(chan int, 2)
+	send := func(id string) {
 		status, _, header, _ := n.request(context.Background(), "clip", id, time.Minute)
 		if header.Get("Connection") != "close" {
 			t.Errorf("%s: no Connection: close", id)
 		}
-		answers <- status
+		statuses <- status
 	}
-	go ask("before")
+	go send("before")
 	<-arrived
 	n.stop()
 	for !n.front.draining.Load() {
@@ -383,16 +383,16 @@
 	}
 	resp, err := http.Get(n.url + "/up") // a new connection
 	if err != nil {
-		t.Fatalf("after SIGTERM: %v", err)
+		t.Fatalf("new connection during the shutdown: %v", err)
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("/up while draining: %d", resp.StatusCode)
+		t.Errorf("/up during the shutdown: %d", resp.StatusCode)
 	}
 	close(release)
-	go ask("after")
+	go send("after")
 	for range 2 {
-		if status := <-answers; status != 200 {
+		if status := <-statuses; status != 200 {
 			t.Errorf("got %d", status)
 		}
 	}
@@ -436,7 +436,7 @@
 	return string(raw)
 }
 
-// Guards against request smuggling and other ambiguous requests.
+// Guards against request smuggling: ambiguous requests get one error and a close.
 func TestAmbiguousFramingIsRejectedAndClosesConnection(t *testing.T) {
 	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
@@ -532,9 +532,9 @@
 		time.Sleep(headTimeout + bodyReadTimeout + 500*time.Millisecond)
 		return nodetest.Reply(c, "200 OK", "done")
 	})
-	c := nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr)
-	c.Sockets = 48 // 15 of them for clients
-	n := startNode(t, c)
+	cfg := nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr)
+	cfg.Sockets = 48 // 15 of them for clients
+	n := startNode(t, cfg)
 	head := "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: half\r\n"
 	var done sync.WaitGroup
 	for i := range 60 {
@@ -613,7 +613,7 @@
 // Guards against idle clients that exhaust the descriptors, and against evicting a new
 // connection whose first request may be on its way.
 func TestConnectionLimitEvictsLongestIdle(t *testing.T) {
-	c := newClientConns(nil, 3, figures.New(nil), eventlog.New(), nil)
+	clients := newClientConns(nil, 3, figures.New(nil), eventlog.New(), nil)
 	var conns []net.Conn
 	for range 4 {
 		conn, other := net.Pipe()
@@ -622,7 +622,7 @@
 	}
 	check := func(when string, after time.Duration, room bool, want ...int) {
 		t.Helper()
-		if got := c.makeRoom(time.Now().Add(after)); got != room {
+		if got := clients.makeRoom(time.Now().Add(after)); got != room {
 			t.Errorf("%s: room %v", when, got)
 		}
 		var got []int
@@ -635,25 +635,25 @@
 			t.Errorf("%s: closed %v, want %v", when, got, want)
 		}
 	}
-	c.onConnState(conns[0], http.StateNew)
-	c.onConnState(conns[0], http.StateActive)
-	c.onConnState(conns[0], http.StateIdle)
-	c.onConnState(conns[1], http.StateNew) // sends nothing
+	clients.onConnState(conns[0], http.StateNew)
+	clients.onConnState(conns[0], http.StateActive)
+	clients.onConnState(conns[0], http.StateIdle)
+	clients.onConnState(conns[1], http.StateNew) // sends nothing
 	check("below the limit", time.Hour, true)
-	if c.nearLimit() {
+	if clients.nearLimit() {
 		t.Error("near the limit with two of three")
 	}
-	c.onConnState(conns[2], http.StateNew)
-	c.onConnState(conns[2], http.StateActive) // has a request open
+	clients.onConnState(conns[2], http.StateNew)
+	clients.onConnState(conns[2], http.StateActive) // has a request open
 	check("only new connections", 0, false)
-	if !c.nearLimit() {
+	if !clients.nearLimit() {
 		t.Error("not near the limit at the limit")
 	}
 	check("one without a request", minIdleAge/2, false, 1)
 	check("one idle for a moment", minIdleAge/2, false, 1)
 	check("one idle for long", time.Hour, false, 0, 1)
 	check("none left to evict", time.Hour, false, 0, 1)
-	c.onConnState(conns[1], http.StateClosed)
+	clients.onConnState(conns[1], http.StateClosed)
 	check("after a close", 0, true, 0, 1)
 }
 
@@ -664,8 +664,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientConns(l, 2, figures.New(nil), eventlog.New(), nil)
-	defer c.Close()
+	clients := newClientConns(l, 2, figures.New(nil), eventlog.New(), nil)
+	defer clients.Close()
 	var local []net.Conn
 	for _, text := range []string{"GET / HT", ""} {
 		remote, err := net.Dial("tcp", l.Addr().String())
@@ -674,19 +674,19 @@
 		}
 		defer remote.Close()
 		io.WriteString(remote, text)
-		conn, err := c.Accept()
+		conn, err := clients.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		c.onConnState(conn, http.StateNew)
+		clients.onConnState(conn, http.StateNew)
 		local = append(local, conn)
 	}
 	for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(local[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	c.makeRoom(time.Now().Add(time.Minute)) // both count as idle for long
-	if len(c.fresh) != 1 || c.fresh[local[0]].IsZero() {
-		t.Errorf("evicted the wrong connection: %d are left", len(c.fresh))
+	clients.makeRoom(time.Now().Add(time.Minute)) // both count as idle for long
+	if len(clients.fresh) != 1 || clients.fresh[local[0]].IsZero() {
+		t.Errorf("evicted the wrong connection: %d are left", len(clients.fresh))
 	}
 }
 
@@ -709,9 +709,9 @@
 		t.Fatal(err)
 	}
 	file.Fd() // puts it into blocking mode
-	c := nodeConfig(t, nodetest.ClosedAddr(t))
-	n := node.New(c)
-	f := New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
+	cfg := nodeConfig(t, nodetest.ClosedAddr(t))
+	n := node.New(cfg)
+	f := New(n, l, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
 	n.SetShutdownSchedule(shortSchedule)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
