--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -25,7 +25,7 @@
 	initialBodyBuffer = 4 << 10         // bytes, for a body of unknown length
 )
 
-var errTooLong = &requestError{http.StatusRequestEntityTooLarge, "request body too long"}
+var errTooLong = &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
 
 // bodyReader reads request bodies. Up to bounded.MaxBufferedBody of each is buffered, and up
 // to MaxBudgetedBody while the budget for all bodies allows it. The rest is streamed.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -385,7 +385,7 @@
 func (f *HTTP) readRequest(w http.ResponseWriter, r *http.Request, conn *clientConn) (*receivedRequest, error) {
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key"} {
 		if len(r.Header.Values(name)) > 1 {
-			return nil, badRequestf("repeated header %s", name)
+			return nil, badRequestf("%s stands there twice", name)
 		}
 	}
 	class, known := f.classes[r.Header.Get("Request-Class")]
@@ -398,25 +398,25 @@
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
-		return nil, &requestError{http.StatusMethodNotAllowed, "the request class requires method " + method}
+		return nil, &requestError{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
 	id, key := r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key")
 	if id == "" {
-		return nil, badRequestf("missing Request-Id")
+		return nil, badRequestf("no Request-Id")
 	}
 	if (class.Effect == balance.Keyed) != (key != "") {
-		return nil, badRequestf("Idempotency-Key is required for keyed classes and not allowed for others")
+		return nil, badRequestf("Idempotency-Key goes with keyed classes")
 	}
 	if pathClass, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); pathClass != class.Name ||
 		!strings.HasPrefix(r.RequestURI, "/") || strings.HasPrefix(r.RequestURI, "//") {
-		return nil, badRequestf("the path does not start with the request class")
+		return nil, badRequestf("the path does not begin with the class")
 	}
 	timeoutMs, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64)
 	if err != nil || timeoutMs <= 0 || timeoutMs > maxRequestTimeout.Milliseconds() {
-		return nil, badRequestf("invalid Request-Timeout-Ms")
+		return nil, badRequestf("bad Request-Timeout-Ms")
 	}
 	if method == http.MethodGet && r.ContentLength != 0 {
-		return nil, badRequestf("a GET request must not have a body")
+		return nil, badRequestf("a GET has no body")
 	}
 	conn.beginBody()
 	body, err := f.bodies.read(w, r)
