--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -47,14 +47,14 @@
 	}
 }
 
-func handleBatch(instances map[int]*decider.Decider, line []byte) ([]wire.Reply, error) {
+func handleBatch(instances map[int]*decider.Decider, line []byte) ([]wire.NodeActions, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
-	var replies []wire.Reply
+	var replies []wire.NodeActions
 	for _, group := range batch.Groups {
-		reply := wire.Reply{Node: group.Node}
+		reply := wire.NodeActions{Node: group.Node}
 		for i, event := range group.Events {
 			switch {
 			case event.Start != nil:
--- a/cmd/ivylock-control/main.go
+++ b/cmd/ivylock-control/main.go
@@ -57,14 +57,14 @@
 	}
 	var dropped atomic.Int64
 	sink := logsink.Stderr(&dropped)
-	defer sink.Flush(logsink.ExitTime)
+	defer sink.Flush(logsink.ExitFlushTimeout)
 	log := slog.New(slog.NewTextHandler(sink, nil))
 	service, err := control.New(file.Control, file.Fleet, log)
 	if err != nil {
 		if file.Control.Cert != "" {
-			return configError{file.Fault("control.cert", err)}
+			return configError{file.KeyError("control.cert", err)}
 		}
-		return configError{file.Fault("control", err)}
+		return configError{file.KeyError("control", err)}
 	}
 	listener, err := net.Listen("tcp", file.Control.Listen)
 	if err != nil {
--- a/cmd/ivylock/disk_test.go
+++ b/cmd/ivylock/disk_test.go
@@ -103,7 +103,7 @@
 		proc := p.startFaulty(rules)
 		if certain {
 			want := map[bool]string{true: "app.out_of_rotation:1|g", false: "app.out_of_rotation:0|g"}[inMaintenance]
-			for end := time.Now().Add(nodetest.Patience); !strings.Contains(proc.metrics(), want); time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(nodetest.WaitTimeout); !strings.Contains(proc.metrics(), want); time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("process %d: no %s in\n%s", run, want, proc.metrics())
 				}
--- a/cmd/ivylock/log_test.go
+++ b/cmd/ivylock/log_test.go
@@ -33,7 +33,7 @@
 // waitUp waits until the node at addr serves. It returns false on a timeout.
 func waitUp(addr string) bool {
 	client := http.Client{Timeout: time.Second}
-	for end := time.Now().Add(nodetest.Patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if resp, err := client.Get("http://" + addr + "/up"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Error("the node has not exited")
 	}
 }
--- a/cmd/ivylock/main.go
+++ b/cmd/ivylock/main.go
@@ -68,7 +68,7 @@
 	// A log that is not read must neither end nor block the node.
 	logWriter := logsink.Stderr(&n.Metrics().LogLinesDropped)
 	log.SetOutput(logWriter)
-	defer logWriter.Flush(logsink.ExitTime)
+	defer logWriter.Flush(logsink.ExitFlushTimeout)
 	var shared *handover.SharedDir
 	if inherited { // another process of this node may run at the same time
 		if shared = openSharedDir(n, cfg.Name); shared != nil {
@@ -127,7 +127,7 @@
 	if fleet == nil {
 		return nil
 	}
-	cfg.Fleet = &node.FleetConfig{Member: fleet.Member(), RecordFile: fleet.RecordFile, RecordInterval: fleet.RecordEvery.Duration}
+	cfg.Fleet = &node.FleetConfig{Member: fleet.MemberConfig(), RecordFile: fleet.RecordFile, RecordInterval: fleet.RecordInterval.Duration}
 	member := &cfg.Fleet.Member
 	if len(member.AllowedPrefixes) == 0 {
 		return nil
@@ -135,7 +135,7 @@
 	for _, peer := range cfg.Peers {
 		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			return file.Fault("fleet.strangers", fmt.Errorf("strangers needs the configuration's peers as numeric addresses, and %q is not one; remove strangers", peer))
+			return file.KeyError("fleet.strangers", fmt.Errorf("strangers needs the configuration's peers as numeric addresses, and %q is not one; remove strangers", peer))
 		}
 		member.Peers = append(member.Peers, addr)
 	}
--- a/cmd/ivylock/shutdown_test.go
+++ b/cmd/ivylock/shutdown_test.go
@@ -36,13 +36,13 @@
 	s := &hangingServers{ended: make(chan bool)}
 	t.Cleanup(func() { close(s.ended) })
 	for i := range count {
-		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+		b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 			s.seen.Store(r.Header.Get("Request-Id"), true)
 			if s.hang.Load() && i > 0 {
 				<-s.ended
 				return false
 			}
-			return nodetest.Reply(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
+			return nodetest.WriteResponse(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 		})
 		s.addrs = append(s.addrs, b.Addr)
 	}
@@ -94,7 +94,7 @@
 
 // open connects and sends as much as the connection's kind requires.
 func (r *lateRequest) open(addr, class string, clientTimeout time.Duration) error {
-	c, err := net.DialTimeout("tcp", addr, nodetest.Patience)
+	c, err := net.DialTimeout("tcp", addr, nodetest.WaitTimeout)
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Process.Kill() })
-	for end := time.Now().Add(nodetest.Patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); ; time.Sleep(time.Millisecond) {
 		if _, at, found := strings.Cut(log.String(), " serves on "); found {
 			if addr, _, found = strings.Cut(at, "\n"); found {
 				return c, addr, log
--- a/cmd/ivylock/upgrade_test.go
+++ b/cmd/ivylock/upgrade_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	p := &platform{t: t, url: "http://" + l.Addr().String(), dir: t.TempDir(), executions: map[string]int{},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: nodetest.Patience}}
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: nodetest.WaitTimeout}}
 	if p.socket, err = l.(*net.TCPListener).File(); err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 
 func (p *platform) waitReady(proc *process) {
 	p.t.Helper()
-	for end := time.Now().Add(nodetest.Patience); !proc.ready(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); !proc.ready(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatal("the process is not ready")
 		}
@@ -213,7 +213,7 @@
 	proc.Process.Signal(sig)
 	select {
 	case <-proc.ended:
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatalf("still running after %v", sig)
 	}
 }
@@ -311,7 +311,7 @@
 	if code := old.setMaintenance(t, "exit", "s-0"); code != 200 {
 		t.Errorf("exit: %d", code)
 	}
-	for end := time.Now().Add(nodetest.Patience); p.requestCounts[0].Load() == 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); p.requestCounts[0].Load() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the backend that returned from maintenance gets no requests")
 		}
@@ -360,7 +360,7 @@
 			}
 		})
 	}
-	for end := time.Now().Add(nodetest.Patience); p.requestCounts[0].Load() < 20 || p.requestCounts[1].Load() < 20; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); p.requestCounts[0].Load() < 20 || p.requestCounts[1].Load() < 20; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the backends get no requests")
 		}
@@ -373,11 +373,11 @@
 	var notifiedAt time.Time
 	select {
 	case notifiedAt = <-notified:
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("the drain was not delivered")
 	}
 	p.hosts.SetDown(true)
-	for end := time.Now().Add(nodetest.Patience); !next.ready(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); !next.ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the process is not ready")
 		}
@@ -388,7 +388,7 @@
 	third := p.startReady() // it knows of the drain only from the stored state
 	served := p.requestCounts[1].Load()
 	next.terminate(t, syscall.SIGTERM)
-	for end := time.Now().Add(nodetest.Patience); p.requestCounts[1].Load() < served+50; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); p.requestCounts[1].Load() < served+50; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the third process serves nothing")
 		}
@@ -508,7 +508,7 @@
 	proc := p.startReady()
 	hold := func(addr, text string, n int) {
 		for range n {
-			c, err := net.DialTimeout("tcp", strings.TrimPrefix(addr, "http://"), nodetest.Patience)
+			c, err := net.DialTimeout("tcp", strings.TrimPrefix(addr, "http://"), nodetest.WaitTimeout)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -552,7 +552,7 @@
 		}
 		return len(files)
 	}
-	for end := time.Now().Add(nodetest.Patience); joined() < 2; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); joined() < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d of two processes have joined", joined())
 		}
--- a/fleet/audit/breaks.go
+++ b/fleet/audit/breaks.go
@@ -90,20 +90,20 @@
 
 // LateSendReport describes the sends of a process to a withdrawn server.
 type LateSendReport struct {
-	Process    string            `json:"process"`
-	Number     int               `json:"number"`
-	Life       version.Timestamp `json:"life"`
-	Server     string            `json:"server"`
-	State      string            `json:"state"`
-	Version    version.List      `json:"version"` // of the withdrawal
-	SelfKnew   bool              `json:"own"`     // the process itself knew; else another one did
-	MinSends   uint64            `json:"least"`   // sends that were certainly too late
-	MaxSends   uint64            `json:"most"`    // including those that may have been too late
-	LateFrom   version.Timestamp `json:"from"`    // time from which on sends were too late
-	LastSend   version.Timestamp `json:"last"`
-	Lateness   time.Duration     `json:"late"` // of the last send after a process first knew
-	Evidence   []string          `json:"path"` // who knew when, and how the sender could have known
-	Confidence Confidence        `json:"sure"`
+	Process     string            `json:"process"`
+	Number      int               `json:"number"`
+	Incarnation version.Timestamp `json:"life"`
+	Server      string            `json:"server"`
+	State       string            `json:"state"`
+	Version     version.List      `json:"version"` // of the withdrawal
+	SelfKnew    bool              `json:"own"`     // the process itself knew; else another one did
+	MinSends    uint64            `json:"least"`   // sends that were certainly too late
+	MaxSends    uint64            `json:"most"`    // including those that may have been too late
+	LateFrom    version.Timestamp `json:"from"`    // time from which on sends were too late
+	LastSend    version.Timestamp `json:"last"`
+	Lateness    time.Duration     `json:"late"` // of the last send after a process first knew
+	Evidence    []string          `json:"path"` // who knew when, and how the sender could have known
+	Confidence  Confidence        `json:"sure"`
 }
 
 // LateSends lists the sends that happened although some process knew better, by time.
@@ -132,7 +132,7 @@
 		if least == 0 {
 			return
 		}
-		report := LateSendReport{Process: process.Process, Number: process.Number, Life: process.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: selfKnew,
+		report := LateSendReport{Process: process.Process, Number: process.Number, Incarnation: process.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: selfKnew,
 			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.evidence(e, process, last), Confidence: Certain}
 		if !e.fromSource {
 			report.Confidence = Likely // no record shows that a source withdrew it
--- a/fleet/audit/changes.go
+++ b/fleet/audit/changes.go
@@ -87,14 +87,14 @@
 
 // Span is a period in which a process acted on one version.
 type Span struct {
-	Process string            `json:"process"`
-	Number  int               `json:"number"`
-	Life    version.Timestamp `json:"life"`
-	Version version.Vector    `json:"version"`
-	From    version.Timestamp `json:"from"`
-	Until   version.Timestamp `json:"until"`
-	Sends   uint64            `json:"sends"`
-	Ongoing bool              `json:"open"` // until the end of the record
+	Process     string            `json:"process"`
+	Number      int               `json:"number"`
+	Incarnation version.Timestamp `json:"life"`
+	Version     version.Vector    `json:"version"`
+	From        version.Timestamp `json:"from"`
+	Until       version.Timestamp `json:"until"`
+	Sends       uint64            `json:"sends"`
+	Ongoing     bool              `json:"open"` // until the end of the record
 }
 
 // Spans lists who acted on which version when.
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -63,7 +63,7 @@
 		if !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Error("Accept did not return")
 	}
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestExchangeSendsNothingUnlessMayWrite(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	p := newPool()
 	server := &Server{addr: b.Addr}
 	p.Add(server)
@@ -32,7 +32,7 @@
 	if res := p.Exchange(context.Background(), server, Call{Request: req, MayWrite: func() bool { return false }}); res.Code != balance.Moot {
 		t.Errorf("got outcome %d", res.Code)
 	}
-	if b.Count() != 0 {
+	if b.RequestCount() != 0 {
 		t.Error("the request was sent")
 	}
 	if res := p.Exchange(context.Background(), server, Call{Request: req, MayWrite: func() bool { return true }}); res.Code != balance.OK || p.open != 1 {
@@ -42,8 +42,8 @@
 
 // Guards against spending an attempt on a connection that is known to be dead.
 func TestDeadIdleConnectionIsNotReused(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
-		nodetest.Reply(c, "200 OK", "")
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
+		nodetest.WriteResponse(c, "200 OK", "")
 		return false // closes without "Connection: close"
 	})
 	p := newPool()
@@ -54,12 +54,12 @@
 		if res.Code != balance.OK {
 			t.Fatalf("exchange %d: outcome %d", i, res.Code)
 		}
-		for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(server.idle[0].Conn) && time.Now().Before(end); {
+		for end := time.Now().Add(nodetest.WaitTimeout); bounded.OpenAndIdle(server.idle[0].Conn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if p.open != 1 || b.Count() != 3 {
-		t.Errorf("%d connections open, %d requests sent", p.open, b.Count())
+	if p.open != 1 || b.RequestCount() != 3 {
+		t.Errorf("%d connections open, %d requests sent", p.open, b.RequestCount())
 	}
 }
 
@@ -74,16 +74,16 @@
 		lastURI[c] = r.RequestURI
 		mu.Unlock()
 		if previous != "" { // late duplicate for the previous request
-			nodetest.Reply(c, "200 OK", previous)
+			nodetest.WriteResponse(c, "200 OK", previous)
 		}
 		if r.RequestURI == "/twice" {
-			nodetest.Reply(c, "200 OK", "/twice")
+			nodetest.WriteResponse(c, "200 OK", "/twice")
 		}
-		return nodetest.Reply(c, "200 OK", r.RequestURI)
+		return nodetest.WriteResponse(c, "200 OK", r.RequestURI)
 	}
 	p := newPool()
 	p.reuseDelay = time.Hour
-	one, other := &Server{addr: nodetest.NewRawServer(t, serve).Addr}, &Server{addr: nodetest.NewRawServer(t, serve).Addr}
+	one, other := &Server{addr: nodetest.NewScriptedServer(t, serve).Addr}, &Server{addr: nodetest.NewScriptedServer(t, serve).Addr}
 	p.Add(one)
 	p.Add(other)
 	for i, server := range []*Server{one, one, other, other, one, other} {
@@ -103,7 +103,7 @@
 // Without malformed responses the reuse delay opens no new connections, and a connection
 // that has rested is preferred to a new one.
 func TestReuseDelayAppliesOnlyAfterMalformedResponses(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	for _, testCase := range []struct {
 		reuseDelay time.Duration
 		malformed  bool
@@ -129,7 +129,7 @@
 // count as malformed responses.
 func TestMalformedResponsesAreDetected(t *testing.T) {
 	for name, text := range map[string]string{"bytes after the response": "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\n", "not HTTP": "hello\r\n"} {
-		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { _, err := io.WriteString(c, text); return err == nil })
+		b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { _, err := io.WriteString(c, text); return err == nil })
 		p := newPool()
 		server := &Server{addr: b.Addr}
 		p.Add(server)
@@ -139,8 +139,8 @@
 		}
 	}
 	late := make(chan bool)
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
-		nodetest.Reply(c, "200 OK", "")
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
+		nodetest.WriteResponse(c, "200 OK", "")
 		<-late
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 		return err == nil
@@ -150,7 +150,7 @@
 	p.Add(server)
 	p.Exchange(context.Background(), server, Call{Request: NewRequest("GET", "/clip", nil)})
 	close(late)
-	for end := time.Now().Add(nodetest.Patience); !bounded.HasUnread(server.idle[0].Conn) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); !bounded.HasUnread(server.idle[0].Conn) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if p.acquire(server); p.lastMalformedAt.IsZero() {
 		t.Error("bytes on an idle connection: not detected")
@@ -158,7 +158,7 @@
 }
 
 func TestPoolKeepsConnectionLimitAndDropsOldIncarnations(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	p := newPool()
 	p.maxConns = 1
 	one, two := &Server{ID: 1, addr: b.Addr}, &Server{ID: 2, addr: b.Addr}
@@ -201,7 +201,7 @@
 		"no length":   "HTTP/1.1 200 OK\r\n\r\npart",
 		"endless":     "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 4<<20),
 	} {
-		b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { fmt.Fprint(c, text); return true })
+		b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { fmt.Fprint(c, text); return true })
 		p := newPool()
 		server := &Server{addr: b.Addr}
 		p.Add(server)
@@ -213,9 +213,9 @@
 }
 
 func TestInterimResponsesAreSkipped(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprint(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return nodetest.Reply(c, "200 OK", "done")
+		return nodetest.WriteResponse(c, "200 OK", "done")
 	})
 	p := newPool()
 	server := &Server{addr: b.Addr}
@@ -239,11 +239,11 @@
 }
 
 func TestProbeReadsLoadReport(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.URL.Path != "/metrics/load" {
-			return nodetest.Reply(c, "404 Not Found", "")
+			return nodetest.WriteResponse(c, "404 Not Found", "")
 		}
-		return nodetest.Reply(c, "200 OK", "inflight=3,queue=1")
+		return nodetest.WriteResponse(c, "200 OK", "inflight=3,queue=1")
 	})
 	p := newPool()
 	server := &Server{addr: b.Addr}
--- a/internal/backend/dial.go
+++ b/internal/backend/dial.go
@@ -40,7 +40,7 @@
 		if p.OnDialError != nil && ctx.Err() == nil {
 			p.OnDialError(err)
 		}
-		if !neterr.Exhausted(err) || !time.Now().Add(delay).Before(deadline) {
+		if !neterr.IsLocalTransient(err) || !time.Now().Add(delay).Before(deadline) {
 			return nil, err
 		}
 		p.closeOldestIdle()
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -30,7 +30,7 @@
 // Dials that fail for lack of local resources are retried within the attempt. If the lack
 // persists the outcome is Moot: the attempt has not run and the server is not to blame.
 func TestLocalResourceExhaustionIsNotServerFailure(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	for _, testCase := range []struct {
 		errno syscall.Errno
 		count int64
@@ -69,7 +69,7 @@
 
 // A dial that finds no free descriptor closes an idle connection and is retried.
 func TestDialWithoutDescriptorClosesIdleConnection(t *testing.T) {
-	b := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	p := newPool()
 	idle, server := &Server{addr: b.Addr}, &Server{addr: b.Addr}
 	p.Add(idle)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -86,7 +86,7 @@
 		netConn, err := p.connect(ctx, addr)
 		if err != nil {
 			p.discard(nil)
-			if isCancelled(ctx) || neterr.Exhausted(err) { // not a server failure
+			if isCancelled(ctx) || neterr.IsLocalTransient(err) { // not a server failure
 				return Result{Code: balance.Moot}
 			}
 			return Result{Code: balance.ConnectFailed}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// MaxCallers is how many connections the console holds at once. At it the
+	// MaxConns is how many connections the console holds at once. At it the
 	// one that has been silent longest gives way.
-	MaxCallers = 32
-	// Sockets is what the console takes of the process's descriptors.
-	Sockets = MaxCallers + 2
+	MaxConns = 32
+	// MaxDescriptors is what the console takes of the process's descriptors.
+	MaxDescriptors = MaxConns + 2
 
 	headTime  = 2 * time.Second
 	callTime  = 3 * time.Second
@@ -36,30 +36,30 @@
 type Node interface {
 	// Ready tells whether this process takes clients.
 	Ready() bool
-	// Figures gives the figures as text.
-	Figures() []byte
-	// Maintain takes a server out of use, or back. When it returns with no
+	// MetricsText gives the figures as text.
+	MetricsText() []byte
+	// SetMaintenance takes a server out of use, or back. When it returns with no
 	// error nothing new goes to a server that was taken out. The error is
 	// maintenance.ErrUnknown for an id that nobody has.
-	Maintain(ctx context.Context, id string, out bool) error
+	SetMaintenance(ctx context.Context, id string, out bool) error
 }
 
-// Fleet is a node that tells what it has acted on.
-type Fleet interface {
-	// FleetRecord gives its record (version.Record) in JSON; ErrOff if it keeps
+// FleetRecorder is a node that tells what it has acted on.
+type FleetRecorder interface {
+	// FleetRecord gives its record (version.Record) in JSON; ErrFleetDisabled if it keeps
 	// none.
 	FleetRecord(ctx context.Context) ([]byte, error)
 }
 
-// History is a node that keeps its latest events.
-type History interface {
+// EventSource is a node that keeps its latest events.
+type EventSource interface {
 	// Events gives the latest events as text, a line each; of one request alone
 	// if its id is not empty.
 	Events(request string) []byte
 }
 
-// ErrOff says that a part of the node is switched off.
-var ErrOff = errors.New("the section [fleet] of the operator's file is not there: nothing is recorded")
+// ErrFleetDisabled says that a part of the node is switched off.
+var ErrFleetDisabled = errors.New("the section [fleet] of the operator's file is not there: nothing is recorded")
 
 // Server is the console.
 type Server struct {
@@ -74,12 +74,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/status", s.get(s.status))
 	mux.HandleFunc("/status/metrics", s.get(s.figures))
-	if h, is := n.(History); is {
+	if h, is := n.(EventSource); is {
 		mux.HandleFunc("/status/events", s.get(events(h)))
 	}
 	mux.HandleFunc("/maintenance/enter", s.put(true))
 	mux.HandleFunc("/maintenance/exit", s.put(false))
-	if f, is := n.(Fleet); is {
+	if f, is := n.(FleetRecorder); is {
 		mux.HandleFunc("/fleet/record", s.get(s.fleet(f)))
 	}
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headTime, ReadTimeout: callTime, WriteTimeout: callTime + time.Second,
@@ -135,13 +135,13 @@
 	io.WriteString(w, "takes clients\n")
 }
 
-func (s *Server) fleet(f Fleet) http.HandlerFunc {
+func (s *Server) fleet(f FleetRecorder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), wordTime)
 		defer cancel()
 		raw, err := f.FleetRecord(ctx)
 		switch {
-		case errors.Is(err, ErrOff):
+		case errors.Is(err, ErrFleetDisabled):
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -154,10 +154,10 @@
 
 func (s *Server) figures(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.Write(s.node.Figures())
+	w.Write(s.node.MetricsText())
 }
 
-func events(h History) http.HandlerFunc {
+func events(h EventSource) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(h.Events(r.URL.Query().Get("id")))
@@ -177,7 +177,7 @@
 		default:
 			ctx, cancel := context.WithTimeout(r.Context(), wordTime)
 			defer cancel()
-			switch err := s.node.Maintain(ctx, id, out); {
+			switch err := s.node.SetMaintenance(ctx, id, out); {
 			case errors.Is(err, maintenance.ErrUnknown):
 				http.Error(w, "no backend has this id", http.StatusNotFound)
 			case err != nil:
@@ -191,7 +191,7 @@
 	})
 }
 
-// listener holds MaxCallers connections at most.
+// listener holds MaxConns connections at most.
 type listener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -221,7 +221,7 @@
 	var give *conn
 	var wait time.Duration
 	for _, o := range l.order {
-		if len(l.open) < MaxCallers {
+		if len(l.open) < MaxConns {
 			break
 		}
 		if !o.whole {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -26,12 +26,12 @@
 	err   error
 }
 
-func (f *fakeNode) Ready() bool     { return f.up.Load() }
-func (f *fakeNode) Figures() []byte { return []byte("app.relayed:3|c\n") }
+func (f *fakeNode) Ready() bool         { return f.up.Load() }
+func (f *fakeNode) MetricsText() []byte { return []byte("app.relayed:3|c\n") }
 func (f *fakeNode) Events(request string) []byte {
 	return []byte("events of " + request + "\n")
 }
-func (f *fakeNode) Maintain(_ context.Context, id string, out bool) error {
+func (f *fakeNode) SetMaintenance(_ context.Context, id string, out bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id == "nobody" {
--- a/internal/control/accept_test.go
+++ b/internal/control/accept_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	checkCtx, cancelCheck := context.WithTimeout(context.Background(), nodetest.Patience)
+	checkCtx, cancelCheck := context.WithTimeout(context.Background(), nodetest.WaitTimeout)
 	defer cancelCheck()
 	if _, err := healthv1.NewHealthClient(conn).Check(checkCtx, &healthv1.HealthCheckRequest{},
 		grpc.WaitForReady(true)); err != nil {
--- a/internal/control/console.go
+++ b/internal/control/console.go
@@ -16,8 +16,8 @@
 // Ready reports whether a state has been published and the service keeps up.
 func (s *Service) Ready() bool { return s.Engine.Alive() && s.Engine.PublishedStates.Load() > 0 }
 
-// Figures returns the service's metrics in the format of a node's console.
-func (s *Service) Figures() []byte {
+// MetricsText returns the service's metrics in the format of a node's console.
+func (s *Service) MetricsText() []byte {
 	var text []byte
 	for _, metric := range s.metrics() {
 		text = fmt.Appendf(text, "app.control.%s:%d|%s\n", metric.name, metric.value, metric.kind)
@@ -25,8 +25,8 @@
 	return text
 }
 
-// Maintain always fails: servers are taken out of use at nodes or by discovery.
-func (s *Service) Maintain(context.Context, string, bool) error { return maintenance.ErrUnknown }
+// SetMaintenance always fails: servers are taken out of use at nodes or by discovery.
+func (s *Service) SetMaintenance(context.Context, string, bool) error { return maintenance.ErrUnknown }
 
 // FleetRecord returns the service's record for operators.
 func (s *Service) FleetRecord(context.Context) ([]byte, error) {
@@ -57,7 +57,7 @@
 		if s.config.RecordFile == "" {
 			return
 		}
-		ticker := time.NewTicker(s.config.RecordEvery.Duration)
+		ticker := time.NewTicker(s.config.RecordInterval.Duration)
 		defer ticker.Stop()
 		for {
 			select {
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -49,10 +49,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	config := fleet.Member()
+	config := fleet.MemberConfig()
 	config.Follow.ObserveOnly = true
 	config.Name, config.Self, config.ShareQuotas, config.ShareWork, config.Seeds =
-		control.Name, control.FleetID, false, false, control.Seeds()
+		control.Name, control.FleetID, false, false, control.SeedAddrs()
 	config.Addr, config.BuildDigest = conn.LocalAddr().(*net.UDPAddr).AddrPort(), build.Digest()
 	joined := &fleetMember{log: log, conn: conn, allowed: config.AllowedPrefixes,
 		pauseThreshold: config.Follow.PauseThreshold, clock: wallclock.NewSteady()}
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -127,5 +127,5 @@
 	if err != nil {
 		return err
 	}
-	return durable.Write(path, data)
+	return durable.WriteFile(path, data)
 }
--- a/internal/control/save_test.go
+++ b/internal/control/save_test.go
@@ -44,7 +44,7 @@
 	discoveryStub.SetNow(listEntry("s0", hosts.Draining))
 	publisher.waitFor(t, "a drain while the disk is blocked", confirmedHealth("s0", steer.Draining))
 	close(release)
-	for end := time.Now().Add(nodetest.Patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if cached, err := readList(file); err == nil && len(cached) == 1 && cached[0].Lifecycle == "draining" {
 			break
 		}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -38,7 +38,7 @@
 func New(control *operator.Control, fleet *operator.Fleet, log *slog.Logger) (*Service, error) {
 	service := &Service{log: log, config: control}
 	xdsConfig := xds.Config{Access: accessOf(control), Log: log, MaxDiscoveryStreams: control.MaxStreams,
-		AckTimeout: control.AckWithin.Duration, LoadReportInterval: control.ReportEvery.Duration}
+		AckTimeout: control.AckTimeout.Duration, LoadReportInterval: control.LoadReportInterval.Duration}
 	if !control.PlainText {
 		certificates, err := xds.LoadCertificates(control.Cert, control.Key, control.ClientCA)
 		if err != nil {
@@ -56,9 +56,9 @@
 	// Streams are served only after Engine is set.
 	xdsConfig.IsCurrent = func() bool { return service.Engine.Alive() }
 	service.Server = xds.New(xdsConfig)
-	settings := steer.Settings{WarmupStartFraction: control.ColdFrom, WarmupTime: control.ColdTime.Duration,
-		OverloadFactor: control.OverloadFactor, WeightInterval: control.ChangeEvery.Duration,
-		MaxWeightFactor: control.ChangeBy, MaxServers: control.MaxServers, SubsetSize: control.Subset,
+	settings := steer.Settings{WarmupStartFraction: control.WarmupStartFraction, WarmupTime: control.WarmupTime.Duration,
+		OverloadFactor: control.OverloadFactor, WeightInterval: control.WeightInterval.Duration,
+		MaxWeightFactor: control.MaxWeightFactor, MaxServers: control.MaxServers, SubsetSize: control.SubsetSize,
 		MaxProxies: control.MaxStreams}
 	for _, svc := range control.Services {
 		for _, class := range svc.Classes {
@@ -66,7 +66,7 @@
 		}
 	}
 	engine, err := NewEngine(Config{Steer: settings, Discovery: control.Discovery, ListFile: control.ListFile,
-		Probe: prober(control.Probe), Publisher: service.proxies.publisher(service.Server), Log: log,
+		Probe: prober(control.HealthCheck), Publisher: service.proxies.publisher(service.Server), Log: log,
 		OnList: service.proxies.handleList})
 	if err != nil {
 		return nil, err
@@ -76,17 +76,17 @@
 }
 
 func classOf(class operator.Class) balance.Class {
-	return balance.Class{Name: class.Name, TargetLatency: class.Aim.Duration, Deadline: class.Deadline.Duration,
-		Effect: effectsByName[class.Effect], DedupWindow: class.Window.Duration}
+	return balance.Class{Name: class.Name, TargetLatency: class.TargetLatency.Duration, Deadline: class.Deadline.Duration,
+		Effect: effectsByName[class.Effect], DedupWindow: class.DedupWindow.Duration}
 }
 
 func accessOf(control *operator.Control) xds.Access {
 	access := xds.Access{Operators: control.Operators, AllowedIdentities: map[string][]string{}}
 	for _, service := range control.Services {
-		xdsService := &xds.Service{Name: service.Name, EndpointTTL: control.Lease.Duration,
-			FallbackTTL: control.Held.Duration, ConnectTimeout: service.Connect.Duration}
-		if control.Probe != "tcp" {
-			xdsService.HealthCheckPath = control.Probe
+		xdsService := &xds.Service{Name: service.Name, EndpointTTL: control.EndpointTTL.Duration,
+			FallbackTTL: control.FallbackTTL.Duration, ConnectTimeout: service.ConnectTimeout.Duration}
+		if control.HealthCheck != "tcp" {
+			xdsService.HealthCheckPath = control.HealthCheck
 		}
 		for _, class := range service.Classes {
 			xdsService.Classes = append(xdsService.Classes, xds.Class{Class: classOf(class), Priority: class.Priority})
--- a/internal/control/steered.go
+++ b/internal/control/steered.go
@@ -51,7 +51,7 @@
 		incarnation = fleet.record().Incarnation
 	}
 	tracker.table = steered.New(steered.Settings{Service: control.Name, Incarnation: incarnation,
-		AnswerTimeout: control.AckWithin.Duration / 2, Grace: drainGrace, MaxProxies: control.MaxStreams})
+		AnswerTimeout: control.AckTimeout.Duration / 2, Grace: drainGrace, MaxProxies: control.MaxStreams})
 	return tracker
 }
 
--- a/internal/decider/decider.go
+++ b/internal/decider/decider.go
@@ -30,7 +30,7 @@
 		return out
 	}
 	if d.caller == nil {
-		d.caller = membership.NewPoller(membership.Settings{Stream: true, AskWithin: d.set.ListPollInterval, Nodes: float64(d.set.Nodes), Seed: d.seed},
+		d.caller = membership.NewPoller(membership.Settings{Stream: true, ListPollInterval: d.set.ListPollInterval, Nodes: float64(d.set.Nodes), Seed: d.seed},
 			membership.InitialState{HaveList: true, Stagger: true}, now)
 	}
 	var of membership.Event
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -134,7 +134,7 @@
 // Connection attempts begun while discovery was unreachable do not delay later calls, although the
 // kernel still retries them at long intervals.
 func TestPendingConnectionsDoNotDelayLaterCalls(t *testing.T) {
-	held := nodetest.NewHeldListener(t)
+	held := nodetest.NewBlockedListener(t)
 	d := newClient(held.Addr().String(), membership.Settings{}, withCachedList(0), nil)
 	defer d.Close()
 	poll := func() (List, Failure) {
@@ -154,7 +154,7 @@
 	group.Wait()
 	// The kernel has retried the connections at 3 s and does not retry before 4 s.
 	time.Sleep(time.Until(began.Add(3200 * time.Millisecond)))
-	held.LetGo(t)
+	held.Release(t)
 	go http.Serve(held, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"generation":3,"reset":true,"instances":[]}`)
 	}))
@@ -272,7 +272,7 @@
 			if n.Kind == balance.ListFailed || !n.List.Date.Equal(want) {
 				t.Errorf("%q: %+v", date, n)
 			}
-		case <-time.After(nodetest.Patience):
+		case <-time.After(nodetest.WaitTimeout):
 			t.Errorf("%q: no update", date)
 		}
 		d.Close()
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -32,12 +32,12 @@
 	sync:   syncFolder,
 }
 
-// Write replaces the file at path by one with this content, for the owner alone: it
+// WriteFile replaces the file at path by one with this content, for the owner alone: it
 // writes a temporary file beside it (path, a dot and digits), has that on the disk,
 // renames it and has the name on the disk. After an error the old content stands, or,
 // if only the last step failed, the new one; the temporary file is gone. One that a
 // process left that was killed may be removed by whoever holds the right to write.
-func Write(path string, content []byte) error { return system.write(path, content) }
+func WriteFile(path string, content []byte) error { return system.write(path, content) }
 
 func (s folder) write(path string, content []byte) error {
 	dir, name := filepath.Split(path)
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -18,7 +18,7 @@
 func TestMain(m *testing.M) {
 	if path := os.Getenv("DURABLE_TEST_WRITE"); path != "" {
 		for number := 0; ; number++ {
-			if err := Write(path, content(number)); err != nil {
+			if err := WriteFile(path, content(number)); err != nil {
 				fmt.Println(err)
 				os.Exit(1)
 			}
@@ -117,7 +117,7 @@
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "state")
-		if err := Write(path, []byte("old")); err != nil {
+		if err := WriteFile(path, []byte("old")); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.write(path, []byte("new, which fails")); err == nil {
@@ -129,7 +129,7 @@
 		if files, _ := os.ReadDir(dir); len(files) != 1 {
 			t.Errorf("%s: %d files", name, len(files))
 		}
-		if err := Write(path, []byte("next")); err != nil {
+		if err := WriteFile(path, []byte("next")); err != nil {
 			t.Errorf("%s: the next write: %v", name, err)
 		}
 	}
@@ -137,7 +137,7 @@
 
 func TestTheFileIsItsOwnersAlone(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
-	if err := Write(path, []byte("x")); err != nil {
+	if err := WriteFile(path, []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -150,10 +150,10 @@
 		t.Errorf("got\n%s", got)
 	}
 	for _, status := range []int{200, 429, 503, 502, 409} {
-		f.Ended("clip", OutcomeOf(status))
-		f.Ended("no class of ours", OutcomeOf(status))
+		f.CountRequest("clip", OutcomeOf(status))
+		f.CountRequest("no class of ours", OutcomeOf(status))
 	}
-	if f.Of("clip", Fulfilled) != 1 || f.Of("clip", Throttled) != 2 || f.Of("clip", Faulted) != 2 || f.Of("order", Faulted) != 0 {
+	if f.RequestCount("clip", Fulfilled) != 1 || f.RequestCount("clip", Throttled) != 2 || f.RequestCount("clip", Faulted) != 2 || f.RequestCount("order", Faulted) != 0 {
 		t.Errorf("counted\n%s", f.Text())
 	}
 }
@@ -162,15 +162,15 @@
 func TestAFamilyCountsByItsWords(t *testing.T) {
 	f := New(nil)
 	f.AttemptsWithheld.Add(int(guard.WithheldBodyConsumed))
-	f.RequestsTurned.Add(int(TurnedStale))
+	f.RequestsRejected.Add(int(RejectedStaleState))
 	f.ConnectionsClosed.Add(int(ClosedUnanswered))
-	for family, last := range map[*Family]int{&f.AttemptsWithheld: int(guard.WithheldBodyConsumed), &f.RequestsTurned: int(TurnedStale), &f.ConnectionsClosed: int(ClosedUnanswered)} {
-		if family.Of(last) != 1 || last != len(family.words)-1 {
-			t.Errorf("%s: the last word is %q, counted %d times", family.name, family.Word(last), family.Of(last))
+	for family, last := range map[*CounterVec]int{&f.AttemptsWithheld: int(guard.WithheldBodyConsumed), &f.RequestsRejected: int(RejectedStaleState), &f.ConnectionsClosed: int(ClosedUnanswered)} {
+		if family.Value(last) != 1 || last != len(family.words)-1 {
+			t.Errorf("%s: the last word is %q, counted %d times", family.name, family.Label(last), family.Value(last))
 		}
 		family.Add(-1)
 		family.Add(last + 1)
-		if family.Word(last+1) != "unknown" {
+		if family.Label(last+1) != "unknown" {
 			t.Errorf("%s has a word too many", family.name)
 		}
 	}
@@ -180,9 +180,9 @@
 	f := New([]string{"clip", "order", "tag", "cut"})
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Open.Add(1)
+		f.OpenRequests.Add(1)
 		f.Relayed.Add(1)
-		f.Ended("clip", Fulfilled)
-		f.Open.Add(-1)
+		f.CountRequest("clip", Fulfilled)
+		f.OpenRequests.Add(-1)
 	}
 }
--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -23,7 +23,7 @@
 // the error by its name.
 func TestAcceptErrorsAreRetriedAndCounted(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	l := nodetest.NewFailingListener(t, 100)
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr)
 	n := &testNode{Node: node.New(cfg), cfg: cfg, url: "http://" + l.Addr().String(), ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
@@ -53,8 +53,8 @@
 		t.Errorf("a client waited %v", slowest)
 	}
 	for _, figure := range []string{"app.accept.errors.ENOBUFS:4|c", "app.accept.errors.EPROTO:4|c", "app.accept.errors.other:4|c"} {
-		if !strings.Contains(string(n.Figures()), figure) {
-			t.Errorf("no %s in\n%s", figure, n.Figures())
+		if !strings.Contains(string(n.MetricsText()), figure) {
+			t.Errorf("no %s in\n%s", figure, n.MetricsText())
 		}
 	}
 	stop()
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Error("the shutdown did not end")
 	}
 }
@@ -96,7 +96,7 @@
 // The kernel resets what is in the backlog when the listener closes, so it is accepted before.
 func TestBacklogIsAcceptedBeforeListenerCloses(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	for range 20 {
 		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 		var waiting []net.Conn
@@ -154,12 +154,12 @@
 func TestConnectionsOverLimitAtShutdownAreRejected(t *testing.T) {
 	t.Parallel()
 	hang := make(chan bool)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { <-hang; return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { <-hang; return nodetest.WriteResponse(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.front.SetMaxConns(1)
 	open := dial(t, n.url)
 	io.WriteString(open, getRequest("open"))
-	waitFor(t, "the request is open", func() bool { return n.Metrics().Open.Load() == 1 })
+	waitFor(t, "the request is open", func() bool { return n.Metrics().OpenRequests.Load() == 1 })
 	var waiting []net.Conn
 	for i := range 24 {
 		c := dial(t, n.url)
@@ -170,7 +170,7 @@
 	}
 	n.stop()
 	for i, c := range waiting {
-		c.SetReadDeadline(time.Now().Add(nodetest.Patience))
+		c.SetReadDeadline(time.Now().Add(nodetest.WaitTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		switch {
 		case i%3 > 0 && err != nil:
@@ -226,7 +226,7 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	next.(*net.TCPListener).SetDeadline(time.Now().Add(nodetest.Patience))
+	next.(*net.TCPListener).SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	<-f.clients.closed
 	c, err := next.Accept()
 	if err != nil {
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -116,7 +116,7 @@
 	if got := peakHeap.Load(); got > size*count/2 { // includes what the clients and the backend hold
 		t.Errorf("%d MB in use while %d MB pass both ways", got>>20, size*count>>20)
 	}
-	if text := string(n.Figures()); !strings.Contains(text, fmt.Sprintf("app.operations.order.fulfilled:%d|c", count)) || !strings.Contains(text, "app.open_requests:0|g") {
+	if text := string(n.MetricsText()); !strings.Contains(text, fmt.Sprintf("app.operations.order.fulfilled:%d|c", count)) || !strings.Contains(text, "app.open_requests:0|g") {
 		t.Errorf("unexpected figures:\n%s", text)
 	}
 }
@@ -133,18 +133,18 @@
 			c.Write(make([]byte, 300000))
 			return false
 		}
-		backend, spare := nodetest.NewRawServer(t, serve), nodetest.NewRawServer(t, serve)
+		backend, spare := nodetest.NewScriptedServer(t, serve), nodetest.NewScriptedServer(t, serve)
 		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr, spare.Addr))
 		status, body, _, err := n.request(context.Background(), "clip", "one", 5*time.Second)
 		if err == nil || status != 200 || len(body) > 300000 {
 			t.Errorf("%s: %d, %d bytes, %v", name, status, len(body), err)
 		}
-		if sent := backend.Count() + spare.Count(); sent != 1 {
+		if sent := backend.RequestCount() + spare.RequestCount(); sent != 1 {
 			t.Errorf("%s: sent %d times", name, sent)
 		}
-		for end := time.Now().Add(nodetest.Patience); !strings.Contains(string(n.Figures()), "clip.faulted:1|c"); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(nodetest.WaitTimeout); !strings.Contains(string(n.MetricsText()), "clip.faulted:1|c"); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: unexpected figures:\n%s", name, n.Figures())
+				t.Fatalf("%s: unexpected figures:\n%s", name, n.MetricsText())
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 
 // A request whose body breaks off or is malformed gets an error and is never run.
 func TestTruncatedRequestBodyNeverRuns(t *testing.T) {
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	head := "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: "
 	long := strings.Repeat("x", 500000)
@@ -171,10 +171,10 @@
 			t.Errorf("%s: got %.80q", name, response)
 		}
 	}
-	if backend.Count() != 0 {
-		t.Errorf("%d requests with an invalid body ran", backend.Count())
+	if backend.RequestCount() != 0 {
+		t.Errorf("%d requests with an invalid body ran", backend.RequestCount())
 	}
-	if text := string(n.Figures()); !strings.Contains(text, "app.open_requests:0|g") || !strings.Contains(text, "app.relayed:0|c") {
+	if text := string(n.MetricsText()); !strings.Contains(text, "app.open_requests:0|g") || !strings.Contains(text, "app.relayed:0|c") {
 		t.Errorf("unexpected figures:\n%s", text)
 	}
 }
@@ -205,7 +205,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	c.SetDeadline(time.Now().Add(nodetest.Patience))
+	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Fatalf("got %+v, %v", resp, err)
@@ -219,7 +219,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(nodetest.Patience))
+	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	io.WriteString(c, "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9000\r\nRequest-Id: b\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
 	r := bufio.NewReader(c)
 	if line, err := r.ReadString('\n'); err != nil || !strings.Contains(line, "100") {
@@ -242,7 +242,7 @@
 		"connection close": "HTTP/1.1 200 OK\r\n\r\nhello!",
 		"after a 1xx":      "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nhello!",
 	} {
-		backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+		backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 			for i := 0; i < len(text); i++ {
 				if text[i] == 'n' && i%100 != 0 { // the note is sent in blocks of about 100 bytes
 					end := min(len(text), i+99)
@@ -289,7 +289,7 @@
 			t.Errorf("request beside the stalled client: %d", status)
 		}
 	}
-	for end := time.Now().Add(nodetest.Patience); n.BackendPool().OpenConns() > 1; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); n.BackendPool().OpenConns() > 1; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d connections to the server are still held", n.BackendPool().OpenConns())
 		}
@@ -303,10 +303,10 @@
 // Maintain has returned.
 func TestMaintenanceFinishesOpenRequestsAndSendsNoNew(t *testing.T) {
 	arrived, release := make(chan bool, 10), make(chan bool)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		<-release
-		return nodetest.Reply(c, "200 OK", "done")
+		return nodetest.WriteResponse(c, "200 OK", "done")
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	got := make(chan error, 1)
@@ -318,7 +318,7 @@
 		got <- err
 	}()
 	<-arrived
-	if err := n.Maintain(context.Background(), "s-0", true); err != nil {
+	if err := n.SetMaintenance(context.Background(), "s-0", true); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, _ := n.mustRequest(t, "order", "two", time.Second); status != http.StatusServiceUnavailable {
@@ -328,15 +328,15 @@
 	if err := <-got; err != nil {
 		t.Errorf("the open request: %v", err)
 	}
-	for end := time.Now().Add(nodetest.Patience); n.BackendPool().OpenConns() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); n.BackendPool().OpenConns() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection to the server is still open")
 		}
 	}
-	if err := n.Maintain(context.Background(), "s-0", false); err != nil {
+	if err := n.SetMaintenance(context.Background(), "s-0", false); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(nodetest.Patience); ; time.Sleep(20 * time.Millisecond) { // a cold server gets few requests
+	for end := time.Now().Add(nodetest.WaitTimeout); ; time.Sleep(20 * time.Millisecond) { // a cold server gets few requests
 		if status, _, _ := n.mustRequest(t, "clip", fmt.Sprint("back", time.Now().UnixNano()), time.Second); status == 200 {
 			break
 		}
@@ -344,7 +344,7 @@
 			t.Fatal("the server gets no requests after the end of maintenance")
 		}
 	}
-	if n := backend.Count(); n != 2 {
+	if n := backend.RequestCount(); n != 2 {
 		t.Errorf("the server got %d requests", n)
 	}
 }
@@ -362,7 +362,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(nodetest.Patience))
+	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	head := "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 9000\r\n"
 	go io.WriteString(c, head+"Request-Id: a\r\nContent-Length: 700000\r\n\r\n"+strings.Repeat("x", 700000)+
 		head+"Request-Id: b\r\nContent-Length: 3\r\n\r\nabc")
@@ -394,7 +394,7 @@
 		"small":             {"Content-Length: 6", 6, true},
 		"small, chunked":    {"Transfer-Encoding: chunked", 6, true},
 	} {
-		backend := nodetest.NewRawServer(t, func(w net.Conn, r *http.Request) bool {
+		backend := nodetest.NewScriptedServer(t, func(w net.Conn, r *http.Request) bool {
 			fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", c.head)
 			if strings.HasPrefix(c.head, "Transfer") {
 				fmt.Fprintf(w, "%x\r\n", c.size)
@@ -411,7 +411,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(nodetest.Patience))
+		conn.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 		io.WriteString(conn, "GET /clip HTTP/1.0\r\nRequest-Id: a\r\nRequest-Class: clip\r\nRequest-Timeout-Ms: 9000\r\n\r\n")
 		raw, err := io.ReadAll(conn)
 		head, body, _ := strings.Cut(string(raw), "\r\n\r\n")
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -247,10 +247,10 @@
 }
 
 // recordClose counts the close of the connection. The caller holds the lock.
-func (c *clientConn) recordClose(reason figures.Closed) {
+func (c *clientConn) recordClose(reason figures.CloseReason) {
 	c.owner.figures.ConnectionsClosed.Add(int(reason))
 	c.owner.history.Add(eventlog.Event{Kind: eventlog.ConnectionClosed, Connection: c.number,
-		Reason: c.owner.figures.ConnectionsClosed.Word(int(reason))})
+		Reason: c.owner.figures.ConnectionsClosed.Label(int(reason))})
 }
 
 // isLastRequest reports whether no request can follow the open one.
@@ -266,7 +266,7 @@
 // closeIfIdle closes the connection unless a request on it waits to be read or answered, and
 // reports whether it did. With rejectPartial a partly received request is rejected and its
 // connection closed.
-func (c *clientConn) closeIfIdle(reason figures.Closed, rejectPartial bool) bool {
+func (c *clientConn) closeIfIdle(reason figures.CloseReason, rejectPartial bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch mode := c.state().CloseMode(); {
@@ -394,7 +394,7 @@
 		c.recordClose(figures.ClosedAnswered)
 	case c.phase == phaseOpen && headComplete:
 		c.recordClose(figures.ClosedUnanswered)
-		c.owner.checker.Broken(invariant.Unanswered, c.request, "connection %d was closed, open for %v", c.number, time.Since(c.openedAt))
+		c.owner.checker.Report(invariant.Unanswered, c.request, "connection %d was closed, open for %v", c.number, time.Since(c.openedAt))
 	case c.readTimedOut:
 		c.recordClose(figures.ClosedTimeout)
 		switch {
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -42,7 +42,7 @@
 }
 
 func newClientConns(listener net.Listener, limit int, metrics *figures.Set, history *eventlog.Log, checker *invariant.Checker) *clientConns {
-	retrying := accept.New(listener, func(err error) { metrics.AcceptErrors.Add(neterr.Number(err)) })
+	retrying := accept.New(listener, func(err error) { metrics.AcceptErrors.Add(neterr.Index(err)) })
 	return &clientConns{Listener: retrying, limit: limit, fresh: map[net.Conn]time.Time{}, idle: map[net.Conn]time.Time{}, all: map[*clientConn]bool{},
 		listenerState: listenerState{backlogEmpty: make(chan struct{}), closed: make(chan struct{})}, rejecting: make(chan struct{}, maxRejecting), figures: metrics, history: history, checker: checker}
 }
@@ -114,7 +114,7 @@
 	}
 	delete(idle, oldest)
 	if client, ok := oldest.(*clientConn); ok {
-		return client.closeIfIdle(figures.ClosedForRoom, true)
+		return client.closeIfIdle(figures.ClosedEvicted, true)
 	}
 	oldest.Close()
 	return true
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(nodetest.Patience))
+	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	return c.(*net.TCPConn)
 }
 
 // waitFor waits until a condition holds.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(nodetest.Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting: %s", what)
 		}
@@ -55,7 +55,7 @@
 func TestClientCloseIsNoticedBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	arrived, closed := make(chan bool, 1), make(chan bool, 1)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c) // returns when the node cancels the attempt
 		closed <- true
@@ -73,14 +73,14 @@
 			io.WriteString(c, getRequest(fmt.Sprint(id)))
 			<-arrived
 			io.WriteString(c, pipelined)
-			before := backend.Count()
+			before := backend.RequestCount()
 			closeConn(c)
 			select {
 			case <-closed:
-			case <-time.After(nodetest.Patience):
+			case <-time.After(nodetest.WaitTimeout):
 				t.Fatalf("%s, then %s: the attempt was not cancelled", name, how)
 			}
-			if got := backend.Count(); got != before {
+			if got := backend.RequestCount(); got != before {
 				t.Errorf("%s, then %s: %d further attempts", name, how, got-before)
 			}
 		}
@@ -93,9 +93,9 @@
 	t.Parallel()
 	for _, event := range []string{"room", "shutdown", "close"} {
 		arrived, release, closed := make(chan bool, 1), make(chan bool), make(chan bool, 1)
-		backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+		backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 			if r.Header.Get("Request-Id") != "second" {
-				return nodetest.Reply(c, "200 OK", "first")
+				return nodetest.WriteResponse(c, "200 OK", "first")
 			}
 			arrived <- true
 			if event == "close" {
@@ -104,7 +104,7 @@
 				return false
 			}
 			<-release
-			return nodetest.Reply(c, "200 OK", "second")
+			return nodetest.WriteResponse(c, "200 OK", "second")
 		})
 		n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 		c := dial(t, n.url)
@@ -129,7 +129,7 @@
 			c.Close()
 			select {
 			case <-closed:
-			case <-time.After(nodetest.Patience):
+			case <-time.After(nodetest.WaitTimeout):
 				t.Fatal("the attempt was not cancelled")
 			}
 			continue
@@ -150,12 +150,12 @@
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	t.Parallel()
 	first, release := make(chan bool, 1), make(chan bool)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Request-Id") == "0" {
 			first <- true
 			<-release
 		}
-		return nodetest.Reply(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
+		return nodetest.WriteResponse(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	c := dial(t, n.url)
@@ -224,8 +224,8 @@
 // shutdown, is served and answered, on a new connection as well as on an idle one.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
-		return nodetest.Reply(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
+		return nodetest.WriteResponse(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 	})
 	for _, reused := range []bool{false, true} {
 		for _, event := range []string{"room", "shutdown"} {
@@ -278,7 +278,7 @@
 // before the process exits.
 func TestConnectionAcceptedDuringShutdownIsServed(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	h := startHeldFront(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	h.armed.Store(int64(http.StateNew) + 1)
 	c := dial(t, h.url)
@@ -305,7 +305,7 @@
 // evicted for it while the listener is open.
 func TestConnectionsWaitingForRoomAtShutdownAreServed(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: minIdleAge * 3 / 4, ServeUntil: minIdleAge, AnswerBy: 2 * minIdleAge, ExitBy: 2 * minIdleAge})
 	for _, id := range []string{"rests", "is let in by an accept that had room", "waits"} {
@@ -407,7 +407,7 @@
 // After a slow dial the server is given only the time that the client has left.
 func TestForwardedTimeoutIsRemainingTime(t *testing.T) {
 	t.Parallel()
-	server := nodetest.NewHeldListener(t)
+	server := nodetest.NewBlockedListener(t)
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), server.Addr().String())
 	cfg.Settings.ConnectTimeout = 5 * time.Second
 	n := startNode(t, cfg)
@@ -419,7 +419,7 @@
 		answered <- time.Now()
 	}()
 	waitFor(t, "the attempt dials", func() bool { return n.BackendPool().OpenConns() == 1 })
-	server.LetGo(t) // the kernel retransmits the SYN 1 s after the first
+	server.Release(t) // the kernel retransmits the SYN 1 s after the first
 	go http.Serve(server, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		forwarded <- r.Header.Get("Request-Timeout-Ms")
 	}))
@@ -437,12 +437,12 @@
 	t.Parallel()
 	const window = 700 * time.Millisecond
 	received, reset := make(chan bool, 1), make(chan bool)
-	first := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	first := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		received <- true
 		<-reset
 		return false // the request may have run
 	})
-	second, listSecond := nodetest.NewHeldListener(t), make(chan bool)
+	second, listSecond := nodetest.NewBlockedListener(t), make(chan bool)
 	discovery := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("hold_ms") == "0" {
 			io.WriteString(w, `{"generation":7,"reset":false,"instances":[]}`)
@@ -469,14 +469,14 @@
 	}()
 	<-received
 	listSecond <- true
-	waitFor(t, "the second server is listed", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:2|g") })
+	waitFor(t, "the second server is listed", func() bool { return strings.Contains(string(n.MetricsText()), "app.registry_entries:2|g") })
 	close(reset) // the retry starts to dial
 	if dialled := time.Since(start); dialled > window {
 		t.Fatalf("the machine was too slow to force the race: %v", dialled)
 	}
 	written := make(chan bool, 1)
 	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // the kernel retransmits the SYN 1 s after the first
-	second.LetGo(t)
+	second.Release(t)
 	go http.Serve(second, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { written <- true }))
 	if got := <-status; got != http.StatusBadGateway {
 		t.Errorf("got status %d", got)
@@ -495,7 +495,7 @@
 		for _, event := range []string{"drain", "close", "half-close", "reset"} {
 			t.Run(class+" "+event, func(t *testing.T) {
 				t.Parallel()
-				server, sendDrain := nodetest.NewHeldListener(t), make(chan bool)
+				server, sendDrain := nodetest.NewBlockedListener(t), make(chan bool)
 				discovery := newFakeDiscovery(t, func(_ *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 					if call == 1 {
 						io.WriteString(w, `{"generation":7,"reset":false,"instances":[]}`)
@@ -524,7 +524,7 @@
 				switch event {
 				case "drain":
 					sendDrain <- true
-					waitFor(t, "the drain is applied", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:0|g") })
+					waitFor(t, "the drain is applied", func() bool { return strings.Contains(string(n.MetricsText()), "app.registry_entries:0|g") })
 				case "close":
 					c.Close()
 				case "half-close":
@@ -534,10 +534,10 @@
 					c.Close()
 				}
 				if event != "drain" {
-					waitFor(t, "the disconnect is noticed", func() bool { return n.Metrics().Open.Load() == 0 })
+					waitFor(t, "the disconnect is noticed", func() bool { return n.Metrics().OpenRequests.Load() == 0 })
 				}
 				written := make(chan bool, 1)
-				server.LetGo(t) // the kernel retransmits the SYN 1 s after the first
+				server.Release(t) // the kernel retransmits the SYN 1 s after the first
 				go http.Serve(server, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { written <- true }))
 				if event == "drain" {
 					resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -560,12 +560,12 @@
 // A node is ready and serves at once, even if discovery is down, hangs or rejects its calls.
 func TestNodeIsReadyWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	hangs := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	rejects := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	for name, discovery := range map[string]string{"down": nodetest.ClosedAddr(t), "unreachable": nodetest.NewHeldListener(t).Addr().String(),
+	for name, discovery := range map[string]string{"down": nodetest.ClosedAddr(t), "unreachable": nodetest.NewBlockedListener(t).Addr().String(),
 		"hangs": addr(hangs.Server), "rejects": addr(rejects.Server)} {
 		n := startNode(t, nodeConfig(t, discovery, backend.Addr))
 		start := time.Now()
@@ -587,7 +587,7 @@
 // node still reaches it and its servers, and other clients are served when the idle ones go.
 func TestIdleClientsDoNotBlockDiscovery(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	var back atomic.Bool
 	discovery := newFakeDiscovery(t, func(_ *fakeDiscovery, _ int, w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -608,7 +608,7 @@
 	}
 	waitFor(t, "the limit is reached", func() bool { return n.front.Connections() == 20 })
 	back.Store(true)
-	waitFor(t, "the list is applied", func() bool { return strings.Contains(string(n.Figures()), "app.registry_entries:1|g") })
+	waitFor(t, "the list is applied", func() bool { return strings.Contains(string(n.MetricsText()), "app.registry_entries:1|g") })
 	for _, c := range idle {
 		c.Close()
 	}
@@ -627,7 +627,7 @@
 func TestBadClientsLeakNoResources(t *testing.T) {
 	var turn atomic.Int64
 	var healthy atomic.Bool
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		switch kind := turn.Add(1) % 6; {
 		case healthy.Load():
 		case kind == 0:
@@ -639,10 +639,10 @@
 		case kind == 2:
 			return false
 		case kind == 3:
-			nodetest.Reply(c, "200 OK", "one")
-			return nodetest.Reply(c, "200 OK", "two")
+			nodetest.WriteResponse(c, "200 OK", "one")
+			return nodetest.WriteResponse(c, "200 OK", "two")
 		}
-		return nodetest.Reply(c, "200 OK", "served")
+		return nodetest.WriteResponse(c, "200 OK", "served")
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	texts := []string{"", "G", getRequest("x")[:50], getRequest("y"), strings.Repeat(getRequest("z"), 20), strings.Repeat("x", 9<<10), "\x00\x01\r\n\r\n",
@@ -659,7 +659,7 @@
 					return
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(nodetest.Patience))
+				c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 				io.WriteString(c, texts[i%len(texts)])
 				switch i % 4 {
 				case 0:
@@ -673,7 +673,7 @@
 			}()
 		}
 		all.Wait()
-		waitFor(t, "all client connections are closed", func() bool { return n.front.Connections() == 0 && n.Metrics().Open.Load() == 0 })
+		waitFor(t, "all client connections are closed", func() bool { return n.front.Connections() == 0 && n.Metrics().OpenRequests.Load() == 0 })
 		n.BackendPool().SetMaxConns(0) // closes idle connections
 		waitFor(t, "all server connections are closed", func() bool { return n.BackendPool().OpenConns() == 0 })
 		n.BackendPool().SetMaxConns(n.cfg.BackendSockets())
--- a/internal/front/events_test.go
+++ b/internal/front/events_test.go
@@ -16,11 +16,11 @@
 // The events of a request show its attempts and why it ended as it did.
 func TestRequestEventsAreLogged(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Request-Id") == "reset" {
 			return false
 		}
-		return nodetest.Reply(c, "200 OK", "served")
+		return nodetest.WriteResponse(c, "200 OK", "served")
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	for id, want := range map[string][]string{
@@ -39,7 +39,7 @@
 			t.Errorf("%s: neither %s nor its status %d in\n%s", id, reason, status, text)
 		}
 	}
-	text := string(n.Figures())
+	text := string(n.MetricsText())
 	for _, figure := range []string{"app.attempts.ended.ok:1|c", "app.attempts.ended.reset:1|c", "app.requests.turned_down.no_server:1|c", "app.attempts.repeated:0|c"} {
 		if !strings.Contains(text, figure) {
 			t.Errorf("no %s in\n%s", figure, text)
@@ -50,10 +50,10 @@
 // Each closed connection is counted by the reason of its close.
 func TestConnectionClosesAreCountedByReason(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	has := func(figure string) func() bool {
-		return func() bool { return strings.Contains(string(n.Figures()), figure) }
+		return func() bool { return strings.Contains(string(n.MetricsText()), figure) }
 	}
 	serve := func(id, more string) net.Conn {
 		c := dial(t, n.url)
@@ -74,6 +74,6 @@
 	n.stop()
 	waitFor(t, "idle at the shutdown", has("app.connections.closed.draining:1|c"))
 	if !has("app.connections.opened:4|c")() || !has("app.connections.closed.unanswered:0|c")() {
-		t.Errorf("unexpected figures:\n%s", n.Figures())
+		t.Errorf("unexpected figures:\n%s", n.MetricsText())
 	}
 }
--- a/internal/front/figures_test.go
+++ b/internal/front/figures_test.go
@@ -21,17 +21,17 @@
 	t         *testing.T
 	mu        sync.Mutex
 	resume    chan bool
-	attempts  map[string]int                      // received by servers, by kind of request
-	ended     map[string]*[figures.Outcomes]int64 // by class
-	cancelled map[string]int64                    // by class; the node may or may not count these
+	attempts  map[string]int                         // received by servers, by kind of request
+	ended     map[string]*[figures.NumOutcomes]int64 // by class
+	cancelled map[string]int64                       // by class; the node may or may not count these
 }
 
 func newCountingNode(t *testing.T, maxOpen int) *countingNode {
 	c := &countingNode{t: t, resume: make(chan bool), attempts: map[string]int{}, cancelled: map[string]int64{},
-		ended: map[string]*[figures.Outcomes]int64{"clip": {}, "tag": {}, "order": {}}}
+		ended: map[string]*[figures.NumOutcomes]int64{"clip": {}, "tag": {}, "order": {}}}
 	var addrs []string
 	for range 12 {
-		addrs = append(addrs, nodetest.NewRawServer(t, c.serve).Addr)
+		addrs = append(addrs, nodetest.NewScriptedServer(t, c.serve).Addr)
 	}
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), addrs...)
 	cfg.Settings.MaxOpenRequests = maxOpen
@@ -46,20 +46,20 @@
 	c.mu.Unlock()
 	switch kind {
 	case "error":
-		return nodetest.Reply(conn, "500 Internal Server Error", "no")
+		return nodetest.WriteResponse(conn, "500 Internal Server Error", "no")
 	case "full":
-		return nodetest.Reply(conn, "503 Service Unavailable\r\nNot-Started: 1", "")
+		return nodetest.WriteResponse(conn, "503 Service Unavailable\r\nNot-Started: 1", "")
 	case "reset":
 		return false
 	case "held":
 		<-c.resume
 	case "long":
-		return nodetest.Reply(conn, "200 OK", strings.Repeat("x", 200000))
+		return nodetest.WriteResponse(conn, "200 OK", strings.Repeat("x", 200000))
 	case "cut":
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 100000))
 		return false
 	}
-	return nodetest.Reply(conn, "200 OK", "done")
+	return nodetest.WriteResponse(conn, "200 OK", "done")
 }
 
 func (c *countingNode) requestOne(ctx context.Context, class, id string) {
@@ -84,8 +84,8 @@
 	defer c.mu.Unlock()
 	for class, want := range c.ended {
 		extra := int64(0)
-		for outcome := range figures.Outcomes {
-			got := c.Metrics().Of(class, outcome)
+		for outcome := range figures.NumOutcomes {
+			got := c.Metrics().RequestCount(class, outcome)
 			if got < want[outcome] {
 				report += fmt.Sprintf("%s, outcome %d: %d, clients counted %d\n", class, outcome, got, want[outcome])
 			}
@@ -102,7 +102,7 @@
 	if got := c.Metrics().Relayed.Load(); got != sent {
 		report += fmt.Sprintf("relayed %d, servers counted %d\n", got, sent)
 	}
-	if got := c.Metrics().Open.Load(); got != 0 {
+	if got := c.Metrics().OpenRequests.Load(); got != 0 {
 		report += fmt.Sprintf("%d open\n", got)
 	}
 	return report
@@ -144,12 +144,12 @@
 				all.Go(func() { c.requestOne(ctx, "clip", fmt.Sprint("held-gone-", i)) })
 			}
 			inFlight := func() int { c.mu.Lock(); defer c.mu.Unlock(); return c.attempts["held"] }
-			for end := time.Now().Add(nodetest.Patience); inFlight() < 8 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(nodetest.WaitTimeout); inFlight() < 8 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			for i := range 60 {
 				all.Go(func() { c.requestOne(context.Background(), "order", fmt.Sprint("held-", i)) })
 			}
-			for end := time.Now().Add(nodetest.Patience); c.Metrics().Of("order", figures.Throttled) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(nodetest.WaitTimeout); c.Metrics().RequestCount("order", figures.Throttled) == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			}
 			cancel()
 			close(c.resume)
@@ -163,7 +163,7 @@
 			c := newCountingNode(t, 24)
 			run(c)
 			// Counts may follow the response.
-			for end := time.Now().Add(nodetest.Patience); c.mismatches() != ""; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(nodetest.WaitTimeout); c.mismatches() != ""; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal(c.mismatches())
 				}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -226,11 +226,11 @@
 	metrics, rest := f.node.Metrics(), req.body.rest
 	defer req.body.release()
 	if rest == nil {
-		metrics.Open.Add(1)
-		defer metrics.Open.Add(-1)
+		metrics.OpenRequests.Add(1)
+		defer metrics.OpenRequests.Add(-1)
 	} else { // it counts as open from its last byte on
-		rest.onComplete = func() { metrics.Open.Add(1) }
-		rest.onEnd = func() { metrics.Open.Add(-1) }
+		rest.onComplete = func() { metrics.OpenRequests.Add(1) }
+		rest.onEnd = func() { metrics.OpenRequests.Add(-1) }
 		defer rest.end() // nothing may read from the connection once the handler has returned
 	}
 	if f.node.ShutdownPhase() >= guard.Finishing {
@@ -286,12 +286,12 @@
 		f.forwardStream(w, req.Request, response, abort)
 		return
 	}
-	metrics.Ended(req.Class, figures.OutcomeOf(response.Status))
+	metrics.CountRequest(req.Class, figures.OutcomeOf(response.Status))
 	w.Header().Set("Content-Length", strconv.Itoa(len(response.Body)))
 	w.WriteHeader(response.Status)
 	w.Write(response.Body)
 	if rest == nil {
-		f.node.Checker().Answered(string(req.ID), time.Now(), req.Deadline)
+		f.node.Checker().CheckAnswer(string(req.ID), time.Now(), req.Deadline)
 	}
 	if bodyUnfinished {
 		http.NewResponseController(w).Flush()
@@ -320,7 +320,7 @@
 	if response.Status == http.StatusOK {
 		return ""
 	}
-	return f.node.Metrics().RequestsTurned.Word(int(response.Reason))
+	return f.node.Metrics().RequestsRejected.Label(int(response.Reason))
 }
 
 // reject answers a request that did not reach the node, or whose body could not be read.
@@ -366,12 +366,12 @@
 		}
 		if err != nil {
 			response.BodyStream.Done(err)
-			metrics.Ended(req.Class, figures.Faulted)
+			metrics.CountRequest(req.Class, figures.Faulted)
 			abort()
 		}
 	}
 	response.BodyStream.Done(nil)
-	metrics.Ended(req.Class, figures.Fulfilled)
+	metrics.CountRequest(req.Class, figures.Fulfilled)
 	controller.SetWriteDeadline(time.Time{})
 }
 
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -56,7 +56,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{Node: node.New(cfg), cfg: cfg, url: "http://" + listener.Addr().String(), stop: cancel, ended: make(chan error, 1),
-		client: &http.Client{Transport: &http.Transport{}, Timeout: nodetest.Patience}}
+		client: &http.Client{Transport: &http.Transport{}, Timeout: nodetest.WaitTimeout}}
 	n.front = New(n.Node, listener, cfg.Settings.Classes, cfg.ClientSockets(), cfg.BodyBudget())
 	n.SetShutdownSchedule(shortSchedule)
 	go func() { n.ended <- n.Run(ctx, n.front) }()
@@ -157,7 +157,7 @@
 }
 
 func TestMalformedRequestsAreRejectedAndNotForwarded(t *testing.T) {
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	type header = map[string]string
 	valid := func(change header) header {
@@ -203,8 +203,8 @@
 			t.Errorf("%s: got %d, want %d", c.name, resp.StatusCode, c.want)
 		}
 	}
-	if backend.Count() != 0 {
-		t.Errorf("%d malformed requests were forwarded", backend.Count())
+	if backend.RequestCount() != 0 {
+		t.Errorf("%d malformed requests were forwarded", backend.RequestCount())
 	}
 	if status, _, _ := n.mustRequest(t, "order", "good", 3*time.Second); status != 200 {
 		t.Errorf("a valid request after them: %d", status)
@@ -213,10 +213,10 @@
 
 func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	arrived, release := make(chan bool), make(chan bool)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		<-release
-		return nodetest.Reply(c, "200 OK", "first")
+		return nodetest.WriteResponse(c, "200 OK", "first")
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	first := make(chan string, 1)
@@ -232,8 +232,8 @@
 	if body := <-first; body != "first" {
 		t.Errorf("first: got %q", body)
 	}
-	if backend.Count() != 1 {
-		t.Errorf("the backend got %d requests", backend.Count())
+	if backend.RequestCount() != 1 {
+		t.Errorf("the backend got %d requests", backend.RequestCount())
 	}
 }
 
@@ -241,10 +241,14 @@
 // request is not retried, and its client gets a 502 rather than a 503, whatever the server sent.
 func TestUnsafeRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, serve := range map[string]func(c net.Conn, r *http.Request) bool{
-		"closed":    func(c net.Conn, r *http.Request) bool { return false },
-		"reset":     func(c net.Conn, r *http.Request) bool { c.(*net.TCPConn).SetLinger(0); return false },
-		"error":     func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "500 Internal Server Error", "no") },
-		"plain 503": func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "503 Service Unavailable", "no") },
+		"closed": func(c net.Conn, r *http.Request) bool { return false },
+		"reset":  func(c net.Conn, r *http.Request) bool { c.(*net.TCPConn).SetLinger(0); return false },
+		"error": func(c net.Conn, r *http.Request) bool {
+			return nodetest.WriteResponse(c, "500 Internal Server Error", "no")
+		},
+		"plain 503": func(c net.Conn, r *http.Request) bool {
+			return nodetest.WriteResponse(c, "503 Service Unavailable", "no")
+		},
 		"truncated body": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
 			return false
@@ -260,7 +264,7 @@
 			return true
 		},
 		"endless head": func(c net.Conn, r *http.Request) bool {
-			return nodetest.Reply(c, "200 OK\r\nX: "+strings.Repeat("x", 4<<20), "")
+			return nodetest.WriteResponse(c, "200 OK\r\nX: "+strings.Repeat("x", 4<<20), "")
 		},
 		"not HTTP":                    func(c net.Conn, r *http.Request) bool { fmt.Fprint(c, "hello\r\n\r\n"); return false },
 		"no response":                 func(c net.Conn, r *http.Request) bool { io.Copy(io.Discard, c); return false },
@@ -274,7 +278,7 @@
 			return true
 		},
 		"two lengths": func(c net.Conn, r *http.Request) bool {
-			return nodetest.Reply(c, "200 OK\r\nContent-Length: 2", "part")
+			return nodetest.WriteResponse(c, "200 OK\r\nContent-Length: 2", "part")
 		},
 		"huge Content-Length": func(c net.Conn, r *http.Request) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\npart")
@@ -292,13 +296,13 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			backend, spare := nodetest.NewRawServer(t, serve), nodetest.NewRawServer(t, serve)
+			backend, spare := nodetest.NewScriptedServer(t, serve), nodetest.NewScriptedServer(t, serve)
 			n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr, spare.Addr))
 			status, body, _ := n.mustRequest(t, "order", "one", 300*time.Millisecond)
 			if status != http.StatusBadGateway || body != "" {
 				t.Errorf("got %d %q, want a 502 without a body", status, body)
 			}
-			if sent := backend.Count() + spare.Count(); sent != 1 {
+			if sent := backend.RequestCount() + spare.RequestCount(); sent != 1 {
 				t.Errorf("sent %d times", sent)
 			}
 		})
@@ -306,18 +310,18 @@
 }
 
 func TestRequestThatDidNotRunIsRetriedElsewhere(t *testing.T) {
-	full := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
-		return nodetest.Reply(c, "503 Service Unavailable\r\nNot-Started: 1", "")
+	full := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
+		return nodetest.WriteResponse(c, "503 Service Unavailable\r\nNot-Started: 1", "")
 	})
-	healthy := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "done") })
+	healthy := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "done") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), full.Addr, nodetest.ClosedAddr(t), healthy.Addr))
 	for i := range 30 {
 		if status, body, _ := n.mustRequest(t, "order", fmt.Sprint(i), 3*time.Second); status != 200 || body != "done" {
 			t.Errorf("request %d: %d %q", i, status, body)
 		}
 	}
-	if healthy.Count() != 30 {
-		t.Errorf("the healthy backend got %d requests", healthy.Count())
+	if healthy.RequestCount() != 30 {
+		t.Errorf("the healthy backend got %d requests", healthy.RequestCount())
 	}
 }
 
@@ -329,14 +333,14 @@
 	if status != http.StatusServiceUnavailable || err != nil || seconds <= 0 || seconds > 2 {
 		t.Errorf("got %d, Retry-After %q", status, header.Get("Retry-After"))
 	}
-	if took := time.Since(begin); took > nodetest.Patience {
+	if took := time.Since(begin); took > nodetest.WaitTimeout {
 		t.Errorf("the rejection took %v", took)
 	}
 }
 
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	arrived, closed := make(chan bool, 10), make(chan bool, 10)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c) // returns when the node closes the connection
 		closed <- true
@@ -350,20 +354,20 @@
 	}
 	select {
 	case <-closed:
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("the attempt was not cancelled")
 	}
-	if backend.Count() != 1 {
-		t.Errorf("sent %d times", backend.Count())
+	if backend.RequestCount() != 1 {
+		t.Errorf("sent %d times", backend.RequestCount())
 	}
 }
 
 func TestShutdownKeepsAcceptingAndAnswersOpenRequests(t *testing.T) {
 	arrived, release := make(chan bool, 10), make(chan bool)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		<-release
-		return nodetest.Reply(c, "200 OK", "done")
+		return nodetest.WriteResponse(c, "200 OK", "done")
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 2 * time.Second, ServeUntil: 2 * time.Second, AnswerBy: 3 * time.Second, ExitBy: 3 * time.Second})
@@ -403,7 +407,7 @@
 
 func TestShutdownAnswersHangingRequests(t *testing.T) {
 	arrived := make(chan bool, 1)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c)
 		return false
@@ -427,7 +431,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(nodetest.Patience))
+	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	io.WriteString(c, text) // may fail: the node may close the connection early
 	raw, err := io.ReadAll(c)
 	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
@@ -438,7 +442,7 @@
 
 // Guards against request smuggling: ambiguous requests get one error and a close.
 func TestAmbiguousFramingIsRejectedAndClosesConnection(t *testing.T) {
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	head := func(id string) string {
 		return "POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 1000\r\n"
@@ -461,20 +465,20 @@
 			t.Errorf("%s: got %q, want one error", name, response)
 		}
 	}
-	if backend.Count() != 0 {
-		t.Errorf("%d ambiguous requests were forwarded", backend.Count())
+	if backend.RequestCount() != 0 {
+		t.Errorf("%d ambiguous requests were forwarded", backend.RequestCount())
 	}
 	// A chunked request is unambiguous, but bytes behind it are still ignored.
 	response := n.sendRaw(t, head("b")+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+hidden)
-	if !strings.HasPrefix(response, "HTTP/1.1 200") || strings.Count(response, "HTTP/1.1") != 1 || backend.Count() != 1 {
-		t.Errorf("chunked: got %q, %d forwarded", response, backend.Count())
+	if !strings.HasPrefix(response, "HTTP/1.1 200") || strings.Count(response, "HTTP/1.1") != 1 || backend.RequestCount() != 1 {
+		t.Errorf("chunked: got %q, %d forwarded", response, backend.RequestCount())
 	}
 }
 
 // Guards against losing the server list on a reload that changes the discovery address.
 func TestReloadSwitchesDiscovery(t *testing.T) {
-	first := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "first") })
-	second := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "second") })
+	first := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "first") })
+	second := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "second") })
 	list := func(generation int, id, addr string) string {
 		return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":%q,"hostPort":%q,"zone":"z","lifecycle":"up"}]}`, generation, id, addr)
 	}
@@ -504,7 +508,7 @@
 		t.Helper()
 		select {
 		case <-c:
-		case <-time.After(nodetest.Patience):
+		case <-time.After(nodetest.WaitTimeout):
 			t.Fatal("no " + what)
 		}
 	}
@@ -528,9 +532,9 @@
 // exhaust the connections of others. A complete request is not cut off, however long its
 // response takes.
 func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		time.Sleep(headTimeout + bodyReadTimeout + 500*time.Millisecond)
-		return nodetest.Reply(c, "200 OK", "done")
+		return nodetest.WriteResponse(c, "200 OK", "done")
 	})
 	cfg := nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr)
 	cfg.Sockets = 48 // 15 of them for clients
@@ -550,8 +554,8 @@
 		}
 	}
 	done.Wait()
-	if backend.Count() != 3 {
-		t.Errorf("%d requests were forwarded", backend.Count())
+	if backend.RequestCount() != 3 {
+		t.Errorf("%d requests were forwarded", backend.RequestCount())
 	}
 }
 
@@ -571,7 +575,7 @@
 // Guards against a node that stops receiving updates: failed calls are retried, and a watch
 // continues from the generation that the node has.
 func TestDiscoveryIsWatchedAndRetried(t *testing.T) {
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "new") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "new") })
 	calls := make(chan string, 100)
 	var number atomic.Int64 // calls arrive on separate connections
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -601,7 +605,7 @@
 			} else if got != want {
 				t.Errorf("call %d: got %q, want %q", i, got, want)
 			}
-		case <-time.After(nodetest.Patience):
+		case <-time.After(nodetest.WaitTimeout):
 			t.Fatalf("call %d was not made", i)
 		}
 	}
@@ -682,7 +686,7 @@
 		clients.onConnState(conn, http.StateNew)
 		local = append(local, conn)
 	}
-	for end := time.Now().Add(nodetest.Patience); bounded.OpenAndIdle(local[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); bounded.OpenAndIdle(local[0]) && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	clients.makeRoom(time.Now().Add(time.Minute)) // both count as idle for long
 	if len(clients.fresh) != 1 || clients.fresh[local[0]].IsZero() {
@@ -727,7 +731,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("the shutdown did not end")
 	}
 }
--- a/internal/front/invariant_test.go
+++ b/internal/front/invariant_test.go
@@ -15,7 +15,7 @@
 func TestClosedConnectionWithOpenRequestBreaksInvariant(t *testing.T) {
 	t.Parallel()
 	arrived := make(chan bool, 1)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		arrived <- true
 		io.Copy(io.Discard, c)
 		return false
@@ -29,5 +29,5 @@
 		client.Close()
 	}
 	h.front.clients.mu.Unlock()
-	waitFor(t, "the violation is counted", func() bool { return h.Metrics().InvariantsBroken.Of(int(invariant.Unanswered)) == 1 })
+	waitFor(t, "the violation is counted", func() bool { return h.Metrics().InvariantViolations.Value(int(invariant.Unanswered)) == 1 })
 }
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -322,7 +322,7 @@
 			}
 			return sent[0].Load()
 		}
-		if now.Sub(begin) > nodetest.Patience {
+		if now.Sub(begin) > nodetest.WaitTimeout {
 			t.Fatalf("sent %d and %d; discovery had the drain at %v", sent[0].Load(), sent[1].Load(), drainedAt)
 		}
 	}
--- a/internal/front/turnaway.go
+++ b/internal/front/turnaway.go
@@ -44,11 +44,11 @@
 	defer c.TCPConn.Close()
 	c.SetReadDeadline(time.Now().Add(firstByteTimeout))
 	if _, err := io.ReadFull(c.TCPConn, make([]byte, 1)); err != nil {
-		c.recordClose(figures.ClosedForRoom)
+		c.recordClose(figures.ClosedEvicted)
 		return
 	}
 	c.recordClose(figures.ClosedAnswered)
-	c.owner.figures.RequestsTurned.Add(int(response.Reason))
+	c.owner.figures.RequestsRejected.Add(int(response.Reason))
 	c.writeRejection(response.Status, response.RetryAfter)
 	if c.CloseWrite() == nil {
 		c.discardRest()
--- a/internal/front/unfinished_test.go
+++ b/internal/front/unfinished_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	metrics, events := figures.New(nil), eventlog.New()
-	conns = newClientConns(l, 2, metrics, events, invariant.New(metrics.InvariantsBroken.Add, events))
+	conns = newClientConns(l, 2, metrics, events, invariant.New(metrics.InvariantViolations.Add, events))
 	t.Cleanup(func() { conns.Close() })
 	remote = dial(t, l.Addr().String())
 	got, err := conns.Accept()
@@ -79,7 +79,7 @@
 // connection without any bytes is closed without a response.
 func TestIncompleteRequestIsAnsweredAtTimeout(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	order := "POST /order/a HTTP/1.1\r\nHost: h\r\nRequest-Id: p\r\nRequest-Class: order\r\nRequest-Timeout-Ms: 900\r\nContent-Length: 90\r\n\r\n"
 	headLines := order[:len(order)-2] // ends after a header line, so that net/http does not reject it as malformed
@@ -135,7 +135,7 @@
 // waits for the rest, which is rejected, and is rejected itself at the end of the schedule.
 func TestPartialRequestsAtShutdown(t *testing.T) {
 	t.Parallel()
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.Reply(c, "200 OK", "served") })
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	n.SetShutdownSchedule(guard.ShutdownSchedule{AcceptUntil: 100 * time.Millisecond, ServeUntil: 150 * time.Millisecond, AnswerBy: time.Second, ExitBy: 1300 * time.Millisecond})
 	const partLength = 30
@@ -162,8 +162,8 @@
 	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
-	if backend.Count() != 0 {
-		t.Errorf("%d requests were forwarded", backend.Count())
+	if backend.RequestCount() != 0 {
+		t.Errorf("%d requests were forwarded", backend.RequestCount())
 	}
 }
 
@@ -172,7 +172,7 @@
 func TestLateResponsesAtShutdownAreWritten(t *testing.T) {
 	t.Parallel()
 	reached := make(chan bool, 1)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		reached <- true
 		io.Copy(io.Discard, c) // hangs
 		return false
@@ -204,12 +204,12 @@
 func TestReadAheadRequestsAreAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	first, release := make(chan bool, 1), make(chan bool)
-	backend := nodetest.NewRawServer(t, func(c net.Conn, r *http.Request) bool {
+	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Request-Id") == "0" {
 			first <- true
 			<-release
 		}
-		return nodetest.Reply(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
+		return nodetest.WriteResponse(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 	})
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 	c := dial(t, n.url)
--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	if err := durable.Write(filepath.Join(d.dir, name), raw); err != nil {
+	if err := durable.WriteFile(filepath.Join(d.dir, name), raw); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	return nil
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,36 +9,36 @@
 )
 
 func TestEachViolationIsCountedByItsKind(t *testing.T) {
-	if int(kinds) != len(Words) || Kind(len(Words)).String() != "unknown" {
-		t.Fatalf("%d kinds, %d words", kinds, len(Words))
+	if int(kinds) != len(KindNames) || Kind(len(KindNames)).String() != "unknown" {
+		t.Fatalf("%d kinds, %d words", kinds, len(KindNames))
 	}
 	now := time.Now()
-	good := func() Written {
-		return Written{Request: "r", At: now, Deadline: now.Add(time.Second), DrainGrace: 500 * time.Millisecond, Told: time.Second}
+	good := func() WrittenAttempt {
+		return WrittenAttempt{Request: "r", At: now, Deadline: now.Add(time.Second), DrainGrace: 500 * time.Millisecond, SentTimeout: time.Second}
 	}
 	for _, c := range []struct {
 		name  string
-		spoil func(*Written)
+		spoil func(*WrittenAttempt)
 		want  []Kind
 	}{
-		{"nothing", func(*Written) {}, nil},
-		{"over a moment ago", func(w *Written) { w.Over = now.Add(-EndSlack) }, nil},
-		{"over for long", func(w *Written) { w.Over = now.Add(-EndSlack - 1) }, []Kind{WrittenAfterEnd}},
-		{"past its time", func(w *Written) { w.Deadline, w.Told = now.Add(-EndSlack-1), 0 }, []Kind{WrittenAfterDeadline}},
-		{"within the grace", func(w *Written) { w.ServerClosed = now.Add(-w.DrainGrace) }, nil},
-		{"after the grace", func(w *Written) { w.ServerClosed = now.Add(-w.DrainGrace - 1) }, []Kind{WrittenToDraining}},
-		{"while it ends", func(w *Written) { w.TooLate = true }, []Kind{WrittenWhileEnding}},
-		{"told a little more", func(w *Written) { w.Told += TimeSlack }, nil},
-		{"told too much", func(w *Written) { w.Told += TimeSlack + 1 }, []Kind{TimeOverstated}},
-		{"all at once", func(w *Written) {
-			w.Over, w.Deadline, w.ServerClosed, w.TooLate = now.Add(-time.Hour), now.Add(-time.Hour), now.Add(-time.Hour), true
-		}, []Kind{WrittenAfterEnd, WrittenAfterDeadline, WrittenToDraining, WrittenWhileEnding, TimeOverstated}},
+		{"nothing", func(*WrittenAttempt) {}, nil},
+		{"over a moment ago", func(w *WrittenAttempt) { w.EndedAt = now.Add(-WriteSlack) }, nil},
+		{"over for long", func(w *WrittenAttempt) { w.EndedAt = now.Add(-WriteSlack - 1) }, []Kind{WrittenAfterEnd}},
+		{"past its time", func(w *WrittenAttempt) { w.Deadline, w.SentTimeout = now.Add(-WriteSlack-1), 0 }, []Kind{WrittenAfterDeadline}},
+		{"within the grace", func(w *WrittenAttempt) { w.DrainKnownAt = now.Add(-w.DrainGrace) }, nil},
+		{"after the grace", func(w *WrittenAttempt) { w.DrainKnownAt = now.Add(-w.DrainGrace - 1) }, []Kind{WrittenToDraining}},
+		{"while it ends", func(w *WrittenAttempt) { w.AfterIntake = true }, []Kind{WrittenDuringShutdown}},
+		{"told a little more", func(w *WrittenAttempt) { w.SentTimeout += TimeoutSlack }, nil},
+		{"told too much", func(w *WrittenAttempt) { w.SentTimeout += TimeoutSlack + 1 }, []Kind{TimeOverstated}},
+		{"all at once", func(w *WrittenAttempt) {
+			w.EndedAt, w.Deadline, w.DrainKnownAt, w.AfterIntake = now.Add(-time.Hour), now.Add(-time.Hour), now.Add(-time.Hour), true
+		}, []Kind{WrittenAfterEnd, WrittenAfterDeadline, WrittenToDraining, WrittenDuringShutdown, TimeOverstated}},
 	} {
 		var got []Kind
 		checker := New(func(kind int) { got = append(got, Kind(kind)) }, eventlog.New())
 		w := good()
 		c.spoil(&w)
-		checker.Wrote(w)
+		checker.CheckWrite(w)
 		if len(got) != len(c.want) || checker.Total() != int64(len(c.want)) {
 			t.Errorf("%s: counted %v, want %v", c.name, got, c.want)
 			continue
@@ -55,8 +55,8 @@
 	var got []Kind
 	c := New(func(kind int) { got = append(got, Kind(kind)) }, nil)
 	now := time.Now()
-	c.Answered("on time", now, now.Add(-LateSlack))
-	c.Answered("late", now, now.Add(-LateSlack-1))
+	c.CheckAnswer("on time", now, now.Add(-AnswerSlack))
+	c.CheckAnswer("late", now, now.Add(-AnswerSlack-1))
 	if len(got) != 1 || got[0] != AnsweredLate {
 		t.Errorf("counted %v", got)
 	}
@@ -68,7 +68,7 @@
 	counted := 0
 	c := New(func(int) { counted++ }, events)
 	for range 10 * mostLines {
-		c.Broken(Unanswered, "r", "again")
+		c.Report(Unanswered, "r", "again")
 	}
 	if counted != 10*mostLines || c.Total() != 10*mostLines {
 		t.Errorf("%d counted", counted)
--- a/internal/lab/memory/world.go
+++ b/internal/lab/memory/world.go
@@ -111,7 +111,7 @@
 		if err != nil {
 			panic(err) // scenario.Check has parsed it
 		}
-		m := f.Fleet.Member()
+		m := f.Fleet.MemberConfig()
 		w.memberConfig = &m
 	}
 	if w.deployment = options.Deployment; w.deployment == nil {
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -31,14 +31,14 @@
 // Known tells whether a name is one that reports are read by.
 func Known(name string) bool { return setters[name] != nil }
 
-// Reader puts a report together.
-type Reader struct {
+// Builder puts a report together.
+type Builder struct {
 	r     balance.Report
 	known bool
 }
 
 // Add takes one value. What it does not know, or can not be, it skips.
-func (r *Reader) Add(name, value string) {
+func (r *Builder) Add(name, value string) {
 	v, err := strconv.ParseFloat(value, 64)
 	if set := setters[name]; set != nil && err == nil && v >= 0 && v < 1e12 {
 		set(&r.r, v)
@@ -47,7 +47,7 @@
 }
 
 // Report gives the report; nil if no value was taken.
-func (r *Reader) Report() *balance.Report {
+func (r *Builder) Report() *balance.Report {
 	if !r.known {
 		return nil
 	}
@@ -59,7 +59,7 @@
 	if text == "" {
 		return nil
 	}
-	var r Reader
+	var r Builder
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		r.Add(name, value)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// ExitTime is what the last lines may take at the end of a process.
-const ExitTime = 20 * time.Millisecond
+// ExitFlushTimeout is what the last lines may take at the end of a process.
+const ExitFlushTimeout = 20 * time.Millisecond
 
 // QueueLength is how many lines may wait to be written; further ones are dropped.
 const QueueLength = 1024
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -20,8 +20,8 @@
 	{syscall.EIO, "EIO"}, {syscall.ENOSPC, "ENOSPC"}, {syscall.EROFS, "EROFS"}, {0, "other"},
 }
 
-// Words gives the names, by their numbers.
-func Words() []string {
+// Names gives the names, by their numbers.
+func Names() []string {
 	out := make([]string, len(names))
 	for i, n := range names {
 		out[i] = n.name
@@ -29,8 +29,8 @@
 	return out
 }
 
-// Number gives the number of an error's name.
-func Number(err error) int {
+// Index gives the number of an error's name.
+func Index(err error) int {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
 		for i, n := range names {
@@ -42,10 +42,10 @@
 	return len(names) - 1
 }
 
-// Exhausted tells that an error is for a moment and of this machine alone: it had no
+// IsLocalTransient tells that an error is for a moment and of this machine alone: it had no
 // descriptor, port or memory left, or was interrupted. Nothing went out, and it says
 // nothing of the other side.
-func Exhausted(err error) bool {
+func IsLocalTransient(err error) bool {
 	for _, errno := range exhausted {
 		if errors.Is(err, errno) {
 			return true
@@ -58,4 +58,4 @@
 	syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN}
 
 // Name names an error.
-func Name(err error) string { return names[Number(err)].name }
+func Name(err error) string { return names[Index(err)].name }
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -15,20 +15,20 @@
 		&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.EAGAIN)}: true,
 		syscall.ECONNREFUSED: false, syscall.EHOSTUNREACH: false, syscall.ETIMEDOUT: false, syscall.EPROTO: false, errors.New("x"): false,
 	} {
-		if got := Exhausted(err); got != want {
+		if got := IsLocalTransient(err); got != want {
 			t.Errorf("%v: %v", err, got)
 		}
 	}
 }
 
 func TestErrorsAreNamedHoweverTheyAreWrapped(t *testing.T) {
-	words := Words()
+	words := Names()
 	for want, err := range map[string]error{
 		"EMFILE": syscall.EMFILE, "ENOBUFS": os.NewSyscallError("accept4", syscall.ENOBUFS),
 		"EPROTO": fmt.Errorf("x: %w", &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EPROTO)}),
 		"other":  errors.New("something else"),
 	} {
-		if got := Name(err); got != want || words[Number(err)] != want {
+		if got := Name(err); got != want || words[Index(err)] != want {
 			t.Errorf("%v is named %s", err, got)
 		}
 	}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -119,7 +119,7 @@
 		MayWrite: func() bool {
 			if reason := n.checkBeforeWrite(ctx, a); reason != guard.Permitted {
 				n.metrics.AttemptsWithheld.Add(int(reason))
-				n.logEvent(a, eventlog.AttemptWithheld, n.metrics.AttemptsWithheld.Word(int(reason)))
+				n.logEvent(a, eventlog.AttemptWithheld, n.metrics.AttemptsWithheld.Label(int(reason)))
 				return false
 			}
 			if a.sends != nil {
@@ -154,7 +154,7 @@
 	r.outstanding--
 	e.mayHaveRun = e.Code != balance.Full && e.Code != balance.ConnectFailed && e.Code != balance.Moot
 	n.metrics.AttemptsEnded.Add(int(e.Code))
-	n.logEvent(e.attempt, eventlog.AttemptEnded, n.metrics.AttemptsEnded.Word(int(e.Code)))
+	n.logEvent(e.attempt, eventlog.AttemptEnded, n.metrics.AttemptsEnded.Label(int(e.Code)))
 	if e.Code == balance.OK {
 		e.server.LastResponseAt = n.now()
 		n.finish(r, Response{Status: http.StatusOK, Body: e.Body})
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -49,7 +49,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
-	if n.metrics.OutOfRotation.Load() != 2 || n.metrics.Registry.Load() != 2 {
+	if n.metrics.OutOfRotation.Load() != 2 || n.metrics.RegistryEntries.Load() != 2 {
 		t.Errorf("the metrics are\n%s", n.metrics.Text())
 	}
 	up := func(id string) discovery.Entry {
@@ -139,11 +139,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: cfg.InitialList})
 	go n.loop(ctx)
-	if err := n.Maintain(ctx, "s-0", true); err != nil || store.stored == nil || len(store.stored.Maintenance) != 1 {
+	if err := n.SetMaintenance(ctx, "s-0", true); err != nil || store.stored == nil || len(store.stored.Maintenance) != 1 {
 		t.Errorf("acknowledged (%v) with %+v stored", err, store.stored)
 	}
 	store.err = handover.ErrTakenOver
-	if err := n.Maintain(ctx, "s-0", false); !errors.Is(err, handover.ErrTakenOver) {
+	if err := n.SetMaintenance(ctx, "s-0", false); !errors.Is(err, handover.ErrTakenOver) {
 		t.Errorf("after a newer process took over: %v", err)
 	}
 	store.err, store.newer = nil, &handoff.State{Maintenance: []maintenance.Record{{ID: "s-1", InMaintenance: true}}}
@@ -153,7 +153,7 @@
 	// Commands overtake events, so wait until the loop has handled the posted one.
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && len(n.events) > 0; time.Sleep(time.Millisecond) {
 	}
-	if err := n.Maintain(ctx, "nobody", true); !errors.Is(err, maintenance.ErrUnknown) {
+	if err := n.SetMaintenance(ctx, "nobody", true); !errors.Is(err, maintenance.ErrUnknown) {
 		t.Errorf("unknown ID: %v", err)
 	}
 	stop()
--- a/internal/node/checks.go
+++ b/internal/node/checks.go
@@ -29,16 +29,16 @@
 // checkWritten checks the invariants of an attempt that has been written.
 func (n *Node) checkWritten(a *attempt) {
 	r := a.request
-	written := invariant.Written{Request: string(r.ID), At: time.Now(), Deadline: r.Deadline, ServerClosed: a.server.DisabledAt(),
-		DrainGrace: n.cfg.Settings.DrainGrace, Told: a.forwardedTimeout, TooLate: a.number == 0 && !n.lifecycle.mayServe(r.ReadAt)}
+	written := invariant.WrittenAttempt{Request: string(r.ID), At: time.Now(), Deadline: r.Deadline, DrainKnownAt: a.server.DisabledAt(),
+		DrainGrace: n.cfg.Settings.DrainGrace, SentTimeout: a.forwardedTimeout, AfterIntake: a.number == 0 && !n.lifecycle.mayServe(r.ReadAt)}
 	if end := r.ended.Load(); end != nil {
-		written.Over = end.at
+		written.EndedAt = end.at
 	}
 	// Its last byte is written long after the first, and its timeout starts only then.
 	if r.BodyStream != nil {
-		written.Over, written.ServerClosed, written.Told = time.Time{}, time.Time{}, 0
+		written.EndedAt, written.DrainKnownAt, written.SentTimeout = time.Time{}, time.Time{}, 0
 	}
-	n.checker.Wrote(written)
+	n.checker.CheckWrite(written)
 }
 
 // checkRetry reports whether an attempt would break the retry rules of its class, given the
@@ -50,7 +50,7 @@
 			continue
 		}
 		if !n.retryRules[r.Class].MayRetry(earlier.server.Location, earlier.chosenAt.Sub(n.start), a.server.Location, a.chosenAt.Sub(n.start)) {
-			n.checker.Broken(invariant.RepeatedUnsafely, string(r.ID), "attempt %d at %s although attempt %d at %s may have run", a.number, a.server.Name, earlier.number, earlier.server.Name)
+			n.checker.Report(invariant.RepeatedUnsafely, string(r.ID), "attempt %d at %s although attempt %d at %s may have run", a.number, a.server.Name, earlier.number, earlier.server.Name)
 			return true
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 	for _, a := range r.attempts {
 		if a.mayHaveRun {
-			n.checker.Broken(invariant.RefusedUnsafely, string(r.ID), "refused although attempt %d at %s may have run", a.number, a.server.Name)
+			n.checker.Report(invariant.RefusedUnsafely, string(r.ID), "refused although attempt %d at %s may have run", a.number, a.server.Name)
 			return Response{Status: http.StatusBadGateway, Reason: resp.Reason}
 		}
 	}
--- a/internal/node/checks_test.go
+++ b/internal/node/checks_test.go
@@ -56,16 +56,16 @@
 		if c.unsafeRefusal {
 			want = http.StatusBadGateway
 		}
-		if got := n.checkRefusal(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedShed}); got.Status != want || got.Reason != figures.TurnedShed {
+		if got := n.checkRefusal(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedShed}); got.Status != want || got.Reason != figures.RejectedShed {
 			t.Errorf("%+v: answered %+v", c, got)
 		}
 		if got := n.checkRefusal(r, Response{Status: http.StatusBadGateway}); got.Status != http.StatusBadGateway {
 			t.Errorf("%+v: a failure became %+v", c, got)
 		}
-		counted := n.metrics.InvariantsBroken.Of(int(invariant.RepeatedUnsafely)) == 1 == c.unsafeRetry &&
-			n.metrics.InvariantsBroken.Of(int(invariant.RefusedUnsafely)) == 1 == c.unsafeRefusal
+		counted := n.metrics.InvariantViolations.Value(int(invariant.RepeatedUnsafely)) == 1 == c.unsafeRetry &&
+			n.metrics.InvariantViolations.Value(int(invariant.RefusedUnsafely)) == 1 == c.unsafeRefusal
 		if !counted {
-			t.Errorf("%+v: wrong counts:\n%s", c, n.Figures())
+			t.Errorf("%+v: wrong counts:\n%s", c, n.MetricsText())
 		}
 	}
 }
@@ -89,7 +89,7 @@
 	}
 	select {
 	case a := <-n.Submit(&Request{ReadAt: signalledAt.Add(2 * time.Second)}):
-		if a.Status != http.StatusServiceUnavailable || a.RetryAfter <= 0 || a.Reason != figures.TurnedEnding {
+		if a.Status != http.StatusServiceUnavailable || a.RetryAfter <= 0 || a.Reason != figures.RejectedShutdown {
 			t.Errorf("got %+v", a)
 		}
 	default:
@@ -129,7 +129,7 @@
 			t.Fatalf("got %+v", e)
 		}
 		n.attemptEnded(done)
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("the attempt does not end")
 	}
 	if r.outstanding != 0 || len(r.attempts) != 1 || r.attempts[0].mayHaveRun {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,7 +20,7 @@
 const (
 	reservedSockets   = 24 // listeners, discovery, peers, standard streams and the Go runtime
 	bodyMemoryDivisor = 8  // fraction of the memory limit for streamed bodies
-	minSockets        = 2 * (reservedSockets + console.Sockets)
+	minSockets        = 2 * (reservedSockets + console.MaxDescriptors)
 )
 
 // Config is the configuration of a node.
@@ -193,7 +193,7 @@
 // reserved returns the number of descriptors that neither clients nor backends may use.
 func (c *Config) reserved() int {
 	if c.Console != "" {
-		return reservedSockets + console.Sockets
+		return reservedSockets + console.MaxDescriptors
 	}
 	return reservedSockets
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -135,7 +135,7 @@
 		n.fleet.pause.Store(int64(gap))
 		n.fleet.resumedAt.Store(int64(now))
 		for _, r := range n.requests {
-			if time.Until(r.Deadline) <= 0 && n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedDeadline}) {
+			if time.Until(r.Deadline) <= 0 && n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.RejectedDeadline}) {
 				n.handle(balance.RequestAbandoned{ID: r.ID})
 				n.removeRequest(r)
 			}
@@ -253,7 +253,7 @@
 		return true
 	}
 	f.agent.Recorder().CountStaleRefusal()
-	resp := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale}
+	resp := Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedStaleState}
 	if n.cfg.Settings.RetryAfterSupported {
 		resp.RetryAfter = min(staleRetryAfter, n.cfg.Settings.MaxRetryAfter)
 	}
@@ -278,7 +278,7 @@
 		case holding && time.Until(r.Deadline) > minSpareTime:
 			f.waiting = append(f.waiting, r)
 		case holding || end || time.Until(r.Deadline) <= 0:
-			n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedStale})
+			n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedStaleState})
 		default:
 			n.acceptRequest(r)
 		}
@@ -310,11 +310,11 @@
 	if n.fleet == nil {
 		return
 	}
-	var all []figures.Named
+	var all []figures.NamedMetric
 	for _, f := range n.fleet.member.Figures(n.now()) {
-		all = append(all, figures.Named{Name: f.Name, Kind: f.Kind, Value: f.Value})
+		all = append(all, figures.NamedMetric{Name: f.Name, Kind: f.Kind, Value: f.Value})
 	}
-	n.metrics.SetFleet(all)
+	n.metrics.SetFleetMetrics(all)
 }
 
 // buildRecord returns the current record. It must be called by the loop.
@@ -332,7 +332,7 @@
 // record returns the record of what the node has acted on.
 func (n *Node) record(ctx context.Context) (version.Record, error) {
 	if n.fleet == nil {
-		return version.Record{}, console.ErrOff
+		return version.Record{}, console.ErrFleetDisabled
 	}
 	reply := make(recordRequest, 1)
 	select {
--- a/internal/node/neighbours.go
+++ b/internal/node/neighbours.go
@@ -57,7 +57,7 @@
 		if to >= n.cfg.Settings.Self {
 			to++
 		}
-		n.metrics.QuestionsAsked.Add(1)
+		n.metrics.PeerQueriesSent.Add(1)
 		n.peers.send(balance.SendMessage{To: to, Data: query})
 	}
 }
@@ -66,7 +66,7 @@
 func (n *Node) handleListDatagram(from int, data []byte) {
 	datagram, err := membership.Decode(data)
 	if err != nil {
-		n.metrics.WordsMalformed.Add(1)
+		n.metrics.DatagramsMalformed.Add(1)
 		return
 	}
 	switch d := datagram.(type) {
@@ -107,7 +107,7 @@
 
 // applyPeerReport counts an accepted peer report and reapplies the list.
 func (n *Node) applyPeerReport() {
-	n.metrics.WordsTaken.Add(1)
+	n.metrics.WithdrawalsApplied.Add(1)
 	n.reapplyList()
 }
 
@@ -145,7 +145,7 @@
 		return
 	}
 	n.lastReplyAt[to] = time.Now()
-	n.metrics.QuestionsAnswered.Add(1)
+	n.metrics.PeerQueriesAnswered.Add(1)
 	n.sendDepartures(to, departures)
 	for batch := range slices.Chunk(restarts, membership.MaxRestarts) {
 		n.peers.send(balance.SendMessage{To: to, Data: membership.Encode(batch)})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,9 +112,9 @@
 		lastReplyAt: map[int]time.Time{},
 		serverIDs:   map[string]balance.ServerID{},
 		pool:        backend.NewPool(cfg.BackendSockets(), cfg.Settings.ConnectTimeout, cfg.Settings.ConnIdleTimeout)}
-	n.pool.OnDialError = func(err error) { n.metrics.DialErrors.Add(neterr.Number(err)) }
+	n.pool.OnDialError = func(err error) { n.metrics.DialErrors.Add(neterr.Index(err)) }
 	n.fleet = newFleet(cfg, n.now())
-	n.checker = invariant.New(n.metrics.InvariantsBroken.Add, n.history)
+	n.checker = invariant.New(n.metrics.InvariantViolations.Add, n.history)
 	var deadlines []time.Duration
 	for _, c := range cfg.Settings.Classes {
 		deadlines = append(deadlines, c.Deadline)
@@ -301,7 +301,7 @@
 	n.releaseWaiting(true)
 	for _, r := range n.requests {
 		n.handle(balance.FinalAnswerDue{ID: r.ID})
-		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.TurnedEnding}) { // unknown to the module
+		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.RejectedShutdown}) { // unknown to the module
 			n.removeRequest(r)
 		}
 	}
@@ -313,14 +313,14 @@
 	}
 	switch {
 	case n.requests[r.ID] != nil:
-		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.TurnedDuplicate}) // the open request goes on
+		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.RejectedDuplicateID}) // the open request goes on
 		return
 	case n.refuseNew:
-		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding})
+		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedShutdown})
 		return
 	case len(n.requests) >= min(n.cfg.Settings.MaxOpenRequests, n.cfg.ClientSockets()):
 		// Rejected before it reaches the balance module.
-		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedFull})
+		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedRequestLimit})
 		return
 	}
 	if n.fleet != nil {
@@ -341,7 +341,7 @@
 		return false
 	}
 	if resp.Status != http.StatusOK {
-		n.metrics.RequestsTurned.Add(int(resp.Reason))
+		n.metrics.RequestsRejected.Add(int(resp.Reason))
 	}
 	r.response <- resp
 	return true
@@ -361,9 +361,9 @@
 		case balance.Send:
 			n.send(a)
 		case balance.Refuse:
-			n.respond(a.ID, Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Reason: figures.Turned(a.Cause)})
+			n.respond(a.ID, Response{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Reason: figures.RejectReason(a.Cause)})
 		case balance.Fail:
-			n.respond(a.ID, Response{Status: http.StatusBadGateway, Reason: figures.Turned(a.Cause)})
+			n.respond(a.ID, Response{Status: http.StatusBadGateway, Reason: figures.RejectReason(a.Cause)})
 		case balance.CancelAttempt:
 			if r := n.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 				r.attempts[a.Attempt].cancel()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -202,16 +202,16 @@
 		if m, ok := e.(balance.MessageReceived); !ok || m.From != 1 || string(m.Data) != "yes" {
 			t.Errorf("got %+v", e)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("no datagram arrived")
 	}
-	if n := count.Strangers.Load(); n != 2 {
+	if n := count.UnknownSenders.Load(); n != 2 {
 		t.Errorf("%d of two other datagrams were counted", n)
 	}
 	p.send(balance.SendMessage{To: 9, Data: []byte("x")}) // unknown node: must not panic
 	p.send(balance.SendMessage{To: 1, Data: []byte("one")})
 	buf := make([]byte, 10)
-	peer.SetReadDeadline(time.Now().Add(nodetest.Patience))
+	peer.SetReadDeadline(time.Now().Add(nodetest.WaitTimeout))
 	if n, _, err := peer.ReadFrom(buf); err != nil || string(buf[:n]) != "one" {
 		t.Errorf("the peer got %q, %v", buf[:n], err)
 	}
@@ -233,7 +233,7 @@
 
 // A client that disconnects while its request is queued causes no attempt, not even a dial.
 func TestQueuedRequestOfDepartedClientIsNotSent(t *testing.T) {
-	server := nodetest.NewHeldListener(t)
+	server := nodetest.NewBlockedListener(t)
 	n := New(testConfig(t, nodetest.ClosedAddr(t), server.Addr().String()))
 	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	for _, leaves := range []bool{false, true} {
@@ -277,7 +277,7 @@
 		t.Errorf("%d servers, generation %d", len(n.list.Entries()), n.list.Generation())
 	}
 	for _, want := range []string{"app.lists.unanswered:1|c", "app.lists.cut_short:1|c", "app.lists.unreadable:2|c", "app.lists.entries_skipped:3|c"} {
-		if text := string(n.Figures()); !strings.Contains(text, want) {
+		if text := string(n.MetricsText()); !strings.Contains(text, want) {
 			t.Errorf("%s is missing in\n%s", want, text)
 		}
 	}
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -42,8 +42,8 @@
 // current.
 func (n *Node) Ready() bool { return n.ready.Load() && (n.fleet == nil || !n.fleet.notReady.Load()) }
 
-// Figures returns the metrics as text.
-func (n *Node) Figures() []byte { return n.metrics.Text() }
+// MetricsText returns the metrics as text.
+func (n *Node) MetricsText() []byte { return n.metrics.Text() }
 
 // Metrics returns the metrics, to which front ends add theirs.
 func (n *Node) Metrics() *figures.Set { return n.metrics }
@@ -58,10 +58,10 @@
 // BackendPool returns the pool of connections to servers.
 func (n *Node) BackendPool() *backend.Pool { return n.pool }
 
-// Maintain takes a server into or out of maintenance. When it returns nil, no new request
+// SetMaintenance takes a server into or out of maintenance. When it returns nil, no new request
 // is written to a server in maintenance, and the change is stored for the next process.
 // Commands are handled before queued requests.
-func (n *Node) Maintain(ctx context.Context, id string, inMaintenance bool) error {
+func (n *Node) SetMaintenance(ctx context.Context, id string, inMaintenance bool) error {
 	if n.stateStore != nil {
 		if err := n.stateStore.CheckOwner(); err != nil {
 			return err
@@ -139,8 +139,8 @@
 		}
 	}
 	n.publishFleetMetrics()
-	n.metrics.WordsTurnedAway.Store(n.module.DiscardedDatagrams())
-	n.metrics.Registry.Store(int64(len(n.list.Entries())))
+	n.metrics.DatagramsIgnored.Store(n.module.DiscardedDatagrams())
+	n.metrics.RegistryEntries.Store(int64(len(n.list.Entries())))
 	n.metrics.OutOfRotation.Store(int64(avoided))
 	if n.stateStore == nil || time.Since(n.stateQueuedAt) < saveInterval {
 		return
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -95,7 +95,7 @@
 			return
 		}
 		if err != nil {
-			p.metrics.DatagramErrors.Add(neterr.Number(err))
+			p.metrics.DatagramErrors.Add(neterr.Index(err))
 			time.Sleep(pause)
 			pause = min(2*pause, maxReadRetry)
 			continue
@@ -104,7 +104,7 @@
 		at := from.(*net.UDPAddr).AddrPort()
 		number, known := p.numbers[from.String()]
 		if !known && !p.allowed(at.Addr().Unmap()) || n > maxDatagram {
-			p.metrics.Strangers.Add(1)
+			p.metrics.UnknownSenders.Add(1)
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
@@ -146,6 +146,6 @@
 // write sends a datagram once. Failures are counted and not retried.
 func (p *peers) write(data []byte, to net.Addr) {
 	if _, err := p.conn.WriteTo(data, to); err != nil && !errors.Is(err, net.ErrClosed) {
-		p.metrics.DatagramErrors.Add(neterr.Number(err))
+		p.metrics.DatagramErrors.Add(neterr.Index(err))
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -64,7 +64,7 @@
 	}
 	p.send(balance.SendMessage{To: 1, Data: []byte("sent")})
 	buf := make([]byte, 10)
-	peer.SetReadDeadline(time.Now().Add(nodetest.Patience))
+	peer.SetReadDeadline(time.Now().Add(nodetest.WaitTimeout))
 	if n, _, err := peer.ReadFrom(buf); err != nil || string(buf[:n]) != "sent" {
 		t.Errorf("the peer got %q, %v", buf[:n], err)
 	}
@@ -79,7 +79,7 @@
 		if m, is := e.(balance.MessageReceived); !is || string(m.Data) != "heard" {
 			t.Errorf("got %+v", e)
 		}
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("no datagram arrived")
 	}
 	for _, figure := range []string{"app.peers.errors.ECONNREFUSED:1|c", "app.peers.errors.ENOBUFS:2|c", "app.peers.errors.EMSGSIZE:1|c"} {
@@ -90,7 +90,7 @@
 	socket.Close()
 	select {
 	case <-ended:
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Error("receive did not return")
 	}
 }
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -60,9 +60,9 @@
 type Response struct {
 	Status     int // HTTP status: 200 served, 429 and 503 refused, any other failed
 	Body       []byte
-	BodyStream *backend.Stream // remainder of a long 200; nil if Body is complete
-	RetryAfter time.Duration   // hint to a refused client; 0: none
-	Reason     figures.Turned  // why the response is not a server's; unused with status 200
+	BodyStream *backend.Stream      // remainder of a long 200; nil if Body is complete
+	RetryAfter time.Duration        // hint to a refused client; 0: none
+	Reason     figures.RejectReason // why the response is not a server's; unused with status 200
 }
 
 // Front accepts requests from clients and submits them to a node.
@@ -96,7 +96,7 @@
 
 // ShutdownResponse returns the refusal for requests that arrive too late during shutdown.
 func (n *Node) ShutdownResponse() Response {
-	resp := Response{Status: http.StatusServiceUnavailable, Reason: figures.TurnedEnding}
+	resp := Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedShutdown}
 	if n.cfg.Settings.RetryAfterSupported {
 		resp.RetryAfter = min(shutdownRetryAfter, n.cfg.Settings.MaxRetryAfter)
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -17,7 +17,7 @@
 // discover starts watching the discovery service at addr.
 func (n *Node) discover(addr string, from membership.InitialState) {
 	cfg := n.cfg.Settings
-	settings := membership.Settings{Pushed: !cfg.ListOnDemand, AskWithin: cfg.ListPollInterval, Nodes: n.discoveryNodes, Seed: n.cfg.Seed}
+	settings := membership.Settings{Pushed: !cfg.ListOnDemand, ListPollInterval: cfg.ListPollInterval, Nodes: n.discoveryNodes, Seed: n.cfg.Seed}
 	if n.fleet != nil {
 		settings.PollWait = n.fleet.pollWait()
 	}
@@ -67,7 +67,7 @@
 	case discovery.Unanswered, discovery.Rejected:
 		n.metrics.ListsUnanswered.Add(1)
 	case discovery.Truncated:
-		n.metrics.ListsCutShort.Add(1)
+		n.metrics.ListsTruncated.Add(1)
 	case discovery.Unreadable:
 		n.metrics.ListsUnreadable.Add(1)
 	}
--- a/internal/node/words_test.go
+++ b/internal/node/words_test.go
@@ -51,7 +51,7 @@
 			t.Errorf("%s is still used", name)
 		}
 	}
-	if got := uninformed.metrics.WordsTaken.Load(); got != 1 {
+	if got := uninformed.metrics.WithdrawalsApplied.Load(); got != 1 {
 		t.Errorf("%d reports were applied", got)
 	}
 	uninformed.applyListUpdate(drain(shared[0])) // its own discovery: no other server drains any more
@@ -63,7 +63,7 @@
 	receive()
 	informed.peers.send(balance.SendMessage{To: 1, Data: report[:3]})
 	receive()
-	if closed(shared[1]) || uninformed.metrics.WordsTaken.Load() != 1 || uninformed.metrics.WordsMalformed.Load() != 1 {
+	if closed(shared[1]) || uninformed.metrics.WithdrawalsApplied.Load() != 1 || uninformed.metrics.DatagramsMalformed.Load() != 1 {
 		t.Errorf("%s closed %v; %s", shared[1], closed(shared[1]), strings.ReplaceAll(string(uninformed.metrics.Text()), "\n", " "))
 	}
 	uninformed.applyListUpdate(lost)
@@ -73,7 +73,7 @@
 	}
 	defer unknownSender.Close()
 	unknownSender.Write(report)
-	for end := time.Now().Add(nodetest.Patience); uninformed.metrics.Strangers.Load() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(nodetest.WaitTimeout); uninformed.metrics.UnknownSenders.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the unknown sender was not counted")
 		}
@@ -118,7 +118,7 @@
 	select {
 	case e := <-n.events:
 		n.handleEvent(e)
-	case <-time.After(nodetest.Patience):
+	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("no event arrived")
 	}
 }
@@ -145,13 +145,13 @@
 	}}}
 	informed.applyListUpdate(changed)
 	uninformed.queryPeers()
-	if uninformed.metrics.QuestionsAsked.Load() > 0 {
+	if uninformed.metrics.PeerQueriesSent.Load() > 0 {
 		t.Error("it queries peers while discovery is reachable")
 	}
 	uninformed.applyListUpdate(discovery.Update{Kind: balance.ListFailed, Failure: discovery.Rejected})
 	uninformed.queryPeers()
 	uninformed.queryPeers()
-	if got := uninformed.metrics.QuestionsAsked.Load(); got != queryFanout {
+	if got := uninformed.metrics.PeerQueriesSent.Load(); got != queryFanout {
 		t.Errorf("%d queries", got)
 	}
 	informed.handleListDatagram(1, membership.Encode(membership.ChangesQuery{Generation: uninformed.list.Generation()}))
@@ -165,7 +165,7 @@
 	informed.handleListDatagram(1, membership.Encode(membership.ChangesQuery{Generation: 9})) // too soon
 	informed.lastReplyAt = map[int]time.Time{}
 	informed.handleListDatagram(1, membership.Encode(membership.ChangesQuery{Generation: 10}))
-	if got := informed.metrics.QuestionsAnswered.Load(); got != 1 {
+	if got := informed.metrics.PeerQueriesAnswered.Load(); got != 1 {
 		t.Errorf("%d queries were answered", got)
 	}
 	uninformed.list.ReviewPeerReports(uninformed.now() + membership.NotifiedAfter)
--- a/internal/nodetest/nodetest.go
+++ b/internal/nodetest/nodetest.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-// Patience bounds what a test waits for; nothing that passes takes nearly so
+// WaitTimeout bounds what a test waits for; nothing that passes takes nearly so
 // long.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // ConfigJSON is a valid configuration with these servers.
 func ConfigJSON(discovery string, servers ...string) string {
@@ -71,30 +71,30 @@
 	return l.Addr().String()
 }
 
-// RawServer serves each connection by a script that sees what came in.
-type RawServer struct {
+// ScriptedServer serves each connection by a script that sees what came in.
+type ScriptedServer struct {
 	Addr     string
 	mu       sync.Mutex
 	requests []*http.Request
 }
 
-// Count tells how many requests have come.
-func (b *RawServer) Count() int {
+// RequestCount tells how many requests have come.
+func (b *ScriptedServer) RequestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.requests)
 }
 
-// NewRawServer calls serve for each request; serve tells whether the
+// NewScriptedServer calls serve for each request; serve tells whether the
 // connection goes on.
-func NewRawServer(t testing.TB, serve func(c net.Conn, r *http.Request) bool) *RawServer {
+func NewScriptedServer(t testing.TB, serve func(c net.Conn, r *http.Request) bool) *ScriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	b := &RawServer{Addr: l.Addr().String()}
+	b := &ScriptedServer{Addr: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -125,22 +125,22 @@
 	return b
 }
 
-// Reply writes a whole answer.
-func Reply(c net.Conn, head, body string) bool {
+// WriteResponse writes a whole answer.
+func WriteResponse(c net.Conn, head, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	return err == nil
 }
 
-// HeldListener is a listener to which connections do not come up until it is let go: its
+// BlockedListener is a listener to which connections do not come up until it is let go: its
 // backlog is full, so the kernel drops what knocks. Dials knock again 1 s after they began
 // and some more times, at most once a second.
-type HeldListener struct {
+type BlockedListener struct {
 	net.Listener
 	filler []net.Conn
 }
 
-// NewHeldListener makes one on loopback.
-func NewHeldListener(t testing.TB) *HeldListener {
+// NewBlockedListener makes one on loopback.
+func NewBlockedListener(t testing.TB) *BlockedListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	h := &HeldListener{Listener: l}
+	h := &BlockedListener{Listener: l}
 	for range 8 {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 50*time.Millisecond)
 		if err != nil {
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// LetGo makes room: what knocks from now on comes up.
-func (h *HeldListener) LetGo(t testing.TB) {
+// Release makes room: what knocks from now on comes up.
+func (h *BlockedListener) Release(t testing.TB) {
 	t.Helper()
 	for _, c := range h.filler {
 		got, err := h.Accept()
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -14,41 +14,41 @@
 // Fleet switches on that nodes tell one another what they act on; docs/audit.md
 // says what each key does. What is left out keeps its default.
 type Fleet struct {
-	Watch      bool        `toml:"only_watch"`
-	Hello      strict.Span `toml:"hello"`
-	HelloTo    int         `toml:"hello_to"`
-	Fanout     int         `toml:"fanout"`
-	Narrow     strict.Span `toml:"narrow_after"`
-	Close      strict.Span `toml:"close_after"`
-	Behind     strict.Span `toml:"behind_after"`
-	Reopen     strict.Span `toml:"reopen_over"`
-	OneTeller  float64     `toml:"one_teller"`
-	AllTellers float64     `toml:"all_tellers"`
-	Part       float64     `toml:"source_part"`
-	Doubt      strict.Span `toml:"doubt_after"`
-	Wake       strict.Span `toml:"wake_gap"`
-	WakeHold   strict.Span `toml:"wake_hold"`
+	ObserveOnly         bool        `toml:"only_watch"`
+	HelloInterval       strict.Span `toml:"hello"`
+	HelloFanout         int         `toml:"hello_to"`
+	PushFanout          int         `toml:"fanout"`
+	NarrowAfter         strict.Span `toml:"narrow_after"`
+	CloseAfter          strict.Span `toml:"close_after"`
+	BehindAfter         strict.Span `toml:"behind_after"`
+	ReopenJitter        strict.Span `toml:"reopen_over"`
+	OnePeerFraction     float64     `toml:"one_teller"`
+	AllPeersFraction    float64     `toml:"all_tellers"`
+	StaleSourceFraction float64     `toml:"source_part"`
+	UnconfirmedTimeout  strict.Span `toml:"doubt_after"`
+	PauseThreshold      strict.Span `toml:"wake_gap"`
+	PauseHold           strict.Span `toml:"wake_hold"`
 
-	Members     bool        `toml:"members"`     // nodes find out who is alive
-	Quotas      bool        `toml:"quotas"`      // parts of tenants' quotas follow their traffic
-	Work        bool        `toml:"work"`        // and so does each node's part of what all nodes do
-	Subsets     bool        `toml:"subsets"`     // who uses which server follows from who is alive
-	Guards      []int       `toml:"guards"`      // by whose leases parts go from the dead to the living; none: they stay with them
-	Seats       int         `toml:"seats"`       // that parts are cut into, where there are guards
-	Most        int         `toml:"most"`        // nodes there may ever be, where there are guards
-	Strangers   []string    `toml:"strangers"`   // ranges of addresses that are heard beside the configured ones
-	RecordFile  string      `toml:"record_file"` // none if empty
-	RecordEvery strict.Span `toml:"record_every"`
+	Membership      bool        `toml:"members"`     // nodes find out who is alive
+	ShareQuotas     bool        `toml:"quotas"`      // parts of tenants' quotas follow their traffic
+	ShareWork       bool        `toml:"work"`        // and so does each node's part of what all nodes do
+	Subsets         bool        `toml:"subsets"`     // who uses which server follows from who is alive
+	Guards          []int       `toml:"guards"`      // by whose leases parts go from the dead to the living; none: they stay with them
+	Slots           int         `toml:"seats"`       // that parts are cut into, where there are guards
+	MaxProcesses    int         `toml:"most"`        // nodes there may ever be, where there are guards
+	AllowedPrefixes []string    `toml:"strangers"`   // ranges of addresses that are heard beside the configured ones
+	RecordFile      string      `toml:"record_file"` // none if empty
+	RecordInterval  strict.Span `toml:"record_every"`
 }
 
-// Member is what package member takes of it; check has found that the ranges can be
+// MemberConfig is what package member takes of it; check has found that the ranges can be
 // read.
-func (f *Fleet) Member() member.Config {
-	m := member.Config{Follow: follow.Settings{ObserveOnly: f.Watch, HelloInterval: f.Hello.Duration, HelloFanout: f.HelloTo, PushFanout: f.Fanout, NarrowAfter: f.Narrow.Duration,
-		CloseAfter: f.Close.Duration, BehindAfter: f.Behind.Duration, ReopenJitter: f.Reopen.Duration, OnePeerFraction: f.OneTeller,
-		AllPeersFraction: f.AllTellers, StaleSourceFraction: f.Part, UnconfirmedTimeout: f.Doubt.Duration, PauseThreshold: f.Wake.Duration, PauseHold: f.WakeHold.Duration},
-		Membership: f.Members, ShareQuotas: f.Quotas, ShareWork: f.Work, Subsets: f.Subsets, Guards: f.Guards, Slots: f.Seats, MaxProcesses: f.Most}
-	for _, text := range f.Strangers {
+func (f *Fleet) MemberConfig() member.Config {
+	m := member.Config{Follow: follow.Settings{ObserveOnly: f.ObserveOnly, HelloInterval: f.HelloInterval.Duration, HelloFanout: f.HelloFanout, PushFanout: f.PushFanout, NarrowAfter: f.NarrowAfter.Duration,
+		CloseAfter: f.CloseAfter.Duration, BehindAfter: f.BehindAfter.Duration, ReopenJitter: f.ReopenJitter.Duration, OnePeerFraction: f.OnePeerFraction,
+		AllPeersFraction: f.AllPeersFraction, StaleSourceFraction: f.StaleSourceFraction, UnconfirmedTimeout: f.UnconfirmedTimeout.Duration, PauseThreshold: f.PauseThreshold.Duration, PauseHold: f.PauseHold.Duration},
+		Membership: f.Membership, ShareQuotas: f.ShareQuotas, ShareWork: f.ShareWork, Subsets: f.Subsets, Guards: f.Guards, Slots: f.Slots, MaxProcesses: f.MaxProcesses}
+	for _, text := range f.AllowedPrefixes {
 		if p, err := netip.ParsePrefix(text); err == nil {
 			m.AllowedPrefixes = append(m.AllowedPrefixes, p)
 		}
@@ -61,8 +61,8 @@
 	for _, x := range []struct {
 		span *strict.Span
 		d    time.Duration
-	}{{&f.Hello, d.HelloInterval}, {&f.Narrow, d.NarrowAfter}, {&f.Close, d.CloseAfter}, {&f.Behind, d.BehindAfter}, {&f.Reopen, d.ReopenJitter},
-		{&f.Doubt, d.UnconfirmedTimeout}, {&f.Wake, d.PauseThreshold}, {&f.WakeHold, d.PauseHold}, {&f.RecordEvery, time.Second}} {
+	}{{&f.HelloInterval, d.HelloInterval}, {&f.NarrowAfter, d.NarrowAfter}, {&f.CloseAfter, d.CloseAfter}, {&f.BehindAfter, d.BehindAfter}, {&f.ReopenJitter, d.ReopenJitter},
+		{&f.UnconfirmedTimeout, d.UnconfirmedTimeout}, {&f.PauseThreshold, d.PauseThreshold}, {&f.PauseHold, d.PauseHold}, {&f.RecordInterval, time.Second}} {
 		if x.span.Duration == 0 {
 			x.span.Duration = x.d
 		}
@@ -70,7 +70,7 @@
 	for _, x := range []struct {
 		n *int
 		d int
-	}{{&f.HelloTo, d.HelloFanout}, {&f.Fanout, d.PushFanout}, {&f.Seats, 256}, {&f.Most, 256}} {
+	}{{&f.HelloFanout, d.HelloFanout}, {&f.PushFanout, d.PushFanout}, {&f.Slots, 256}, {&f.MaxProcesses, 256}} {
 		if *x.n == 0 {
 			*x.n = x.d
 		}
@@ -78,7 +78,7 @@
 	for _, x := range []struct {
 		v *float64
 		d float64
-	}{{&f.OneTeller, d.OnePeerFraction}, {&f.AllTellers, d.AllPeersFraction}, {&f.Part, d.StaleSourceFraction}} {
+	}{{&f.OnePeerFraction, d.OnePeerFraction}, {&f.AllPeersFraction, d.AllPeersFraction}, {&f.StaleSourceFraction, d.StaleSourceFraction}} {
 		if *x.v == 0 {
 			*x.v = x.d
 		}
@@ -92,37 +92,37 @@
 		v        strict.Span
 		low, top time.Duration
 	}{
-		{"hello", f.Hello, 20 * time.Millisecond, 10 * time.Second},
-		{"narrow_after", f.Narrow, 500 * time.Millisecond, time.Minute},
-		{"close_after", f.Close, 500 * time.Millisecond, 10 * time.Minute},
-		{"behind_after", f.Behind, 100 * time.Millisecond, time.Minute},
-		{"reopen_over", f.Reopen, 0, time.Minute},
-		{"doubt_after", f.Doubt, time.Second, 10 * time.Minute},
-		{"wake_gap", f.Wake, 200 * time.Millisecond, 10 * time.Second},
-		{"wake_hold", f.WakeHold, 10 * time.Millisecond, time.Second},
-		{"record_every", f.RecordEvery, 100 * time.Millisecond, time.Hour},
+		{"hello", f.HelloInterval, 20 * time.Millisecond, 10 * time.Second},
+		{"narrow_after", f.NarrowAfter, 500 * time.Millisecond, time.Minute},
+		{"close_after", f.CloseAfter, 500 * time.Millisecond, 10 * time.Minute},
+		{"behind_after", f.BehindAfter, 100 * time.Millisecond, time.Minute},
+		{"reopen_over", f.ReopenJitter, 0, time.Minute},
+		{"doubt_after", f.UnconfirmedTimeout, time.Second, 10 * time.Minute},
+		{"wake_gap", f.PauseThreshold, 200 * time.Millisecond, 10 * time.Second},
+		{"wake_hold", f.PauseHold, 10 * time.Millisecond, time.Second},
+		{"record_every", f.RecordInterval, 100 * time.Millisecond, time.Hour},
 	} {
 		if x.v.Duration < x.low || x.v.Duration > x.top {
 			return x.key, fmt.Sprintf("%s must be from %v to %v; it is %v", x.key, x.low, x.top, x.v.Duration)
 		}
 	}
 	switch {
-	case f.Close.Duration <= f.Narrow.Duration:
+	case f.CloseAfter.Duration <= f.NarrowAfter.Duration:
 		return "close_after", "close_after must be longer than narrow_after: a process narrows before it closes"
-	case f.HelloTo < 1 || f.HelloTo > 64:
+	case f.HelloFanout < 1 || f.HelloFanout > 64:
 		return "hello_to", "hello_to must be from 1 to 64"
-	case f.Fanout < 1 || f.Fanout > 64:
+	case f.PushFanout < 1 || f.PushFanout > 64:
 		return "fanout", "fanout must be from 1 to 64"
 	}
 	for _, x := range []struct {
 		key string
 		v   float64
-	}{{"one_teller", f.OneTeller}, {"all_tellers", f.AllTellers}, {"source_part", f.Part}} {
+	}{{"one_teller", f.OnePeerFraction}, {"all_tellers", f.AllPeersFraction}, {"source_part", f.StaleSourceFraction}} {
 		if !(x.v > 0 && x.v <= 1) {
 			return x.key, x.key + " must be a part of 1, such as 0.25"
 		}
 	}
-	for _, text := range f.Strangers {
+	for _, text := range f.AllowedPrefixes {
 		if p, err := netip.ParsePrefix(text); err != nil || !p.Addr().Is4() {
 			return "strangers", fmt.Sprintf("strangers: %q is no range of IPv4 addresses, such as \"10.3.0.0/16\"", text)
 		}
@@ -130,7 +130,7 @@
 	if key, text := f.checkGuards(); text != "" {
 		return key, text
 	}
-	if f.OneTeller > f.AllTellers {
+	if f.OnePeerFraction > f.AllPeersFraction {
 		return "one_teller", "one_teller must be at most all_tellers"
 	}
 	return "", ""
@@ -147,15 +147,15 @@
 	switch {
 	case len(f.Guards) > shares.MaxGuards || len(f.Guards) > 0 && len(f.Guards)%2 == 0:
 		return "guards", fmt.Sprintf("name an odd number of guards, %d at most", shares.MaxGuards)
-	case f.Seats < 1 || f.Seats > shares.MaxSlots:
+	case f.Slots < 1 || f.Slots > shares.MaxSlots:
 		return "seats", fmt.Sprintf("seats must be from 1 to %d", shares.MaxSlots)
-	case f.Most < 1 || f.Most > member.FirstControlID:
+	case f.MaxProcesses < 1 || f.MaxProcesses > member.FirstControlID:
 		return "most", fmt.Sprintf("most must be from 1 to %d", member.FirstControlID)
-	case len(f.Guards) > 0 && !f.Members:
+	case len(f.Guards) > 0 && !f.Membership:
 		return "guards", "guards want members = true: parts go to the living"
-	case f.Subsets && !f.Members:
+	case f.Subsets && !f.Membership:
 		return "subsets", "subsets wants members = true: they follow from who is alive"
-	case len(f.Strangers) > 0 && !f.Members:
+	case len(f.AllowedPrefixes) > 0 && !f.Membership:
 		return "strangers", "strangers wants members = true: who joins is a member first"
 	}
 	return "", ""
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -25,9 +25,9 @@
 	raw  []byte
 }
 
-// Fault tells of an error that has to do with a key, such as control.cert, in
+// KeyError tells of an error that has to do with a key, such as control.cert, in
 // the form of all that is wrong with the file.
-func (f *File) Fault(key string, err error) error {
+func (f *File) KeyError(key string, err error) error {
 	text, _, _ := strings.Cut(err.Error(), "\n")
 	return &strict.Error{File: f.path, Line: strict.LineOf(f.raw, key), Text: text}
 }
@@ -40,10 +40,10 @@
 	Key       string `toml:"key"`
 	ClientCA  string `toml:"client_ca"`
 
-	Name        string      `toml:"name"`         // of this control service among others; its address if empty
-	Console     string      `toml:"console"`      // host:port where operators call; nowhere if empty
-	RecordFile  string      `toml:"record_file"`  // takes the record (docs/audit.md); none if empty
-	RecordEvery strict.Span `toml:"record_every"` // how often
+	Name           string      `toml:"name"`         // of this control service among others; its address if empty
+	Console        string      `toml:"console"`      // host:port where operators call; nowhere if empty
+	RecordFile     string      `toml:"record_file"`  // takes the record (docs/audit.md); none if empty
+	RecordInterval strict.Span `toml:"record_every"` // how often
 
 	FleetListen string   `toml:"fleet_listen"` // host:port for datagrams of the fleet, as [fleet] has it; out of it if empty
 	FleetID     int      `toml:"fleet_id"`     // number of this control service in the fleet
@@ -53,40 +53,40 @@
 	Discovery string   `toml:"discovery"` // host:port of the list of servers
 	ListFile  string   `toml:"list_file"` // keeps the last list over a restart; none if empty
 
-	Lease       strict.Span `toml:"lease"`
-	Held        strict.Span `toml:"held"`
-	Probe       string      `toml:"probe"` // path of the servers' health check, or "tcp"
-	ReportEvery strict.Span `toml:"report_every"`
-	AckWithin   strict.Span `toml:"ack_within"`
-	MaxStreams  int         `toml:"max_streams"`
-	MaxServers  int         `toml:"max_servers"`
-	Subset      int         `toml:"subset"` // servers of a hall that a proxy is told of, about; 0: all
+	EndpointTTL        strict.Span `toml:"lease"`
+	FallbackTTL        strict.Span `toml:"held"`
+	HealthCheck        string      `toml:"probe"` // path of the servers' health check, or "tcp"
+	LoadReportInterval strict.Span `toml:"report_every"`
+	AckTimeout         strict.Span `toml:"ack_within"`
+	MaxStreams         int         `toml:"max_streams"`
+	MaxServers         int         `toml:"max_servers"`
+	SubsetSize         int         `toml:"subset"` // servers of a hall that a proxy is told of, about; 0: all
 
-	ColdFrom       float64     `toml:"cold_from"`
-	ColdTime       strict.Span `toml:"cold_time"`
-	OverloadFactor float64     `toml:"overload_factor"`
-	ChangeEvery    strict.Span `toml:"change_every"`
-	ChangeBy       float64     `toml:"change_by"`
+	WarmupStartFraction float64     `toml:"cold_from"`
+	WarmupTime          strict.Span `toml:"cold_time"`
+	OverloadFactor      float64     `toml:"overload_factor"`
+	WeightInterval      strict.Span `toml:"change_every"`
+	MaxWeightFactor     float64     `toml:"change_by"`
 
 	Services []Service `toml:"service"`
 }
 
 // Service is what proxies reach by one name.
 type Service struct {
-	Name    string      `toml:"name"`
-	Proxies []string    `toml:"proxies"` // names of those that may see it
-	Connect strict.Span `toml:"connect"`
-	Classes []Class     `toml:"class"`
+	Name           string      `toml:"name"`
+	Proxies        []string    `toml:"proxies"` // names of those that may see it
+	ConnectTimeout strict.Span `toml:"connect"`
+	Classes        []Class     `toml:"class"`
 }
 
 // Class is one kind of request.
 type Class struct {
-	Name     string      `toml:"name"`
-	Effect   string      `toml:"effect"` // safe, keyed or unsafe
-	Priority bool        `toml:"priority"`
-	Aim      strict.Span `toml:"aim"`
-	Deadline strict.Span `toml:"deadline"`
-	Window   strict.Span `toml:"key_window"`
+	Name          string      `toml:"name"`
+	Effect        string      `toml:"effect"` // safe, keyed or unsafe
+	Priority      bool        `toml:"priority"`
+	TargetLatency strict.Span `toml:"aim"`
+	Deadline      strict.Span `toml:"deadline"`
+	DedupWindow   strict.Span `toml:"key_window"`
 }
 
 const maxLease = 250 * time.Millisecond
@@ -132,11 +132,11 @@
 			s.Duration = d
 		}
 	}
-	span(&c.Lease, 240*time.Millisecond)
-	span(&c.Held, time.Minute)
-	span(&c.ReportEvery, 500*time.Millisecond)
-	span(&c.AckWithin, 5*time.Second)
-	span(&c.RecordEvery, time.Second)
+	span(&c.EndpointTTL, 240*time.Millisecond)
+	span(&c.FallbackTTL, time.Minute)
+	span(&c.LoadReportInterval, 500*time.Millisecond)
+	span(&c.AckTimeout, 5*time.Second)
+	span(&c.RecordInterval, time.Second)
 	if c.Name == "" {
 		c.Name = c.Listen
 	}
@@ -146,11 +146,11 @@
 	if c.MaxServers == 0 {
 		c.MaxServers = 4096
 	}
-	if c.Probe == "" {
-		c.Probe = "/healthz"
+	if c.HealthCheck == "" {
+		c.HealthCheck = "/healthz"
 	}
 	for i := range c.Services {
-		span(&c.Services[i].Connect, 250*time.Millisecond)
+		span(&c.Services[i].ConnectTimeout, 250*time.Millisecond)
 	}
 }
 
@@ -176,13 +176,13 @@
 		v        strict.Span
 		low, top time.Duration
 	}{
-		{"lease", c.Lease, 60 * time.Millisecond, maxLease},
-		{"held", c.Held, time.Second, time.Hour},
-		{"report_every", c.ReportEvery, 100 * time.Millisecond, 2 * time.Second},
-		{"ack_within", c.AckWithin, 500 * time.Millisecond, time.Minute},
-		{"record_every", c.RecordEvery, 100 * time.Millisecond, time.Hour},
-		{"cold_time", c.ColdTime, 0, time.Hour},
-		{"change_every", c.ChangeEvery, 0, time.Minute},
+		{"lease", c.EndpointTTL, 60 * time.Millisecond, maxLease},
+		{"held", c.FallbackTTL, time.Second, time.Hour},
+		{"report_every", c.LoadReportInterval, 100 * time.Millisecond, 2 * time.Second},
+		{"ack_within", c.AckTimeout, 500 * time.Millisecond, time.Minute},
+		{"record_every", c.RecordInterval, 100 * time.Millisecond, time.Hour},
+		{"cold_time", c.WarmupTime, 0, time.Hour},
+		{"change_every", c.WeightInterval, 0, time.Minute},
 	} {
 		if x.v.Duration < x.low || x.v.Duration > x.top {
 			return x.key, fmt.Sprintf("%s must be from %v to %v; it is %v", x.key, x.low, x.top, x.v.Duration)
@@ -198,15 +198,15 @@
 		return "max_streams", "max_streams must be from 1 to 65536"
 	case c.MaxServers < 1 || c.MaxServers > 65536:
 		return "max_servers", "max_servers must be from 1 to 65536"
-	case c.Subset != 0 && (c.Subset < 16 || c.Subset > 65536):
+	case c.SubsetSize != 0 && (c.SubsetSize < 16 || c.SubsetSize > 65536):
 		return "subset", "subset must be 0, for all servers, or from 16 to 65536"
-	case c.ColdFrom < 0 || c.ColdFrom > 1:
+	case c.WarmupStartFraction < 0 || c.WarmupStartFraction > 1:
 		return "cold_from", "cold_from must be a part of 1, such as 0.32"
 	case c.OverloadFactor != 0 && (c.OverloadFactor < 1 || c.OverloadFactor > 100):
 		return "overload_factor", "overload_factor must be from 1 to 100"
-	case c.ChangeBy != 0 && (c.ChangeBy <= 1 || c.ChangeBy > 10):
+	case c.MaxWeightFactor != 0 && (c.MaxWeightFactor <= 1 || c.MaxWeightFactor > 10):
 		return "change_by", "change_by must be over 1 and at most 10"
-	case c.Probe != "tcp" && !strings.HasPrefix(c.Probe, "/"):
+	case c.HealthCheck != "tcp" && !strings.HasPrefix(c.HealthCheck, "/"):
 		return "probe", "probe must be a path that begins with /, or \"tcp\""
 	case len(c.Services) == 0:
 		return "", "there is no [[control.service]]; add one with its classes"
@@ -227,7 +227,7 @@
 	switch {
 	case err != nil || !a.Addr().Is4() || !a.Addr().IsLoopback():
 		return "fleet_listen", "fleet_listen must be a numeric IPv4 address and port on loopback, such as \"127.0.0.1:7950\""
-	case f.Fleet == nil || len(f.Fleet.Strangers) == 0:
+	case f.Fleet == nil || len(f.Fleet.AllowedPrefixes) == 0:
 		return "fleet_listen", "fleet_listen wants the section [fleet] with members = true and strangers: a control service is no configured node"
 	case c.FleetID < member.FirstControlID || c.FleetID >= 4096:
 		return "fleet_id", fmt.Sprintf("fleet_id must be a number from %d to 4095 that no other process has", member.FirstControlID)
@@ -242,8 +242,8 @@
 	return "", ""
 }
 
-// Seeds are the fleet's seeds; check has found that they can be read.
-func (c *Control) Seeds() (out []netip.AddrPort) {
+// SeedAddrs are the fleet's seeds; check has found that they can be read.
+func (c *Control) SeedAddrs() (out []netip.AddrPort) {
 	for _, s := range c.FleetSeeds {
 		if a, err := netip.ParseAddrPort(s); err == nil {
 			out = append(out, a)
@@ -281,13 +281,13 @@
 				return at + "name", fmt.Sprintf("the service has two classes %q; rename one", x.Name)
 			case x.Effect != "safe" && x.Effect != "keyed" && x.Effect != "unsafe":
 				return at + "effect", "effect must be \"safe\", \"keyed\" or \"unsafe\""
-			case x.Effect == "keyed" && (x.Window.Duration < 100*time.Millisecond || x.Window.Duration > 8*time.Second):
+			case x.Effect == "keyed" && (x.DedupWindow.Duration < 100*time.Millisecond || x.DedupWindow.Duration > 8*time.Second):
 				return at + "key_window", "a keyed class needs key_window, how long a pod knows a key: 100ms to 8s"
-			case x.Effect != "keyed" && x.Window.Duration != 0:
+			case x.Effect != "keyed" && x.DedupWindow.Duration != 0:
 				return at + "key_window", "only a keyed class has a key_window; remove it"
-			case x.Aim.Duration <= 0 || x.Aim.Duration > time.Minute:
+			case x.TargetLatency.Duration <= 0 || x.TargetLatency.Duration > time.Minute:
 				return at + "aim", "aim must be over 0 and at most 1m"
-			case x.Deadline.Duration < x.Aim.Duration || x.Deadline.Duration > 10*time.Minute:
+			case x.Deadline.Duration < x.TargetLatency.Duration || x.Deadline.Duration > 10*time.Minute:
 				return at + "deadline", "deadline must be from the aim to 10m"
 			}
 			classes[x.Name] = true
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := f.Control; c.Lease.Milliseconds() != 240 || c.Held.Seconds() != 60 || len(c.Services[0].Classes) != 2 || c.Probe != "/healthz" {
+	if c := f.Control; c.EndpointTTL.Milliseconds() != 240 || c.FallbackTTL.Seconds() != 60 || len(c.Services[0].Classes) != 2 || c.HealthCheck != "/healthz" {
 		t.Errorf("%+v", c)
 	}
 	if f, err := Parse("operator.toml", []byte("# nothing is on\n")); err != nil || f.Control != nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,14 +8,14 @@
 	"ivylock/balance"
 )
 
-// Reply holds the actions of one instance.
-type Reply struct {
+// NodeActions holds the actions of one instance.
+type NodeActions struct {
 	Node    int
 	Actions []balance.Action
 }
 
 // AppendReply writes the line that answers a batch, with its line end.
-func AppendReply(b []byte, replies []Reply) []byte {
+func AppendReply(b []byte, replies []NodeActions) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
 	for _, r := range replies {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -46,8 +46,8 @@
 	Seed     int64
 }
 
-// Happening is one event for an instance: a start, an end, or one for the module.
-type Happening struct {
+// InstanceEvent is one event for an instance: a start, an end, or one for the module.
+type InstanceEvent struct {
 	Start  *Start
 	Retire bool
 	Event  balance.Event
@@ -56,7 +56,7 @@
 // Group holds the events of one instance.
 type Group struct {
 	Node   int
-	Events []Happening
+	Events []InstanceEvent
 }
 
 // Batch is one line from the simulator.
@@ -118,7 +118,7 @@
 	ReadyAt int64   `json:"ready_at_ns"`
 }
 
-func decodeEvent(name string, raw json.RawMessage) (Happening, error) {
+func decodeEvent(name string, raw json.RawMessage) (InstanceEvent, error) {
 	switch name {
 	case "submit":
 		var e struct {
@@ -131,16 +131,16 @@
 			Flags    int     `json:"flags"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missing("req")
 		}
 		if e.Patience == nil {
-			return Happening{}, missing("patience_left_ns")
+			return InstanceEvent{}, missing("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
-		return Happening{Event: balance.RequestArrived{ID: balance.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+		return InstanceEvent{Event: balance.RequestArrived{ID: balance.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 			Key: e.Key, ClientTimeout: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
 			HasHint: e.Flags&flagHint != 0, ClientRetry: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
@@ -150,46 +150,46 @@
 			Label *int64 `json:"label"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.Label == nil {
-			return Happening{}, missing("label")
+			return InstanceEvent{}, missing("label")
 		}
-		return Happening{Event: balance.TimerFired{Token: *e.Label}}, nil
+		return InstanceEvent{Event: balance.TimerFired{Token: *e.Label}}, nil
 	case "abandoned":
 		var e struct {
 			Req *string `json:"req"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missing("req")
 		}
-		return Happening{Event: balance.RequestAbandoned{ID: balance.RequestID(*e.Req)}}, nil
+		return InstanceEvent{Event: balance.RequestAbandoned{ID: balance.RequestID(*e.Req)}}, nil
 	case "note_from":
 		var e struct {
 			From  *int   `json:"from"`
 			Bytes []byte `json:"bytes"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.From == nil {
-			return Happening{}, missing("from")
+			return InstanceEvent{}, missing("from")
 		}
-		return Happening{Event: balance.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+		return InstanceEvent{Event: balance.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 	case "roster_change":
 		return decodeList(raw)
 	case "up":
 		return decodeStart(raw)
 	case "retire":
-		return Happening{Retire: true}, nil
+		return InstanceEvent{Retire: true}, nil
 	}
-	return Happening{}, errors.New("unknown event")
+	return InstanceEvent{}, errors.New("unknown event")
 }
 
-func decodeOutcome(name string, raw json.RawMessage) (Happening, error) {
+func decodeOutcome(name string, raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req         *string                    `json:"req"`
 		Leg         *int                       `json:"leg"`
@@ -200,43 +200,43 @@
 		Feedback    map[string]json.RawMessage `json:"feedback"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Backend == nil {
-		return Happening{}, missing("backend")
+		return InstanceEvent{}, missing("backend")
 	}
 	server, took := balance.ServerID(*e.Backend), time.Duration(e.Delay)
 	var id balance.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missing("req")
 		}
 		if e.Leg == nil {
-			return Happening{}, missing("leg")
+			return InstanceEvent{}, missing("leg")
 		}
 		id = balance.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return Happening{Event: balance.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return InstanceEvent{Event: balance.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
-		return Happening{}, missing("disposition")
+		return InstanceEvent{}, missing("disposition")
 	}
 	code, ok := outcomes[*e.Disposition]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
+		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return Happening{Event: balance.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return InstanceEvent{Event: balance.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: balance.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
+	return InstanceEvent{Event: balance.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
 // decodeReport skips the keys it does not know; a report with no known key is none.
 func decodeReport(values map[string]json.RawMessage) *balance.Report {
-	var r loadreport.Reader
+	var r loadreport.Builder
 	for name, raw := range values {
 		r.Add(name, string(raw))
 	}
@@ -251,59 +251,59 @@
 	"ready": balance.Ready, "draining": balance.Draining, "gone": balance.Removed,
 }
 
-func decodeList(raw json.RawMessage) (Happening, error) {
+func decodeList(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		How     string  `json:"how"`
 		Version uint64  `json:"version"`
 		Items   []entry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	kind, ok := listKinds[e.How]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown how %q", e.How)
+		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
 	l := balance.ListUpdate{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
-			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
+			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
 		}
 		state, ok := states[it.State]
 		if !ok {
-			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
 		l.Entries = append(l.Entries, balance.Server{ID: balance.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
 			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
-	return Happening{Event: l}, nil
+	return InstanceEvent{Event: l}, nil
 }
 
-func decodeStart(raw json.RawMessage) (Happening, error) {
+func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
 		Profile json.RawMessage `json:"profile_data"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Seed == nil {
-		return Happening{}, missing("seed")
+		return InstanceEvent{}, missing("seed")
 	}
 	if len(e.Profile) == 0 || string(e.Profile) == "null" {
-		return Happening{}, missing("profile_data")
+		return InstanceEvent{}, missing("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
 		f, ferr := e.Seed.Float64()
 		if ferr != nil {
-			return Happening{}, fmt.Errorf("seed: %w", err)
+			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
 	}
 	s, err := settings.Decode(e.Profile)
 	if err != nil {
-		return Happening{}, fmt.Errorf("profile_data: %w", err)
+		return InstanceEvent{}, fmt.Errorf("profile_data: %w", err)
 	}
-	return Happening{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
+	return InstanceEvent{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,7 +23,7 @@
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func one(t *testing.T, event string) Happening {
+func one(t *testing.T, event string) InstanceEvent {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batch(event)))
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 func TestReplyIsJSON(t *testing.T) {
-	line := AppendReply(nil, []Reply{{Node: 3, Actions: []balance.Action{
+	line := AppendReply(nil, []NodeActions{{Node: 3, Actions: []balance.Action{
 		balance.Send{Sending: &balance.Sending{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}}, balance.Refuse{ID: "q", RetryAfter: 5},
 		balance.Fail{ID: "q"}, balance.CancelAttempt{ID: "q", Attempt: 1}, balance.SetTimer{After: 5, Token: 77},
 		balance.Probe{Server: 1}, balance.SendMessage{ToAll: true, Data: []byte("hi")}, balance.SendMessage{To: 2},
--- a/membership/caller.go
+++ b/membership/caller.go
@@ -65,7 +65,7 @@
 	// PollWait is the longest time that a long poll may wait; 0: DefaultPollWait.
 	PollWait time.Duration
 	// ListPollInterval is the setting ask_within; 0: unknown.
-	AskWithin time.Duration
+	ListPollInterval time.Duration
 	// Nodes is the number of equal nodes that call the same discovery, at least 1.
 	Nodes float64
 	Seed  int64
@@ -308,7 +308,7 @@
 		first.hedgeCount++
 		p.call(0, false, true)
 	}
-	if p.settings.Stream && !p.established && p.settings.AskWithin > 0 && p.now-first.startedAt >= p.settings.AskWithin/4 {
+	if p.settings.Stream && !p.established && p.settings.ListPollInterval > 0 && p.now-first.startedAt >= p.settings.ListPollInterval/4 {
 		p.cancelCalls()
 		p.call(0, false, false)
 	}
@@ -384,5 +384,5 @@
 		base, p.overloaded, p.slow = ended.startedAt, false, p.now >= ended.startedAt+ended.Timeout
 	}
 	p.nextAt = max(p.now, base+delay)
-	p.delay = min(2*p.delay, max(initialBackoff, p.settings.AskWithin/4))
+	p.delay = min(2*p.delay, max(initialBackoff, p.settings.ListPollInterval/4))
 }
--- a/membership/caller_test.go
+++ b/membership/caller_test.go
@@ -143,7 +143,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	r := &simulation{now: time.Hour}
 	for i := range nodes {
-		r.add(NewPoller(Settings{Nodes: nodes, AskWithin: 10 * time.Second, Seed: int64(i)}, InitialState{HaveList: true, Stagger: true}, r.now), r.now+time.Duration(rng.Int64N(int64(time.Second))))
+		r.add(NewPoller(Settings{Nodes: nodes, ListPollInterval: 10 * time.Second, Seed: int64(i)}, InitialState{HaveList: true, Stagger: true}, r.now), r.now+time.Duration(rng.Int64N(int64(time.Second))))
 	}
 	var calls [length]int
 	r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
@@ -174,7 +174,7 @@
 func TestFailedCallIsRetriedWithinNotificationDeadline(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 120, 300, 1000} {
 		for _, failAfter := range []time.Duration{0, time.Second, CallTimeout, -1} {
-			r := newSimulation(1, Settings{Nodes: float64(nodes), AskWithin: 10 * time.Second, Seed: int64(nodes)}, InitialState{HaveList: true, Stagger: true})
+			r := newSimulation(1, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second, Seed: int64(nodes)}, InitialState{HaveList: true, Stagger: true})
 			r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
 				if failAfter < 0 { // never answered: times out
 					return 0, nil
@@ -207,7 +207,7 @@
 		{300, 25, 3 * time.Second, false}, {300, 80, 3 * time.Second, false}, {32, 4, 2 * time.Second, false}, {32, 4, 3 * time.Second, false}, {32, 4, 3500 * time.Millisecond, false},
 		{32, 4, 2 * time.Second, true}, {32, 4, 3 * time.Second, true}, {32, 4, 3500 * time.Millisecond, true}, {32, 8, 3500 * time.Millisecond, true}, {300, 25, 3 * time.Second, true}, {300, 80, 3 * time.Second, true}} {
 		nodes, rate, queueTimeout := test.nodes, test.rate, test.queueTimeout
-		r := newSimulation(nodes, Settings{Nodes: float64(nodes), AskWithin: 10 * time.Second}, InitialState{HaveList: true, Stagger: true})
+		r := newSimulation(nodes, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second}, InitialState{HaveList: true, Stagger: true})
 		idleAt := time.Hour + recoverAfter // when the queue is empty
 		calls, rejected := 0, 0
 		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
@@ -251,7 +251,7 @@
 // A single rejection is no overload: the next call follows within 3 s, as after any failure.
 func TestRejectedCallIsRetriedSoon(t *testing.T) {
 	for seed := range int64(50) {
-		r := newSimulation(1, Settings{Nodes: 300, AskWithin: 10 * time.Second, Seed: seed}, InitialState{HaveList: true, Stagger: true})
+		r := newSimulation(1, Settings{Nodes: 300, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true, Stagger: true})
 		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) { return 0, Failed{c.ID, Rejected} }
 		r.runUntil(time.Hour + 20*time.Second)
 		sent := r.nodes[0].sent
@@ -265,7 +265,7 @@
 // within 3 s.
 func TestFirstCallToNewAddressIsImmediate(t *testing.T) {
 	for seed := range int64(50) {
-		r := newSimulation(1, Settings{Nodes: 300, AskWithin: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
+		r := newSimulation(1, Settings{Nodes: 300, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
 		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) { return 0, nil }
 		r.runUntil(time.Hour + time.Minute)
 		sent := r.nodes[0].sent
@@ -280,7 +280,7 @@
 func TestSilentWatchIsHedged(t *testing.T) {
 	for _, pollWait := range []time.Duration{0, time.Second, ShortPollWait, 4 * time.Second} {
 		for seed := range int64(20) {
-			r := newSimulation(1, Settings{PollWait: pollWait, AskWithin: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
+			r := newSimulation(1, Settings{PollWait: pollWait, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
 			s := &discoveryService{generation: 1}
 			silentAt := Time(0)
 			r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
@@ -306,7 +306,7 @@
 // an answer that is not one counts as a failure.
 func TestFullListIsRequestedAfterDiscoveryRestart(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		r := newSimulation(1, Settings{Pushed: pushed, AskWithin: 10 * time.Second}, InitialState{HaveList: true, Generation: 40})
+		r := newSimulation(1, Settings{Pushed: pushed, ListPollInterval: 10 * time.Second}, InitialState{HaveList: true, Generation: 40})
 		s := &discoveryService{generation: 2}
 		partialAnswers := 2
 		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
@@ -381,8 +381,8 @@
 func TestPollerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{Pushed: rapid.Bool().Draw(t, "pushed"), PollWait: rapid.SampledFrom([]time.Duration{0, time.Second, 4 * time.Second, 20 * time.Second}).Draw(t, "hold"),
-			AskWithin: rapid.SampledFrom([]time.Duration{0, time.Second, 10 * time.Second, time.Minute}).Draw(t, "ask within"),
-			Nodes:     float64(rapid.SampledFrom([]int{0, 1, 3, 60, 300}).Draw(t, "nodes")), Seed: rapid.Int64().Draw(t, "seed")}
+			ListPollInterval: rapid.SampledFrom([]time.Duration{0, time.Second, 10 * time.Second, time.Minute}).Draw(t, "ask within"),
+			Nodes:            float64(rapid.SampledFrom([]int{0, 1, 3, 60, 300}).Draw(t, "nodes")), Seed: rapid.Int64().Draw(t, "seed")}
 		s := &discoveryService{generation: uint64(rapid.IntRange(0, 50).Draw(t, "generation"))}
 		r := newSimulation(1, settings, InitialState{Generation: uint64(rapid.IntRange(0, 60).Draw(t, "known generation")), HaveList: rapid.Bool().Draw(t, "known"), Stagger: rapid.Bool().Draw(t, "spread")})
 		n, healthy, incarnation, incarnationOf := r.nodes[0], false, 0, map[CallID]int{}
@@ -452,7 +452,7 @@
 	if *longRun {
 		sizes, length = []int{3, 30, 300}, 3*time.Minute
 	}
-	for _, settings := range []Settings{{AskWithin: 10 * time.Second}, {Pushed: true}} {
+	for _, settings := range []Settings{{ListPollInterval: 10 * time.Second}, {Pushed: true}} {
 		for _, nodes := range sizes {
 			for _, failureRate := range []float64{0, 1. / 3} {
 				settings.Nodes = float64(nodes)
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -236,7 +236,7 @@
 // takes to know.
 func notificationDelays(nodes, servers, usersPerServer, rate int, seed int64, recoverAfter, queueTimeout time.Duration, withPeers bool) (took []time.Duration) {
 	rng := rand.New(rand.NewPCG(uint64(seed), 9))
-	r := newSimulation(nodes, Settings{Nodes: float64(nodes), AskWithin: 10 * time.Second, Seed: 1000 * seed}, InitialState{HaveList: true, Stagger: true})
+	r := newSimulation(nodes, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second, Seed: 1000 * seed}, InitialState{HaveList: true, Stagger: true})
 	drainedAt := time.Hour + recoverAfter + time.Second
 	users := make([][]int, servers/10)
 	var drained []Entry[int]
