--- a/internal/decider/decider.go
+++ b/internal/decider/decider.go
@@ -1,6 +1,6 @@
-// Package decider joins what a node decides where one call to discovery brings all that
-// comes: package balance for requests, package membership for the list. The simulator's
-// wire and the lab's world in memory are such places. It decides nothing of its own.
+// Package decider combines the request balancer (package balance) with the list poller
+// (package membership) for environments in which a single discovery call delivers all list
+// updates, such as the simulator's wire and the lab's in-memory world.
 package decider
 
 import (
@@ -8,55 +8,55 @@
 	"ivylock/membership"
 )
 
-// Decider is one node's. It is not safe for concurrent use.
+// Decider makes the decisions of one node. It is not safe for concurrent use.
 type Decider struct {
 	*balance.Module
-	set    balance.Settings
-	seed   int64
-	caller *membership.Poller // nil: lists come without being asked for, or nothing has come yet
-	call   membership.CallID  // the last
+	settings balance.Settings
+	seed     int64
+	poller   *membership.Poller // nil: lists are pushed, or no event has been handled yet
+	lastCall membership.CallID
 }
 
-// New makes the decider of a node that has just started.
+// New returns the decider of a node that has just started.
 func New(s balance.Settings, seed int64) *Decider {
-	return &Decider{Module: balance.New(s, seed), set: s, seed: seed}
+	return &Decider{Module: balance.New(s, seed), settings: s, seed: seed}
 }
 
-// Handle takes an event and returns what is to be done, in order. The slice is reused by
-// a later call.
+// Handle processes an event and returns the resulting actions in order. The returned slice is
+// reused by later calls.
 func (d *Decider) Handle(now balance.Time, e balance.Event) []balance.Action {
 	out := d.Module.Handle(now, e)
-	if !d.set.ListOnDemand {
+	if !d.settings.ListOnDemand {
 		return out
 	}
-	if d.caller == nil {
-		d.caller = membership.NewPoller(membership.Settings{Stream: true, ListPollInterval: d.set.ListPollInterval, Nodes: float64(d.set.Nodes), Seed: d.seed},
+	if d.poller == nil {
+		d.poller = membership.NewPoller(membership.Settings{Stream: true, ListPollInterval: d.settings.ListPollInterval, Nodes: float64(d.settings.Nodes), Seed: d.seed},
 			membership.InitialState{HaveList: true, Stagger: true}, now)
 	}
-	var of membership.Event
+	var event membership.Event
 	switch e := e.(type) {
 	case balance.ListUpdate:
 		switch e.Kind {
 		case balance.ListCached:
 			return out
 		case balance.ListFailed:
-			of = membership.Failed{Call: d.call}
+			event = membership.Failed{Call: d.lastCall}
 		default:
-			of = membership.Answered{Call: d.call, Full: e.Kind == balance.ListFull, Generation: e.Version}
+			event = membership.Answered{Call: d.lastCall, Full: e.Kind == balance.ListFull, Generation: e.Version}
 		}
 	case balance.ShareUpdate:
 		if e.EffectiveNodes < 1 {
 			return out
 		}
-		of = membership.NodesChanged{Nodes: e.EffectiveNodes}
+		event = membership.NodesChanged{Nodes: e.EffectiveNodes}
 	case balance.TimerFired, *balance.TimerFired:
-		of = membership.Ticked{}
+		event = membership.Ticked{}
 	default:
 		return out
 	}
-	for _, a := range d.caller.Handle(now, of) {
-		if c, is := a.(membership.Call); is {
-			d.call = c.ID
+	for _, a := range d.poller.Handle(now, event) {
+		if c, ok := a.(membership.Call); ok {
+			d.lastCall = c.ID
 			out = append(out, balance.Subscribe{On: true})
 		}
 	}
--- a/internal/decider/decider_test.go
+++ b/internal/decider/decider_test.go
@@ -14,17 +14,16 @@
 		Classes: []balance.Class{{Name: "cheap", Value: 1, TargetLatency: time.Second, Deadline: 2 * time.Second, Effect: balance.Safe}}}
 }
 
-// Forty-eight nodes start in the same second while discovery turns nine of ten
-// calls away for 20 s: all of them together call at a bounded rate, and each has its
-// subscription before long. Meanwhile they serve from the list that they had.
-func TestAHerdAsksDiscoveryAtABoundedRate(t *testing.T) {
-	const nodes, step, length, crowded = 48, 5 * time.Millisecond, 30 * time.Second, 20 * time.Second
+// Guards against a thundering herd: nodes that start together while discovery rejects most
+// calls must retry at a bounded rate, and still serve from the cached list.
+func TestFleetStartSubscribesAtBoundedRate(t *testing.T) {
+	const nodes, step, duration, rejecting = 48, 5 * time.Millisecond, 30 * time.Second, 20 * time.Second
 	rng := rand.New(rand.NewPCG(1, 2))
 	type node struct {
 		*decider.Decider
 		start, timer time.Duration
 		subscribed   bool
-		served       int
+		sends        int
 	}
 	var all []*node
 	for i := range nodes {
@@ -36,36 +35,36 @@
 	for i := range 24 {
 		list = append(list, balance.Server{ID: balance.ServerID(i + 1), Zone: "z"})
 	}
-	calls := make([]int, length/time.Second)
-	for now := time.Hour; now < time.Hour+length; now += step {
+	calls := make([]int, duration/time.Second)
+	for now := time.Hour; now < time.Hour+duration; now += step {
 		for _, n := range all {
 			if now < n.start {
 				continue
 			}
-			handle := func(e balance.Event) (asks int) {
+			handle := func(e balance.Event) (subscribes int) {
 				for _, a := range n.Handle(now, e) {
 					switch a := a.(type) {
 					case balance.SetTimer:
 						n.timer = now + a.After
 					case balance.Subscribe:
-						asks++
+						subscribes++
 					case balance.Send:
-						n.served++
+						n.sends++
 					}
 				}
-				return asks
+				return subscribes
 			}
-			asks := 0
+			subscribes := 0
 			if n.timer == 0 {
-				asks += handle(balance.ListUpdate{Kind: balance.ListCached, Entries: list})
-				asks += handle(balance.RequestArrived{ID: "first", Class: "cheap", ClientTimeout: time.Second})
+				subscribes += handle(balance.ListUpdate{Kind: balance.ListCached, Entries: list})
+				subscribes += handle(balance.RequestArrived{ID: "first", Class: "cheap", ClientTimeout: time.Second})
 			}
 			if now >= n.timer {
-				asks += handle(balance.TimerFired{})
+				subscribes += handle(balance.TimerFired{})
 			}
-			for range asks {
+			for range subscribes {
 				calls[(now-time.Hour)/time.Second]++
-				if n.subscribed = rng.IntN(10) == 0 || now > time.Hour+crowded; n.subscribed {
+				if n.subscribed = rng.IntN(10) == 0 || now > time.Hour+rejecting; n.subscribed {
 					handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
 				} else {
 					handle(balance.ListUpdate{Kind: balance.ListFailed})
@@ -75,13 +74,13 @@
 	}
 	t.Logf("calls in each second: %v", calls)
 	for i, n := range calls {
-		if n > 50 { // 40 a second, and chance
+		if n > 50 { // 40/s expected, plus random variation
 			t.Errorf("%d calls in second %d", n, i)
 		}
 	}
 	for i, n := range all {
-		if n.served != 1 || !n.subscribed {
-			t.Errorf("node %d: %d sends, subscribed %v", i, n.served, n.subscribed)
+		if n.sends != 1 || !n.subscribed {
+			t.Errorf("node %d: %d sends, subscribed %v", i, n.sends, n.subscribed)
 		}
 	}
 }
