--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -14,7 +14,7 @@
 	Actions []balance.Action
 }
 
-// AppendReply writes the line that answers a batch, with its line end.
+// AppendReply appends the line that answers a batch, including its newline.
 func AppendReply(b []byte, replies []NodeActions) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
@@ -77,7 +77,7 @@
 		b = append(b, `{"reload":{`...)
 	case balance.CloseIdleConns:
 		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Server))
-	case balance.SetConnIdleTimeout: // the wire has no word for it
+	case balance.SetConnIdleTimeout: // the wire format has no such action
 		b = appendText(b, `{"trace":{"message":`, "idle connections are kept for "+a.Timeout.String())
 	case balance.Log:
 		b = appendText(b, `{"trace":{"message":`, a.Line)
@@ -85,11 +85,11 @@
 	return append(b, "}}"...)
 }
 
-func appendInt(b []byte, before string, v int64) []byte {
-	return strconv.AppendInt(append(b, before...), v, 10)
+func appendInt(b []byte, prefix string, v int64) []byte {
+	return strconv.AppendInt(append(b, prefix...), v, 10)
 }
 
-func appendText(b []byte, before, text string) []byte {
-	quoted, _ := json.Marshal(text) // a string always marshals
-	return append(append(b, before...), quoted...)
+func appendText(b []byte, prefix, text string) []byte {
+	quoted, _ := json.Marshal(text) // marshalling a string cannot fail
+	return append(append(b, prefix...), quoted...)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's JSON lines and the decision
-// module's types. It decides nothing.
+// Package wire translates between the simulator's JSON lines and the types of package
+// balance.
 package wire
 
 import (
@@ -15,7 +15,7 @@
 	"ivylock/internal/settings"
 )
 
-// The codes by which the wire names outcomes.
+// Outcome codes on the wire.
 const (
 	codeOK            = 0
 	codeCancelled     = 1
@@ -27,26 +27,26 @@
 	codeConnectFailed = 14
 )
 
-// The bits of a submit's flags.
+// Bits of the flags of a submit event.
 const (
-	flagHint   = 1
-	flagRepeat = 2
-	flagWrite  = 4
+	flagWorkHint    = 1
+	flagClientRetry = 2
+	flagWrite       = 4
 )
 
-var outcomes = map[int]balance.OutcomeCode{
+var outcomeCodes = map[int]balance.OutcomeCode{
 	codeOK: balance.OK, codeCancelled: balance.Cancelled, codeTimeout: balance.TimedOut, codeFull: balance.Full,
 	codeMoot: balance.Moot, codeReset: balance.Reset, codeError: balance.ServerError,
 	codeConnectFailed: balance.ConnectFailed,
 }
 
-// Start is an `up`: an instance begins.
+// Start is the `up` event, which starts an instance.
 type Start struct {
 	Settings balance.Settings
 	Seed     int64
 }
 
-// InstanceEvent is one event for an instance: a start, an end, or one for the module.
+// InstanceEvent is one event of an instance: its start, its end, or an event for its decider.
 type InstanceEvent struct {
 	Start  *Start
 	Retire bool
@@ -65,7 +65,7 @@
 	Groups []Group
 }
 
-// DecodeBatch reads one line.
+// DecodeBatch parses one line.
 func DecodeBatch(line []byte) (Batch, error) {
 	var in struct {
 		Now    *int64 `json:"sim_time_ns"`
@@ -87,14 +87,14 @@
 		}
 		out := Group{Node: *g.Node}
 		for j, ev := range g.Happened {
-			where := fmt.Sprintf("node %d, event %d", *g.Node, j)
+			position := fmt.Sprintf("node %d, event %d", *g.Node, j)
 			if len(ev) != 1 {
-				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(ev))
+				return Batch{}, fmt.Errorf("%s: want one key, have %d", position, len(ev))
 			}
 			for name, raw := range ev {
 				h, err := decodeEvent(name, raw)
 				if err != nil {
-					return Batch{}, fmt.Errorf("%s, %s: %w", where, name, err)
+					return Batch{}, fmt.Errorf("%s, %s: %w", position, name, err)
 				}
 				out.Events = append(out.Events, h)
 			}
@@ -104,11 +104,11 @@
 	return b, nil
 }
 
-type missing string
+type missingField string
 
-func (m missing) Error() string { return string(m) + " is missing" }
+func (m missingField) Error() string { return string(m) + " is missing" }
 
-type entry struct {
+type listEntry struct {
 	Backend *uint32 `json:"backend"`
 	Zone    string  `json:"zone"`
 	Model   string  `json:"model"`
@@ -134,15 +134,15 @@
 			return InstanceEvent{}, err
 		}
 		if e.Req == nil {
-			return InstanceEvent{}, missing("req")
+			return InstanceEvent{}, missingField("req")
 		}
 		if e.Patience == nil {
-			return InstanceEvent{}, missing("patience_left_ns")
+			return InstanceEvent{}, missingField("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
 		return InstanceEvent{Event: balance.RequestArrived{ID: balance.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 			Key: e.Key, ClientTimeout: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
-			HasHint: e.Flags&flagHint != 0, ClientRetry: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
+			HasHint: e.Flags&flagWorkHint != 0, ClientRetry: e.Flags&flagClientRetry != 0, Write: e.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
 		return decodeOutcome(name, raw)
 	case "due":
@@ -153,7 +153,7 @@
 			return InstanceEvent{}, err
 		}
 		if e.Label == nil {
-			return InstanceEvent{}, missing("label")
+			return InstanceEvent{}, missingField("label")
 		}
 		return InstanceEvent{Event: balance.TimerFired{Token: *e.Label}}, nil
 	case "abandoned":
@@ -164,7 +164,7 @@
 			return InstanceEvent{}, err
 		}
 		if e.Req == nil {
-			return InstanceEvent{}, missing("req")
+			return InstanceEvent{}, missingField("req")
 		}
 		return InstanceEvent{Event: balance.RequestAbandoned{ID: balance.RequestID(*e.Req)}}, nil
 	case "note_from":
@@ -176,7 +176,7 @@
 			return InstanceEvent{}, err
 		}
 		if e.From == nil {
-			return InstanceEvent{}, missing("from")
+			return InstanceEvent{}, missingField("from")
 		}
 		return InstanceEvent{Event: balance.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 	case "roster_change":
@@ -203,38 +203,38 @@
 		return InstanceEvent{}, err
 	}
 	if e.Backend == nil {
-		return InstanceEvent{}, missing("backend")
+		return InstanceEvent{}, missingField("backend")
 	}
-	server, took := balance.ServerID(*e.Backend), time.Duration(e.Delay)
+	server, elapsed := balance.ServerID(*e.Backend), time.Duration(e.Delay)
 	var id balance.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
-			return InstanceEvent{}, missing("req")
+			return InstanceEvent{}, missingField("req")
 		}
 		if e.Leg == nil {
-			return InstanceEvent{}, missing("leg")
+			return InstanceEvent{}, missingField("leg")
 		}
 		id = balance.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return InstanceEvent{Event: balance.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return InstanceEvent{Event: balance.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: elapsed}}, nil
 	}
 	if e.Disposition == nil {
-		return InstanceEvent{}, missing("disposition")
+		return InstanceEvent{}, missingField("disposition")
 	}
-	code, ok := outcomes[*e.Disposition]
+	code, ok := outcomeCodes[*e.Disposition]
 	if !ok {
 		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return InstanceEvent{Event: balance.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return InstanceEvent{Event: balance.ProbeEnded{Server: server, Code: code, Elapsed: elapsed, Report: report}}, nil
 	}
 	return InstanceEvent{Event: balance.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
-		Elapsed: took, Code: code, Report: report}}, nil
+		Elapsed: elapsed, Code: code, Report: report}}, nil
 }
 
-// decodeReport skips the keys it does not know; a report with no known key is none.
+// decodeReport ignores unknown keys. It returns nil if no key is known.
 func decodeReport(values map[string]json.RawMessage) *balance.Report {
 	var r loadreport.Builder
 	for name, raw := range values {
@@ -247,15 +247,15 @@
 	"D": balance.ListChanges, "F": balance.ListFull, "C": balance.ListCached, "X": balance.ListFailed,
 }
 
-var states = map[string]balance.ServerState{
+var serverStates = map[string]balance.ServerState{
 	"ready": balance.Ready, "draining": balance.Draining, "gone": balance.Removed,
 }
 
 func decodeList(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
-		How     string  `json:"how"`
-		Version uint64  `json:"version"`
-		Items   []entry `json:"items"`
+		How     string      `json:"how"`
+		Version uint64      `json:"version"`
+		Items   []listEntry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return InstanceEvent{}, err
@@ -265,16 +265,16 @@
 		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
 	l := balance.ListUpdate{Kind: kind, Version: e.Version}
-	for i, it := range e.Items {
-		if it.Backend == nil {
-			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
+	for i, item := range e.Items {
+		if item.Backend == nil {
+			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missingField("backend"))
 		}
-		state, ok := states[it.State]
+		state, ok := serverStates[item.State]
 		if !ok {
-			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, item.State)
 		}
-		l.Entries = append(l.Entries, balance.Server{ID: balance.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
-			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
+		l.Entries = append(l.Entries, balance.Server{ID: balance.ServerID(*item.Backend), Zone: item.Zone, Kind: item.Model,
+			Cell: item.Pod, State: state, Size: item.Nominal, StartedAt: time.Duration(item.ReadyAt)})
 	}
 	return InstanceEvent{Event: l}, nil
 }
@@ -288,15 +288,15 @@
 		return InstanceEvent{}, err
 	}
 	if e.Seed == nil {
-		return InstanceEvent{}, missing("seed")
+		return InstanceEvent{}, missingField("seed")
 	}
 	if len(e.Profile) == 0 || string(e.Profile) == "null" {
-		return InstanceEvent{}, missing("profile_data")
+		return InstanceEvent{}, missingField("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
-		f, ferr := e.Seed.Float64()
-		if ferr != nil {
+		f, floatErr := e.Seed.Float64()
+		if floatErr != nil {
 			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"ivylock/balance"
 )
 
-const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
+const startEvent = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
 "balancers":3,"caps":{"cancel":true,"connect_timeout_ns":250000000,"cpu_us_per_s":15000,"cpu_us_per_request":2.5,"most_held":9,"multiplex":100,"conn_idle_ns":5,"max_attempts":4,"may_duplicate":true,"peers":true,
 "probes":true,"retry_after":true,"max_retry_after_ns":2000000000},"classes":[{"aim_ns":600000000,"dedup_window_ns":8,
 "effect":"dedup","give_up_ns":1200000000,"importance":12.0,"key_scope":"cell","late_worth":0.5,"name":"x","streamed":true}],
@@ -23,7 +23,7 @@
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func one(t *testing.T, event string) InstanceEvent {
+func decodeOne(t *testing.T, event string) InstanceEvent {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batch(event)))
 	if err != nil {
@@ -32,8 +32,8 @@
 	return b.Groups[0].Events[0]
 }
 
-func TestStart(t *testing.T) {
-	h := one(t, strings.ReplaceAll(start, "\n", ""))
+func TestDecodeStart(t *testing.T) {
+	h := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
 	s := h.Start.Settings
 	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.ListOnDemand || !s.SizeLive || !s.MayOverlap ||
 		s.ReportSource != balance.ReportsFromAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
@@ -50,10 +50,10 @@
 	}
 }
 
-func TestOutcomeCodes(t *testing.T) {
+func TestDecodeOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]balance.OutcomeCode{"0": balance.OK, "13": balance.ServerError, "8": balance.Full,
 		"4": balance.TimedOut, "14": balance.ConnectFailed, "10": balance.Reset, "1": balance.Cancelled, "9": balance.Moot} {
-		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
+		h := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
 		e := h.Event.(balance.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.RequestDone || e.Report.InFlight != 7 || e.Report.Queue != 2 {
@@ -62,8 +62,8 @@
 	}
 }
 
-func TestReportWithNoKnownFieldIsNone(t *testing.T) {
-	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+func TestReportWithoutKnownFieldIsNil(t *testing.T) {
+	h := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
 	if e := h.Event.(balance.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestDecodeErrorsDescribeInput(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestReplyIsJSON(t *testing.T) {
+func TestAppendReplyWritesValidJSON(t *testing.T) {
 	line := AppendReply(nil, []NodeActions{{Node: 3, Actions: []balance.Action{
 		balance.Send{Sending: &balance.Sending{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}}, balance.Refuse{ID: "q", RetryAfter: 5},
 		balance.Fail{ID: "q"}, balance.CancelAttempt{ID: "q", Attempt: 1}, balance.SetTimer{After: 5, Token: 77},
@@ -122,13 +122,13 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
+	f.Add([]byte(batch(strings.ReplaceAll(startEvent, "\n", ""))))
 	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
 	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Groups == nil && len(line) == 0 {
-			t.Fatal("an empty line is no batch")
+			t.Fatal("an empty line was decoded as a batch")
 		}
 	})
 }
