--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,7 +1,6 @@
-// Package console answers the operators' calls on a listener of its own:
-// whether the node takes clients, its figures, and single servers out of use
-// and back. It depends neither on the clients' budget of connections nor on
-// the queue of requests.
+// Package console serves the operators' HTTP endpoint on its own listener: readiness,
+// metrics, recent events, and maintenance of single servers. It depends neither on the
+// limit of client connections nor on the request queue.
 package console
 
 import (
@@ -19,99 +18,99 @@
 )
 
 const (
-	// MaxConns is how many connections the console holds at once. At it the
-	// one that has been silent longest gives way.
+	// MaxConns limits open connections. When it is reached, the oldest connection without a
+	// complete request is closed.
 	MaxConns = 32
-	// MaxDescriptors is what the console takes of the process's descriptors.
+	// MaxDescriptors is the number of file descriptors that the console may use.
 	MaxDescriptors = MaxConns + 2
 
-	headTime  = 2 * time.Second
-	callTime  = 3 * time.Second
-	spareTime = 20 * time.Millisecond // a caller's call comes right behind its connection
-	wordTime  = 900 * time.Millisecond
-	maxID     = 256 // bytes
+	headerTimeout  = 2 * time.Second
+	requestTimeout = 3 * time.Second
+	evictionGrace  = 20 * time.Millisecond // a request normally follows its connection at once
+	nodeTimeout    = 900 * time.Millisecond
+	maxIDBytes     = 256
 )
 
-// Node is what the console speaks for.
+// Node is the process that the console serves.
 type Node interface {
-	// Ready tells whether this process takes clients.
+	// Ready reports whether this process accepts client requests.
 	Ready() bool
-	// MetricsText gives the figures as text.
+	// MetricsText returns the metrics as text.
 	MetricsText() []byte
-	// SetMaintenance takes a server out of use, or back. When it returns with no
-	// error nothing new goes to a server that was taken out. The error is
-	// maintenance.ErrUnknown for an id that nobody has.
+	// SetMaintenance takes a server out of use, or back into use. Once it returns without an
+	// error, no new request goes to a server that was taken out. It returns
+	// maintenance.ErrUnknown for an unknown id.
 	SetMaintenance(ctx context.Context, id string, out bool) error
 }
 
-// FleetRecorder is a node that tells what it has acted on.
+// FleetRecorder is implemented by nodes that record which fleet versions they applied.
 type FleetRecorder interface {
-	// FleetRecord gives its record (version.Record) in JSON; ErrFleetDisabled if it keeps
-	// none.
+	// FleetRecord returns the version.Record as JSON, or ErrFleetDisabled if none is kept.
 	FleetRecord(ctx context.Context) ([]byte, error)
 }
 
-// EventSource is a node that keeps its latest events.
+// EventSource is implemented by nodes that keep their recent events.
 type EventSource interface {
-	// Events gives the latest events as text, a line each; of one request alone
-	// if its id is not empty.
+	// Events returns the recent events as text, one per line. If request is not empty, only
+	// events of the request with this id are included.
 	Events(request string) []byte
 }
 
-// ErrFleetDisabled says that a part of the node is switched off.
+// ErrFleetDisabled is returned when the operator's file has no [fleet] section.
 var ErrFleetDisabled = errors.New("the section [fleet] of the operator's file is not there: nothing is recorded")
 
-// Server is the console.
+// Server is the console's HTTP server.
 type Server struct {
-	node Node
-	http *http.Server
-	list *listener
+	node     Node
+	http     *http.Server
+	listener *limitListener
 }
 
-// New makes a console on a listener.
+// New returns a console that accepts connections from l.
 func New(l net.Listener, n Node) *Server {
-	s := &Server{node: n, list: &listener{Listener: accept.New(l, nil), open: map[*conn]bool{}}}
+	s := &Server{node: n, listener: &limitListener{Listener: accept.New(l, nil), open: map[*conn]bool{}}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/status", s.get(s.status))
-	mux.HandleFunc("/status/metrics", s.get(s.figures))
-	if h, is := n.(EventSource); is {
+	mux.HandleFunc("/status/metrics", s.get(s.metrics))
+	if h, ok := n.(EventSource); ok {
 		mux.HandleFunc("/status/events", s.get(events(h)))
 	}
-	mux.HandleFunc("/maintenance/enter", s.put(true))
-	mux.HandleFunc("/maintenance/exit", s.put(false))
-	if f, is := n.(FleetRecorder); is {
-		mux.HandleFunc("/fleet/record", s.get(s.fleet(f)))
+	mux.HandleFunc("/maintenance/enter", s.setMaintenance(true))
+	mux.HandleFunc("/maintenance/exit", s.setMaintenance(false))
+	if f, ok := n.(FleetRecorder); ok {
+		mux.HandleFunc("/fleet/record", s.get(s.fleetRecord(f)))
 	}
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headTime, ReadTimeout: callTime, WriteTimeout: callTime + time.Second,
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout + time.Second,
 		MaxHeaderBytes: 8 << 10,
-		ConnContext:    func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, c) }}
-	s.http.SetKeepAlivesEnabled(false) // one call per connection
+		ConnContext:    func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
 	return s
 }
 
-// Serve answers calls until Close.
+// Serve handles requests until Close is called.
 func (s *Server) Serve() error {
-	if err := s.http.Serve(s.list); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close ends the console at once.
+// Close stops the console immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-type callerKey struct{}
+type connKey struct{}
 
-// whole marks a caller whose call has come: it is answered, whoever else comes.
-func whole(r *http.Request) {
-	if c, is := r.Context().Value(callerKey{}).(*conn); is {
-		c.l.mu.Lock()
-		c.whole = true
-		c.l.mu.Unlock()
+// markComplete records that the request has been read completely, which protects its
+// connection from eviction.
+func markComplete(r *http.Request) {
+	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
+		c.listener.mu.Lock()
+		c.complete = true
+		c.listener.mu.Unlock()
 	}
 }
 
-func only(method string, then http.HandlerFunc) http.HandlerFunc {
+func allowMethod(method string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
 			w.Header().Set("Allow", method)
@@ -119,13 +118,15 @@
 			return
 		}
 		if method == http.MethodGet {
-			whole(r)
+			markComplete(r)
 		}
-		then(w, r)
+		next(w, r)
 	}
 }
 
-func (s *Server) get(then http.HandlerFunc) http.HandlerFunc { return only(http.MethodGet, then) }
+func (s *Server) get(next http.HandlerFunc) http.HandlerFunc {
+	return allowMethod(http.MethodGet, next)
+}
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
 	if !s.node.Ready() {
@@ -135,9 +136,9 @@
 	io.WriteString(w, "takes clients\n")
 }
 
-func (s *Server) fleet(f FleetRecorder) http.HandlerFunc {
+func (s *Server) fleetRecord(f FleetRecorder) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		ctx, cancel := context.WithTimeout(r.Context(), wordTime)
+		ctx, cancel := context.WithTimeout(r.Context(), nodeTimeout)
 		defer cancel()
 		raw, err := f.FleetRecord(ctx)
 		switch {
@@ -152,7 +153,7 @@
 	}
 }
 
-func (s *Server) figures(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Write(s.node.MetricsText())
 }
@@ -164,18 +165,18 @@
 	}
 }
 
-func (s *Server) put(out bool) http.HandlerFunc {
-	return only(http.MethodPut, func(w http.ResponseWriter, r *http.Request) {
-		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxID))
-		whole(r)
-		var long *http.MaxBytesError
+func (s *Server) setMaintenance(out bool) http.HandlerFunc {
+	return allowMethod(http.MethodPut, func(w http.ResponseWriter, r *http.Request) {
+		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxIDBytes))
+		markComplete(r)
+		var tooLong *http.MaxBytesError
 		switch id := strings.TrimSpace(string(raw)); {
-		case errors.As(err, &long):
+		case errors.As(err, &tooLong):
 			http.Error(w, "the body is too long for an id", http.StatusRequestEntityTooLarge)
 		case err != nil || id == "":
 			http.Error(w, "the body is the backend's id", http.StatusBadRequest)
 		default:
-			ctx, cancel := context.WithTimeout(r.Context(), wordTime)
+			ctx, cancel := context.WithTimeout(r.Context(), nodeTimeout)
 			defer cancel()
 			switch err := s.node.SetMaintenance(ctx, id, out); {
 			case errors.Is(err, maintenance.ErrUnknown):
@@ -191,65 +192,64 @@
 	})
 }
 
-// listener holds MaxConns connections at most.
-type listener struct {
+// limitListener holds at most MaxConns connections.
+type limitListener struct {
 	net.Listener
-	mu    sync.Mutex
-	open  map[*conn]bool
-	order []*conn // in order of arrival
+	mu       sync.Mutex
+	open     map[*conn]bool
+	arrivals []*conn // oldest first
 }
 
 type conn struct {
 	net.Conn
-	l     *listener
-	since time.Time
-	whole bool // its call has come
+	listener *limitListener
+	openedAt time.Time
+	complete bool // its request has been read
 }
 
-// Accept takes the next connection at once, and for it gives up the oldest
-// where there are too many: guards against callers that stay without a whole
-// call.
-func (l *listener) Accept() (net.Conn, error) {
+// Accept accepts the next connection immediately. At the limit it closes the oldest
+// connection without a complete request, so that idle clients cannot block the console.
+func (l *limitListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: nc, l: l, since: time.Now()}
+	c := &conn{Conn: nc, listener: l, openedAt: time.Now()}
 	l.mu.Lock()
 	l.open[c] = true
-	l.order = append(l.order, c)
-	var give *conn
+	l.arrivals = append(l.arrivals, c)
+	var victim *conn
 	var wait time.Duration
-	for _, o := range l.order {
+	for _, o := range l.arrivals {
 		if len(l.open) < MaxConns {
 			break
 		}
-		if !o.whole {
-			give, wait = o, spareTime-time.Since(o.since)
+		if !o.complete {
+			victim, wait = o, evictionGrace-time.Since(o.openedAt)
 			break
 		}
 	}
 	l.mu.Unlock()
-	if give != nil {
-		if wait > 0 { // a crowd of new ones: those that have a call are answered meanwhile
+	if victim != nil {
+		if wait > 0 { // during a burst of connections: complete requests are served meanwhile
 			time.Sleep(wait)
 		}
-		give.Close()
+		victim.Close()
 	}
 	return c, nil
 }
 
 func (c *conn) Close() error {
-	c.l.mu.Lock()
-	if c.l.open[c] {
-		delete(c.l.open, c)
-		for i, o := range c.l.order {
+	c.listener.mu.Lock()
+	if c.listener.open[c] {
+		delete(c.listener.open, c)
+		for i, o := range c.listener.arrivals {
 			if o == c {
-				c.l.order = append(c.l.order[:i], c.l.order[i+1:]...)
+				c.listener.arrivals = append(c.listener.arrivals[:i], c.listener.arrivals[i+1:]...)
 				break
 			}
 		}
 	}
-	c.l.mu.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -20,13 +20,13 @@
 )
 
 type fakeNode struct {
-	up    atomic.Bool
+	ready atomic.Bool
 	mu    sync.Mutex
-	words []string
+	calls []string
 	err   error
 }
 
-func (f *fakeNode) Ready() bool         { return f.up.Load() }
+func (f *fakeNode) Ready() bool         { return f.ready.Load() }
 func (f *fakeNode) MetricsText() []byte { return []byte("app.relayed:3|c\n") }
 func (f *fakeNode) Events(request string) []byte {
 	return []byte("events of " + request + "\n")
@@ -37,26 +37,26 @@
 	if id == "nobody" {
 		return maintenance.ErrUnknown
 	}
-	f.words = append(f.words, fmt.Sprint(id, out))
+	f.calls = append(f.calls, fmt.Sprint(id, out))
 	return f.err
 }
 
-func start(t *testing.T) (*fakeNode, string) {
+func startConsole(t *testing.T) (*fakeNode, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &fakeNode{}
-	n.up.Store(true)
+	n.ready.Store(true)
 	s := New(l, n)
 	go s.Serve()
 	t.Cleanup(func() { s.Close() })
 	return n, l.Addr().String()
 }
 
-// call makes one call and tells the status, the body and how the connection ends.
-func call(t *testing.T, addr, text string) (status int, body string, header http.Header) {
+// doRequest sends one request on a new connection and checks that the server closes it.
+func doRequest(t *testing.T, addr, text string) (status int, body string, header http.Header) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	raw, _ := io.ReadAll(resp.Body)
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%q: the connection goes on: %v", text, err)
+		t.Errorf("%q: the connection was not closed: %v", text, err)
 	}
 	return resp.StatusCode, string(raw), resp.Header
 }
@@ -81,8 +81,8 @@
 	return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, len(id), id)
 }
 
-func TestCalls(t *testing.T) {
-	n, addr := start(t)
+func TestConsoleRequests(t *testing.T) {
+	n, addr := startConsole(t)
 	get := func(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 	for _, c := range []struct {
 		text string
@@ -98,37 +98,36 @@
 		{"PUT /maintenance/enter HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ns-\r\n1\r\n1\r\n0\r\n\r\n", 200, ""},
 		{put("/maintenance/enter", "nobody"), 404, ""},
 		{put("/maintenance/enter", ""), 400, ""},
-		{put("/maintenance/enter", strings.Repeat("x", maxID+1)), 413, ""},
+		{put("/maintenance/enter", strings.Repeat("x", maxIDBytes+1)), 413, ""},
 		{get("/maintenance/enter"), 405, ""},
 		{put("/status", ""), 405, ""},
 		{get("/other"), 404, ""},
 		{"nonsense\r\n\r\n", 400, ""},
 	} {
-		status, body, header := call(t, addr, c.text)
+		status, body, header := doRequest(t, addr, c.text)
 		if status != c.want || c.body != "" && body != c.body {
 			t.Errorf("%q: got %d %q", c.text, status, body)
 		}
 		if status == 405 && header.Get("Allow") == "" {
-			t.Errorf("%q: 405 names no method", c.text)
+			t.Errorf("%q: 405 without an Allow header", c.text)
 		}
 	}
-	if got := fmt.Sprint(n.words); got != "[s-1true s-1false s-1true]" {
-		t.Errorf("the node heard %s", got)
+	if got := fmt.Sprint(n.calls); got != "[s-1true s-1false s-1true]" {
+		t.Errorf("the node received %s", got)
 	}
-	n.up.Store(false)
-	if status, _, _ := call(t, addr, get("/status")); status != 503 {
-		t.Errorf("/status before the node takes clients: %d", status)
+	n.ready.Store(false)
+	if status, _, _ := doRequest(t, addr, get("/status")); status != 503 {
+		t.Errorf("/status while the node is not ready: %d", status)
 	}
 	n.err = errors.New("busy")
-	if status, _, _ := call(t, addr, put("/maintenance/enter", "s-1")); status != 503 {
-		t.Errorf("a word that the node did not take: %d", status)
+	if status, _, _ := doRequest(t, addr, put("/maintenance/enter", "s-1")); status != 503 {
+		t.Errorf("maintenance that the node rejected: %d", status)
 	}
 }
 
-// Callers that stay without a whole call, some with half a head, take nothing
-// from those that call.
-func TestSilentCallersHoldUpNobody(t *testing.T) {
-	_, addr := start(t)
+// Guards against idle connections and incomplete headers that block other requests.
+func TestIncompleteRequestsDoNotDelayOthers(t *testing.T) {
+	_, addr := startConsole(t)
 	for i := range 200 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -142,30 +141,29 @@
 	slowest := time.Duration(0)
 	for range 20 {
 		began := time.Now()
-		if status, _, _ := call(t, addr, "GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
+		if status, _, _ := doRequest(t, addr, "GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 			t.Fatalf("got %d", status)
 		}
 		slowest = max(slowest, time.Since(began))
 	}
-	t.Logf("the slowest answer took %v", slowest)
+	t.Logf("slowest response: %v", slowest)
 }
 
-// Accepts that fail do not end the console.
-func TestAcceptsThatFailDoNotEndTheConsole(t *testing.T) {
+func TestAcceptErrorsDoNotStopConsole(t *testing.T) {
 	l := nodetest.NewFailingListener(t, 10)
 	for _, errno := range []syscall.Errno{syscall.ENOBUFS, syscall.EPROTO, syscall.EPERM} {
 		l.Errors <- errno
 	}
 	s := New(l, &fakeNode{})
 	defer s.Close()
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve() }()
-	if status, _, _ := call(t, l.Addr().String(), "GET /status/metrics HTTP/1.1\r\nHost: h\r\n\r\n"); status != http.StatusOK {
+	served := make(chan error, 1)
+	go func() { served <- s.Serve() }()
+	if status, _, _ := doRequest(t, l.Addr().String(), "GET /status/metrics HTTP/1.1\r\nHost: h\r\n\r\n"); status != http.StatusOK {
 		t.Errorf("got %d", status)
 	}
 	select {
-	case err := <-ended:
-		t.Errorf("it ended with %v", err)
+	case err := <-served:
+		t.Errorf("the console stopped: %v", err)
 	default:
 	}
 }
