--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,6 +1,5 @@
-// Package figures counts what a node does, where it happens, and words the
-// counts for whoever asks. Counting takes one atomic addition and no lock.
-// docs/oncall.md says what each figure counts and where.
+// Package figures holds a node's metrics and formats them as text. Incrementing a counter
+// takes one atomic addition and no lock. docs/oncall.md describes each metric.
 package figures
 
 import (
@@ -13,165 +12,163 @@
 	"ivylock/internal/neterr"
 )
 
-// Outcome is how a request ended.
+// Outcome classifies how a request ended.
 type Outcome int
 
 const (
-	// Fulfilled requests got a server's answer.
+	// Fulfilled requests received a server's response.
 	Fulfilled Outcome = iota
-	// Throttled requests were refused with 429 or 503: trying again is harmless.
+	// Throttled requests were refused with 429 or 503; a retry is safe.
 	Throttled
-	// Faulted requests got any other answer.
+	// Faulted requests received any other response.
 	Faulted
-	// NumOutcomes is how many kinds there are.
+	// NumOutcomes is the number of outcomes.
 	NumOutcomes
 )
 
-var names = [NumOutcomes]string{"fulfilled", "throttled", "faulted"}
+var outcomeNames = [NumOutcomes]string{"fulfilled", "throttled", "faulted"}
 
-// CounterVec is a row of counts that differ in one word, such as the reason for which
-// something was done. Its words are fixed when it is made.
+// CounterVec is a set of counters that share a name and differ in a label. Its labels are
+// fixed when it is created.
 type CounterVec struct {
 	name   string
-	words  []string
+	labels []string
 	counts []atomic.Int64
 }
 
-func newFamily(name string, words []string) CounterVec {
-	return CounterVec{name: name, words: words, counts: make([]atomic.Int64, len(words))}
+func newCounterVec(name string, labels []string) CounterVec {
+	return CounterVec{name: name, labels: labels, counts: make([]atomic.Int64, len(labels))}
 }
 
-// Add counts one more of the word with this number; a number that has no word is
-// not counted.
-func (f *CounterVec) Add(number int) {
-	if number >= 0 && number < len(f.counts) {
-		f.counts[number].Add(1)
+// Add increments the counter with the given index. An index out of range is ignored.
+func (f *CounterVec) Add(index int) {
+	if index >= 0 && index < len(f.counts) {
+		f.counts[index].Add(1)
 	}
 }
 
-// Value gives the count of the word with this number.
-func (f *CounterVec) Value(number int) int64 { return f.counts[number].Load() }
+// Value returns the count at the given index.
+func (f *CounterVec) Value(index int) int64 { return f.counts[index].Load() }
 
-// Label gives the word with this number.
-func (f *CounterVec) Label(number int) string {
-	if number < 0 || number >= len(f.words) {
+// Label returns the label at the given index.
+func (f *CounterVec) Label(index int) string {
+	if index < 0 || index >= len(f.labels) {
 		return "unknown"
 	}
-	return f.words[number]
+	return f.labels[index]
 }
 
-// Set is one process's figures; all start at 0. Its methods may be called from
+// Set holds the metrics of one process, all initially 0. Its methods may be called from
 // several goroutines.
 type Set struct {
-	order   []string // classes, as the settings give them
-	classes map[string]*[NumOutcomes]atomic.Int64
-
-	Relayed         atomic.Int64 // attempts written whole to servers
-	OpenRequests    atomic.Int64 // requests taken and not yet ended
-	RegistryEntries atomic.Int64 // servers on the list, as the loop saw it last
-	OutOfRotation   atomic.Int64 // listed servers that the node avoids, as the loop saw it last
-
-	ListsUnanswered, ListsTruncated, ListsUnreadable atomic.Int64 // calls to discovery that brought no list
-	EntriesSkipped                                   atomic.Int64 // of lists, as they could not be read
-	UnknownSenders                                   atomic.Int64 // datagrams from no node, or too long
-	DatagramsIgnored                                 atomic.Int64 // datagrams of nodes that were of no use
-	WithdrawalsApplied, DatagramsMalformed           atomic.Int64 // of neighbours, that servers leave: acted on; in no known form
-	PeerQueriesSent, PeerQueriesAnswered             atomic.Int64 // to and of neighbours, what changed on the list
-	ReloadsRefused                                   atomic.Int64 // configurations that were malformed or not this node's
+	classNames []string // in the order of the settings
+	classes    map[string]*[NumOutcomes]atomic.Int64
+
+	Relayed         atomic.Int64 // attempts written completely to servers
+	OpenRequests    atomic.Int64 // requests accepted and not yet finished
+	RegistryEntries atomic.Int64 // servers on the list, as last seen by the node's loop
+	OutOfRotation   atomic.Int64 // listed servers that the node avoids, as last seen by the node's loop
+
+	ListsUnanswered, ListsTruncated, ListsUnreadable atomic.Int64 // discovery calls that returned no list
+	EntriesSkipped                                   atomic.Int64 // unreadable entries of lists
+	UnknownSenders                                   atomic.Int64 // datagrams from unknown senders, or too long
+	DatagramsIgnored                                 atomic.Int64 // datagrams of known nodes that were not applied
+	WithdrawalsApplied, DatagramsMalformed           atomic.Int64 // withdrawals of servers from peers: applied, malformed
+	PeerQueriesSent, PeerQueriesAnswered             atomic.Int64 // queries for list changes, to and from peers
+	ReloadsRefused                                   atomic.Int64 // configurations that were malformed or of another node
 
 	AttemptsEnded       CounterVec   // by outcome, in the order of balance.OutcomeCode
-	AttemptsWithheld    CounterVec   // by guard.WithholdReason: chosen, and not a byte of them written
-	AttemptsRepeated    atomic.Int64 // attempts that are not the first of their request
-	RequestsRejected    CounterVec   // by Turned: ended without a server's answer
-	ConnectionsClosed   CounterVec   // by Closed: of clients
-	ConnectionsOpened   atomic.Int64 // of clients
-	LogLinesDropped     atomic.Int64 // as nobody read the log
+	AttemptsWithheld    CounterVec   // by guard.WithholdReason: attempts dropped before their first byte was written
+	AttemptsRepeated    atomic.Int64 // attempts after the first of their request
+	RequestsRejected    CounterVec   // by RejectReason: ended without a server's response
+	ConnectionsClosed   CounterVec   // client connections, by CloseReason
+	ConnectionsOpened   atomic.Int64 // client connections
+	LogLinesDropped     atomic.Int64 // log queue full
 	InvariantViolations CounterVec   // by invariant.Kind
 	AcceptErrors        CounterVec   // by neterr.Index
-	DialErrors          CounterVec   // the same, of connections to servers
-	DatagramErrors      CounterVec   // the same, of datagrams received and sent
+	DialErrors          CounterVec   // by neterr.Index, of connections to servers
+	DatagramErrors      CounterVec   // by neterr.Index, of datagrams sent and received
 	RequestsLate        atomic.Int64 // read after a shutdown had closed the listener
 
 	fleet atomic.Pointer[[]NamedMetric]
 }
 
-// RejectReason is why a request was refused or failed without a server's answer.
+// RejectReason is why a request was refused or failed without a server's response.
 type RejectReason int
 
-// The first ones are those of balance.Cause, in its order.
+// The first reasons are those of balance.Cause, in the same order.
 const (
-	// RejectedNoServer: no server may take it.
+	// RejectedNoServer: no server is eligible.
 	RejectedNoServer RejectReason = iota
-	// RejectedShed: load is shed.
+	// RejectedShed: load shedding.
 	RejectedShed
-	// RejectedNoValue: an answer would come too late to be worth anything.
+	// RejectedNoValue: a response would arrive too late to be of value.
 	RejectedNoValue
-	// RejectedRetryBudget: further attempts have used up their part.
+	// RejectedRetryBudget: the retry budget is exhausted.
 	RejectedRetryBudget
-	// RejectedDeadline: the client's time is over.
+	// RejectedDeadline: the client's deadline has passed.
 	RejectedDeadline
-	// RejectedBodyConsumed: its body can not be sent again.
+	// RejectedBodyConsumed: the request body cannot be sent again.
 	RejectedBodyConsumed
-	// RejectedShutdown: the process ends.
+	// RejectedShutdown: the process is shutting down.
 	RejectedShutdown
-	// RejectedDuplicateID: its id is that of an open request.
+	// RejectedDuplicateID: an open request has the same id.
 	RejectedDuplicateID
-	// RejectedRequestLimit: as many requests are open as may be.
+	// RejectedRequestLimit: the limit of open requests is reached.
 	RejectedRequestLimit
-	// RejectedStaleState: what the node knows is too old to act on.
+	// RejectedStaleState: the node's state is too old to act on.
 	RejectedStaleState
 )
 
-var turnedWords = []string{"no_server", "shed", "worthless", "retry_budget", "deadline", "body_spent", "ending", "duplicate_id", "full", "stale"}
+var rejectReasonLabels = []string{"no_server", "shed", "worthless", "retry_budget", "deadline", "body_spent", "ending", "duplicate_id", "full", "stale"}
 
-// CloseReason is why a client's connection was closed.
+// CloseReason is why a client connection was closed.
 type CloseReason int
 
 const (
-	// ClosedByClient: the client closed or reset it.
+	// ClosedByClient: closed or reset by the client.
 	ClosedByClient CloseReason = iota
-	// ClosedTimeout: it was silent for too long.
+	// ClosedTimeout: idle timeout.
 	ClosedTimeout
-	// ClosedAnswered: it ended with an answer.
+	// ClosedAnswered: closed after a response.
 	ClosedAnswered
-	// ClosedEvicted: it rested, and room was wanted.
+	// ClosedEvicted: idle, and closed to make room for another connection.
 	ClosedEvicted
-	// ClosedDraining: it rested while the process ended.
+	// ClosedDraining: idle during shutdown.
 	ClosedDraining
-	// ClosedUnanswered: a request on it had no answer.
+	// ClosedUnanswered: closed with a request that had no response.
 	ClosedUnanswered
 )
 
-var closedWords = []string{"by_client", "timeout", "answered", "for_room", "draining", "unanswered"}
+var closeReasonLabels = []string{"by_client", "timeout", "answered", "for_room", "draining", "unanswered"}
 
-var outcomeWords = []string{"ok", "server_error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
+var attemptOutcomeLabels = []string{"ok", "server_error", "full", "timed_out", "connect_failed", "reset", "cancelled", "moot"}
 
-// New makes the figures of a node that serves these classes.
+// New returns the metrics of a node with the given request classes.
 func New(classes []string) *Set {
-	s := &Set{order: classes, classes: map[string]*[NumOutcomes]atomic.Int64{},
-		AttemptsEnded:       newFamily("attempts.ended", outcomeWords),
-		AttemptsWithheld:    newFamily("attempts.withheld", guard.WithholdReasonNames),
-		RequestsRejected:    newFamily("requests.turned_down", turnedWords),
-		ConnectionsClosed:   newFamily("connections.closed", closedWords),
-		InvariantViolations: newFamily("invariants.broken", invariant.KindNames),
-		AcceptErrors:        newFamily("accept.errors", neterr.Names()),
-		DialErrors:          newFamily("dials.errors", neterr.Names()),
-		DatagramErrors:      newFamily("peers.errors", neterr.Names())}
+	s := &Set{classNames: classes, classes: map[string]*[NumOutcomes]atomic.Int64{},
+		AttemptsEnded:       newCounterVec("attempts.ended", attemptOutcomeLabels),
+		AttemptsWithheld:    newCounterVec("attempts.withheld", guard.WithholdReasonNames),
+		RequestsRejected:    newCounterVec("requests.turned_down", rejectReasonLabels),
+		ConnectionsClosed:   newCounterVec("connections.closed", closeReasonLabels),
+		InvariantViolations: newCounterVec("invariants.broken", invariant.KindNames),
+		AcceptErrors:        newCounterVec("accept.errors", neterr.Names()),
+		DialErrors:          newCounterVec("dials.errors", neterr.Names()),
+		DatagramErrors:      newCounterVec("peers.errors", neterr.Names())}
 	for _, c := range classes {
 		s.classes[c] = new([NumOutcomes]atomic.Int64)
 	}
 	return s
 }
 
-// CountRequest counts a request of a class that had its final answer. A class that
-// the settings lack is not counted.
+// CountRequest counts a finished request of a class. An unknown class is ignored.
 func (s *Set) CountRequest(class string, o Outcome) {
 	if c := s.classes[class]; c != nil {
 		c[o].Add(1)
 	}
 }
 
-// Value gives one count of a class.
+// RequestCount returns the number of requests of a class with the given outcome.
 func (s *Set) RequestCount(class string, o Outcome) int64 {
 	if c := s.classes[class]; c != nil {
 		return c[o].Load()
@@ -179,7 +176,7 @@
 	return 0
 }
 
-// OutcomeOf tells how a request with a final status ended.
+// OutcomeOf returns the outcome of a request with the given final HTTP status.
 func OutcomeOf(status int) Outcome {
 	switch status {
 	case 200:
@@ -190,12 +187,12 @@
 	return Faulted
 }
 
-// Text gives all figures in StatsD's line form, a figure a line.
+// Text returns all metrics in StatsD line format, one per line.
 func (s *Set) Text() []byte {
 	var b bytes.Buffer
-	for _, class := range s.order {
+	for _, class := range s.classNames {
 		for o := range NumOutcomes {
-			fmt.Fprintf(&b, "app.operations.%s.%s:%d|c\n", class, names[o], s.RequestCount(class, o))
+			fmt.Fprintf(&b, "app.operations.%s.%s:%d|c\n", class, outcomeNames[o], s.RequestCount(class, o))
 		}
 	}
 	for _, c := range []struct {
@@ -210,11 +207,11 @@
 		fmt.Fprintf(&b, "app.%s:%d|c\n", c.name, c.value.Load())
 	}
 	for _, f := range []*CounterVec{&s.AttemptsEnded, &s.AttemptsWithheld, &s.RequestsRejected, &s.ConnectionsClosed, &s.InvariantViolations, &s.AcceptErrors, &s.DialErrors, &s.DatagramErrors} {
-		for i, word := range f.words {
-			if word == "" {
+		for i, label := range f.labels {
+			if label == "" {
 				continue
 			}
-			fmt.Fprintf(&b, "app.%s.%s:%d|c\n", f.name, word, f.Value(i))
+			fmt.Fprintf(&b, "app.%s.%s:%d|c\n", f.name, label, f.Value(i))
 		}
 	}
 	for _, g := range []struct {
@@ -223,20 +220,20 @@
 	}{{"open_requests", &s.OpenRequests}, {"registry_entries", &s.RegistryEntries}, {"out_of_rotation", &s.OutOfRotation}} {
 		fmt.Fprintf(&b, "app.%s:%d|g\n", g.name, g.value.Load())
 	}
-	if more := s.fleet.Load(); more != nil {
-		for _, f := range *more {
+	if fleetMetrics := s.fleet.Load(); fleetMetrics != nil {
+		for _, f := range *fleetMetrics {
 			fmt.Fprintf(&b, "app.fleet.%s:%d|%s\n", f.Name, f.Value, f.Kind)
 		}
 	}
 	return b.Bytes()
 }
 
-// NamedMetric is a figure of a part that is not always on. Kind is "c" for one that
-// only rises, "g" for another.
+// NamedMetric is a metric of an optional subsystem. Kind is "c" for a counter and "g" for a
+// gauge.
 type NamedMetric struct {
 	Name, Kind string
 	Value      int64
 }
 
-// SetFleetMetrics takes the fleet's figures, which are then told with the others.
+// SetFleetMetrics sets the fleet's metrics, which Text includes from then on.
 func (s *Set) SetFleetMetrics(f []NamedMetric) { s.fleet.Store(&f) }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -6,9 +6,9 @@
 	"ivylock/guard"
 )
 
-func TestEveryFigureIsThereFromTheStart(t *testing.T) {
+func TestAllMetricsStartAtZero(t *testing.T) {
 	f := New([]string{"clip", "order"})
-	const start = `app.operations.clip.fulfilled:0|c
+	const want = `app.operations.clip.fulfilled:0|c
 app.operations.clip.throttled:0|c
 app.operations.clip.faulted:0|c
 app.operations.order.fulfilled:0|c
@@ -146,7 +146,7 @@
 app.registry_entries:0|g
 app.out_of_rotation:0|g
 `
-	if got := string(f.Text()); got != start {
+	if got := string(f.Text()); got != want {
 		t.Errorf("got\n%s", got)
 	}
 	for _, status := range []int{200, 429, 503, 502, 409} {
@@ -158,25 +158,25 @@
 	}
 }
 
-// Each reason has its word, and a number that has none is not counted.
-func TestAFamilyCountsByItsWords(t *testing.T) {
+// Each index has a label, and an index out of range is not counted.
+func TestCounterVecCountsByIndex(t *testing.T) {
 	f := New(nil)
 	f.AttemptsWithheld.Add(int(guard.WithheldBodyConsumed))
 	f.RequestsRejected.Add(int(RejectedStaleState))
 	f.ConnectionsClosed.Add(int(ClosedUnanswered))
-	for family, last := range map[*CounterVec]int{&f.AttemptsWithheld: int(guard.WithheldBodyConsumed), &f.RequestsRejected: int(RejectedStaleState), &f.ConnectionsClosed: int(ClosedUnanswered)} {
-		if family.Value(last) != 1 || last != len(family.words)-1 {
-			t.Errorf("%s: the last word is %q, counted %d times", family.name, family.Label(last), family.Value(last))
+	for vec, last := range map[*CounterVec]int{&f.AttemptsWithheld: int(guard.WithheldBodyConsumed), &f.RequestsRejected: int(RejectedStaleState), &f.ConnectionsClosed: int(ClosedUnanswered)} {
+		if vec.Value(last) != 1 || last != len(vec.labels)-1 {
+			t.Errorf("%s: the last label is %q, counted %d times", vec.name, vec.Label(last), vec.Value(last))
 		}
-		family.Add(-1)
-		family.Add(last + 1)
-		if family.Label(last+1) != "unknown" {
-			t.Errorf("%s has a word too many", family.name)
+		vec.Add(-1)
+		vec.Add(last + 1)
+		if vec.Label(last+1) != "unknown" {
+			t.Errorf("%s has an unexpected label", vec.name)
 		}
 	}
 }
 
-func BenchmarkEnded(b *testing.B) {
+func BenchmarkCountRequest(b *testing.B) {
 	f := New([]string{"clip", "order", "tag", "cut"})
 	b.ReportAllocs()
 	for b.Loop() {
