--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,8 +1,7 @@
-// Package eventlog keeps the latest events of a process in memory: which
-// requests were read on which connection, how their attempts went, why they
-// were refused, retried or closed. It is read at the console, and written to
-// the log when an invariant is broken. The oldest events are overwritten, so
-// its memory is bounded and a request costs no allocation.
+// Package eventlog keeps the latest events of a process in memory: requests read, their
+// attempts, refusals, retries and closed connections. The console shows them, and invariant
+// violations log them. The oldest events are overwritten, so memory is bounded, and adding an
+// event does not allocate.
 package eventlog
 
 import (
@@ -12,30 +11,30 @@
 	"time"
 )
 
-// Capacity is how many events a Log keeps: about 0.4 MB.
+// Capacity is the number of events that a Log keeps, about 0.4 MB.
 const Capacity = 4096
 
-// Kind says what happened.
+// Kind is the type of an event.
 type Kind uint8
 
-// The kinds of events, with the fields that they use beside At.
+// Kinds of events, with the fields that they use in addition to At.
 const (
-	PhaseChanged     Kind = iota // Reason: the phase that the process enters
+	PhaseChanged     Kind = iota // Reason: the new phase
 	ConnectionOpened             // Connection
 	ConnectionClosed             // Connection, Reason
 	RequestRead                  // Request, Connection
 	RequestEnded                 // Request, Connection, Status, Reason
 	AttemptStarted               // Request, Attempt, Server
-	AttemptWithheld              // Request, Attempt, Server, Reason: not a byte of it was written
-	AttemptWritten               // Request, Attempt, Server: its last byte was written
-	AttemptEnded                 // Request, Attempt, Server, Reason: its outcome
-	ViolationFound               // Request, Reason: the invariant
+	AttemptWithheld              // Request, Attempt, Server, Reason: nothing was written
+	AttemptWritten               // Request, Attempt, Server: written completely
+	AttemptEnded                 // Request, Attempt, Server, Reason: the outcome
+	ViolationFound               // Request, Reason: the violated invariant
 )
 
 var kindNames = [...]string{"phase", "connection opened", "connection closed", "request read", "request ended",
 	"attempt started", "attempt withheld", "attempt written", "attempt ended", "violation"}
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -43,19 +42,19 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one recorded event. Which fields are used depends on Kind.
 type Event struct {
 	At         time.Time
 	Kind       Kind
-	Request    string // Request-Id
-	Server     string // discovery's name for it
+	Request    string // value of Request-Id
+	Server     string // name in discovery
 	Reason     string
-	Connection uint64 // number of the client's connection, from 1 on
-	Attempt    int    // of the request, from 0 on
-	Status     int    // of HTTP
+	Connection uint64 // client connection, counted from 1
+	Attempt    int    // counted from 0 per request
+	Status     int    // HTTP status
 }
 
-// String words the event on one line. Text that a client chose is quoted.
+// String formats the event on one line. Client-supplied text is quoted.
 func (e Event) String() string {
 	var b strings.Builder
 	b.WriteString(e.At.Format("15:04:05.000000"))
@@ -79,18 +78,18 @@
 	return b.String()
 }
 
-// Log keeps the latest Capacity events. Its methods may be called from several
-// goroutines. A nil Log keeps nothing.
+// Log keeps the latest Capacity events. Its methods may be called from several goroutines.
+// A nil Log keeps nothing.
 type Log struct {
 	mu     sync.Mutex
 	events [Capacity]Event
 	total  uint64 // events added so far
 }
 
-// New makes an empty log.
+// New returns an empty log.
 func New() *Log { return &Log{} }
 
-// Add keeps an event. At is set to the present time if it is zero.
+// Add records an event. If At is zero, it is set to the current time.
 func (l *Log) Add(e Event) {
 	if l == nil {
 		return
@@ -104,8 +103,8 @@
 	l.total++
 }
 
-// Events gives the events that are still kept, the oldest first. With a
-// request's id it gives those of that request alone.
+// Events returns the events that are still kept, oldest first. If request is not empty, only
+// events of that request are returned.
 func (l *Log) Events(request string) []Event {
 	if l == nil {
 		return nil
@@ -121,8 +120,7 @@
 	return out
 }
 
-// Total tells how many events have been added so far, those that were
-// overwritten among them.
+// Total returns the number of events added so far, including overwritten ones.
 func (l *Log) Total() uint64 {
 	if l == nil {
 		return 0
@@ -132,8 +130,8 @@
 	return l.total
 }
 
-// Text words the events that Events gives, one a line, behind a first line that
-// tells how many are no longer kept.
+// Text formats the events that Events returns, one per line, after a line with the number of
+// overwritten events.
 func (l *Log) Text(request string) []byte {
 	events := l.Events(request)
 	var b strings.Builder
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestTheLatestEventsAreKept(t *testing.T) {
+func TestLogKeepsLatestEvents(t *testing.T) {
 	l := New()
 	const added = Capacity + 10
 	for i := range added {
@@ -16,20 +16,20 @@
 	}
 	events := l.Events("")
 	if len(events) != Capacity || events[0].Request != "10" || events[Capacity-1].Request != fmt.Sprint(added-1) {
-		t.Errorf("%d events are kept, from %q to %q", len(events), events[0].Request, events[len(events)-1].Request)
+		t.Errorf("kept %d events, from %q to %q", len(events), events[0].Request, events[len(events)-1].Request)
 	}
 	if got := l.Events("11"); len(got) != 1 || got[0].Connection != 12 {
-		t.Errorf("of request 11: %v", got)
+		t.Errorf("events of request 11: %v", got)
 	}
 	if got := l.Events("3"); got != nil {
-		t.Errorf("of a request that was overwritten: %v", got)
+		t.Errorf("events of an overwritten request: %v", got)
 	}
 	if text := string(l.Text("11")); !strings.HasPrefix(text, fmt.Sprintf("%d events, 10 overwritten\n", added)) || strings.Count(text, "\n") != 2 {
-		t.Errorf("worded as %q", text)
+		t.Errorf("text: %q", text)
 	}
 }
 
-func TestAnEventIsWordedOnOneLine(t *testing.T) {
+func TestEventIsFormattedOnOneLine(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6000, time.UTC)
 	for want, e := range map[string]Event{
 		`03:04:05.000006 phase reason="draining"`:                                       {Kind: PhaseChanged, Reason: "draining"},
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestANilLogKeepsNothing(t *testing.T) {
+func TestNilLogKeepsNothing(t *testing.T) {
 	var l *Log
 	l.Add(Event{Kind: RequestRead})
 	if l.Events("") != nil || l.Total() != 0 {
@@ -52,29 +52,29 @@
 	}
 }
 
-func TestEventsAreAddedFromManyGoroutines(t *testing.T) {
+func TestConcurrentAddAndRead(t *testing.T) {
 	l := New()
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		writers.Go(func() {
 			for range 2000 {
 				l.Add(Event{Kind: AttemptWritten, Request: "r", Server: "s"})
 				if len(l.Events("none")) != 0 {
-					t.Error("an event of nobody's request")
+					t.Error("got events of an unknown request")
 				}
 			}
 		})
 	}
-	all.Wait()
+	writers.Wait()
 	if l.Total() != 16000 {
-		t.Errorf("%d events were added", l.Total())
+		t.Errorf("total is %d events", l.Total())
 	}
 }
 
-func TestAddingAllocatesNothing(t *testing.T) {
+func TestAddDoesNotAllocate(t *testing.T) {
 	l := New()
 	if n := testing.AllocsPerRun(100, func() { l.Add(Event{Kind: RequestRead, Request: "r"}) }); n > 0 {
-		t.Errorf("%v allocations an event", n)
+		t.Errorf("%v allocations per event", n)
 	}
 }
 
