--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads the TOML files of operators: what is unknown, of the
-// wrong type or out of range is one line with the file, the line and the fix.
+// Package strict decodes operators' TOML files. Unknown keys, wrong types and invalid values
+// are reported on one line with the file, the line and how to fix them.
 package strict
 
 import (
@@ -14,44 +14,43 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-const maxFile = 1 << 20
+const maxFileBytes = 1 << 20
 
-// Error is what is wrong with a file, on one line.
+// Error describes a problem in a file on one line.
 type Error struct {
 	File string
 	Line int
-	Text string // what is wrong and the fix
+	Text string // the problem and its fix
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// Span is a time that is written with its unit, such as "500ms"; never
-// negative.
+// Span is a non-negative duration that is written with its unit, such as "500ms".
 type Span struct{ time.Duration }
 
-// UnmarshalText reads a time with its unit.
+// UnmarshalText parses a duration with its unit.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no time; write it with its unit, such as \"500ms\" or \"8.3s\"", text)
+		return fmt.Errorf("%q is not a duration; write it with its unit, such as \"500ms\" or \"8.3s\"", text)
 	}
 	if d < 0 {
-		return fmt.Errorf("%q is negative; times count from the start", text)
+		return fmt.Errorf("%q is negative; write a duration of 0 or more", text)
 	}
 	s.Duration = d
 	return nil
 }
 
-// MarshalText words the time with its unit.
+// MarshalText formats the duration with its unit.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.Duration.String()), nil }
 
-// Decode reads the text of a file into a struct that into points to. page
-// names the page that lists the keys. Every error is an *Error.
+// Decode decodes the content of a file into the struct that into points to. page names the
+// documentation of the keys, for errors. Every error is an *Error.
 func Decode(file string, raw []byte, into any, page string) error {
-	if len(raw) > maxFile {
+	if len(raw) > maxFileBytes {
 		return &Error{file, 1, "the file is over 1 MiB; split it"}
 	}
-	if line, key := bareTime(raw, timeKeys(reflect.TypeOf(into))); line > 0 {
+	if line, key := findBareDuration(raw, durationKeys(reflect.TypeOf(into))); line > 0 {
 		return &Error{file, line, key + ": nobody can tell what a bare number counts; write a time with its unit, such as \"500ms\" or \"8.3s\""}
 	}
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into); err != nil {
@@ -60,23 +59,23 @@
 	return nil
 }
 
-// explain puts a decoder's error on one line with the fix.
+// explain converts a decoder's error to an *Error.
 func explain(file string, err error, page string) error {
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) && len(strict.Errors) > 0 {
-		first := strict.Errors[0]
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
 		line, _ := first.Position()
 		return &Error{file, line, fmt.Sprintf("unknown key %s; remove it, or see %s for the keys there are", strings.Join(first.Key(), "."), page)}
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		text := strings.TrimPrefix(bad.Error(), "toml: ")
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		text := strings.TrimPrefix(decodeErr.Error(), "toml: ")
 		text, _, _ = strings.Cut(text, "\n")
 		if strings.Contains(text, "strict.Span") {
-			text = "want a time as text with its unit, such as \"500ms\" or \"8.3s\""
+			text = "want a duration as text with its unit, such as \"500ms\" or \"8.3s\""
 		}
-		if key := strings.Join(bad.Key(), "."); key != "" {
+		if key := strings.Join(decodeErr.Key(), "."); key != "" {
 			text = key + ": " + text
 		}
 		return &Error{file, line, text}
@@ -85,8 +84,8 @@
 	return &Error{file, 1, text}
 }
 
-// timeKeys gives the names of all keys of a struct that hold a time.
-func timeKeys(root reflect.Type) map[string]bool {
+// durationKeys returns the names of all keys of a struct that hold a duration.
+func durationKeys(root reflect.Type) map[string]bool {
 	keys := map[string]bool{}
 	var walk func(t reflect.Type)
 	walk = func(t reflect.Type) {
@@ -109,9 +108,9 @@
 	return keys
 }
 
-// bareTime finds a number where a time with its unit should be: the decoder
-// would report it without its line. It gives line 0 if there is none.
-func bareTime(raw []byte, times map[string]bool) (line int, key string) {
+// findBareDuration finds a number where a duration with a unit is expected, because the
+// decoder would report it without its line. It returns line 0 if there is none.
+func findBareDuration(raw []byte, keys map[string]bool) (line int, key string) {
 	var p unstable.Parser
 	p.Reset(raw)
 	for p.NextExpression() {
@@ -122,16 +121,15 @@
 		for it := e.Key(); it.Next(); {
 			line, key = p.Shape(p.Range(it.Node().Data)).Start.Line, string(it.Node().Data)
 		}
-		if times[key] {
+		if keys[key] {
 			return line, key
 		}
 	}
 	return 0, ""
 }
 
-// LineOf finds the line on which a key such as fault.2.at is set, or, if it is
-// not, the line of the table that it belongs to. Array tables count from 0,
-// nested ones over the whole file.
+// LineOf returns the line on which a key such as fault.2.at is set, or else the line of the
+// closest enclosing table. Array tables are counted from 0, nested ones over the whole file.
 func LineOf(raw []byte, key string) int {
 	lines := map[string]int{"": 1}
 	count := map[string]int{}
