--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -11,8 +11,8 @@
 	"ivylock/internal/strict"
 )
 
-// Fleet switches on that nodes tell one another what they act on; docs/audit.md
-// says what each key does. What is left out keeps its default.
+// Fleet is the section [fleet], which enables communication between nodes; docs/audit.md
+// describes its keys. Keys that are left out have their default.
 type Fleet struct {
 	ObserveOnly         bool        `toml:"only_watch"`
 	HelloInterval       strict.Span `toml:"hello"`
@@ -29,20 +29,20 @@
 	PauseThreshold      strict.Span `toml:"wake_gap"`
 	PauseHold           strict.Span `toml:"wake_hold"`
 
-	Membership      bool        `toml:"members"`     // nodes find out who is alive
-	ShareQuotas     bool        `toml:"quotas"`      // parts of tenants' quotas follow their traffic
-	ShareWork       bool        `toml:"work"`        // and so does each node's part of what all nodes do
-	Subsets         bool        `toml:"subsets"`     // who uses which server follows from who is alive
-	Guards          []int       `toml:"guards"`      // by whose leases parts go from the dead to the living; none: they stay with them
-	Slots           int         `toml:"seats"`       // that parts are cut into, where there are guards
-	MaxProcesses    int         `toml:"most"`        // nodes there may ever be, where there are guards
-	AllowedPrefixes []string    `toml:"strangers"`   // ranges of addresses that are heard beside the configured ones
-	RecordFile      string      `toml:"record_file"` // none if empty
+	Membership      bool        `toml:"members"`     // detect which nodes are alive
+	ShareQuotas     bool        `toml:"quotas"`      // divide tenants' quotas among nodes by their traffic
+	ShareWork       bool        `toml:"work"`        // divide work that is limited over all nodes by their traffic
+	Subsets         bool        `toml:"subsets"`     // assign servers to nodes by membership
+	Guards          []int       `toml:"guards"`      // nodes whose leases move slots from failed to live nodes; none: slots do not move
+	Slots           int         `toml:"seats"`       // into which shares are divided if there are guards
+	MaxProcesses    int         `toml:"most"`        // largest possible number of nodes if there are guards
+	AllowedPrefixes []string    `toml:"strangers"`   // address ranges accepted in addition to the configured nodes
+	RecordFile      string      `toml:"record_file"` // empty: no record file
 	RecordInterval  strict.Span `toml:"record_every"`
 }
 
-// MemberConfig is what package member takes of it; check has found that the ranges can be
-// read.
+// MemberConfig returns the configuration for package member. Prefixes that do not parse are
+// skipped; validate has rejected them.
 func (f *Fleet) MemberConfig() member.Config {
 	m := member.Config{Follow: follow.Settings{ObserveOnly: f.ObserveOnly, HelloInterval: f.HelloInterval.Duration, HelloFanout: f.HelloFanout, PushFanout: f.PushFanout, NarrowAfter: f.NarrowAfter.Duration,
 		CloseAfter: f.CloseAfter.Duration, BehindAfter: f.BehindAfter.Duration, ReopenJitter: f.ReopenJitter.Duration, OnePeerFraction: f.OnePeerFraction,
@@ -56,7 +56,7 @@
 	return m
 }
 
-func (f *Fleet) defaults() {
+func (f *Fleet) setDefaults() {
 	d := follow.DefaultSettings()
 	for _, x := range []struct {
 		span *strict.Span
@@ -85,12 +85,12 @@
 	}
 }
 
-// check gives the key of what is wrong, below fleet, and what to do.
-func (f *Fleet) check() (key, text string) {
+// validate returns the first invalid key, relative to fleet, and what to change.
+func (f *Fleet) validate() (key, text string) {
 	for _, x := range []struct {
-		key      string
-		v        strict.Span
-		low, top time.Duration
+		key       string
+		v         strict.Span
+		low, high time.Duration
 	}{
 		{"hello", f.HelloInterval, 20 * time.Millisecond, 10 * time.Second},
 		{"narrow_after", f.NarrowAfter, 500 * time.Millisecond, time.Minute},
@@ -102,13 +102,13 @@
 		{"wake_hold", f.PauseHold, 10 * time.Millisecond, time.Second},
 		{"record_every", f.RecordInterval, 100 * time.Millisecond, time.Hour},
 	} {
-		if x.v.Duration < x.low || x.v.Duration > x.top {
-			return x.key, fmt.Sprintf("%s must be from %v to %v; it is %v", x.key, x.low, x.top, x.v.Duration)
+		if x.v.Duration < x.low || x.v.Duration > x.high {
+			return x.key, fmt.Sprintf("%s must be from %v to %v; it is %v", x.key, x.low, x.high, x.v.Duration)
 		}
 	}
 	switch {
 	case f.CloseAfter.Duration <= f.NarrowAfter.Duration:
-		return "close_after", "close_after must be longer than narrow_after: a process narrows before it closes"
+		return "close_after", "close_after must be longer than narrow_after"
 	case f.HelloFanout < 1 || f.HelloFanout > 64:
 		return "hello_to", "hello_to must be from 1 to 64"
 	case f.PushFanout < 1 || f.PushFanout > 64:
@@ -124,10 +124,10 @@
 	}
 	for _, text := range f.AllowedPrefixes {
 		if p, err := netip.ParsePrefix(text); err != nil || !p.Addr().Is4() {
-			return "strangers", fmt.Sprintf("strangers: %q is no range of IPv4 addresses, such as \"10.3.0.0/16\"", text)
+			return "strangers", fmt.Sprintf("strangers: %q is not a range of IPv4 addresses, such as \"10.3.0.0/16\"", text)
 		}
 	}
-	if key, text := f.checkGuards(); text != "" {
+	if key, text := f.validateGuards(); text != "" {
 		return key, text
 	}
 	if f.OnePeerFraction > f.AllPeersFraction {
@@ -136,11 +136,11 @@
 	return "", ""
 }
 
-func (f *Fleet) checkGuards() (key, text string) {
+func (f *Fleet) validateGuards() (key, text string) {
 	seen := map[int]bool{}
 	for _, g := range f.Guards {
 		if g < 0 || g >= 4096 || seen[g] {
-			return "guards", fmt.Sprintf("guards are numbers of processes, each once, from 0 to 4095; %d is not", g)
+			return "guards", fmt.Sprintf("guards must be distinct process numbers from 0 to 4095; %d is invalid or a duplicate", g)
 		}
 		seen[g] = true
 	}
@@ -152,11 +152,11 @@
 	case f.MaxProcesses < 1 || f.MaxProcesses > member.FirstControlID:
 		return "most", fmt.Sprintf("most must be from 1 to %d", member.FirstControlID)
 	case len(f.Guards) > 0 && !f.Membership:
-		return "guards", "guards want members = true: parts go to the living"
+		return "guards", "guards requires members = true"
 	case f.Subsets && !f.Membership:
-		return "subsets", "subsets wants members = true: they follow from who is alive"
+		return "subsets", "subsets requires members = true"
 	case len(f.AllowedPrefixes) > 0 && !f.Membership:
-		return "strangers", "strangers wants members = true: who joins is a member first"
+		return "strangers", "strangers requires members = true"
 	}
 	return "", ""
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -8,7 +8,7 @@
 	"ivylock/internal/strict"
 )
 
-const good = `[control]
+const validConfig = `[control]
 listen = "127.0.0.1:18000"
 plain_text = true
 discovery = "127.0.0.1:7000"
@@ -31,8 +31,8 @@
 key_window = "8s"
 `
 
-func TestAGoodFile(t *testing.T) {
-	f, err := Parse("operator.toml", []byte(good))
+func TestParseValidFile(t *testing.T) {
+	f, err := Parse("operator.toml", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,15 +40,15 @@
 		t.Errorf("%+v", c)
 	}
 	if f, err := Parse("operator.toml", []byte("# nothing is on\n")); err != nil || f.Control != nil {
-		t.Errorf("an empty file: %+v, %v", f, err)
+		t.Errorf("a file without sections: %+v, %v", f, err)
 	}
 }
 
-func TestABadFileIsOneLineWithTheFix(t *testing.T) {
+func TestParseErrorsNameLineAndFix(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
 		line     int
-		says     string
+		want     string
 	}{
 		{`listen =`, `lissten =`, 2, "unknown key"},
 		{`"127.0.0.1:18000"`, `"here"`, 2, "host:port"},
@@ -58,7 +58,7 @@
 		{`"127.0.0.1:7000"`, `""`, 4, "discovery"},
 		{`discovery =`, "lease = \"400ms\"\ndiscovery =", 4, "lease must be from 60ms to 250ms"},
 		{`discovery =`, "lease = 200\ndiscovery =", 4, "bare number"},
-		{`discovery =`, "held = \"soon\"\ndiscovery =", 4, "no time"},
+		{`discovery =`, "held = \"soon\"\ndiscovery =", 4, "not a duration"},
 		{`discovery =`, "max_streams = -1\ndiscovery =", 4, "max_streams"},
 		{`discovery =`, "max_streams = \"many\"\ndiscovery =", 4, ""},
 		{`discovery =`, "change_by = 1.0\ndiscovery =", 4, "change_by"},
@@ -73,28 +73,28 @@
 		{`aim = "500ms"`, `aim = "0s"`, 12, "aim"},
 		{`[control]`, `[control`, 1, ""},
 	} {
-		_, err := Parse("operator.toml", []byte(strings.Replace(good, c.from, c.to, 1)))
+		_, err := Parse("operator.toml", []byte(strings.Replace(validConfig, c.from, c.to, 1)))
 		var e *strict.Error
 		if !errors.As(err, &e) {
 			t.Errorf("%s: %v", c.to, err)
 			continue
 		}
-		if e.Line != c.line || !strings.Contains(e.Text, c.says) || strings.Contains(e.Error(), "\n") {
-			t.Errorf("%q: %v (wanted line %d, %q)", c.to, e, c.line, c.says)
+		if e.Line != c.line || !strings.Contains(e.Text, c.want) || strings.Contains(e.Error(), "\n") {
+			t.Errorf("%q: %v (wanted line %d, %q)", c.to, e, c.line, c.want)
 		}
 	}
-	secure := strings.Replace(good, "plain_text = true", "cert = \"c\"\nkey = \"k\"\nclient_ca = \"a\"", 1)
-	if _, err := Parse("operator.toml", []byte(secure)); err == nil || !strings.Contains(err.Error(), "proxies") {
-		t.Errorf("with TLS and nobody allowed: %v", err)
+	withTLS := strings.Replace(validConfig, "plain_text = true", "cert = \"c\"\nkey = \"k\"\nclient_ca = \"a\"", 1)
+	if _, err := Parse("operator.toml", []byte(withTLS)); err == nil || !strings.Contains(err.Error(), "proxies") {
+		t.Errorf("with TLS and no allowed proxies: %v", err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfig))
 	f.Add([]byte("[control]\n[[control.service]]\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if _, err := Parse("f", raw); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %q", err)
+			t.Errorf("more than one line: %q", err)
 		}
 	})
 }
