--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable replaces files whole: whoever reads one, after whatever failure of a
-// process, a disk or a machine, finds the old content or the new one.
+// Package durable replaces files atomically: after a failure of a process, a disk or a
+// machine, a reader finds either the old content or the new one.
 package durable
 
 import (
@@ -9,7 +9,7 @@
 	"path/filepath"
 )
 
-// file is what Write does with the new content before that has its name.
+// file is a temporary file.
 type file interface {
 	io.Writer
 	Sync() error
@@ -17,50 +17,51 @@
 	Name() string
 }
 
-// folder is what the operating system does for Write. Tests replace it.
-type folder struct {
+// fileSystem holds the file system operations of WriteFile. Tests replace it.
+type fileSystem struct {
 	create func(dir, pattern string) (file, error)
 	rename func(from, to string) error
 	remove func(name string) error
 	sync   func(dir string) error
 }
 
-var system = folder{
+var osFileSystem = fileSystem{
 	create: func(dir, pattern string) (file, error) { return os.CreateTemp(dir, pattern) },
 	rename: os.Rename,
 	remove: os.Remove,
-	sync:   syncFolder,
+	sync:   syncDir,
 }
 
-// WriteFile replaces the file at path by one with this content, for the owner alone: it
-// writes a temporary file beside it (path, a dot and digits), has that on the disk,
-// renames it and has the name on the disk. After an error the old content stands, or,
-// if only the last step failed, the new one; the temporary file is gone. One that a
-// process left that was killed may be removed by whoever holds the right to write.
-func WriteFile(path string, content []byte) error { return system.write(path, content) }
+// WriteFile atomically replaces the content of the file at path, with mode 0600. It writes
+// and syncs a temporary file in the same directory (path, a dot and digits), renames it and
+// syncs the directory. On error the temporary file is removed and the old content is
+// unchanged, except that if only the last sync failed the file has its new content. A process
+// that is killed may leave its temporary file behind; it is safe to remove it when no other
+// process writes the file.
+func WriteFile(path string, content []byte) error { return osFileSystem.write(path, content) }
 
-func (s folder) write(path string, content []byte) error {
+func (s fileSystem) write(path string, content []byte) error {
 	dir, name := filepath.Split(path)
 	if dir == "" {
 		dir = "."
 	}
-	temporary, err := s.create(dir, name+".*")
+	tempFile, err := s.create(dir, name+".*")
 	if err != nil {
 		return err
 	}
-	if err := fill(temporary, content); err != nil {
-		s.remove(temporary.Name())
+	if err := writeAndClose(tempFile, content); err != nil {
+		s.remove(tempFile.Name())
 		return err
 	}
-	if err := s.rename(temporary.Name(), path); err != nil {
-		s.remove(temporary.Name())
+	if err := s.rename(tempFile.Name(), path); err != nil {
+		s.remove(tempFile.Name())
 		return err
 	}
 	return s.sync(dir)
 }
 
-// fill writes the content of a new file, has it on the disk and closes the file.
-func fill(f file, content []byte) error {
+// writeAndClose writes, syncs and closes a new file.
+func writeAndClose(f file, content []byte) error {
 	n, err := f.Write(content)
 	if err == nil && n < len(content) {
 		err = io.ErrShortWrite
@@ -68,15 +69,14 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-// syncFolder has the names in a folder on the disk: without it a rename may be undone by
-// a machine that fails.
-func syncFolder(dir string) error {
+// syncDir syncs a directory; without it, a machine failure may undo a rename.
+func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// TestMain lets a test start this program as a process that writes until it is killed.
+// TestMain lets the test start this binary as a process that writes until it is killed.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("DURABLE_TEST_WRITE"); path != "" {
 		for number := 0; ; number++ {
@@ -30,19 +30,19 @@
 	os.Exit(m.Run())
 }
 
-// content is some 100 KB that can be told to be whole.
+// content returns about 100 KB with a checksum.
 func content(number int) []byte {
 	body := bytes.Repeat([]byte(strconv.Itoa(number)+"\n"), 50_000/len(strconv.Itoa(number)))
 	return append(fmt.Appendf(nil, "%08x\n", crc32.ChecksumIEEE(body)), body...)
 }
 
-func whole(raw []byte) bool {
+func isComplete(raw []byte) bool {
 	sum, body, found := bytes.Cut(raw, []byte("\n"))
 	return found && string(sum) == fmt.Sprintf("%08x", crc32.ChecksumIEEE(body))
 }
 
-// A process that is killed at any step of a write leaves a file that is whole.
-func TestAKilledWriterLeavesAWholeFile(t *testing.T) {
+// A process killed at any step of a write leaves a complete file.
+func TestKilledWriterLeavesCompleteFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	const kills = 60
 	for i := range kills {
@@ -56,18 +56,18 @@
 			t.Fatal(err)
 		}
 		if line, err := bufio.NewReader(out).ReadString('\n'); line != "writes\n" {
-			t.Fatalf("it says %q, %v", line, err)
+			t.Fatalf("writer printed %q, %v", line, err)
 		}
 		time.Sleep(time.Duration(i*137) * time.Microsecond)
 		writer.Process.Kill()
 		writer.Wait()
-		if raw, err := os.ReadFile(path); err != nil || !whole(raw) {
+		if raw, err := os.ReadFile(path); err != nil || !isComplete(raw) {
 			t.Fatalf("kill %d left %d bytes, %v", i, len(raw), err)
 		}
 	}
 }
 
-// failingFile fails one step of its writing.
+// failingFile fails one step of a write.
 type failingFile struct {
 	file
 	write, sync, close error
@@ -95,25 +95,25 @@
 	return f.close
 }
 
-// Whichever step fails, the old content stands and nothing is left beside it, and the next write
-// gets through.
-func TestAWriteThatFailsLeavesTheOldContent(t *testing.T) {
-	with := func(wrap func(file) file) folder {
-		s := system
+// Whichever step fails, the old content is unchanged, no temporary file remains, and the next
+// write succeeds.
+func TestFailedWriteKeepsOldContent(t *testing.T) {
+	withFile := func(wrap func(file) file) fileSystem {
+		s := osFileSystem
 		s.create = func(dir, pattern string) (file, error) {
-			f, err := system.create(dir, pattern)
+			f, err := osFileSystem.create(dir, pattern)
 			return wrap(f), err
 		}
 		return s
 	}
-	noCreate, noRename := system, system
+	noCreate, noRename := osFileSystem, osFileSystem
 	noCreate.create = func(string, string) (file, error) { return nil, syscall.ENOSPC }
 	noRename.rename = func(string, string) error { return syscall.EIO }
-	for name, s := range map[string]folder{
+	for name, s := range map[string]fileSystem{
 		"create": noCreate, "rename": noRename,
-		"write": with(func(f file) file { return failingFile{file: f, write: syscall.ENOSPC} }),
-		"sync":  with(func(f file) file { return failingFile{file: f, sync: syscall.EIO} }),
-		"close": with(func(f file) file { return failingFile{file: f, close: syscall.EIO} }),
+		"write": withFile(func(f file) file { return failingFile{file: f, write: syscall.ENOSPC} }),
+		"sync":  withFile(func(f file) file { return failingFile{file: f, sync: syscall.EIO} }),
+		"close": withFile(func(f file) file { return failingFile{file: f, close: syscall.EIO} }),
 	} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "state")
@@ -124,7 +124,7 @@
 			t.Errorf("%s: no error", name)
 		}
 		if raw, err := os.ReadFile(path); string(raw) != "old" || err != nil {
-			t.Errorf("%s: it holds %q, %v", name, raw, err)
+			t.Errorf("%s: content %q, %v", name, raw, err)
 		}
 		if files, _ := os.ReadDir(dir); len(files) != 1 {
 			t.Errorf("%s: %d files", name, len(files))
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestTheFileIsItsOwnersAlone(t *testing.T) {
+func TestFileIsPrivateToOwner(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	if err := WriteFile(path, []byte("x")); err != nil {
 		t.Fatal(err)
