--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// gate is a destination that takes nothing until it is opened.
-type gate struct {
-	opened chan struct{}
+// blockingWriter blocks writes until unblocked is closed.
+type blockingWriter struct {
+	unblocked chan struct{}
 	bytes.Buffer
 }
 
-func (g *gate) Write(b []byte) (int, error) {
-	<-g.opened
-	return g.Buffer.Write(b)
+func (w *blockingWriter) Write(b []byte) (int, error) {
+	<-w.unblocked
+	return w.Buffer.Write(b)
 }
 
-func TestLinesComeInOrder(t *testing.T) {
-	g := &gate{opened: make(chan struct{})}
-	close(g.opened)
+func TestLinesAreWrittenInOrder(t *testing.T) {
+	w := &blockingWriter{unblocked: make(chan struct{})}
+	close(w.unblocked)
 	var dropped atomic.Int64
-	s := New(g, &dropped)
+	s := New(w, &dropped)
 	line := []byte("0\n")
 	for i := range 5 {
-		line[0] = byte('0' + i) // the caller uses its buffer again
+		line[0] = byte('0' + i) // the caller reuses its buffer
 		if n, err := s.Write(line); n != len(line) || err != nil {
 			t.Fatalf("%d, %v", n, err)
 		}
@@ -36,15 +36,15 @@
 	if !s.Flush(10 * time.Second) {
 		t.Fatal("not written")
 	}
-	if got := g.String(); got != "0\n1\n2\n3\n4\n" || dropped.Load() != 0 {
+	if got := w.String(); got != "0\n1\n2\n3\n4\n" || dropped.Load() != 0 {
 		t.Errorf("%q, %d dropped", got, dropped.Load())
 	}
 }
 
-func TestNobodyWaitsForADestinationThatHangs(t *testing.T) {
-	g := &gate{opened: make(chan struct{})}
+func TestBlockedDestinationDoesNotBlockWriters(t *testing.T) {
+	w := &blockingWriter{unblocked: make(chan struct{})}
 	var dropped atomic.Int64
-	s := New(g, &dropped)
+	s := New(w, &dropped)
 	const lines = 3 * QueueLength
 	for i := range lines {
 		fmt.Fprintln(s, i)
@@ -55,26 +55,25 @@
 	if d := dropped.Load(); d < lines-QueueLength-1 {
 		t.Errorf("%d dropped", d)
 	}
-	close(g.opened)
+	close(w.unblocked)
 	if !s.Flush(10 * time.Second) {
 		t.Fatal("not written")
 	}
-	if want := fmt.Sprintf("%d lines were dropped", dropped.Load()); strings.Count(g.String(), want) != 1 {
-		t.Errorf("it does not say that %s", want)
+	if want := fmt.Sprintf("%d lines were dropped", dropped.Load()); strings.Count(w.String(), want) != 1 {
+		t.Errorf("the log does not contain: %s", want)
 	}
 }
 
-// failing is a destination that takes nothing.
-type failing struct{}
+type failingWriter struct{}
 
-func (failing) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
 
-func TestAnErrorOfTheDestinationEndsNothing(t *testing.T) {
+func TestWriteErrorsDoNotStopSink(t *testing.T) {
 	var dropped atomic.Int64
-	s := New(failing{}, &dropped)
+	s := New(failingWriter{}, &dropped)
 	fmt.Fprintln(s, "one")
 	fmt.Fprintln(s, "two")
 	if !s.Flush(10 * time.Second) {
-		t.Error("it stopped at an error")
+		t.Error("the sink stopped after a write error")
 	}
 }
