--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,7 +1,6 @@
-// Package loadreport reads servers' accounts of their own load. Their values
-// go by the names of the settings (report.fields: active, waiting), or by those
-// of the protocol page (inflight, queue): deployments differ in it, and a name
-// that is not known leaves a node blind without a word.
+// Package loadreport parses the load reports of servers. It accepts both naming schemes for
+// their fields, since deployments use either one: those of the settings (report.fields:
+// active, waiting) and those of the protocol (inflight, queue).
 package loadreport
 
 import (
@@ -12,7 +11,7 @@
 	"ivylock/balance"
 )
 
-// setters is what each name sets.
+// setters maps field names to the functions that set them.
 var setters = map[string]func(*balance.Report, float64){}
 
 func init() {
@@ -28,41 +27,41 @@
 	}
 }
 
-// Known tells whether a name is one that reports are read by.
+// Known reports whether a field name is recognised.
 func Known(name string) bool { return setters[name] != nil }
 
-// Builder puts a report together.
+// Builder collects the fields of a report.
 type Builder struct {
-	r     balance.Report
-	known bool
+	report balance.Report
+	known  bool
 }
 
-// Add takes one value. What it does not know, or can not be, it skips.
-func (r *Builder) Add(name, value string) {
+// Add sets one field. Unknown names and values out of range are ignored.
+func (b *Builder) Add(name, value string) {
 	v, err := strconv.ParseFloat(value, 64)
 	if set := setters[name]; set != nil && err == nil && v >= 0 && v < 1e12 {
-		set(&r.r, v)
-		r.known = true
+		set(&b.report, v)
+		b.known = true
 	}
 }
 
-// Report gives the report; nil if no value was taken.
-func (r *Builder) Report() *balance.Report {
-	if !r.known {
+// Report returns the report, or nil if no field was set.
+func (b *Builder) Report() *balance.Report {
+	if !b.known {
 		return nil
 	}
-	return &r.r
+	return &b.report
 }
 
-// Parse reads name=value pairs, as servers write them on sockets.
+// Parse parses comma-separated name=value pairs.
 func Parse(text string) *balance.Report {
 	if text == "" {
 		return nil
 	}
-	var r Builder
+	var b Builder
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		r.Add(name, value)
+		b.Add(name, value)
 	}
-	return r.Report()
+	return b.Report()
 }
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -7,9 +7,9 @@
 	if r == nil || r.InFlight != 7 || !r.HasInFlight || r.Queue != 2 || !r.HasQueue || r.Utilisation != 0.61 || r.Rate != 0 {
 		t.Errorf("got %+v", r)
 	}
-	// Guards against names that only one of the two pages uses.
+	// The naming scheme of the settings.
 	if r := Parse("active=14.201,waiting=10.004"); r == nil || r.InFlight != 14.201 || r.Queue != 10.004 {
-		t.Errorf("by the settings' names: got %+v", r)
+		t.Errorf("names of the settings: got %+v", r)
 	}
 	for _, text := range []string{"", "odd=1", "inflight", "inflight=Inf", ",,="} {
 		if r := Parse(text); r != nil {
