--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -1,4 +1,4 @@
-// Package neterr names the errors of system calls, for figures and logs.
+// Package neterr classifies the errors of system calls for metrics and logs.
 package neterr
 
 import (
@@ -6,8 +6,7 @@
 	"syscall"
 )
 
-// names are the errors that are told apart, in the order of their numbers; the last
-// one stands for all others.
+// names lists the errors that are distinguished; the last entry stands for all others.
 var names = []struct {
 	errno syscall.Errno
 	name  string
@@ -20,7 +19,7 @@
 	{syscall.EIO, "EIO"}, {syscall.ENOSPC, "ENOSPC"}, {syscall.EROFS, "EROFS"}, {0, "other"},
 }
 
-// Names gives the names, by their numbers.
+// Names returns the names by index.
 func Names() []string {
 	out := make([]string, len(names))
 	for i, n := range names {
@@ -29,7 +28,7 @@
 	return out
 }
 
-// Index gives the number of an error's name.
+// Index returns the index of an error's name.
 func Index(err error) int {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
@@ -42,11 +41,11 @@
 	return len(names) - 1
 }
 
-// IsLocalTransient tells that an error is for a moment and of this machine alone: it had no
-// descriptor, port or memory left, or was interrupted. Nothing went out, and it says
-// nothing of the other side.
+// IsLocalTransient reports whether an error is a temporary condition of this machine, such as
+// exhausted descriptors, ports or memory, or an interrupted call. Nothing was sent, and the
+// error says nothing about the peer.
 func IsLocalTransient(err error) bool {
-	for _, errno := range exhausted {
+	for _, errno := range localTransient {
 		if errors.Is(err, errno) {
 			return true
 		}
@@ -54,8 +53,8 @@
 	return false
 }
 
-var exhausted = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
+var localTransient = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 	syscall.EAGAIN, syscall.EINTR, syscall.ENETDOWN}
 
-// Name names an error.
+// Name returns the name of an error.
 func Name(err error) string { return names[Index(err)].name }
