--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -1,5 +1,4 @@
-// Package recordfile keeps a process's records (package version) in the file that
-// the operator names.
+// Package recordfile appends a process's version records to the operator's record file.
 package recordfile
 
 import (
@@ -9,18 +8,18 @@
 	"ivylock/fleet/version"
 )
 
-const mostBytes = 16 << 20 // of a file; then it is set aside and begun anew
+const maxBytes = 16 << 20 // then the file is rotated
 
-// Append adds a record to a file. A file that has become too long is set aside
-// under one other name, so that two files are kept at most.
+// Append appends a record to a file. A file that would exceed its maximum size is renamed to
+// path.old first, replacing an earlier one.
 func Append(path string, r *version.Record) error {
 	line, err := version.AppendLine(nil, r)
 	if err != nil {
 		return err
 	}
-	if st, err := os.Stat(path); err == nil && st.Size()+int64(len(line)) > mostBytes {
+	if info, err := os.Stat(path); err == nil && info.Size()+int64(len(line)) > maxBytes {
 		if err := os.Rename(path, path+".old"); err != nil {
-			return fmt.Errorf("set aside: %w", err)
+			return fmt.Errorf("rotate record file: %w", err)
 		}
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
