--- a/internal/wallclock/faults.go
+++ b/internal/wallclock/faults.go
@@ -9,17 +9,17 @@
 )
 
 var (
-	start         = time.Now()
-	steps, faulty = ParseSteps(os.Getenv(StepsVariable))
+	start           = time.Now()
+	steps, parseErr = ParseSteps(os.Getenv(StepsVariable))
 )
 
-// Check tells what is wrong with the steps in the environment, if anything is.
+// Check returns the error, if any, of the steps in the environment.
 func Check() error {
-	if faulty != nil {
-		return fmt.Errorf("%s: %w", StepsVariable, faulty)
+	if parseErr != nil {
+		return fmt.Errorf("%s: %w", StepsVariable, parseErr)
 	}
 	return nil
 }
 
-// stepped is by how much the clock has been stepped.
-func stepped() time.Duration { return sum(steps, time.Since(start)) }
+// offset returns the sum of the steps so far.
+func offset() time.Duration { return offsetAfter(steps, time.Since(start)) }
--- a/internal/wallclock/steady.go
+++ b/internal/wallclock/steady.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Check tells that this build has no faults, if it is told of some.
+// Check returns an error if the environment has steps, which this build does not support.
 func Check() error {
 	if os.Getenv(StepsVariable) != "" {
-		return fmt.Errorf("%s is set, and this build injects no faults; remove it, or build with -tags faults", StepsVariable)
+		return fmt.Errorf("%s is set, but this build does not inject faults; unset it, or build with -tags faults", StepsVariable)
 	}
 	return nil
 }
 
-// stepped is by how much the clock has been stepped.
-func stepped() time.Duration { return 0 }
+// offset returns 0: this build injects no steps.
+func offset() time.Duration { return 0 }
--- a/internal/wallclock/steps.go
+++ b/internal/wallclock/steps.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Step is one step of the wall clock.
+// Step is an injected step of the wall clock.
 type Step struct {
-	After time.Duration // the process's start
-	By    time.Duration // forward; below 0: back
+	After time.Duration // since the process's start
+	By    time.Duration // positive: forward
 }
 
-// mostSteps bounds a schedule.
-const mostSteps = 100
+// maxSteps limits the steps of a schedule.
+const maxSteps = 100
 
-// ParseSteps reads steps in their order, such as "0s:+1h,2.5s:-30s": spans after the
-// process's start and by how much. The empty text is none.
+// ParseSteps parses steps in chronological order, such as "0s:+1h,2.5s:-30s": each has the time
+// after the process's start and the size of the step. An empty text has no steps.
 func ParseSteps(text string) (steps []Step, err error) {
 	if text == "" {
 		return nil, nil
@@ -25,27 +25,27 @@
 	for _, part := range strings.Split(text, ",") {
 		after, by, found := strings.Cut(part, ":")
 		if !found {
-			return nil, fmt.Errorf("%q is no step; write one like 2.5s:-30s", part)
+			return nil, fmt.Errorf("%q is not a step; write one like 2.5s:-30s", part)
 		}
 		var s Step
 		if s.After, err = time.ParseDuration(after); err != nil || s.After < 0 {
-			return nil, fmt.Errorf("%q is no time after the start; write one like 2.5s", after)
+			return nil, fmt.Errorf("%q is not a time after the start; write one like 2.5s", after)
 		}
 		if s.By, err = time.ParseDuration(by); err != nil {
-			return nil, fmt.Errorf("%q is no step; write one like -30s", by)
+			return nil, fmt.Errorf("%q is not the size of a step; write one like -30s", by)
 		}
 		steps = append(steps, s)
 	}
-	if len(steps) > mostSteps {
-		return nil, fmt.Errorf("%d steps are over the bound of %d", len(steps), mostSteps)
+	if len(steps) > maxSteps {
+		return nil, fmt.Errorf("%d steps exceed the limit of %d", len(steps), maxSteps)
 	}
 	if !slices.IsSortedFunc(steps, func(a, b Step) int { return int(a.After - b.After) }) {
-		return nil, fmt.Errorf("%q is not in the order of its times; sort it", text)
+		return nil, fmt.Errorf("the steps in %q are not in chronological order; sort them", text)
 	}
 	return steps, nil
 }
 
-// FormatSteps words steps as ParseSteps reads them.
+// FormatSteps formats steps in the syntax of ParseSteps.
 func FormatSteps(steps []Step) string {
 	var parts []string
 	for _, s := range steps {
@@ -54,8 +54,8 @@
 	return strings.Join(parts, ",")
 }
 
-// sum is by how much steps have moved the clock so long after the start.
-func sum(steps []Step, since time.Duration) (by time.Duration) {
+// offsetAfter returns the sum of the steps up to the given time after the start.
+func offsetAfter(steps []Step, since time.Duration) (by time.Duration) {
 	for _, s := range steps {
 		if s.After <= since {
 			by += s.By
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,34 +1,33 @@
-// Package wallclock is the one place in which the programs read the wall clock for more
-// than words to people. Spans are measured by the monotonic clock, which package time
-// reads; the wall clock may step at any time (docs/faults.md).
+// Package wallclock reads the wall clock, which may step at any time (docs/faults.md). All
+// code that uses Unix time for more than output takes it from here; durations are measured by
+// the monotonic clock of package time.
 //
-// A build with the tag "faults" has its wall clock step as StepsVariable says, so that
-// tests can see what real processes make of that.
+// Builds with the tag "faults" step the wall clock as StepsVariable says, for tests.
 package wallclock
 
 import "time"
 
-// StepsVariable names the environment's variable with the steps of the wall clock.
+// StepsVariable is the environment variable with the steps of the wall clock.
 const StepsVariable = "IVYLOCK_FAULTS_CLOCK"
 
-// Now is Unix time.
-func Now() time.Duration { return time.Duration(time.Now().UnixNano()) + stepped() }
+// Now returns the time since the Unix epoch.
+func Now() time.Duration { return time.Duration(time.Now().UnixNano()) + offset() }
 
-// Steady is a clock that begins with Unix time and then runs evenly, whatever the wall
-// clock does.
+// Steady is a clock that starts at Unix time and is not affected by later steps of the wall
+// clock.
 type Steady struct {
 	start  time.Time
 	origin time.Duration // Unix time at the start
 }
 
-// NewSteady starts one.
+// NewSteady returns a clock that starts now.
 func NewSteady() Steady { return Steady{start: time.Now(), origin: Now()} }
 
-// Now is the time since 1970 as the wall clock would tell it if it had not stepped.
+// Now returns the time since the Unix epoch, without steps after the clock's start.
 func (s Steady) Now() time.Duration { return s.origin + time.Since(s.start) }
 
-// Since is the time since the clock's start.
+// Since returns the time since the clock's start.
 func (s Steady) Since() time.Duration { return time.Since(s.start) }
 
-// Origin is Unix time at the clock's start.
+// Origin returns the Unix time at the clock's start.
 func (s Steady) Origin() time.Duration { return s.origin }
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-func TestStepsAreReadAsTheyAreWorded(t *testing.T) {
+func TestParseAndFormatSteps(t *testing.T) {
 	want := []Step{{0, time.Hour}, {2500 * time.Millisecond, -30 * time.Second}}
 	got, err := ParseSteps("0s:+1h,2.5s:-30s")
 	if err != nil || !slices.Equal(got, want) {
 		t.Fatalf("%v, %v", got, err)
 	}
 	if again, err := ParseSteps(FormatSteps(want)); err != nil || !slices.Equal(again, want) {
-		t.Errorf("%q is read as %v, %v", FormatSteps(want), again, err)
+		t.Errorf("%q parsed as %v, %v", FormatSteps(want), again, err)
 	}
 	if none, err := ParseSteps(""); none != nil || err != nil {
 		t.Errorf("%v, %v", none, err)
 	}
 	for _, bad := range []string{"x", "1s", "1s:", ":1s", "-1s:1s", "1:1s", "1s:5", "2s:1s,1s:1s", ","} {
 		if _, err := ParseSteps(bad); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 	for since, by := range map[time.Duration]time.Duration{0: time.Hour, 2 * time.Second: time.Hour, 3 * time.Second: time.Hour - 30*time.Second} {
-		if got := sum(want, since); got != by {
+		if got := offsetAfter(want, since); got != by {
 			t.Errorf("after %v: %v, want %v", since, got, by)
 		}
 	}
