--- a/internal/nodetest/listener.go
+++ b/internal/nodetest/listener.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// FailingListener is a TCP listener on loopback whose accepts fail with the errors that
-// a test puts into it, one each, before it accepts again.
+// FailingListener is a TCP listener on loopback whose next accepts fail with the errors in
+// Errors, one each.
 type FailingListener struct {
 	*net.TCPListener
 	Errors chan syscall.Errno
-	Calls  atomic.Int64 // of Accept
+	Calls  atomic.Int64 // calls of Accept
 }
 
-// NewFailingListener makes one that takes so many errors at once. It is closed with the
-// test.
+// NewFailingListener returns a listener that holds up to the given number of errors. It is
+// closed when the test ends.
 func NewFailingListener(t testing.TB, errors int) *FailingListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	return &FailingListener{TCPListener: l.(*net.TCPListener), Errors: make(chan syscall.Errno, errors)}
 }
 
-// Accept fails with the next error, if there is one, as the system would.
+// Accept returns the next error, if there is one, wrapped as package net does.
 func (l *FailingListener) Accept() (net.Conn, error) {
 	l.Calls.Add(1)
 	select {
--- a/internal/nodetest/nodetest.go
+++ b/internal/nodetest/nodetest.go
@@ -1,5 +1,5 @@
-// Package nodetest has what tests of the node's parts share: a configuration,
-// and servers that follow a script.
+// Package nodetest contains helpers for tests of the node's packages: a configuration,
+// addresses, listeners and scripted servers.
 package nodetest
 
 import (
@@ -16,11 +16,10 @@
 	"time"
 )
 
-// WaitTimeout bounds what a test waits for; nothing that passes takes nearly so
-// long.
+// WaitTimeout bounds waits in tests; it is far longer than any wait of a passing test.
 const WaitTimeout = 20 * time.Second
 
-// ConfigJSON is a valid configuration with these servers.
+// ConfigJSON returns a valid configuration with the given servers.
 func ConfigJSON(discovery string, servers ...string) string {
 	instances := []map[string]any{}
 	for i, addr := range servers {
@@ -41,8 +40,8 @@
 		"tick_ns":5000000,"zone":"z"}}`
 }
 
-// ClosedAddr is an address on loopback at which nobody listens, nor will while the test
-// runs: a socket that does not listen is bound to it, so that no other test gets its port.
+// ClosedAddr returns a loopback address that refuses connections until the test ends. A bound
+// socket that does not listen reserves its port.
 func ClosedAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -60,7 +59,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 }
 
-// FreeAddr is an address on loopback at which a process may listen.
+// FreeAddr returns a loopback address that was free to listen on.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,22 +70,22 @@
 	return l.Addr().String()
 }
 
-// ScriptedServer serves each connection by a script that sees what came in.
+// ScriptedServer handles the requests of each connection with a function of the test.
 type ScriptedServer struct {
 	Addr     string
 	mu       sync.Mutex
 	requests []*http.Request
 }
 
-// RequestCount tells how many requests have come.
-func (b *ScriptedServer) RequestCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.requests)
+// RequestCount returns the number of requests received.
+func (s *ScriptedServer) RequestCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.requests)
 }
 
-// NewScriptedServer calls serve for each request; serve tells whether the
-// connection goes on.
+// NewScriptedServer starts a server that calls serve for each request; serve reports whether
+// the connection stays open.
 func NewScriptedServer(t testing.TB, serve func(c net.Conn, r *http.Request) bool) *ScriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,7 +93,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	b := &ScriptedServer{Addr: l.Addr().String()}
+	s := &ScriptedServer{Addr: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -112,9 +111,9 @@
 					if _, err := io.Copy(io.Discard, req.Body); err != nil {
 						return
 					}
-					b.mu.Lock()
-					b.requests = append(b.requests, req)
-					b.mu.Unlock()
+					s.mu.Lock()
+					s.requests = append(s.requests, req)
+					s.mu.Unlock()
 					if !serve(c, req) {
 						return
 					}
@@ -122,24 +121,23 @@
 			}()
 		}
 	}()
-	return b
+	return s
 }
 
-// WriteResponse writes a whole answer.
+// WriteResponse writes a complete response. It reports whether the write succeeded.
 func WriteResponse(c net.Conn, head, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	return err == nil
 }
 
-// BlockedListener is a listener to which connections do not come up until it is let go: its
-// backlog is full, so the kernel drops what knocks. Dials knock again 1 s after they began
-// and some more times, at most once a second.
+// BlockedListener is a listener whose backlog is full until Release is called, so that the
+// kernel drops connection attempts. Clients retry after 1 s, then at most once a second.
 type BlockedListener struct {
 	net.Listener
-	filler []net.Conn
+	backlog []net.Conn
 }
 
-// NewBlockedListener makes one on loopback.
+// NewBlockedListener returns a listener on loopback.
 func NewBlockedListener(t testing.TB) *BlockedListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -163,24 +161,24 @@
 	for range 8 {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 50*time.Millisecond)
 		if err != nil {
-			return h // full
+			return h
 		}
-		h.filler = append(h.filler, c)
+		h.backlog = append(h.backlog, c)
 	}
 	t.Fatal("the backlog does not fill up")
 	return nil
 }
 
-// Release makes room: what knocks from now on comes up.
-func (h *BlockedListener) Release(t testing.TB) {
+// Release empties the backlog, so that connections succeed from then on.
+func (l *BlockedListener) Release(t testing.TB) {
 	t.Helper()
-	for _, c := range h.filler {
-		got, err := h.Accept()
+	for _, c := range l.backlog {
+		got, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		got.Close()
 		c.Close()
 	}
-	h.filler = nil
+	l.backlog = nil
 }
--- a/internal/nodetest/nodetest_test.go
+++ b/internal/nodetest/nodetest_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// Nobody answers at a closed address, and nobody else gets it.
-func TestAClosedAddressStaysClosed(t *testing.T) {
+// A closed address refuses connections and cannot be bound by another listener.
+func TestClosedAddr(t *testing.T) {
 	addr := ClosedAddr(t)
 	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("dialled: %v", err)
 	}
 	if l, err := net.Listen("tcp", addr); err == nil {
 		l.Close()
-		t.Error("another listens there")
+		t.Error("another listener was bound to the address")
 	}
 }
