--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -1,4 +1,4 @@
-// Package build tells which build of a program runs.
+// Package build identifies the build of the running program.
 package build
 
 import (
@@ -8,11 +8,11 @@
 	"ivylock/fleet/version"
 )
 
-// Digest is the digest of the program's version, as the runtime tells it; 0 if it is
-// not told.
+// Digest returns the digest of the program's version and revision, or 0 if the build
+// information is missing.
 func Digest() uint16 {
-	info, told := debug.ReadBuildInfo()
-	if !told {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
 		return 0
 	}
 	text := info.Main.Version
