--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -1,5 +1,3 @@
-// The standing terms: what decides touches nothing of the world, and the node
-// stays lean.
 package arch
 
 import (
@@ -13,10 +11,10 @@
 	"testing"
 )
 
-// decide lists the packages that decide or judge: no I/O, no clock, no
-// goroutine, events in and actions out. A file behind a package's name is all
-// that counts of it, where its other files put a model on sockets.
-var decide = map[string]string{
+// decisionPackages lists the packages that decide or judge. They receive events and return
+// actions, without I/O, clocks or goroutines. If a file is named, only that file of the
+// package is checked.
+var decisionPackages = map[string]string{
 	"balance":              "",
 	"guard":                "",
 	"fleet/version":        "",
@@ -42,20 +40,20 @@
 	"internal/lab/history": "sort.go",
 }
 
-// worldly are imports that touch the world.
-var worldly = []string{"os", "net", "io", "syscall", "log", "runtime", "context", "crypto/rand", "math/rand", "bufio"}
+// ioImports are the imports that decision packages must not have.
+var ioImports = []string{"os", "net", "io", "syscall", "log", "runtime", "context", "crypto/rand", "math/rand", "bufio"}
 
-// clocks are what package time has beside its types.
-var clocks = map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true,
+// clockFunctions are the functions of package time that read a clock or wait.
+var clockFunctions = map[string]bool{"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true,
 	"NewTimer": true, "NewTicker": true, "Tick": true}
 
-// faults tells how a file breaks the terms.
-func faults(fset *token.FileSet, f *ast.File) []string {
+// violations lists the rules that a file violates.
+func violations(fset *token.FileSet, f *ast.File) []string {
 	var out []string
 	for _, i := range f.Imports {
 		path, _ := strconv.Unquote(i.Path.Value)
-		for _, w := range worldly {
-			if path == w || strings.HasPrefix(path, w+"/") && path != "math/rand/v2" && path != "net/netip" { // that one is values alone
+		for _, w := range ioImports {
+			if path == w || strings.HasPrefix(path, w+"/") && path != "math/rand/v2" && path != "net/netip" { // net/netip has values only
 				out = append(out, "imports "+path)
 			}
 		}
@@ -65,7 +63,7 @@
 		case *ast.GoStmt:
 			out = append(out, "starts a goroutine at "+fset.Position(n.Pos()).String())
 		case *ast.SelectorExpr:
-			if x, is := n.X.(*ast.Ident); is && x.Name == "time" && clocks[n.Sel.Name] {
+			if x, ok := n.X.(*ast.Ident); ok && x.Name == "time" && clockFunctions[n.Sel.Name] {
 				out = append(out, "reads a clock at "+fset.Position(n.Pos()).String())
 			}
 		}
@@ -74,14 +72,14 @@
 	return out
 }
 
-func TestWhatDecidesTouchesNothing(t *testing.T) {
-	for dir, only := range decide {
+func TestDecisionPackagesHaveNoSideEffects(t *testing.T) {
+	for dir, onlyFile := range decisionPackages {
 		files, err := filepath.Glob(filepath.Join("..", "..", filepath.FromSlash(dir), "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: no files, %v", dir, err)
 		}
 		for _, file := range files {
-			if name := filepath.Base(file); strings.HasSuffix(name, "_test.go") || only != "" && name != only {
+			if name := filepath.Base(file); strings.HasSuffix(name, "_test.go") || onlyFile != "" && name != onlyFile {
 				continue
 			}
 			fset := token.NewFileSet()
@@ -89,15 +87,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, what := range faults(fset, f) {
-				t.Errorf("%s %s", file, what)
+			for _, violation := range violations(fset, f) {
+				t.Errorf("%s %s", file, violation)
 			}
 		}
 	}
 }
 
-// The check itself must be able to fail.
-func TestTheCheckSeesEachFault(t *testing.T) {
+// Guards against a check that cannot fail.
+func TestCheckFindsEachViolation(t *testing.T) {
 	const bad = `package x
 import ("os"; "net/http"; "time"; "math/rand")
 var _ = time.Now()
@@ -108,13 +106,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := faults(fset, f); len(got) != 6 {
-		t.Errorf("of 6 faults it sees %q", got)
+	if got := violations(fset, f); len(got) != 6 {
+		t.Errorf("found %q, want 6 violations", got)
 	}
 }
 
-// The node's days have 32 MB: nothing heavy may be linked into it.
-func TestTheNodeStaysLean(t *testing.T) {
+// The node runs with 32 MB of memory, so heavy packages must not be linked into it.
+func TestNodeDependenciesStayLight(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "ivylock/cmd/ivylock").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -128,23 +126,23 @@
 	}
 }
 
-// steady are the packages in which time is measured and not read off the wall: Unix time
-// comes from internal/wallclock alone, but for times that others word.
-var steady = []string{"internal/node", "internal/front", "internal/backend", "internal/discovery", "internal/handover", "internal/console",
+// monotonicPackages measure time by the monotonic clock and take Unix time only from
+// internal/wallclock, except where they convert times received from other processes.
+var monotonicPackages = []string{"internal/node", "internal/front", "internal/backend", "internal/discovery", "internal/handover", "internal/console",
 	"internal/control", "internal/accept", "internal/durable", "internal/eventlog", "internal/invariant", "internal/xds", "cmd/ivylock", "cmd/ivylock-control"}
 
-// wordedTimes are the files that turn another process's Unix time into the program's.
-var wordedTimes = map[string]bool{"internal/node/servers.go": true, "internal/control/list.go": true}
+// conversionFiles convert Unix times received from other processes.
+var conversionFiles = map[string]bool{"internal/node/servers.go": true, "internal/control/list.go": true}
 
-func TestUnixTimeComesFromOnePlace(t *testing.T) {
+func TestUnixTimeComesFromWallclock(t *testing.T) {
 	unix := map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true}
-	for _, dir := range steady {
+	for _, dir := range monotonicPackages {
 		files, err := filepath.Glob(filepath.Join("..", "..", filepath.FromSlash(dir), "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %v, %v", dir, files, err)
 		}
 		for _, name := range files {
-			if strings.HasSuffix(name, "_test.go") || wordedTimes[dir+"/"+filepath.Base(name)] {
+			if strings.HasSuffix(name, "_test.go") || conversionFiles[dir+"/"+filepath.Base(name)] {
 				continue
 			}
 			fset := token.NewFileSet()
@@ -153,9 +151,9 @@
 				t.Fatal(err)
 			}
 			ast.Inspect(f, func(n ast.Node) bool {
-				if x, is := n.(*ast.SelectorExpr); is && unix[x.Sel.Name] {
-					if id, is := x.X.(*ast.Ident); !is || id.Name != "time" { // time.Unix makes a time
-						t.Errorf("%s reads the wall clock; take internal/wallclock", fset.Position(x.Pos()))
+				if x, ok := n.(*ast.SelectorExpr); ok && unix[x.Sel.Name] {
+					if id, ok := x.X.(*ast.Ident); !ok || id.Name != "time" { // time.Unix converts and reads no clock
+						t.Errorf("%s reads the wall clock; use internal/wallclock", fset.Position(x.Pos()))
 					}
 				}
 				return true
--- a/internal/arch/doc.go
+++ b/internal/arch/doc.go
@@ -1,3 +1,2 @@
-// Package arch has no code of its own: its tests hold the project's standing
-// terms on its packages.
+// Package arch contains tests of architectural rules for the project's packages.
 package arch
