--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -3,7 +3,7 @@
 
 import "embed"
 
-// Files are the scenario files, NAME.toml each.
+// Files contains the scenario files, each named NAME.toml.
 //
 //go:embed *.toml
 var Files embed.FS
