--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -53,7 +53,8 @@
 	for _, i := range f.Imports {
 		path, _ := strconv.Unquote(i.Path.Value)
 		for _, w := range ioImports {
-			if path == w || strings.HasPrefix(path, w+"/") && path != "math/rand/v2" && path != "net/netip" { // net/netip has values only
+			// net/netip has values only.
+			if path == w || strings.HasPrefix(path, w+"/") && path != "math/rand/v2" && path != "net/netip" {
 				out = append(out, "imports "+path)
 			}
 		}
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -41,21 +41,21 @@
 }
 
 // Add increments the counter with the given index. An index out of range is ignored.
-func (f *CounterVec) Add(index int) {
-	if index >= 0 && index < len(f.counts) {
-		f.counts[index].Add(1)
+func (v *CounterVec) Add(index int) {
+	if index >= 0 && index < len(v.counts) {
+		v.counts[index].Add(1)
 	}
 }
 
 // Value returns the count at the given index.
-func (f *CounterVec) Value(index int) int64 { return f.counts[index].Load() }
+func (v *CounterVec) Value(index int) int64 { return v.counts[index].Load() }
 
 // Label returns the label at the given index.
-func (f *CounterVec) Label(index int) string {
-	if index < 0 || index >= len(f.labels) {
+func (v *CounterVec) Label(index int) string {
+	if index < 0 || index >= len(v.labels) {
 		return "unknown"
 	}
-	return f.labels[index]
+	return v.labels[index]
 }
 
 // Set holds the metrics of one process, all initially 0. Its methods may be called from
@@ -206,12 +206,12 @@
 		{"attempts.repeated", &s.AttemptsRepeated}, {"connections.opened", &s.ConnectionsOpened}, {"requests.late", &s.RequestsLate}} {
 		fmt.Fprintf(&b, "app.%s:%d|c\n", c.name, c.value.Load())
 	}
-	for _, f := range []*CounterVec{&s.AttemptsEnded, &s.AttemptsWithheld, &s.RequestsRejected, &s.ConnectionsClosed, &s.InvariantViolations, &s.AcceptErrors, &s.DialErrors, &s.DatagramErrors} {
-		for i, label := range f.labels {
+	for _, v := range []*CounterVec{&s.AttemptsEnded, &s.AttemptsWithheld, &s.RequestsRejected, &s.ConnectionsClosed, &s.InvariantViolations, &s.AcceptErrors, &s.DialErrors, &s.DatagramErrors} {
+		for i, label := range v.labels {
 			if label == "" {
 				continue
 			}
-			fmt.Fprintf(&b, "app.%s.%s:%d|c\n", f.name, label, f.Value(i))
+			fmt.Fprintf(&b, "app.%s.%s:%d|c\n", v.name, label, v.Value(i))
 		}
 	}
 	for _, g := range []struct {
@@ -221,8 +221,8 @@
 		fmt.Fprintf(&b, "app.%s:%d|g\n", g.name, g.value.Load())
 	}
 	if fleetMetrics := s.fleet.Load(); fleetMetrics != nil {
-		for _, f := range *fleetMetrics {
-			fmt.Fprintf(&b, "app.fleet.%s:%d|%s\n", f.Name, f.Value, f.Kind)
+		for _, m := range *fleetMetrics {
+			fmt.Fprintf(&b, "app.fleet.%s:%d|%s\n", m.Name, m.Value, m.Kind)
 		}
 	}
 	return b.Bytes()
@@ -236,4 +236,4 @@
 }
 
 // SetFleetMetrics sets the fleet's metrics, which Text includes from then on.
-func (s *Set) SetFleetMetrics(f []NamedMetric) { s.fleet.Store(&f) }
+func (s *Set) SetFleetMetrics(metrics []NamedMetric) { s.fleet.Store(&metrics) }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,7 +12,7 @@
 )
 
 // Fleet is the section [fleet], which enables communication between nodes; docs/audit.md
-// describes its keys. Keys that are left out have their default.
+// describes its keys. Omitted keys have default values.
 type Fleet struct {
 	ObserveOnly         bool        `toml:"only_watch"`
 	HelloInterval       strict.Span `toml:"hello"`
@@ -33,7 +33,7 @@
 	ShareQuotas     bool        `toml:"quotas"`      // divide tenants' quotas among nodes by their traffic
 	ShareWork       bool        `toml:"work"`        // divide work that is limited over all nodes by their traffic
 	Subsets         bool        `toml:"subsets"`     // assign servers to nodes by membership
-	Guards          []int       `toml:"guards"`      // nodes whose leases move slots from failed to live nodes; none: slots do not move
+	Guards          []int       `toml:"guards"`      // nodes whose leases move slots off failed nodes; none: slots stay
 	Slots           int         `toml:"seats"`       // into which shares are divided if there are guards
 	MaxProcesses    int         `toml:"most"`        // largest possible number of nodes if there are guards
 	AllowedPrefixes []string    `toml:"strangers"`   // address ranges accepted in addition to the configured nodes
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -92,11 +92,11 @@
 				return Batch{}, fmt.Errorf("%s: want one key, have %d", position, len(ev))
 			}
 			for name, raw := range ev {
-				h, err := decodeEvent(name, raw)
+				event, err := decodeEvent(name, raw)
 				if err != nil {
 					return Batch{}, fmt.Errorf("%s, %s: %w", position, name, err)
 				}
-				out.Events = append(out.Events, h)
+				out.Events = append(out.Events, event)
 			}
 		}
 		b.Groups = append(b.Groups, out)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,11 +33,11 @@
 }
 
 func TestDecodeStart(t *testing.T) {
-	h := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
-	s := h.Start.Settings
-	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.ListOnDemand || !s.SizeLive || !s.MayOverlap ||
+	event := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
+	s := event.Start.Settings
+	if event.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.ListOnDemand || !s.SizeLive || !s.MayOverlap ||
 		s.ReportSource != balance.ReportsFromAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
-		t.Errorf("%+v", h.Start)
+		t.Errorf("%+v", event.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpenRequests != 9 || s.ConnIdleTimeout != 5 ||
 		s.StreamsPerConn != 100 || s.Penalties != (balance.Penalties{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
@@ -53,9 +53,9 @@
 func TestDecodeOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]balance.OutcomeCode{"0": balance.OK, "13": balance.ServerError, "8": balance.Full,
 		"4": balance.TimedOut, "14": balance.ConnectFailed, "10": balance.Reset, "1": balance.Cancelled, "9": balance.Moot} {
-		h := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
+		event := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(balance.AttemptEnded)
+		e := event.Event.(balance.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.RequestDone || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
@@ -63,8 +63,8 @@
 }
 
 func TestReportWithoutKnownFieldIsNil(t *testing.T) {
-	h := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(balance.AttemptEnded); e.Report != nil {
+	event := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+	if e := event.Event.(balance.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
 }
