--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs a real node as a process of its own, and ends it: by
-// SIGTERM, by SIGKILL, and always with the lab.
+// Package process runs nodes and control services as child processes, and stops them with
+// SIGTERM or SIGKILL, at the latest when the lab's own process ends.
 package process
 
 import (
@@ -26,39 +26,38 @@
 )
 
 const (
-	startTime = 20 * time.Second // a node that serves nothing by then has failed
-	maxLog    = 200              // last lines of its log that are kept
-	maxAlarms = 200              // lines of it that say that something is wrong
+	startTimeout  = 20 * time.Second // until the process must be ready
+	maxLogLines   = 200              // lines kept of the end of the log
+	maxErrorLines = 200              // error lines kept
 )
 
-// alarmWords begin what a program says of a fault of its own.
-var alarmWords = []string{"invariant broken: ", "panic: ", "fatal error: ", "WARNING: DATA RACE"}
+// errorMarkers are the markers of log lines that report an internal error of the program.
+var errorMarkers = []string{"invariant broken: ", "panic: ", "fatal error: ", "WARNING: DATA RACE"}
 
-// Process is one running process.
+// Process is a child process: a node, a control service or another server program.
 type Process struct {
-	Addr    string // where clients connect
-	Peers   string // where it takes datagrams; "" for none
-	Console string // where it hears operators; "" for nowhere
-	check   string // path that answers 200 once it serves
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	drained chan struct{} // closed when its log has been read to the end
-	mu      sync.Mutex
-	log     []string
-	alarms  []string
+	Addr        string // address for clients; a control service's console
+	peerAddr    string // address for datagrams of peers; empty if there is none
+	consoleAddr string // address of the operators' console; empty if there is none
+	readyPath   string // path of the readiness check
+	cmd         *exec.Cmd
+	ended       chan struct{}
+	logDrained  chan struct{} // closed when its log has been read to the end
+	mu          sync.Mutex
+	log         []string
+	errorLines  []string
 }
 
-// Options of a node's process.
+// Options are the optional settings of a node's process.
 type Options struct {
-	Environment []string        // on top of the lab's own
-	FaultyCalls []sysfault.Call // system calls that may fail; none: all go on
-	FaultRules  *sysfault.Rules // when they do
+	Environment []string        // variables added to the lab's own environment
+	FaultyCalls []sysfault.Call // system calls that may fail; empty: no filter is installed
+	FaultRules  *sysfault.Rules // decide which of these calls fail
 }
 
-// StartNode runs a node's program with a configuration, whose Listen and
-// PeerListen may name port 0: the node's own log tells what it got, so no port
-// is raced for; that it serves is the last of these lines. dir is for its files. It
-// returns once GET /up answers 200.
+// StartNode starts a node's program and returns once GET /up answers 200. The configuration is
+// written to dir. Its Listen and PeerListen may name port 0, which avoids races for a port: the
+// addresses are read from the node's log, where the line with the client address comes last.
 func StartNode(program, dir string, c nodeconf.Config, o Options) (*Process, error) {
 	path, err := writeConfig(dir, c)
 	if err != nil {
@@ -69,7 +68,7 @@
 	return run([]string{program}, o, "node "+c.Name, "/up")
 }
 
-// writeConfig writes a node's configuration and tells where.
+// writeConfig writes a node's configuration to dir and returns the file's path.
 func writeConfig(dir string, c nodeconf.Config) (path string, err error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -79,19 +78,19 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// StartCommand runs any program that says on standard error where it serves, as a node
-// does, and answers GET /up.
+// StartCommand starts any program that logs its client address to standard error as a node does,
+// and returns once GET /up answers 200.
 func StartCommand(args []string, name string) (*Process, error) {
 	return run(args, Options{}, name, "/up")
 }
 
-// StartControl runs a control service that is of a fleet and hears operators: its Addr is
-// where it does. It returns once GET /status answers 200.
+// StartControl starts a control service that is a member of a fleet and has a console, and returns
+// once GET /status answers 200. The console's address is the process's Addr.
 func StartControl(program, config, name string) (*Process, error) {
 	return run([]string{program, "-config", config}, Options{}, name, "/status")
 }
 
-// command prepares a program, and gives what starts it.
+// command prepares a program and returns the function that starts it.
 func command(args []string, o Options) (cmd *exec.Cmd, start func() error, err error) {
 	if len(o.FaultyCalls) == 0 {
 		cmd = exec.Command(args[0], args[1:]...)
@@ -104,34 +103,33 @@
 	return faulty.Cmd, faulty.Start, nil
 }
 
-func run(args []string, o Options, name, check string) (*Process, error) {
+func run(args []string, o Options, name, readyPath string) (*Process, error) {
 	cmd, start, err := command(args, o)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	n := &Process{check: check, ended: make(chan struct{}), drained: make(chan struct{}), cmd: cmd}
-	n.cmd.Env = append(n.cmd.Environ(), o.Environment...)
-	// Setpgid keeps a Ctrl-C at the terminal from it: the lab ends it in order.
-	// Pdeathsig ends it if the lab is killed outright.
-	n.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	// A pipe of its own: that of the command is closed when the process ends, and takes
-	// its last lines along.
+	p := &Process{readyPath: readyPath, ended: make(chan struct{}), logDrained: make(chan struct{}), cmd: cmd}
+	p.cmd.Env = append(p.cmd.Environ(), o.Environment...)
+	// Setpgid shields it from a Ctrl-C at the terminal: the lab stops it in order.
+	// Pdeathsig ends it if the lab's process is killed.
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	// Not cmd.StderrPipe: Wait closes that pipe, and the last lines of the log would be lost.
 	out, in, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	n.cmd.Stderr = in
+	p.cmd.Stderr = in
 	started := make(chan error)
 	go func() {
-		// Pdeathsig is sent when the thread that started the process ends.
+		// Pdeathsig is sent when the thread that started the process ends, so that thread is kept.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		err := start()
 		in.Close()
 		started <- err
 		if err == nil {
-			n.cmd.Wait()
-			close(n.ended)
+			p.cmd.Wait()
+			close(p.ended)
 		}
 	}()
 	if err := <-started; err != nil {
@@ -139,48 +137,48 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	addr := make(chan string, 1)
-	go n.read(out, addr)
+	go p.read(out, addr)
 	select {
-	case n.Addr = <-addr:
-	case <-n.ended:
-		return nil, fmt.Errorf("%s ended at once: %s", name, strings.Join(n.Log(), "; "))
-	case <-time.After(startTime):
-		n.Kill()
-		return nil, fmt.Errorf("%s did not say where it serves: %s", name, strings.Join(n.Log(), "; "))
+	case p.Addr = <-addr:
+	case <-p.ended:
+		return nil, fmt.Errorf("%s ended at once: %s", name, strings.Join(p.Log(), "; "))
+	case <-time.After(startTimeout):
+		p.Kill()
+		return nil, fmt.Errorf("%s did not log its address within the start time: %s", name, strings.Join(p.Log(), "; "))
 	}
-	if err := n.up(); err != nil {
-		n.Kill()
+	if err := p.awaitReady(); err != nil {
+		p.Kill()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return n, nil
+	return p, nil
 }
 
-// read keeps the last lines of the log and looks for the addresses in it.
-func (n *Process) read(out io.ReadCloser, addr chan<- string) {
-	defer close(n.drained)
+// read keeps the last lines of the log and its error lines, and extracts the addresses from it.
+func (p *Process) read(out io.ReadCloser, addr chan<- string) {
+	defer close(p.logDrained)
 	defer out.Close()
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
 		line := lines.Text()
-		n.mu.Lock()
-		if n.log = append(n.log, line); len(n.log) > maxLog {
-			n.log = n.log[1:]
+		p.mu.Lock()
+		if p.log = append(p.log, line); len(p.log) > maxLogLines {
+			p.log = p.log[1:]
 		}
-		for _, word := range alarmWords {
-			if strings.Contains(line, word) && len(n.alarms) < maxAlarms {
-				n.alarms = append(n.alarms, line)
+		for _, marker := range errorMarkers {
+			if strings.Contains(line, marker) && len(p.errorLines) < maxErrorLines {
+				p.errorLines = append(p.errorLines, line)
 			}
 		}
 		if _, at, found := strings.Cut(line, " takes datagrams on "); found {
-			n.Peers = at
+			p.peerAddr = at
 		}
 		if _, at, found := strings.Cut(line, " hears operators on "); found {
-			n.Console = at
+			p.consoleAddr = at
 		}
-		if _, at, found := strings.Cut(line, " fleet="); found { // a control service's
-			n.Peers = at
+		if _, at, found := strings.Cut(line, " fleet="); found { // of a control service
+			p.peerAddr = at
 		}
-		n.mu.Unlock()
+		p.mu.Unlock()
 		for _, key := range []string{" serves on ", " console="} {
 			if _, at, found := strings.Cut(line, key); found {
 				select {
@@ -192,11 +190,11 @@
 	}
 }
 
-// up waits until its check answers 200.
-func (n *Process) up() error {
+// awaitReady waits until the readiness check answers 200.
+func (p *Process) awaitReady() error {
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(startTime); ; {
-		resp, err := client.Get("http://" + n.Addr + n.check)
+	for end := time.Now().Add(startTimeout); ; {
+		resp, err := client.Get("http://" + p.Addr + p.readyPath)
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -205,103 +203,105 @@
 			err = errors.New(resp.Status)
 		}
 		select {
-		case <-n.ended:
-			return fmt.Errorf("it ended: %s", strings.Join(n.Log(), "; "))
+		case <-p.ended:
+			return fmt.Errorf("process ended before it was ready: %s", strings.Join(p.Log(), "; "))
 		case <-time.After(10 * time.Millisecond):
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s: %w", n.check, err)
+			return fmt.Errorf("%s: %w", p.readyPath, err)
 		}
 	}
 }
 
-// Log gives the last lines that it wrote.
-func (n *Process) Log() []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]string(nil), n.log...)
+// Log returns the last lines of the log.
+func (p *Process) Log() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]string(nil), p.log...)
 }
 
-// ErrorLines gives the lines in which it told of faults of its own, the first 200.
-func (n *Process) ErrorLines() []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]string(nil), n.alarms...)
+// ErrorLines returns the first log lines that report an internal error, 200 at most.
+func (p *Process) ErrorLines() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]string(nil), p.errorLines...)
 }
 
-// LogDrained is closed when its log has been read to the end.
-func (n *Process) LogDrained() <-chan struct{} { return n.drained }
+// LogDrained returns a channel that is closed when the log has been read to its end.
+func (p *Process) LogDrained() <-chan struct{} { return p.logDrained }
 
-// Reload writes a node's configuration anew, where Start did, and tells it.
-func (n *Process) Reload(dir string, c nodeconf.Config) error {
+// Reload overwrites the configuration that StartNode wrote to dir and sends the node SIGHUP.
+func (p *Process) Reload(dir string, c nodeconf.Config) error {
 	if _, err := writeConfig(dir, c); err != nil {
 		return err
 	}
-	n.cmd.Process.Signal(syscall.SIGHUP)
+	p.cmd.Process.Signal(syscall.SIGHUP)
 	return nil
 }
 
-// PeerAddr is where it takes datagrams, if it does.
-func (n *Process) PeerAddr() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.Peers
+// PeerAddr returns the address for datagrams of peers; empty if there is none.
+func (p *Process) PeerAddr() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.peerAddr
 }
 
-// Pid is the process's number.
-func (n *Process) Pid() int { return n.cmd.Process.Pid }
+// Pid returns the process ID.
+func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Ended is closed when the process has ended.
-func (n *Process) Ended() <-chan struct{} { return n.ended }
+// Ended returns a channel that is closed when the process has ended.
+func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Pause has it stand still; Cont has it go on.
-func (n *Process) Pause()  { n.cmd.Process.Signal(syscall.SIGSTOP) }
-func (n *Process) Resume() { n.cmd.Process.Signal(syscall.SIGCONT) }
+// Pause sends SIGSTOP.
+func (p *Process) Pause() { p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// MaxDescriptors stands for as many descriptors as the process had at its start.
+// Resume sends SIGCONT.
+func (p *Process) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
+
+// MaxDescriptors as a limit stands for the hard limit of the process.
 const MaxDescriptors = ^uint64(0)
 
-// SetDescriptorLimit limits the numbers of descriptors that the process may open from now on;
-// those that it has stay open.
-func (n *Process) SetDescriptorLimit(most uint64) error {
+// SetDescriptorLimit sets the soft limit of the process's file descriptors. Descriptors that are
+// open stay open.
+func (p *Process) SetDescriptorLimit(count uint64) error {
 	var limit unix.Rlimit
-	if err := unix.Prlimit(n.Pid(), unix.RLIMIT_NOFILE, nil, &limit); err != nil {
+	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, nil, &limit); err != nil {
 		return err
 	}
-	limit.Cur = min(most, limit.Max)
-	return unix.Prlimit(n.Pid(), unix.RLIMIT_NOFILE, &limit, nil)
+	limit.Cur = min(count, limit.Max)
+	return unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &limit, nil)
 }
 
-// ConsoleAddr is where it hears operators, if it does.
-func (n *Process) ConsoleAddr() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.Console
+// ConsoleAddr returns the address of the operators' console; empty if there is none.
+func (p *Process) ConsoleAddr() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.consoleAddr
 }
 
-// Terminate tells it to end.
-func (n *Process) Terminate() { n.cmd.Process.Signal(syscall.SIGTERM) }
+// Terminate sends SIGTERM.
+func (p *Process) Terminate() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Kill ends it outright and waits for that.
-func (n *Process) Kill() {
-	n.cmd.Process.Kill()
-	<-n.ended
+// Kill sends SIGKILL and waits until the process has ended.
+func (p *Process) Kill() {
+	p.cmd.Process.Kill()
+	<-p.ended
 }
 
-// FinalCPUTime is the processor time that an ended process used.
-func (n *Process) FinalCPUTime() time.Duration {
-	<-n.ended
-	return n.cmd.ProcessState.UserTime() + n.cmd.ProcessState.SystemTime()
+// FinalCPUTime waits until the process has ended and returns the processor time that it used.
+func (p *Process) FinalCPUTime() time.Duration {
+	<-p.ended
+	return p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 }
 
-// CPUTime is the processor time that the process has used so far, to 10 ms; 0
-// once it has ended.
-func (n *Process) CPUTime() time.Duration {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", n.Pid()))
+// CPUTime returns the processor time that the process has used so far, to a precision of 10 ms;
+// 0 once it has ended.
+func (p *Process) CPUTime() time.Duration {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ") // behind the name, which may hold spaces
+	_, rest, _ := strings.Cut(string(raw), ") ") // after the name, which may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
 		return 0
