--- a/internal/lab/real/calls.go
+++ b/internal/lab/real/calls.go
@@ -10,15 +10,15 @@
 	"ivylock/internal/lab/sysfault"
 )
 
-// callFaults are the rules by which system calls of a node's processes fail.
+// callFaults holds the rules by which system calls of a node's processes fail.
 type callFaults struct {
 	mu     sync.Mutex
-	active []sysfault.Rule // by faults that go on
-	rules  *sysfault.Rules // of the running process; nil: there was none yet
+	active []sysfault.Rule // of faults in progress
+	rules  *sysfault.Rules // of the latest process; nil before the first one
 }
 
-// begin gives the rules of a new process, which begin with those of faults that go on.
-func (c *callFaults) begin(seed int64) *sysfault.Rules {
+// newRules returns the rules of a new process, which include those of faults in progress.
+func (c *callFaults) newRules(seed int64) *sysfault.Rules {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rules = sysfault.NewRules(seed)
@@ -28,7 +28,7 @@
 	return c.rules
 }
 
-// add has a rule hold for the running process and those that follow it.
+// add applies a rule to the running process and to those that follow it.
 func (c *callFaults) add(rule sysfault.Rule) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// remove ends a rule that was added, and tells how many calls of its kind the running process
-// has seen fail.
+// remove removes a rule that was added, and returns how many calls of its kind have failed in the
+// latest process.
 func (c *callFaults) remove(rule sysfault.Rule) (failed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,13 +53,13 @@
 	return c.rules.FailureCount(rule.Call)
 }
 
-// callsOf gives the kinds of system calls that the timeline has fail at a node.
-func (h *Testbed) callsOf(n scenario.Node) (calls []sysfault.Call) {
-	for _, f := range h.s.Faults {
+// faultyCalls returns the kinds of system calls that fail at a node at some time of the timeline.
+func (b *Testbed) faultyCalls(n scenario.Node) (calls []sysfault.Call) {
+	for _, f := range b.scenario.Faults {
 		if f.What != scenario.WhatCalls {
 			continue
 		}
-		_, nodes := h.s.Pick(f.Who)
+		_, nodes := b.scenario.Pick(f.Who)
 		if slices.ContainsFunc(nodes, func(x scenario.Node) bool { return x.Number == n.Number }) {
 			calls = append(calls, sysfault.Call(f.Call))
 		}
@@ -68,21 +68,21 @@
 	return slices.Compact(calls)
 }
 
-// failCalls has system calls of nodes' processes fail.
-func (h *Testbed) failCalls(f *scenario.Fault, nodes []scenario.Node) action {
+// failCalls returns the action that makes system calls of nodes' processes fail.
+func (b *Testbed) failCalls(f *scenario.Fault, nodes []scenario.Node) action {
 	rule, err := sysfault.ParseRule(f.Call, f.Error, f.Part)
 	if err != nil {
-		h.fail(err) // the scenario has been checked
+		b.setError(err) // not reached: the scenario was validated
 		return action{}
 	}
 	return action{func() {
 		for _, x := range nodes {
-			h.nodes[x.Number].fail.add(rule)
+			b.nodes[x.Number].callFaults.add(rule)
 		}
 	}, func() {
 		for _, x := range nodes {
-			if failed := h.nodes[x.Number].fail.remove(rule); failed > 0 {
-				h.rec.Add(history.Event{At: h.Clock(), Kind: history.CallsFail, Node: x.Name, Note: fmt.Sprintf("%s: %d", f.Call, failed)})
+			if failed := b.nodes[x.Number].callFaults.remove(rule); failed > 0 {
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.CallsFail, Node: x.Name, Note: fmt.Sprintf("%s: %d", f.Call, failed)})
 			}
 		}
 	}}
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -7,15 +7,15 @@
 	"ivylock/internal/wallclock"
 )
 
-// clockSteps gives the steps of the wall clock of a node's machine by the timeline, for a
-// process that starts now: those that are past are made at its start.
-func (h *Testbed) clockSteps(n scenario.Node) (steps []wallclock.Step) {
-	now := h.Clock()
-	for _, f := range h.s.Faults {
+// clockSteps returns the timeline's steps of the wall clock of a node's machine, for a process that
+// starts now: it applies past steps at its start.
+func (b *Testbed) clockSteps(n scenario.Node) (steps []wallclock.Step) {
+	now := b.Clock()
+	for _, f := range b.scenario.Faults {
 		if f.What != scenario.WhatClock {
 			continue
 		}
-		_, nodes := h.s.Pick(f.Who)
+		_, nodes := b.scenario.Pick(f.Who)
 		if !slices.ContainsFunc(nodes, func(x scenario.Node) bool { return x.Number == n.Number }) {
 			continue
 		}
--- a/internal/lab/real/deploy_test.go
+++ b/internal/lab/real/deploy_test.go
@@ -10,9 +10,9 @@
 	"ivylock/internal/lab/sweep"
 )
 
-// Deployments that are drawn, with real nodes on sockets: asked and pushed lists, any classes, scopes, windows, tenants and
-// limits, faults on a timeline. The load is light: a verdict must not depend on the machine.
-func TestDrawnDeploymentsOnSockets(t *testing.T) {
+// Random deployments vary list modes, classes, scopes, windows, tenants, limits and faults. The load is
+// light, so that results don't depend on the machine.
+func TestRulesHoldInRandomDeployments(t *testing.T) {
 	t.Parallel()
 	played := 0
 	for seed := int64(1); played < 6; seed++ {
@@ -28,18 +28,18 @@
 				kept = append(kept, f)
 			}
 		}
-		s.Faults, d.Limits.FallTold = kept, false // all falls count
+		s.Faults, d.Limits.FallTold = kept, false // overloads count whether or not nodes were notified
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			defer takeProcesses(t, len(s.Nodes()))()
+			defer reserveNodes(t, len(s.Nodes()))()
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 			defer cancel()
-			h, err := New(ctx, s, Options{Program: program, Deployment: d})
+			bed, err := New(ctx, s, Options{Program: program, Deployment: d})
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := h.Run(ctx)
-			h.Close()
+			got, err := bed.Run(ctx)
+			bed.Close()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,7 +48,7 @@
 				t.Error(b)
 			}
 			if v.Service.Tries == 0 {
-				t.Error("nothing was asked for")
+				t.Error("no request was sent")
 			}
 			t.Logf("%d tries, %d faults, %v", v.Service.Tries, len(s.Faults), s.Length.Duration)
 		})
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -17,95 +17,96 @@
 
 var blackHole = link.Shape{State: link.BlackHole}
 
-// action is one fault on sockets: what begins it and what ends it.
+// action applies a fault and reverts it. Either function may be nil.
 type action struct{ begin, end func() }
 
-// fault plays one fault of the timeline.
-func (h *Testbed) fault(ctx context.Context, f *scenario.Fault) {
-	a := h.action(ctx, f)
-	if !wait(ctx, f.At.Duration-h.Clock()) {
+// runFault applies one fault of the timeline at its time and reverts it at its end.
+func (b *Testbed) runFault(ctx context.Context, f *scenario.Fault) {
+	a := b.newAction(ctx, f)
+	if !sleep(ctx, f.At.Duration-b.Clock()) {
 		return
 	}
-	h.rec.Add(history.Event{At: h.Clock(), Kind: history.Fault, Note: f.String()})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Fault, Note: f.String()})
 	if a.begin != nil {
 		a.begin()
 	}
-	over := wait(ctx, f.At.Duration+f.For.Duration-h.Clock())
+	over := sleep(ctx, f.At.Duration+f.For.Duration-b.Clock())
 	if a.end != nil && over {
 		a.end()
 	}
-	h.rec.Add(history.Event{At: h.Clock(), Kind: history.FaultEnd, Note: f.String()})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.FaultEnd, Note: f.String()})
 }
 
-// each does something to every slot that a fault names, all at once.
-func (h *Testbed) each(f *scenario.Fault, do func(*slot)) func() {
-	servers, _ := h.s.Pick(f.Who)
-	var hit []*slot
-	for _, t := range h.slots {
+// forEachSlot returns a function that calls do concurrently for every slot that a fault names, and waits.
+func (b *Testbed) forEachSlot(f *scenario.Fault, do func(*slot)) func() {
+	servers, _ := b.scenario.Pick(f.Who)
+	var selected []*slot
+	for _, t := range b.slots {
 		for _, x := range servers {
 			if t.Name == x.Name {
-				hit = append(hit, t)
+				selected = append(selected, t)
 			}
 		}
 	}
 	return func() {
 		var wg sync.WaitGroup
-		for _, t := range hit {
+		for _, t := range selected {
 			wg.Go(func() { do(t) })
 		}
 		wg.Wait()
 	}
 }
 
-func (h *Testbed) action(ctx context.Context, f *scenario.Fault) action {
-	each := func(do func(*slot)) func() { return h.each(f, do) }
-	_, nodes := h.s.Pick(f.Who)
+// newAction returns the action of a fault.
+func (b *Testbed) newAction(ctx context.Context, f *scenario.Fault) action {
+	each := func(do func(*slot)) func() { return b.forEachSlot(f, do) }
+	_, nodes := b.scenario.Pick(f.Who)
 	switch f.What {
 	case scenario.WhatSilent, scenario.WhatLost:
-		return action{each(func(t *slot) { h.silence(ctx, t, f.For.Duration) }), each(h.restart)}
+		return action{each(func(t *slot) { b.silenceServer(ctx, t, f.For.Duration) }), each(b.restartServer)}
 	case scenario.WhatLostNodes:
-		silence := each(func(t *slot) { h.silence(ctx, t, f.For.Duration) })
-		return action{func() { h.kill(nodes); silence() }, func() { each(h.restart)(); h.startAgain(nodes) }}
+		isolate := each(func(t *slot) { b.silenceServer(ctx, t, f.For.Duration) })
+		return action{func() { b.killNodes(nodes); isolate() }, func() { each(b.restartServer)(); b.restartNodes(nodes) }}
 	case scenario.WhatHang:
 		return action{each(func(t *slot) { t.server.Hang(true) }), each(func(t *slot) { t.server.Hang(false) })}
 	case scenario.WhatKill:
 		down := each(func(t *slot) {
 			t.server.Kill()
-			h.list(t, hosts.Removed)
+			b.announce(t, hosts.Removed)
 		})
-		return action{func() { h.kill(nodes); down() }, func() { each(h.restart)(); h.startAgain(nodes) }}
+		return action{func() { b.killNodes(nodes); down() }, func() { each(b.restartServer)(); b.restartNodes(nodes) }}
 	case scenario.WhatTerm:
-		return action{begin: func() { h.term(ctx, nodes) }, end: func() { h.startAgain(nodes) }}
+		return action{begin: func() { b.terminateNodes(ctx, nodes) }, end: func() { b.restartNodes(nodes) }}
 	case scenario.WhatDrain:
-		return action{each(func(t *slot) { h.list(t, hosts.Draining) }), each(func(t *slot) { h.list(t, hosts.Up) })}
+		return action{each(func(t *slot) { b.announce(t, hosts.Draining) }), each(func(t *slot) { b.announce(t, hosts.Up) })}
 	case scenario.WhatReplace:
-		return action{each(h.takeAway), each(h.putNew)}
+		return action{each(b.removeServer), each(b.startReplacement)}
 	case scenario.WhatLink:
-		return action{h.setLinks(f.Who, link.Shape{Delay: f.Delay.Duration, Loss: f.Loss, State: link.State(f.State)}),
-			h.setLinks(f.Who, link.Shape{})}
+		return action{b.setLinks(f.Who, link.Shape{Delay: f.Delay.Duration, Loss: f.Loss, State: link.State(f.State)}),
+			b.setLinks(f.Who, link.Shape{})}
 	case scenario.WhatSpoil:
 		return action{each(func(t *slot) {
-			h.mu.Lock()
-			rng := rand.New(rand.NewPCG(h.rng.Uint64(), 1))
-			h.mu.Unlock()
+			b.mu.Lock()
+			rng := rand.New(rand.NewPCG(b.rng.Uint64(), 1))
+			b.mu.Unlock()
 			t.server.Spoil(func() bool { return rng.Float64() < f.Part })
 		}), each(func(t *slot) { t.server.Spoil(nil) })}
 	case scenario.WhatOutage:
-		return action{func() { h.hosts.SetDown(true) }, func() { h.hosts.SetDown(false) }}
+		return action{func() { b.hosts.SetDown(true) }, func() { b.hosts.SetDown(false) }}
 	case scenario.WhatLag:
-		lag := h.s.Hosts.Lag.Duration
-		return action{func() { h.hosts.SetLag(lag + f.Delay.Duration) }, func() { h.hosts.SetLag(lag) }}
+		lag := b.scenario.Hosts.Lag.Duration
+		return action{func() { b.hosts.SetLag(lag + f.Delay.Duration) }, func() { b.hosts.SetLag(lag) }}
 	case scenario.WhatStop, scenario.WhatHold:
-		return h.standStill(nodes)
+		return b.pauseProcesses(nodes)
 	case scenario.WhatNoFiles:
-		return h.takeDescriptors(nodes)
+		return b.exhaustDescriptors(nodes)
 	case scenario.WhatCalls:
-		return h.failCalls(f, nodes)
+		return b.failCalls(f, nodes)
 	case scenario.WhatReload:
-		return action{begin: func() { h.reload(nodes) }}
+		return action{begin: func() { b.reloadNodes(nodes) }}
 	case scenario.WhatMute:
-		return action{begin: func() { h.hosts.HangWaitingCalls(names(nodes)) }}
-	case scenario.WhatClock: // each process is told at its start
+		return action{begin: func() { b.hosts.HangWaitingCalls(nodeNames(nodes)) }}
+	case scenario.WhatClock: // startNode passes the steps to each process
 		return action{}
 	case scenario.WhatIdle:
 		return action{begin: each(func(t *slot) { t.server.CloseIdle() })}
@@ -113,67 +114,67 @@
 		set := func(state link.State) func() {
 			return func() {
 				for _, n := range nodes {
-					h.fail(h.cuts[n.Name].Set(link.Shape{State: state}))
+					b.setError(b.discoveryLinks[n.Name].Set(link.Shape{State: state}))
 				}
 			}
 		}
 		return action{set(link.BlackHole), set(link.Open)}
 	case scenario.WhatPeers:
-		usual := h.usualWay()
+		usual := b.defaultShape()
 		bad := link.Shape{Delay: usual.Delay + f.Delay.Duration, Loss: max(usual.Loss, f.Loss), State: link.State(f.State), Jitter: f.Jitter.Duration, Double: f.Double}
-		return action{func() { h.setWays(h.s.Ways(f), &bad) }, func() { h.setWays(h.s.Ways(f), nil) }}
+		return action{func() { b.setImpairments(b.scenario.Ways(f), &bad) }, func() { b.setImpairments(b.scenario.Ways(f), nil) }}
 	case scenario.WhatSplit:
-		return action{func() { h.setWays(h.s.Ways(f), &blackHole) }, func() { h.setWays(h.s.Ways(f), nil) }}
+		return action{func() { b.setImpairments(b.scenario.Ways(f), &blackHole) }, func() { b.setImpairments(b.scenario.Ways(f), nil) }}
 	case scenario.WhatJoin:
-		return action{begin: func() { h.startAgain(nodes) }}
+		return action{begin: func() { b.restartNodes(nodes) }}
 	case scenario.WhatLeave:
 		return action{begin: func() {
-			h.term(ctx, nodes)
-			go func() { // they have ended well before the run does
-				if wait(ctx, h.lifeTime()) {
-					h.gone(nodes)
+			b.terminateNodes(ctx, nodes)
+			go func() { // they end long before the run does
+				if sleep(ctx, b.shutdownTimeout()) {
+					b.reapNodes(nodes)
 				}
 			}()
 		}}
 	case scenario.WhatForget:
-		return action{begin: func() { h.hosts.Restart(1) }}
+		return action{begin: func() { b.hosts.Restart(1) }}
 	case scenario.WhatFlap:
 		stop := make(chan struct{})
 		var flapping sync.WaitGroup
-		return action{each(func(t *slot) { flapping.Go(func() { h.flap(t, f.Every.Duration, stop) }) }),
-			func() { close(stop); flapping.Wait(); each(func(t *slot) { h.list(t, hosts.Up) })() }}
+		return action{each(func(t *slot) { flapping.Go(func() { b.flapServer(t, f.Every.Duration, stop) }) }),
+			func() { close(stop); flapping.Wait(); each(func(t *slot) { b.announce(t, hosts.Up) })() }}
 	}
-	return action{} // heavy requests and slow readers come with the load
+	return action{} // heavy requests and slow readers are part of the load
 }
 
-// standStill has the processes that nodes have just then stand still, and go on. It waits
-// for nobody: one that is being restarted may stand still as well.
-func (h *Testbed) standStill(nodes []scenario.Node) action {
-	stopped := map[string]*process.Process{}
+// pauseProcesses returns the action that pauses and resumes the nodes' latest processes. It takes no
+// node's lock, so a process that is starting or stopping may be paused as well.
+func (b *Testbed) pauseProcesses(nodes []scenario.Node) action {
+	paused := map[string]*process.Process{}
 	return action{func() {
 		for _, x := range nodes {
-			if p := h.nodes[x.Number].live.Load(); p != nil {
+			if p := b.nodes[x.Number].latest.Load(); p != nil {
 				p.Pause()
-				stopped[x.Name] = p
-				h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeStop, Node: x.Name})
+				paused[x.Name] = p
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeStop, Node: x.Name})
 			}
 		}
 	}, func() {
-		for name, p := range stopped {
+		for name, p := range paused {
 			p.Resume()
-			h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeCont, Node: name})
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeCont, Node: name})
 		}
 	}}
 }
 
-// takeDescriptors keeps processes from opening anything, by their limit of descriptors.
-func (h *Testbed) takeDescriptors(nodes []scenario.Node) action {
+// exhaustDescriptors returns the action that keeps processes from opening descriptors, by a limit of 0.
+func (b *Testbed) exhaustDescriptors(nodes []scenario.Node) action {
 	var limited []*process.Process
 	return action{func() {
 		for _, x := range nodes {
-			if p := h.nodes[x.Number].live.Load(); p != nil && p.SetDescriptorLimit(0) == nil {
+			if p := b.nodes[x.Number].latest.Load(); p != nil && p.SetDescriptorLimit(0) == nil {
 				limited = append(limited, p)
-				h.rec.Add(history.Event{At: h.Clock(), Kind: history.NoFiles, Node: x.Name})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NoFiles, Node: x.Name})
 			}
 		}
 	}, func() {
@@ -183,74 +184,76 @@
 	}}
 }
 
-// list lets discovery learn of a slot's server, late as it is.
-func (h *Testbed) list(t *slot, lifecycle string) {
-	h.mu.Lock()
+// announce changes the lifecycle of a slot's server at discovery, which publishes it with its delay.
+func (b *Testbed) announce(t *slot, lifecycle string) {
+	b.mu.Lock()
 	t.state = map[string]string{hosts.Draining: "draining"}[lifecycle]
-	e := h.entry(t, lifecycle)
-	h.mu.Unlock()
-	h.hosts.Set(e)
+	e := b.listEntry(t, lifecycle)
+	b.mu.Unlock()
+	b.hosts.Set(e)
 }
 
-func (h *Testbed) silence(ctx context.Context, t *slot, length time.Duration) {
-	h.fail(t.server.Silence())
-	h.mu.Lock()
-	life := t.life
-	h.mu.Unlock()
-	if length <= silentNotice {
+// silenceServer makes a server unreachable. Discovery removes it if that lasts for long.
+func (b *Testbed) silenceServer(ctx context.Context, t *slot, length time.Duration) {
+	b.setError(t.server.Silence())
+	b.mu.Lock()
+	incarnation := t.incarnation
+	b.mu.Unlock()
+	if length <= unreachableNotice {
 		return
 	}
 	go func() {
-		if !wait(ctx, silentNotice) {
+		if !sleep(ctx, unreachableNotice) {
 			return
 		}
-		h.mu.Lock()
-		same := t.life == life && !h.stopping
-		h.mu.Unlock()
+		b.mu.Lock()
+		same := t.incarnation == incarnation && !b.stopping
+		b.mu.Unlock()
 		if same {
-			h.list(t, hosts.Removed)
+			b.announce(t, hosts.Removed)
 		}
 	}()
 }
 
-// restart begins a new, cold process at a slot.
-func (h *Testbed) restart(t *slot) {
-	h.mu.Lock()
-	t.life++
-	t.start = h.Clock()
-	h.mu.Unlock()
-	h.fail(t.server.Start(true))
-	h.list(t, hosts.Up)
+// restartServer starts a new, cold server process in a slot.
+func (b *Testbed) restartServer(t *slot) {
+	b.mu.Lock()
+	t.incarnation++
+	t.startedAt = b.Clock()
+	b.mu.Unlock()
+	b.setError(t.server.Start(true))
+	b.announce(t, hosts.Up)
 }
 
-// takeAway ends a slot's server for good.
-func (h *Testbed) takeAway(t *slot) {
-	h.list(t, hosts.Removed)
-	h.mu.Lock()
-	t.id = fmt.Sprintf("%s-r%d", t.Name, t.life+1)
-	h.byID[t.id] = t
-	h.mu.Unlock()
-	m, err := h.model(t)
+// removeServer stops a slot's server for good and gives the slot the ID of its replacement.
+func (b *Testbed) removeServer(t *slot) {
+	b.announce(t, hosts.Removed)
+	b.mu.Lock()
+	t.id = fmt.Sprintf("%s-r%d", t.Name, t.incarnation+1)
+	b.slotsByID[t.id] = t
+	b.mu.Unlock()
+	m, err := b.newModel(t)
 	if err != nil {
-		h.fail(err)
+		b.setError(err)
 		return
 	}
 	t.server.Replace(m)
 }
 
-// putNew starts the new one at its addresses.
-func (h *Testbed) putNew(t *slot) { h.restart(t) }
+// startReplacement starts the new server of a slot.
+func (b *Testbed) startReplacement(t *slot) { b.restartServer(t) }
 
-func (h *Testbed) flap(t *slot, every time.Duration, stop <-chan struct{}) {
+// flapServer removes and adds a slot's server at discovery in turns, without discovery's delay.
+func (b *Testbed) flapServer(t *slot, every time.Duration, stop <-chan struct{}) {
 	for up := false; ; up = !up {
 		lifecycle := hosts.Removed
 		if up {
 			lifecycle = hosts.Up
 		}
-		h.mu.Lock()
-		e := h.entry(t, lifecycle)
-		h.mu.Unlock()
-		h.hosts.SetNow(e)
+		b.mu.Lock()
+		e := b.listEntry(t, lifecycle)
+		b.mu.Unlock()
+		b.hosts.SetNow(e)
 		select {
 		case <-stop:
 			return
@@ -259,57 +262,59 @@
 	}
 }
 
-// setLinks changes all ways that a fault's names mean, at once: one that turns into a black hole takes a while.
-func (h *Testbed) setLinks(who []string, to link.Shape) func() {
+// setLinks returns a function that changes the links of all routes that a fault's names select. It
+// does so concurrently, as a change to a black hole takes a while.
+func (b *Testbed) setLinks(who []string, to link.Shape) func() {
 	return func() {
 		var all sync.WaitGroup
-		for _, p := range h.pairs(who) {
-			all.Go(func() { h.fail(p.slot.links[p.node].Set(to)) })
+		for _, p := range b.routes(who) {
+			all.Go(func() { b.setError(p.slot.links[p.node].Set(to)) })
 		}
 		all.Wait()
 	}
 }
 
-// kill ends nodes by SIGKILL, all at once. The front notices later.
-func (h *Testbed) kill(nodes []scenario.Node) {
+// killNodes sends SIGKILL to the processes of nodes, concurrently. The clients' load balancer notices
+// it later.
+func (b *Testbed) killNodes(nodes []scenario.Node) {
 	var all sync.WaitGroup
 	for _, x := range nodes {
-		all.Go(func() { h.killOne(h.nodes[x.Number]) })
+		all.Go(func() { b.killNode(b.nodes[x.Number]) })
 	}
 	all.Wait()
 }
 
-func (h *Testbed) killOne(n *node) {
+func (b *Testbed) killNode(n *node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.proc == nil {
 		return
 	}
-	n.told = true
-	h.front.Killed(n.Name, n.life)
-	h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeKilled, Node: n.Name})
+	n.stopRequested = true
+	b.front.Killed(n.Name, n.incarnation)
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeKilled, Node: n.Name})
 	n.proc.Kill()
-	n.cpu += n.proc.FinalCPUTime()
+	n.cpuTime += n.proc.FinalCPUTime()
 	n.proc = nil
-	life := n.life
-	time.AfterFunc(frontNotice, func() { h.front.Down(n.Name, life) })
+	incarnation := n.incarnation
+	time.AfterFunc(frontNoticeDelay, func() { b.front.Down(n.Name, incarnation) })
 }
 
-// term is the word of a planned restart. A process that still runs when its time is up
-// is killed, as early as the platform may.
-func (h *Testbed) term(ctx context.Context, nodes []scenario.Node) {
+// terminateNodes sends SIGTERM to the processes of nodes, as for a planned restart. It kills a process
+// that outlives the shutdown timeout, which is the earliest time at which the platform may.
+func (b *Testbed) terminateNodes(ctx context.Context, nodes []scenario.Node) {
 	for _, x := range nodes {
-		n := h.nodes[x.Number]
+		n := b.nodes[x.Number]
 		n.mu.Lock()
 		if p := n.proc; p != nil {
-			h.sendLate(n)
-			h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeTerm, Node: n.Name})
-			n.told = true
+			b.sendLateRequests(n)
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeTerm, Node: n.Name})
+			n.stopRequested = true
 			p.Terminate()
-			life := n.life
-			time.AfterFunc(comingTime, func() { h.front.Down(n.Name, life) }) // connections still come for a while
-			kill := time.AfterFunc(h.lifeTime(), func() {
-				h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeOver, Node: n.Name})
+			incarnation := n.incarnation
+			time.AfterFunc(acceptAfterTerm, func() { b.front.Down(n.Name, incarnation) })
+			kill := time.AfterFunc(b.shutdownTimeout(), func() {
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeOver, Node: n.Name})
 				p.Kill()
 			})
 			go func() {
@@ -321,94 +326,94 @@
 	}
 }
 
-// sendLate sends requests to a process that is told to end, on connections that it has and on
-// new ones. The caller holds the node's lock.
-func (h *Testbed) sendLate(n *node) {
-	if h.s.Client.Late == 0 {
+// sendLateRequests sends requests to a process that is about to be sent SIGTERM, on open connections
+// and on new ones. The caller holds the node's lock.
+func (b *Testbed) sendLateRequests(n *node) {
+	if b.scenario.Client.Late == 0 {
 		return
 	}
-	place := caller.Place{Node: n.Name, Addr: n.proc.Addr, Life: n.life}
-	h.mu.Lock()
-	seed := h.rng.Int64()
-	h.mu.Unlock()
-	h.pending.Add(1)
+	place := caller.Place{Node: n.Name, Addr: n.proc.Addr, Life: n.incarnation}
+	b.mu.Lock()
+	seed := b.rng.Int64()
+	b.mu.Unlock()
+	b.pending.Add(1)
 	go func() {
-		defer h.pending.Done()
-		h.clients.Ending(place, h.o.Deployment.Classes, h.s.Client.Late, h.lifeTime(), seed)
+		defer b.pending.Done()
+		b.clients.Ending(place, b.options.Deployment.Classes, b.scenario.Client.Late, b.shutdownTimeout(), seed)
 	}()
 }
 
-// The protocol page's figures of a planned restart. They are worded here once more, and not
-// taken from the program that is under test.
+// The protocol's times of a planned restart. They are repeated here, as the lab must not take them
+// from the program under test.
 const (
-	killMargin      = 700 * time.Millisecond // SIGKILL comes this and the longest deadline after SIGTERM
-	longestDeadline = 3 * time.Second        // of a deadline that counts for it
+	killMargin      = 700 * time.Millisecond // from the end of the longest deadline to SIGKILL
+	longestDeadline = 3 * time.Second        // longer deadlines of classes don't delay SIGKILL further
 )
 
-// lifeTime is how long after SIGTERM a process lives at the least.
-func (h *Testbed) lifeTime() time.Duration {
+// shutdownTimeout is the time from SIGTERM to SIGKILL.
+func (b *Testbed) shutdownTimeout() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range h.o.Deployment.Classes {
+	for _, c := range b.options.Deployment.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	return killMargin + min(longest, longestDeadline)
 }
 
-// reload gives nodes a new configuration, with another address of discovery.
-func (h *Testbed) reload(nodes []scenario.Node) {
+// reloadNodes gives running nodes a new configuration, with another address of discovery.
+func (b *Testbed) reloadNodes(nodes []scenario.Node) {
 	for _, x := range nodes {
-		n := h.nodes[x.Number]
+		n := b.nodes[x.Number]
 		n.mu.Lock()
-		if n.proc != nil && !n.told {
-			addr, err := h.hosts.Listen(n.Name)
+		if n.proc != nil && !n.stopRequested {
+			addr, err := b.hosts.Listen(n.Name)
 			if err == nil {
-				n.conf.Discovery = addr
-				err = n.proc.Reload(h.dir, n.conf)
+				n.config.Discovery = addr
+				err = n.proc.Reload(b.dir, n.config)
 			}
-			h.fail(err)
-			h.rec.Add(history.Event{At: h.Clock(), Kind: history.Reloaded, Node: n.Name})
+			b.setError(err)
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Reloaded, Node: n.Name})
 		}
 		n.mu.Unlock()
 	}
 }
 
-func names(nodes []scenario.Node) (out []string) {
+func nodeNames(nodes []scenario.Node) (out []string) {
 	for _, n := range nodes {
 		out = append(out, n.Name)
 	}
 	return out
 }
 
-// gone takes nodes that were told to end for ended.
-func (h *Testbed) gone(nodes []scenario.Node) {
+// reapNodes waits for the end of the processes of nodes that were told to stop.
+func (b *Testbed) reapNodes(nodes []scenario.Node) {
 	for _, x := range nodes {
-		n := h.nodes[x.Number]
+		n := b.nodes[x.Number]
 		n.mu.Lock()
-		h.end(n)
+		b.reapNode(n)
 		n.mu.Unlock()
 	}
 }
 
-// end waits for a node's process that was told to end: it ends, or is killed when its
-// time is up, which the history then shows. The caller holds the node's lock.
-func (h *Testbed) end(n *node) {
+// reapNode waits for the end of a node's process that was told to stop; it ends by itself or is
+// killed at the shutdown timeout, which the history then shows. The caller holds the node's lock.
+func (b *Testbed) reapNode(n *node) {
 	p := n.proc
-	if p == nil || !n.told {
+	if p == nil || !n.stopRequested {
 		return
 	}
 	<-p.Ended()
-	h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeEnded, Node: n.Name})
-	n.cpu += p.FinalCPUTime()
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeEnded, Node: n.Name})
+	n.cpuTime += p.FinalCPUTime()
 	n.proc = nil
 }
 
-// startAgain starts nodes anew. One that was told to end has ended first.
-func (h *Testbed) startAgain(nodes []scenario.Node) {
+// restartNodes starts the next processes of nodes, after those that were told to stop have ended.
+func (b *Testbed) restartNodes(nodes []scenario.Node) {
 	for _, x := range nodes {
-		n := h.nodes[x.Number]
+		n := b.nodes[x.Number]
 		n.mu.Lock()
-		h.end(n)
+		b.reapNode(n)
 		n.mu.Unlock()
-		h.fail(h.startNode(n)) // unless it runs already
+		b.setError(b.startNode(n))
 	}
 }
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -17,47 +17,47 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// toDiscovery gives the address at which a node finds discovery: a link's, where
-// the timeline cuts it off.
-func (h *Testbed) toDiscovery(n scenario.Node, addr string) (string, error) {
-	for i := range h.s.Faults {
-		f := &h.s.Faults[i]
-		if _, nodes := h.s.Pick(f.Who); f.What != scenario.WhatCut || !slices.Contains(nodes, n) {
+// discoveryAddr returns the address at which a node reaches discovery: that of a link, if the timeline
+// cuts the node off.
+func (b *Testbed) discoveryAddr(n scenario.Node, addr string) (string, error) {
+	for i := range b.scenario.Faults {
+		f := &b.scenario.Faults[i]
+		if _, nodes := b.scenario.Pick(f.Who); f.What != scenario.WhatCut || !slices.Contains(nodes, n) {
 			continue
 		}
-		l, err := link.NewTCP(func() string { return addr }, h.Clock)
+		l, err := link.NewTCP(func() string { return addr }, b.Clock)
 		if err != nil {
 			return "", err
 		}
-		h.cuts[n.Name] = l
+		b.discoveryLinks[n.Name] = l
 		return l.Addr(), nil
 	}
 	return addr, nil
 }
 
-// operator writes a node's operator's file, if the scenario switches something
-// on, and gives the environment that names it.
-func (h *Testbed) operator(name string) ([]string, error) {
-	if !h.s.Fleet || slices.Contains(h.o.WithoutFleet, name) {
+// writeOperatorFile writes a node's operator's file and returns the environment variable that names
+// it; without effect if the node has no fleet settings.
+func (b *Testbed) writeOperatorFile(name string) ([]string, error) {
+	if !b.scenario.Fleet || slices.Contains(b.options.WithoutFleet, name) {
 		return nil, nil
 	}
-	path := filepath.Join(h.dir, name+".toml")
+	path := filepath.Join(b.dir, name+".toml")
 	text := "[fleet]\n"
-	if !h.o.NoRecordFiles {
-		text += fmt.Sprintf("record_file = %q\nrecord_every = \"200ms\"\n", h.recordFile(name))
+	if !b.options.NoRecordFiles {
+		text += fmt.Sprintf("record_file = %q\nrecord_every = \"200ms\"\n", b.recordFile(name))
 	}
-	text += h.s.Oper + "\n" + h.o.FleetSettings + "\n"
+	text += b.scenario.Oper + "\n" + b.options.FleetSettings + "\n"
 	return []string{"IVYLOCK_OPERATOR=" + path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
-func (h *Testbed) recordFile(name string) string { return filepath.Join(h.dir, name+".record") }
+func (b *Testbed) recordFile(name string) string { return filepath.Join(b.dir, name+".record") }
 
-// Records gives what the nodes have acted on: from their consoles, and from their
-// files, which hold former processes' too. It is to be called before Close.
-func (h *Testbed) Records() []version.Record {
+// Records returns the fleet records of all nodes: from their files, which include those of former
+// processes, and the latest ones from their consoles. Call it before Close.
+func (b *Testbed) Records() []version.Record {
 	var out []version.Record
-	for _, n := range h.nodes {
-		raw, _ := os.ReadFile(h.recordFile(n.Name))
+	for _, n := range b.nodes {
+		raw, _ := os.ReadFile(b.recordFile(n.Name))
 		found, _ := version.ReadLines(raw)
 		if r, ok := n.record(); ok && len(found) > 0 {
 			found[len(found)-1] = r
@@ -67,12 +67,12 @@
 	return out
 }
 
-// CurrentRecords gives what the nodes that run have on record now, from their consoles alone. All
-// are asked at once: what moves from one to another meanwhile would count twice.
-func (h *Testbed) CurrentRecords() []version.Record {
-	records, found := make([]version.Record, len(h.nodes)), make([]bool, len(h.nodes))
+// CurrentRecords returns the fleet records of the running nodes, from their consoles alone. It queries
+// all consoles concurrently, as a lease that moves between two queries would count twice.
+func (b *Testbed) CurrentRecords() []version.Record {
+	records, found := make([]version.Record, len(b.nodes)), make([]bool, len(b.nodes))
 	var all sync.WaitGroup
-	for i, n := range h.nodes {
+	for i, n := range b.nodes {
 		all.Go(func() { records[i], found[i] = n.record() })
 	}
 	all.Wait()
@@ -85,8 +85,9 @@
 	return out
 }
 
-var consoles = http.Client{Timeout: 2 * time.Second}
+var consoleClient = http.Client{Timeout: 2 * time.Second}
 
+// record returns the fleet record from the console of the running process.
 func (n *node) record() (r version.Record, ok bool) {
 	n.mu.Lock()
 	proc := n.proc
@@ -94,7 +95,7 @@
 	if proc == nil {
 		return r, false
 	}
-	resp, err := consoles.Get("http://" + proc.ConsoleAddr() + "/fleet/record")
+	resp, err := consoleClient.Get("http://" + proc.ConsoleAddr() + "/fleet/record")
 	if err != nil {
 		return r, false
 	}
@@ -102,21 +103,21 @@
 	return r, json.NewDecoder(resp.Body).Decode(&r) == nil
 }
 
-// StartTime is the Unix time at which the lab's clock read 0.
-func (h *Testbed) StartTime() time.Time { return h.unix }
+// StartTime returns the wall-clock time at which the lab's clock was 0.
+func (b *Testbed) StartTime() time.Time { return b.startTime }
 
-// SendSpoofed sends a datagram to a node as if it came from another one.
-func (h *Testbed) SendSpoofed(from, to int, data []byte) {
-	h.nodes[to].mu.Lock()
-	proc := h.nodes[to].proc
-	h.nodes[to].mu.Unlock()
+// SendSpoofed sends a datagram to a node with another node's source address.
+func (b *Testbed) SendSpoofed(from, to int, data []byte) {
+	b.nodes[to].mu.Lock()
+	proc := b.nodes[to].proc
+	b.nodes[to].mu.Unlock()
 	if proc == nil {
 		return
 	}
 	if at, err := net.ResolveUDPAddr("udp", proc.PeerAddr()); err == nil {
-		h.relays[from].Conn().WriteTo(data, at)
+		b.relays[from].Conn().WriteTo(data, at)
 	}
 }
 
-// Discovery is the stand-in, for what no scenario says.
-func (h *Testbed) Discovery() *hosts.Service { return h.hosts }
+// Discovery returns the simulated discovery, for changes that scenarios can't express.
+func (b *Testbed) Discovery() *hosts.Service { return b.hosts }
--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -24,42 +24,42 @@
 
 var longRuns = flag.Bool("fleet-long", false, "the fleet's long measurements: 100 drains at each loss, 30 timelines, starvation")
 
-// day plays a scenario with real nodes and gives what happened and what the nodes
-// have on record.
-func day(t *testing.T, s *scenario.Scenario, o Options, during ...func(context.Context, *Testbed)) (*history.History, []version.Record) {
+// runFleet runs a scenario and returns its history and the nodes' fleet records. The functions in
+// concurrent run beside it.
+func runFleet(t *testing.T, s *scenario.Scenario, o Options, concurrent ...func(context.Context, *Testbed)) (*history.History, []version.Record) {
 	t.Helper()
-	defer takeProcesses(t, len(s.Nodes()))()
+	defer reserveNodes(t, len(s.Nodes()))()
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	defer cancel()
 	o.Program = program
-	h, err := New(ctx, s, o)
+	bed, err := New(ctx, s, o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	inner, stop := context.WithCancel(ctx)
 	defer stop()
 	var all sync.WaitGroup
-	for _, do := range during {
-		all.Go(func() { do(inner, h) })
+	for _, do := range concurrent {
+		all.Go(func() { do(inner, bed) })
 	}
-	got, err := h.Run(ctx)
+	got, err := bed.Run(ctx)
 	stop()
 	all.Wait()
 	var records []version.Record
 	if !o.NoRecordFiles {
-		records = h.Records()
+		records = bed.Records()
 	}
-	h.Close()
+	bed.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got, records
 }
 
-// till waits for a time of the run.
-func till(ctx context.Context, h *Testbed, at time.Duration) bool {
-	for h.Clock() < at {
-		if !wait(ctx, 10*time.Millisecond) {
+// waitUntil waits for a time of the run. It returns false if the run ended before it.
+func waitUntil(ctx context.Context, bed *Testbed, at time.Duration) bool {
+	for bed.Clock() < at {
+		if !sleep(ctx, 10*time.Millisecond) {
 			return false
 		}
 	}
@@ -75,9 +75,9 @@
 	return s
 }
 
-// The scenarios of the fleet hold with nine real nodes, and the audit, from their
-// records, finds nobody who sent although somebody knew better.
-func TestTheFleetsScenariosHold(t *testing.T) {
+// In the fleet's scenarios the rules hold, no node narrows or closes, and the audit finds no late sends
+// but those that a scenario is made to cause.
+func TestRulesHoldInFleetScenarios(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"straggler", "one-way", "anew", "behind", "crashed", "release", "late"} {
 		t.Run(name, func(t *testing.T) {
@@ -86,24 +86,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Load.Rate = 100                  // the machine may have two cores
-			if *longRuns && name == "behind" { // 30 s without discovery, and 6 s late
-				const more = 22 * time.Second
-				s.Length.Duration += more + 8*time.Second
-				s.Faults[0].For.Duration += more
-				s.Faults[1].At.Duration += more
+			s.Load.Rate = 100                  // for a machine of two cores
+			if *longRuns && name == "behind" { // 30 s without discovery, and a lag of 6 s
+				const extra = 22 * time.Second
+				s.Length.Duration += extra + 8*time.Second
+				s.Faults[0].For.Duration += extra
+				s.Faults[1].At.Duration += extra
 				s.Faults[1].For.Duration, s.Faults[1].Delay.Duration = 12*time.Second, 6*time.Second
-				s.Faults[2].At.Duration += more
+				s.Faults[2].At.Duration += extra
 			}
-			h, records := day(t, s, Options{})
+			h, records := runFleet(t, s, Options{})
 			v := judge.Judge(h)
 			for _, line := range holds.Check(s, h, &v) {
 				t.Error(line)
 			}
 			a := audit.New(records, audit.DefaultOptions())
 			for _, b := range a.LateSends() {
-				if name != "straggler" && !(name == "late" && b.Process == "n5" && b.Lateness < 2*time.Second) { // it flaps; it hears so late
-					t.Errorf("the audit: %s sent %d to %s too late: %s", b.Process, b.MinSends, b.Server, strings.Join(b.Evidence, "; "))
+				// In "late" the server flaps, and n5 is notified up to 2 s late.
+				if name != "straggler" && !(name == "late" && b.Process == "n5" && b.Lateness < 2*time.Second) {
+					t.Errorf("audit: %s sent %d attempts to %s too late: %s", b.Process, b.MinSends, b.Server, strings.Join(b.Evidence, "; "))
 				}
 			}
 			for _, r := range records {
@@ -117,7 +118,7 @@
 	}
 }
 
-const nine = `
+const nineNodes = `
 [[hall]]
 name = "hall-nord"
 nodes = 3
@@ -140,20 +141,20 @@
 retries = 1
 `
 
-// shortDrain is how long servers drain where the fleet is to follow. longDrain leaves those that do not follow time for
-// many sends after the grace, at the rate of these runs about one a second from each process to each server.
+// Durations of drains. Nodes that miss a longDrain send several attempts after the grace period: at the rate of these
+// runs each node sends about one a second to each server.
 const (
 	shortDrain = 1200 * time.Millisecond
 	longDrain  = 4 * time.Second
 )
 
-// drainWhileCut words a run in which servers drain for a time while three processes are cut off from discovery.
+// drainWhileCut returns a scenario in which servers drain while three nodes are cut off from discovery.
 func drainWhileCut(loss float64, seconds int, drain time.Duration) string {
-	text := fmt.Sprintf("name = \"drains\"\nlength = \"%ds\"\nfleet = true\n[load]\nrate = 100.0\n%s", seconds, nine)
+	text := fmt.Sprintf("name = \"drains\"\nlength = \"%ds\"\nfleet = true\n[load]\nrate = 100.0\n%s", seconds, nineNodes)
 	if loss > 0 {
 		text += fmt.Sprintf("[[fault]]\nat = \"0s\"\nfor = \"%ds\"\nwhat = \"peers\"\nwho = [\"hall-nord\", \"hall-syd\", \"hall-vest\"]\nloss = %.1f\n", seconds, loss)
 	}
-	for c := 0; c*9+10 <= seconds; c++ { // in turns of 9 s: a cut of 7 s, with three drains in it
+	for c := 0; c*9+10 <= seconds; c++ { // every 9 s a cut of 7 s, with three drains in it
 		text += fmt.Sprintf("[[fault]]\nat = \"%ds\"\nfor = \"7s\"\nwhat = \"cut-discovery\"\nwho = [\"n1\", \"n4\", \"n7\"]\n", c*9+1)
 		for i := range 3 {
 			server := fmt.Sprintf("hall-%s.%d", []string{"nord", "syd", "vest"}[i], 1+c%4)
@@ -163,18 +164,18 @@
 	return text
 }
 
-// lateSend is a send to a server after some process was told that it drains.
+// lateSend is an attempt at a server after some node was notified that the server drains.
 type lateSend struct {
 	node, server string
-	after        time.Duration // the first word of the drain
-	left         time.Duration // until some process was told that it does not drain; 0: never
+	after        time.Duration // since the first notification of the drain
+	left         time.Duration // until the first notification of its end; 0: there was none
 }
 
-// drainSpan is a time in which some process had been told that a server drains, and none
-// that it does not any more.
+// drainSpan is the time from the first notification that a server drains to the first one that it
+// doesn't any more.
 type drainSpan struct{ from, to time.Duration }
 
-// drainSpans gives those times of each server.
+// drainSpans returns the drain spans of each server.
 func drainSpans(h *history.History) map[string][]drainSpan {
 	spans := map[string][]drainSpan{}
 	for _, e := range h.Events {
@@ -193,10 +194,9 @@
 	return spans
 }
 
-// sendsToDrained lists the sends of nodes to servers after any node was told that they
-// drain, until any was told that they do not. A send is timed by its first byte at the
-// server.
-func sendsToDrained(h *history.History) (all []lateSend) {
+// sendsToDraining lists the attempts at servers within their drain spans, timed by their first byte at
+// the server.
+func sendsToDraining(h *history.History) (all []lateSend) {
 	spans := drainSpans(h)
 	for _, e := range h.Events {
 		if e.Kind != history.Attempt {
@@ -216,11 +216,10 @@
 	return all
 }
 
-// lateSends counts the sends to servers that drain later than a time after the first word
-// of it.
-func lateSends(h *history.History, after time.Duration) (sends int, worst time.Duration) {
-	for _, s := range sendsToDrained(h) {
-		if s.after > after {
+// lateSends counts the attempts at draining servers after the grace period, and returns the latest's delay.
+func lateSends(h *history.History, grace time.Duration) (sends int, worst time.Duration) {
+	for _, s := range sendsToDraining(h) {
+		if s.after > grace {
 			sends++
 			worst = max(worst, s.after)
 		}
@@ -228,9 +227,9 @@
 	return sends, worst
 }
 
-// The case of the need: servers drain while a node is cut off from discovery, and its
-// eight neighbours bring it up. Without it that node sends to each of them.
-func TestNobodySendsToADrainedServer(t *testing.T) {
+// A node that is cut off from discovery learns from peers which servers drain, also with lost
+// datagrams; without the fleet it goes on sending to them.
+func TestNodesCutOffFromDiscoveryDontSendToDrainingServers(t *testing.T) {
 	t.Parallel()
 	seconds := 10
 	if *longRuns {
@@ -240,14 +239,14 @@
 		t.Run(fmt.Sprint(loss), func(t *testing.T) {
 			t.Parallel()
 			s := parse(t, drainWhileCut(loss, seconds, shortDrain))
-			h, records := day(t, s, Options{})
+			h, records := runFleet(t, s, Options{})
 			sends, worst := lateSends(h, 550*time.Millisecond)
 			var took []time.Duration
 			for _, r := range records {
 				if !slices.Contains([]string{"n1", "n4", "n7"}, r.Process) {
 					continue
 				}
-				for _, w := range r.Withdrawals { // against the first node that knew of the same version
+				for _, w := range r.Withdrawals { // against the first node that had the same version
 					first := w.KnownAt
 					for _, o := range records {
 						for _, x := range o.Withdrawals {
@@ -261,48 +260,47 @@
 			}
 			slices.Sort(took)
 			if len(took) < seconds/9*9 {
-				t.Fatalf("the nodes that are cut off have %d withdrawals on record", len(took))
+				t.Fatalf("the records of the nodes that are cut off have %d withdrawals", len(took))
 			}
-			t.Logf("loss %.1f: %d withdrawals at nodes that are cut off, p50 %v, p99 %v, worst %v; %d sends later than 0.55 s, the last %v after the word",
+			t.Logf("loss %.1f: %d withdrawals at nodes that are cut off, delay p50 %v, p99 %v, worst %v; %d sends later than 0.55 s, the last %v after the notification",
 				loss, len(took), took[len(took)/2], took[len(took)*99/100], took[len(took)-1], sends, worst)
 			if sends > 0 {
-				t.Errorf("%d sends", sends)
+				t.Errorf("%d sends to draining servers after 0.55 s", sends)
 			}
 			if v := judge.Judge(h); !v.Passed() {
 				t.Error(holds.BreachLines(&v))
 			}
 		})
 	}
-	t.Run("without", func(t *testing.T) {
+	t.Run("without fleet", func(t *testing.T) {
 		t.Parallel()
 		s := parse(t, drainWhileCut(0, 10, longDrain))
 		s.Fleet = false
-		h, _ := day(t, s, Options{NoRecordFiles: true})
+		h, _ := runFleet(t, s, Options{NoRecordFiles: true})
 		sends, _ := lateSends(h, 550*time.Millisecond)
-		// The judge counts the first drain alone: the answer to the watch that was open at the cut
-		// was written, and what comes later counts as told 6 s after it.
+		// The judge counts the first drain alone: the response to the watch that was open at the cut
+		// was written, and later changes count as notified 6 s after they were made.
 		if v := judge.Judge(h); sends < 5 || v.Counts[judge.DrainsRespected] < 1 {
-			t.Errorf("%d late sends, %v: the fault did not show", sends, v.Counts)
+			t.Errorf("%d late sends, %v: the fault had no effect", sends, v.Counts)
 		}
 	})
 }
 
-// A node that stands still sends nothing, from its first send after that, to what was
-// drained meanwhile. Of what it had taken it answers all that is still in time; what
-// ran out of time while it stood still it can not.
-func TestANodeThatStoodStillBelievesNothingOld(t *testing.T) {
+// After a pause a node must not send to servers that were drained meanwhile. It answers all requests
+// it had accepted, except those whose deadline passed during the pause.
+func TestPausedNodeDistrustsItsOldState(t *testing.T) {
 	t.Parallel()
-	for _, stop := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
-		t.Run(stop.String(), func(t *testing.T) {
+	for _, pause := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second, 10 * time.Second} {
+		t.Run(pause.String(), func(t *testing.T) {
 			t.Parallel()
 			s := parse(t, fmt.Sprintf("name = \"stop\"\nlength = \"%v\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 100.0\n%s"+
 				"[[fault]]\nat = \"2s\"\nfor = \"%v\"\nwhat = \"stop\"\nwho = [\"n4\"]\n"+
-				"[[fault]]\nat = \"2200ms\"\nfor = \"%v\"\nwhat = \"drain\"\nwho = [\"hall-nord.1\", \"hall-syd.2\"]\n", stop+6*time.Second, nine, stop, stop+2*time.Second))
-			h, records := day(t, s, Options{})
+				"[[fault]]\nat = \"2200ms\"\nfor = \"%v\"\nwhat = \"drain\"\nwho = [\"hall-nord.1\", \"hall-syd.2\"]\n", pause+6*time.Second, nineNodes, pause, pause+2*time.Second))
+			h, records := runFleet(t, s, Options{})
 			v, lost, caught := judge.Judge(h), 0, 0
 			for _, b := range v.Breaches {
 				if holds.WrittenAfterPause(s, b, "n4") {
-					if caught++; caught > 1 { // what it was about to write, and no more
+					if caught++; caught > 1 { // at most the one it was about to write
 						t.Error(b)
 					}
 				} else if holds.LostDuringPause(s, b) {
@@ -311,10 +309,10 @@
 					t.Error(b)
 				}
 			}
-			t.Logf("stopped for %v: %d requests without an answer in time", stop, lost)
+			t.Logf("paused for %v: %d requests without an answer in time", pause, lost)
 			i := slices.IndexFunc(records, func(r version.Record) bool { return r.Process == "n4" })
-			if i < 0 || len(records[i].Pauses) == 0 || (records[i].Pauses[0].Duration-stop).Abs() > 300*time.Millisecond {
-				t.Error("its record does not tell of the stop")
+			if i < 0 || len(records[i].Pauses) == 0 || (records[i].Pauses[0].Duration-pause).Abs() > 300*time.Millisecond {
+				t.Error("the record of n4 does not show the pause")
 			}
 			for i := range s.Faults {
 				if why := holds.MissingEvidence(s, &s.Faults[i], h); why != "" {
@@ -325,11 +323,11 @@
 	}
 }
 
-// A node that is cut off from discovery and from the others narrows, takes nothing
-// new, finishes what it has, and comes back by itself; the audit tells why.
-func TestANodeCutOffFromAllIsShutOut(t *testing.T) {
+// A node that is cut off from discovery and from its peers narrows, then closes, and recovers by itself
+// when the cut ends.
+func TestNodeCutOffFromAllSourcesClosesAndRecovers(t *testing.T) {
 	t.Parallel()
-	text := "name = \"cut\"\nlength = \"18s\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 100.0\n" + nine
+	text := "name = \"cut\"\nlength = \"18s\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 100.0\n" + nineNodes
 	for _, what := range []string{"cut-discovery", "peers"} {
 		text += fmt.Sprintf("[[fault]]\nat = \"2s\"\nfor = \"10s\"\nwhat = %q\nwho = [\"n4\"]\n", what)
 		if what == "peers" {
@@ -337,65 +335,64 @@
 		}
 	}
 	s := parse(t, text)
-	h, records := day(t, s, Options{})
+	h, records := runFleet(t, s, Options{})
 	v := judge.Judge(h)
 	for _, line := range holds.Check(s, h, &v) {
 		t.Error(line)
 	}
 	for _, r := range records {
-		var to []string
+		var modes []string
 		for _, c := range r.ModeChanges {
-			to = append(to, c.Mode)
+			modes = append(modes, c.Mode)
 		}
 		want := ""
 		if r.Process == "n4" {
 			want = "narrowed closed current"
 		}
-		if got := strings.Join(to, " "); got != want {
-			t.Errorf("%s went %q, want %q", r.Process, got, want)
+		if got := strings.Join(modes, " "); got != want {
+			t.Errorf("%s changed its mode to %q, want %q", r.Process, got, want)
 		}
 		if r.Process == "n4" && r.StaleRefusals == 0 {
-			t.Error("it refused nothing")
+			t.Error("n4 refused no request")
 		}
 	}
 	t.Logf("service %.3f, %d of %d tries refused", v.Service.Measure, v.Service.Refused, v.Service.Tries)
 }
 
-// Six of nine nodes are killed, and long after that discovery is down for 9 s: the three
-// that are left know that they are all there is, hold on to the last good list and go
-// on; without knowing they shut themselves out. When the six are back all know them
-// under their new lives.
-func TestThreeThatAreLeftGoOn(t *testing.T) {
+// Three of nine nodes are left when discovery fails. With dynamic membership they know that they are
+// all and go on with the last good list; with a configured member list they close. The six that return
+// are known by their new incarnations.
+func TestRemainingNodesContinueWithoutDiscovery(t *testing.T) {
 	t.Parallel()
-	for name, x := range map[string]struct{ more, want string }{"members": {"members = true", "held"}, "configuration": {"", "closed"}} {
+	for name, x := range map[string]struct{ settings, want string }{"members": {"members = true", "held"}, "configuration": {"", "closed"}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := parse(t, "name = \"left\"\nlength = \"34s\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 40.0\n"+nine+
+			s := parse(t, "name = \"left\"\nlength = \"34s\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 40.0\n"+nineNodes+
 				"[[fault]]\nat = \"2s\"\nfor = \"25s\"\nwhat = \"kill\"\nwho = [\"n0\", \"n1\", \"n2\", \"n3\", \"n4\", \"n5\"]\n"+
 				"[[fault]]\nat = \"17s\"\nfor = \"8s\"\nwhat = \"discovery-outage\"\n")
-			h, records := day(t, s, Options{FleetSettings: x.more})
+			h, records := runFleet(t, s, Options{FleetSettings: x.settings})
 			v := judge.Judge(h)
 			for _, line := range holds.Check(s, h, &v) {
 				t.Error(line)
 			}
 			for _, r := range records {
-				to := ""
+				modes := ""
 				for _, c := range r.ModeChanges {
-					to += c.Mode + " "
+					modes += c.Mode + " "
 				}
-				if left := r.Number >= 6; left && !strings.Contains(to, x.want) || strings.Contains(to, "closed") && x.want != "closed" {
-					t.Errorf("%s went %s", r.Process, to)
+				if left := r.Number >= 6; left && !strings.Contains(modes, x.want) || strings.Contains(modes, "closed") && x.want != "closed" {
+					t.Errorf("%s changed its mode to %s", r.Process, modes)
 					for _, c := range r.ModeChanges {
 						t.Logf("%s at %v: %s %s", r.Process, c.At.Sub(r.Incarnation), c.Mode, c.Why)
 					}
 				}
 			}
 			views := audit.New(records, audit.DefaultOptions()).Views()
-			if x.more == "" {
+			if x.settings == "" {
 				return
 			}
 			if len(views) != 9 {
-				t.Fatalf("%d processes tell whom they know", len(views))
+				t.Fatalf("%d processes have a view of the members", len(views))
 			}
 			for _, v := range views {
 				if v.Alive != 9 || !v.Majority {
@@ -406,24 +403,23 @@
 	}
 }
 
-// A tenant's quota is shared by nine nodes, one of which has four times the others'
-// traffic, dies and comes back, among lost datagrams: its part follows, and all parts
-// together stay within the quota.
-func TestQuotasFollowTheTraffic(t *testing.T) {
+// A node with four times the others' traffic leases a larger part of a shared quota, also after it was
+// killed and with lost datagrams, and the sum of all leases stays within the quota.
+func TestQuotaLeasesFollowTheTraffic(t *testing.T) {
 	t.Parallel()
-	layout := strings.Replace(strings.Replace(nine, "nodes = 3", "nodes = 1", 1), "nodes = 3", "nodes = 4", 2)
+	layout := strings.Replace(strings.Replace(nineNodes, "nodes = 3", "nodes = 1", 1), "nodes = 3", "nodes = 4", 2)
 	s := parse(t, "name = \"quota\"\nlength = \"17s\"\nfleet = true\nquota = 200.0\n[must]\nfaults_happen = true\n[load]\nrate = 120.0\n"+layout+
 		"[[fault]]\nat = \"0s\"\nfor = \"17s\"\nwhat = \"peers\"\nwho = [\"n0\", \"n1\", \"n2\"]\nloss = 0.2\n"+
 		"[[fault]]\nat = \"8s\"\nfor = \"2s\"\nwhat = \"kill\"\nwho = [\"n0\"]\n")
-	looks := map[string][][]version.Record{}
-	h, _ := day(t, s, Options{FleetSettings: "quotas = true", NoRecordFiles: true}, func(ctx context.Context, h *Testbed) {
-		for i := range 16 { // a loan may just have been lost
-			when, at := "before its death", 6*time.Second+time.Duration(i)*250*time.Millisecond
+	samples := map[string][][]version.Record{}
+	h, _ := runFleet(t, s, Options{FleetSettings: "quotas = true", NoRecordFiles: true}, func(ctx context.Context, bed *Testbed) {
+		for i := range 16 { // several samples, as a lease may just have been lost
+			when, at := "before the kill", 6*time.Second+time.Duration(i)*250*time.Millisecond
 			if i >= 8 {
-				when, at = "after it", at+6*time.Second
+				when, at = "after the restart", at+6*time.Second
 			}
-			if till(ctx, h, at) {
-				looks[when] = append(looks[when], h.CurrentRecords())
+			if waitUntil(ctx, bed, at) {
+				samples[when] = append(samples[when], bed.CurrentRecords())
 			}
 		}
 	})
@@ -431,37 +427,38 @@
 	for _, line := range holds.Check(s, h, &v) {
 		t.Error(line)
 	}
-	for when, all := range looks {
-		has := 0
+	for when, all := range samples {
+		satisfied := 0
 		for _, records := range all {
 			x := audit.New(records, audit.DefaultOptions()).SharedQuotas()
 			if len(x) != 1 || len(x[0].Leases) != 9 {
 				t.Fatalf("%s: %+v", when, x)
 			}
 			p := x[0].Leases[0]
-			t.Logf("%s: n0 has %.1f of its need of %.1f, base %.1f; all together %.1f of 200", when, p.Held, p.Demand, p.EqualShare, x[0].Held)
-			if before := when == "before its death"; before && p.Held >= 1.4*p.EqualShare || !before && p.Held >= p.Demand { // without shares it has an equal part
-				has++
+			t.Logf("%s: n0 holds %.1f of its demand of %.1f, equal share %.1f; total held %.1f of 200", when, p.Held, p.Demand, p.EqualShare, x[0].Held)
+			// Without leases n0 has its equal share.
+			if before := when == "before the kill"; before && p.Held >= 1.4*p.EqualShare || !before && p.Held >= p.Demand {
+				satisfied++
 			}
-			if x[0].Held > 210 { // the records are some ms apart
-				t.Errorf("%s: all together %.1f of 200", when, x[0].Held)
+			if x[0].Held > 210 { // the records are taken some ms apart
+				t.Errorf("%s: total held %.1f of 200", when, x[0].Held)
 			}
 		}
-		if has < 4 {
-			t.Errorf("%s: of %d times n0 had what it needs %d times", when, len(all), has)
+		if satisfied < 4 {
+			t.Errorf("%s: of %d samples n0 had what it needs in %d", when, len(all), satisfied)
 		}
 	}
 }
 
-// Nodes of an older build, which do not know the form, go on as they were, and the
-// others bring up one that is cut off beside them.
-func TestTwoBuildsInOneFleet(t *testing.T) {
+// Nodes of an older build, without the fleet, must not keep the others from notifying one that is cut
+// off.
+func TestNodesWithoutFleetAmongOthers(t *testing.T) {
 	t.Parallel()
 	s := parse(t, drainWhileCut(0.1, 10, shortDrain))
 	older := []string{"n0", "n3", "n5", "n8"}
-	h, records := day(t, s, Options{WithoutFleet: older})
+	h, records := runFleet(t, s, Options{WithoutFleet: older})
 	if sends, worst := lateSends(h, 550*time.Millisecond); sends > 0 {
-		t.Errorf("%d sends, the last after %v", sends, worst)
+		t.Errorf("%d sends to draining servers, the last after %v", sends, worst)
 	}
 	v := judge.Judge(h)
 	for _, line := range holds.BreachLines(&v) {
@@ -471,29 +468,28 @@
 	o.FleetSize = 9
 	for _, p := range audit.New(records, o).Processes() {
 		if old := slices.Contains(older, fmt.Sprintf("n%d", p.Number)); old != (p.State == audit.StateUnknown) {
-			t.Errorf("%s is said to be %s: %s", p.Process, p.State, p.Why)
+			t.Errorf("audit: %s is %s: %s", p.Process, p.State, p.Why)
 		}
 	}
 }
 
-// Processes that lie: one withdraws every server, one claims a huge generation, one
-// says again what another said before, and one of another build's form; beside them a
-// node that is cut off from discovery, which has two in three of its words of liars.
-// Nobody is shut out, the list of the others stays as it is, and the drain is kept.
-func TestLiarsShutNobodyOut(t *testing.T) {
+// Faulty peers withdraw every server, claim a huge generation, replay old messages and send unknown
+// ones; a node that is cut off from discovery receives two in three of its messages from them. No node
+// narrows or closes, few servers are lost, and the drain is still followed.
+func TestFaultyPeersDontCloseNodes(t *testing.T) {
 	t.Parallel()
 	s := parse(t, strings.ReplaceAll(drainWhileCut(0, 12, shortDrain), "2000ms", "6000ms"))
 	s.Faults = s.Faults[:2] // the cut, and one drain
-	liars := []string{"n0", "n2", "n8"}
-	lies := 0
+	faulty := []string{"n0", "n2", "n8"}
+	rounds := 0
 	var old []byte
-	h, records := day(t, s, Options{WithoutFleet: liars}, func(ctx context.Context, h *Testbed) {
-		for till(ctx, h, 2*time.Second) && wait(ctx, 100*time.Millisecond) {
-			now := time.Since(h.StartTime()) + time.Duration(h.StartTime().UnixNano())
+	h, records := runFleet(t, s, Options{WithoutFleet: faulty}, func(ctx context.Context, bed *Testbed) {
+		for waitUntil(ctx, bed, 2*time.Second) && sleep(ctx, 100*time.Millisecond) {
+			now := time.Since(bed.StartTime()) + time.Duration(bed.StartTime().UnixNano())
 			for _, to := range []int{1, 3, 4, 5, 6, 7} {
 				v := version.Vector{List: version.List{Generation: 9_000_000, Digest: 7}, Format: version.FormatVersion, Clock: version.TimestampOf(now)}
 				huge := append(v.Append([]byte{0xF1, 0}), 0, 0, 0, 0, 0, 0x70, 0, 0, 0)
-				h.SendSpoofed(0, to, huge)
+				bed.SendSpoofed(0, to, huge)
 				v.List.Generation = 60
 				all := append(v.Append([]byte{0xF1, 2}), 0, 0, 0, 0, 0, 0, 0, 0, 60, 0, 1, 0, 0, 0, 0, 0, 40)
 				for _, hall := range []string{"nord", "syd", "vest"} {
@@ -505,26 +501,26 @@
 						all = append(all, byte(version.Removed), 0, 0, 0, 60)
 					}
 				}
-				h.SendSpoofed(2, to, all)
-				h.SendSpoofed(8, to, append([]byte{0xF1, 9}, huge[2:]...))
-				h.SendSpoofed(8, to, []byte{0xF1})
+				bed.SendSpoofed(2, to, all)
+				bed.SendSpoofed(8, to, append([]byte{0xF1, 9}, huge[2:]...))
+				bed.SendSpoofed(8, to, []byte{0xF1})
 				if old == nil {
 					old = huge
 				}
-				h.SendSpoofed(0, to, old) // what it has said before, again
-				lies++
+				bed.SendSpoofed(0, to, old) // a replay
+				rounds++
 			}
 		}
 	})
-	if lies < 100 {
-		t.Fatalf("%d lies were told", lies)
+	if rounds < 100 {
+		t.Fatalf("%d rounds of forged messages", rounds)
 	}
 	v := judge.Judge(h)
 	for _, line := range holds.BreachLines(&v) {
 		t.Error(line)
 	}
 	if sends, worst := lateSends(h, 550*time.Millisecond); sends > 0 {
-		t.Errorf("%d sends to what drained, the last after %v", sends, worst)
+		t.Errorf("%d sends to a draining server, the last after %v", sends, worst)
 	}
 	for _, r := range records {
 		for _, c := range r.ModeChanges {
@@ -534,12 +530,12 @@
 		}
 		out := 0
 		for _, w := range r.Withdrawals {
-			if w.ReportedBy == 2 && w.Server != "hall-nord.1" { // that one drains
+			if w.ReportedBy == 2 && w.Server != "hall-nord.1" { // which does drain
 				out++
 			}
 		}
 		if out > 3 {
-			t.Errorf("%s took %d of 12 servers out by one liar's word", r.Process, out)
+			t.Errorf("%s withdrew %d of 12 servers on the report of one faulty peer", r.Process, out)
 		}
 	}
 	if g := v.Service; g.Measure < 0.9 {
@@ -547,18 +543,17 @@
 	}
 }
 
-// Nine of twelve servers drain while a node is cut off from discovery: it takes its
-// neighbours' word for half of its list and no more, and the audit says that it refuses
-// the rest.
-func TestANodeThatRefusesIsSaidToRefuse(t *testing.T) {
+// A node that is cut off from discovery withdraws at most half of its servers on peers' reports. The
+// audit shows which withdrawals it refused.
+func TestAuditShowsRefusedWithdrawals(t *testing.T) {
 	t.Parallel()
-	s := parse(t, "name = \"most\"\nlength = \"6s\"\nfleet = true\n[load]\nrate = 30.0\n"+nine+
+	s := parse(t, "name = \"most\"\nlength = \"6s\"\nfleet = true\n[load]\nrate = 30.0\n"+nineNodes+
 		"[[fault]]\nat = \"1s\"\nfor = \"6s\"\nwhat = \"cut-discovery\"\nwho = [\"n4\"]\n"+
 		"[[fault]]\nat = \"2s\"\nfor = \"5s\"\nwhat = \"drain\"\nwho = [\"hall-nord\", \"hall-syd.1\", \"hall-syd.2\", \"hall-syd.3\", \"hall-vest.1\", \"hall-vest.2\"]\n")
 	var records []version.Record
-	day(t, s, Options{}, func(ctx context.Context, h *Testbed) {
-		if till(ctx, h, 5*time.Second) {
-			records = h.Records()
+	runFleet(t, s, Options{}, func(ctx context.Context, bed *Testbed) {
+		if waitUntil(ctx, bed, 5*time.Second) {
+			records = bed.Records()
 		}
 	})
 	for _, p := range audit.New(records, audit.DefaultOptions()).Processes() {
@@ -571,17 +566,17 @@
 	}
 }
 
-// Two discoveries that disagree for 5 s, about a drain and a server that is gone: what
-// each node's own one says holds there, nobody is shut out, and afterwards all agree.
-func TestTwoDiscoveriesDisagree(t *testing.T) {
+// Two instances of discovery disagree for 5 s about a drain and a removed server. Each node follows its
+// own one, none narrows or closes, and afterwards all have the same list.
+func TestDiscoveryInstancesDisagree(t *testing.T) {
 	t.Parallel()
-	s := parse(t, "name = \"two\"\nlength = \"12s\"\nfleet = true\n[load]\nrate = 100.0\n"+nine)
+	s := parse(t, "name = \"two\"\nlength = \"12s\"\nfleet = true\n[load]\nrate = 100.0\n"+nineNodes)
 	halves := []string{"n0", "n1", "n3", "n4"}
-	h, records := day(t, s, Options{}, func(ctx context.Context, h *Testbed) {
-		if !till(ctx, h, 2*time.Second) {
+	h, records := runFleet(t, s, Options{}, func(ctx context.Context, bed *Testbed) {
+		if !waitUntil(ctx, bed, 2*time.Second) {
 			return
 		}
-		h.Discovery().SetAlternative(halves, func(l hosts.List) hosts.List {
+		bed.Discovery().SetAlternative(halves, func(l hosts.List) hosts.List {
 			out := hosts.List{Reset: true}
 			for _, e := range l.Instances {
 				if e.InstanceID == "hall-nord.1" {
@@ -593,19 +588,19 @@
 			}
 			return out
 		})
-		till(ctx, h, 7*time.Second)
-		h.Discovery().SetAlternative(nil, nil)
+		waitUntil(ctx, bed, 7*time.Second)
+		bed.Discovery().SetAlternative(nil, nil)
 	})
 	v := judge.Judge(h)
 	for _, line := range holds.BreachLines(&v) {
 		t.Error(line)
 	}
-	// A record says who told a process first: its own discovery or, where the machine is busy,
-	// a neighbour that was quicker.
+	// A record names the first source of a withdrawal: the node's own discovery or, on a busy machine,
+	// a peer that was quicker.
 	known, own := map[string]bool{}, map[string]bool{}
 	for _, r := range records {
 		if n := len(r.Intervals); r.Intervals[n-1].Version.List.Digest != records[0].Intervals[len(records[0].Intervals)-1].Version.List.Digest {
-			t.Errorf("%s ends on another list", r.Process)
+			t.Errorf("%s ends with another list", r.Process)
 		}
 		for _, w := range r.Withdrawals {
 			if slices.Contains(halves, r.Process) {
@@ -615,7 +610,7 @@
 				own[w.Server] = true
 			}
 			if w.RestoredAt == 0 {
-				t.Errorf("%s still leaves %s out, by the word of %d: %v at %v, acts on %v", r.Process, w.Server, w.ReportedBy, w.List, time.Duration(w.KnownAt.Time())-time.Duration(r.Incarnation.Time()), r.Intervals[len(r.Intervals)-1].Version.List)
+				t.Errorf("%s still withdraws %s, reported by %d: %v at %v, acts on %v", r.Process, w.Server, w.ReportedBy, w.List, time.Duration(w.KnownAt.Time())-time.Duration(r.Incarnation.Time()), r.Intervals[len(r.Intervals)-1].Version.List)
 			}
 		}
 		for _, c := range r.ModeChanges {
@@ -623,73 +618,72 @@
 		}
 	}
 	if len(known) < 2*len(halves) || len(own) < 2 {
-		t.Errorf("of the other discovery's words %d are known to its nodes, %d servers by it: %v", len(known), len(own), known)
+		t.Errorf("the nodes of the other discovery know %d of its withdrawals, %d servers from their own source: %v", len(known), len(own), known)
 	}
 }
 
-// auditSpan is by how much the audit and the lab may differ on how late a send was: the
-// lab's clock runs from the first word on the wire to the first byte at a server, the
-// audit's between a process's own marks, which are as long.
-const auditSpan = version.BucketLength + 50*time.Millisecond
+// auditTolerance is the allowed difference between the audit's and the lab's lateness of a send. The lab
+// measures from the first notification on the wire to the first byte at the server, the audit between
+// buckets of a process's own records.
+const auditTolerance = version.BucketLength + 50*time.Millisecond
 
-// The audit of nodes that only watch finds those that were cut off and went on
-// sending, on sockets as in memory, and nobody else.
-func TestTheAuditFindsStragglersOnSockets(t *testing.T) {
+// The audit of nodes that only observe must find all late sends of nodes that were cut off, and no others.
+func TestAuditFindsLateSendsOnSockets(t *testing.T) {
 	t.Parallel()
-	days := 2
+	runs := 2
 	if *longRuns {
-		days = 30
+		runs = 30
 	}
 	var found atomic.Int64
-	t.Run("days", func(t *testing.T) {
-		room := make(chan struct{}, 3)
-		for i := range days {
+	t.Run("runs", func(t *testing.T) {
+		running := make(chan struct{}, 3)
+		for i := range runs {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				room <- struct{}{}
-				defer func() { <-room }()
-				found.Add(int64(auditOfStragglers(t, i)))
+				running <- struct{}{}
+				defer func() { <-running }()
+				found.Add(int64(checkAuditOfCutNodes(t, i)))
 			})
 		}
 	})
-	if found.Load() < int64(days) {
-		t.Errorf("%d stragglers' sends were found in %d days", found.Load(), days)
+	if found.Load() < int64(runs) {
+		t.Errorf("the audit found %d late sends in %d runs", found.Load(), runs)
 	}
 }
 
-// auditOfStragglers plays a day with two nodes that are cut off from discovery, holds the
-// audit's breaks to the history, and gives how many there were.
-func auditOfStragglers(t *testing.T, number int) (found int) {
+// checkAuditOfCutNodes runs a fleet with two nodes that are cut off from discovery, compares the audit's
+// late sends with the history, and returns how many there were.
+func checkAuditOfCutNodes(t *testing.T, number int) (found int) {
 	t.Helper()
 	cut := []string{fmt.Sprintf("n%d", number%4), fmt.Sprintf("n%d", 4+number%5)}
 	text := strings.Replace(drainWhileCut(float64(number%5)/10, 10, longDrain), `who = ["n1", "n4", "n7"]`, fmt.Sprintf("who = [%q, %q]", cut[0], cut[1]), 1)
-	h, records := day(t, parse(t, text), Options{FleetSettings: "only_watch = true"})
+	h, records := runFleet(t, parse(t, text), Options{FleetSettings: "only_watch = true"})
 	options := audit.DefaultOptions()
-	breaks, sends := audit.New(records, options).LateSends(), sendsToDrained(h)
-	for _, b := range breaks {
+	reports, sends := audit.New(records, options).LateSends(), sendsToDraining(h)
+	for _, b := range reports {
 		if !slices.Contains(cut, b.Process) {
-			t.Errorf("%s is said to have sent to %s too late: %v", b.Process, b.Server, b.Evidence)
+			t.Errorf("audit: %s sent to %s too late, but was not cut off: %v", b.Process, b.Server, b.Evidence)
 		}
 		if !slices.ContainsFunc(sends, func(s lateSend) bool {
-			return s.node == b.Process && s.server == b.Server && s.after > max(options.Grace, b.Lateness-auditSpan)
+			return s.node == b.Process && s.server == b.Server && s.after > max(options.Grace, b.Lateness-auditTolerance)
 		}) {
 			t.Errorf("the history has no send of %s to %s that is %v late: %v", b.Process, b.Server, b.Lateness, b.Evidence)
 		}
 	}
 	for _, s := range sends {
-		if s.after < options.Grace+options.Tolerance+auditSpan || s.left > 0 && s.left < auditSpan {
+		if s.after < options.Grace+options.Tolerance+auditTolerance || s.left > 0 && s.left < auditTolerance {
 			continue
 		}
-		if !slices.ContainsFunc(breaks, func(b audit.LateSendReport) bool { return b.Process == s.node && b.Server == s.server }) {
-			t.Errorf("the audit does not find the send of %s to %s %v after the first word of the drain", s.node, s.server, s.after)
+		if !slices.ContainsFunc(reports, func(b audit.LateSendReport) bool { return b.Process == s.node && b.Server == s.server }) {
+			t.Errorf("the audit does not find the send of %s to %s %v after the first notification of the drain", s.node, s.server, s.after)
 		}
 	}
-	return len(breaks)
+	return len(reports)
 }
 
-// Under starvation nobody is shut out: a fleet of processes beside twice as many busy
-// threads as there are cores.
-func TestNobodyIsShutOutUnderStarvation(t *testing.T) {
+// Processes that compete with twice as many busy threads as there are cores must not be taken for dead,
+// nor narrow or close.
+func TestNoNodeClosesUnderCPUStarvation(t *testing.T) {
 	length := 5 * time.Second
 	if *longRuns {
 		length = time.Minute
@@ -707,17 +701,17 @@
 			}
 		}()
 	}
-	s := parse(t, fmt.Sprintf("name = \"starved\"\nlength = \"%v\"\nfleet = true\n[load]\nrate = 60.0\n%s", length, nine))
-	_, records := day(t, s, Options{FleetSettings: "members = true"})
+	s := parse(t, fmt.Sprintf("name = \"starved\"\nlength = \"%v\"\nfleet = true\n[load]\nrate = 60.0\n%s", length, nineNodes))
+	_, records := runFleet(t, s, Options{FleetSettings: "members = true"})
 	for _, v := range audit.New(records, audit.DefaultOptions()).Views() {
 		if slices.ContainsFunc(v.NotAlive, func(o string) bool { return strings.HasSuffix(o, "gone") }) {
-			t.Errorf("%s takes processes for gone: %v", v.Process, v.NotAlive)
+			t.Errorf("%s considers processes gone: %v", v.Process, v.NotAlive)
 		}
 	}
 	for _, r := range records {
 		if len(r.ModeChanges) > 0 {
 			t.Errorf("%s: %+v", r.Process, r.ModeChanges)
 		}
-		t.Logf("%s stood still %d times", r.Process, len(r.Pauses))
+		t.Logf("%s was paused %d times", r.Process, len(r.Pauses))
 	}
 }
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -1,5 +1,5 @@
-// Package real runs a scenario on loopback sockets in real time: real nodes as
-// processes, the stand-ins round them, one monotonic clock for all records.
+// Package real runs a scenario in real time on loopback sockets: nodes run as child processes,
+// surrounded by simulated clients, servers and discovery, and one monotonic clock times all records.
 package real
 
 import (
@@ -31,86 +31,86 @@
 )
 
 const (
-	maxOrders    = 20_000 // that are open at once; beyond it the load waits, and the run says so
-	frontNotice  = time.Second
-	silentNotice = 5 * time.Second        // until discovery misses a machine that is cut off
-	comingTime   = 300 * time.Millisecond // in which connections still come to a node that was told to end
+	maxOrders         = 20_000                 // open orders; further ones wait
+	frontNoticeDelay  = time.Second            // until the clients' load balancer notices that a node was killed
+	unreachableNotice = 5 * time.Second        // until discovery removes an unreachable server
+	acceptAfterTerm   = 300 * time.Millisecond // in which new connections still arrive after SIGTERM
 )
 
-// Options of a run.
+// Options are the settings of a run.
 type Options struct {
 	Seed            int64               // 0: the scenario's
-	Program         string              // the node
+	Program         string              // path of the node's program
 	Limits          nodeconf.Limits     // of each node; zero: one core, 192 MB, 1,024 descriptors
-	FleetSettings   string              // more lines of the operators' section [fleet]
-	WithoutFleet    []string            // nodes that know nothing of it
-	NoRecordFiles   bool                // nodes write no record to a file: what their consoles say is enough
-	ControlProgram  string              // the control service's program
-	ControlServices int                 // control services that are of the fleet, numbered from member.FirstControlID on
-	Deployment      *load.Deployment    // another one than the brief's; nil: that
-	ObserveEvents   func(history.Event) // told of each event, one at a time; may be nil
+	FleetSettings   string              // lines appended to the section [fleet] of the operator's file
+	WithoutFleet    []string            // names of nodes that get no operator's file
+	NoRecordFiles   bool                // nodes write no record files; records come from their consoles alone
+	ControlProgram  string              // path of the control service's program
+	ControlServices int                 // number of control services in the fleet; IDs start at member.FirstControlID
+	Deployment      *load.Deployment    // nil: load.Brief of the scenario
+	ObserveEvents   func(history.Event) // receives each event, one at a time; may be nil
 }
 
-// Testbed is one run.
+// Testbed is one run of a scenario, with its processes and simulated surroundings.
 type Testbed struct {
-	s        *scenario.Scenario
-	o        Options
-	dir      string
-	base     atomic.Pointer[time.Time] // nil: the load has not begun
-	unix     time.Time                 // of base
-	rec      history.Recorder
-	setup    history.Setup
-	mu       sync.Mutex
-	slots    []*slot
-	byID     map[string]*slot
-	nodes    []*node
-	hosts    *hosts.Service
-	front    *caller.Front
-	clients  *caller.Clients
-	relays   []*link.UDP // by number: where others reach a node
-	toAll    *link.UDP
-	from     sync.Map              // netip.AddrPort of a node's process: its number
-	ways     map[[2]int]link.Shape // of datagrams from node to node, where they are not as usual
-	services []*process.Process
-	cuts     map[string]*link.TCP // by node: the way to discovery, where the timeline cuts it
-	late     []time.Duration      // how late orders were sent
-	waited   int                  // orders that found maxOrders open
-	stopping bool
-	alarms   []ErrorLine
-	watches  sync.WaitGroup
-	rng      *rand.Rand // the timeline's own
-	pending  sync.WaitGroup
-	failed   atomic.Pointer[error]
+	scenario        *scenario.Scenario
+	options         Options
+	dir             string
+	clockStart      atomic.Pointer[time.Time] // nil until the load begins
+	startTime       time.Time                 // when the load began
+	recorder        history.Recorder
+	setup           history.Setup
+	mu              sync.Mutex
+	slots           []*slot
+	slotsByID       map[string]*slot
+	nodes           []*node
+	hosts           *hosts.Service
+	front           *caller.Front // the clients' load balancer
+	clients         *caller.Clients
+	relays          []*link.UDP           // by process number: the address at which peers reach it
+	broadcast       *link.UDP             // relays to all nodes
+	senders         sync.Map              // process number by the netip.AddrPort from which it sends
+	impairments     map[[2]int]link.Shape // of datagrams, by numbers of sender and receiver; absent: defaultShape
+	controlServices []*process.Process
+	discoveryLinks  map[string]*link.TCP // by node; only where the timeline cuts it
+	sendDelays      []time.Duration      // between the planned and the actual start of each order
+	throttled       int                  // orders that waited as maxOrders were open
+	stopping        bool
+	errorLines      []ErrorLine
+	watchers        sync.WaitGroup
+	rng             *rand.Rand // for the timeline
+	pending         sync.WaitGroup
+	firstErr        atomic.Pointer[error]
 }
 
-// slot is a server's place: its addresses stay when the server is replaced.
+// slot holds a server. Its addresses stay the same when the server is replaced.
 type slot struct {
 	scenario.Server
-	id     string // on the list
-	server *clipserver.Server
-	pod    *clip.Pod
-	speed  float64
-	direct map[string]string    // node: address
-	links  map[string]*link.TCP // node: the link in front, where the timeline has one
-	start  time.Duration        // 0: long ago
-	life   int
-	state  string // for the screen: "", draining, silent, hung, down
+	id          string // instance ID on discovery's list
+	server      *clipserver.Server
+	pod         *clip.Pod
+	speed       float64
+	addrs       map[string]string    // by node
+	links       map[string]*link.TCP // by node; only where the timeline changes the link
+	startedAt   time.Duration        // 0: before the run
+	incarnation int
+	state       string // for display: empty or draining
 }
 
-// node is a node's place.
+// node holds a node and its successive processes.
 type node struct {
 	scenario.Node
-	conf nodeconf.Config
-	mu   sync.Mutex
-	proc *process.Process
-	live atomic.Pointer[process.Process] // the latest process, which may have ended
-	told bool                            // it was told to end, or killed
-	life int
-	cpu  time.Duration // of processes that have ended
-	fail callFaults
+	config        nodeconf.Config
+	mu            sync.Mutex
+	proc          *process.Process
+	latest        atomic.Pointer[process.Process] // the latest process, which may have ended
+	stopRequested bool                            // proc was sent SIGTERM or SIGKILL
+	incarnation   int
+	cpuTime       time.Duration // of processes that have ended
+	callFaults    callFaults
 }
 
-// New starts the stand-ins and the nodes. Close ends all of it.
+// New starts the simulated servers and discovery, the control services and the nodes. Close stops them all.
 func New(ctx context.Context, s *scenario.Scenario, o Options) (*Testbed, error) {
 	if o.Seed == 0 {
 		o.Seed = s.Seed
@@ -122,50 +122,50 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Testbed{s: s, o: o, dir: dir, byID: map[string]*slot{}, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x7265616c)), front: caller.NewFront(s.Nodes())}
+	b := &Testbed{scenario: s, options: o, dir: dir, slotsByID: map[string]*slot{}, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x7265616c)), front: caller.NewFront(s.Nodes())}
 	if o.ObserveEvents != nil {
-		h.rec.Watch(o.ObserveEvents)
+		b.recorder.Watch(o.ObserveEvents)
 	}
-	if h.o.Deployment == nil {
-		h.o.Deployment = load.Brief(s)
+	if b.options.Deployment == nil {
+		b.options.Deployment = load.Brief(s)
 	}
-	h.setup = history.Setup{Scenario: s.Name, Seed: o.Seed, Length: s.Length.Duration, Classes: h.o.Deployment.Classes, Limits: h.o.Deployment.Limits}
-	h.clients = &caller.Clients{Scenario: s, Front: h.front, Clock: h.Clock, Record: h.rec.Add, Slack: cmp.Or(h.o.Deployment.Limits.AnswerSlack, h.o.Deployment.Limits.Slack)}
-	h.cuts = map[string]*link.TCP{}
-	h.hosts = hosts.NewService(40, h.Clock, h.rec.Add, h.addr)
+	b.setup = history.Setup{Scenario: s.Name, Seed: o.Seed, Length: s.Length.Duration, Classes: b.options.Deployment.Classes, Limits: b.options.Deployment.Limits}
+	b.clients = &caller.Clients{Scenario: s, Front: b.front, Clock: b.Clock, Record: b.recorder.Add, Slack: cmp.Or(b.options.Deployment.Limits.AnswerSlack, b.options.Deployment.Limits.Slack)}
+	b.discoveryLinks = map[string]*link.TCP{}
+	b.hosts = hosts.NewService(40, b.Clock, b.recorder.Add, b.serverAddr)
 	for _, x := range s.Nodes() {
-		h.nodes = append(h.nodes, &node{Node: x})
-		h.setup.Nodes = append(h.setup.Nodes, history.Node{Name: x.Name, Hall: x.Hall})
+		b.nodes = append(b.nodes, &node{Node: x})
+		b.setup.Nodes = append(b.setup.Nodes, history.Node{Name: x.Name, Hall: x.Hall})
 	}
-	err = errors.Join(h.startServers(), h.startRelays())
+	err = errors.Join(b.startServers(), b.startRelays())
 	if err == nil {
-		err = h.startServices()
+		err = b.startServices()
 	}
 	if err == nil {
-		err = h.startNodes(ctx)
+		err = b.startNodes(ctx)
 	}
 	if err != nil {
-		h.Close()
+		b.Close()
 		return nil, err
 	}
-	h.hosts.SetLag(s.Hosts.Lag.Duration)
-	return h, nil
+	b.hosts.SetLag(s.Hosts.Lag.Duration)
+	return b, nil
 }
 
-// Clock is the lab's clock: 0 until the load begins.
-func (h *Testbed) Clock() time.Duration {
-	if base := h.base.Load(); base != nil {
+// Clock returns the time since the load began; 0 before that.
+func (b *Testbed) Clock() time.Duration {
+	if base := b.clockStart.Load(); base != nil {
 		return time.Since(*base)
 	}
 	return 0
 }
 
-func (h *Testbed) startServers() error {
-	rng := rand.New(rand.NewPCG(uint64(h.o.Seed), 0x73706565))
+func (b *Testbed) startServers() error {
+	rng := rand.New(rand.NewPCG(uint64(b.options.Seed), 0x73706565))
 	pods := map[int]*clip.Pod{}
-	for _, x := range h.s.Servers() {
-		pod, window := x.Pod, h.o.Deployment.Limits.KeyWindow
-		if common := h.o.Deployment.Common(); common > 0 {
+	for _, x := range b.scenario.Servers() {
+		pod, window := x.Pod, b.options.Deployment.Limits.KeyWindow
+		if common := b.options.Deployment.Common(); common > 0 {
 			pod, window = -1, common
 		}
 		if pods[pod] == nil {
@@ -173,85 +173,87 @@
 		}
 		r := clip.SpeedRange[x.Kind]
 		t := &slot{Server: x, id: x.Name, pod: pods[pod], speed: r[0] + (r[1]-r[0])*rng.Float64(),
-			direct: map[string]string{}, links: map[string]*link.TCP{}}
-		m, err := h.model(t)
+			addrs: map[string]string{}, links: map[string]*link.TCP{}}
+		m, err := b.newModel(t)
 		if err != nil {
 			return err
 		}
-		t.server = clipserver.New(clipserver.Config{Model: m, Clock: h.Clock, Record: h.rec.Add, Entered: t.entered})
-		for _, n := range h.nodes {
-			if t.direct[n.Name], err = t.server.Listen(n.Name); err != nil {
+		t.server = clipserver.New(clipserver.Config{Model: m, Clock: b.Clock, Record: b.recorder.Add, Entered: t.entered})
+		for _, n := range b.nodes {
+			if t.addrs[n.Name], err = t.server.Listen(n.Name); err != nil {
 				return err
 			}
 		}
-		h.slots = append(h.slots, t)
-		h.byID[t.id] = t
+		b.slots = append(b.slots, t)
+		b.slotsByID[t.id] = t
 	}
-	for _, f := range h.s.Faults { // links only where the timeline changes them
+	for _, f := range b.scenario.Faults { // links are added only where the timeline changes them
 		if f.What != scenario.WhatLink {
 			continue
 		}
-		for _, p := range h.pairs(f.Who) {
+		for _, p := range b.routes(f.Who) {
 			if p.slot.links[p.node] != nil {
 				continue
 			}
-			l, err := link.NewTCP(func() string { return p.slot.direct[p.node] }, h.Clock)
+			l, err := link.NewTCP(func() string { return p.slot.addrs[p.node] }, b.Clock)
 			if err != nil {
 				return err
 			}
 			p.slot.links[p.node] = l
 		}
 	}
-	for _, t := range h.slots {
-		h.hosts.Set(h.entry(t, hosts.Up))
+	for _, t := range b.slots {
+		b.hosts.Set(b.listEntry(t, hosts.Up))
 	}
 	return nil
 }
 
-// model makes the model of the server at a slot, under its present id.
-func (h *Testbed) model(t *slot) (*clip.Server, error) {
+// newModel creates the model of the server in a slot, under the slot's current ID.
+func (b *Testbed) newModel(t *slot) (*clip.Server, error) {
 	m, err := clip.Of(t.Kind)
 	if err != nil {
 		return nil, err
 	}
 	m.Speed = t.speed
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.setup.Servers = append(h.setup.Servers, history.Server{Name: t.id, Hall: t.Hall, Kind: t.Kind, Pod: t.Pod})
-	l := h.o.Deployment.Limits
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.setup.Servers = append(b.setup.Servers, history.Server{Name: t.id, Hall: t.Hall, Kind: t.Kind, Pod: t.Pod})
+	l := b.options.Deployment.Limits
 	return clip.NewServer(t.id, m, clip.Fall{Factor: l.FallFactor, Time: l.FallTime, Spare: l.FallSpare}, t.pod), nil
 }
 
-// pair is one node's way to one server.
-type pair struct {
+// route is the path from one node to one server.
+type route struct {
 	node string
 	slot *slot
 }
 
-// pairs lists the ways that a fault's names mean: to the servers, from the
-// nodes, or, where both are named, between them.
-func (h *Testbed) pairs(who []string) []pair {
-	servers, nodes := h.s.Pick(who)
+// routes lists the routes that a fault's names select: those to the named servers, those from the
+// named nodes or, if both are named, those between them.
+func (b *Testbed) routes(who []string) []route {
+	servers, nodes := b.scenario.Pick(who)
 	if len(servers) == 0 {
-		servers = h.s.Servers()
+		servers = b.scenario.Servers()
 	}
 	if len(nodes) == 0 {
-		nodes = h.s.Nodes()
+		nodes = b.scenario.Nodes()
 	}
-	var out []pair
+	var out []route
 	for _, x := range servers {
-		for _, t := range h.slots {
+		for _, t := range b.slots {
 			if t.Name != x.Name {
 				continue
 			}
 			for _, n := range nodes {
-				out = append(out, pair{n.Name, t})
+				out = append(out, route{n.Name, t})
 			}
 		}
 	}
 	return out
 }
 
+// entered returns when the first byte of the latest burst on a connection reached the link in front of
+// the server, if the node has one.
 func (t *slot) entered(node, remote string) (time.Duration, bool) {
 	if l := t.links[node]; l != nil {
 		return l.Entered(remote)
@@ -259,36 +261,36 @@
 	return 0, false
 }
 
-// addr is where a node reaches a server.
-func (h *Testbed) addr(node, server string) string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	t := h.byID[server]
+// serverAddr returns the address at which a node reaches a server.
+func (b *Testbed) serverAddr(node, server string) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	t := b.slotsByID[server]
 	if t == nil {
 		return ""
 	}
 	if l := t.links[node]; l != nil {
 		return l.Addr()
 	}
-	return t.direct[node]
+	return t.addrs[node]
 }
 
-// entry words a slot's server for the list.
-func (h *Testbed) entry(t *slot, lifecycle string) hosts.Entry {
+// listEntry returns the entry of a slot's server on discovery's list.
+func (b *Testbed) listEntry(t *slot, lifecycle string) hosts.Entry {
 	e := hosts.Entry{InstanceID: t.id, Zone: t.Hall, MachineType: t.Kind, Cell: t.Pod, Lifecycle: lifecycle,
 		Weight: 6 * t.speed}
-	if t.start > 0 {
-		e.StartedAtMs = h.unix.Add(t.start).UnixMilli()
+	if t.startedAt > 0 {
+		e.StartedAtMs = b.startTime.Add(t.startedAt).UnixMilli()
 	}
 	return e
 }
 
-// startRelays opens the ways between nodes. What a node sends to the address at which
-// others reach one goes on from the address at which they reach the sender.
-func (h *Testbed) startRelays() error {
-	h.relays, h.ways = make([]*link.UDP, len(h.nodes)+h.o.ControlServices), map[[2]int]link.Shape{}
+// startRelays opens the UDP relays between processes. A datagram sent to a process's relay is
+// forwarded to that process from the relay of its sender.
+func (b *Testbed) startRelays() error {
+	b.relays, b.impairments = make([]*link.UDP, len(b.nodes)+b.options.ControlServices), map[[2]int]link.Shape{}
 	sender := func(from netip.AddrPort) (int, bool) {
-		i, known := h.from.Load(from)
+		i, known := b.senders.Load(from)
 		if !known {
 			return 0, false
 		}
@@ -299,110 +301,110 @@
 		if !known || i == j {
 			return nil
 		}
-		to, err := net.ResolveUDPAddr("udp", h.datagrams(j))
+		to, err := net.ResolveUDPAddr("udp", b.peerAddr(j))
 		if err != nil {
 			return nil
 		}
-		h.mu.Lock()
-		shape, bad := h.ways[[2]int{i, j}]
-		back := h.relays[i]
-		h.mu.Unlock()
+		b.mu.Lock()
+		shape, bad := b.impairments[[2]int{i, j}]
+		back := b.relays[i]
+		b.mu.Unlock()
 		if !bad {
-			shape = h.usualWay()
+			shape = b.defaultShape()
 		} else {
-			h.rec.Add(history.Event{At: h.Clock(), Kind: history.Hindered, Node: h.name(i)})
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Hindered, Node: b.processName(i)})
 		}
 		return []link.Hop{{From: back.Conn(), To: to, Shape: shape}}
 	}
-	told := func(from netip.AddrPort, bytes, receivers int) {
+	record := func(from netip.AddrPort, bytes, receivers int) {
 		if i, known := sender(from); known {
 			for range receivers {
-				h.rec.Add(history.Event{At: h.Clock(), Kind: history.Message, Node: h.name(i), Bytes: bytes})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Message, Node: b.processName(i), Bytes: bytes})
 			}
 		}
 	}
-	for j := range h.relays {
-		u, err := link.NewUDP(func(from netip.AddrPort) []link.Hop { return hop(from, j) }, told)
+	for j := range b.relays {
+		u, err := link.NewUDP(func(from netip.AddrPort) []link.Hop { return hop(from, j) }, record)
 		if err != nil {
 			return err
 		}
-		h.mu.Lock()
-		h.relays[j] = u
-		h.mu.Unlock()
+		b.mu.Lock()
+		b.relays[j] = u
+		b.mu.Unlock()
 	}
 	var err error
-	h.toAll, err = link.NewUDP(func(from netip.AddrPort) (all []link.Hop) {
-		for j := range h.nodes {
+	b.broadcast, err = link.NewUDP(func(from netip.AddrPort) (all []link.Hop) {
+		for j := range b.nodes {
 			all = append(all, hop(from, j)...)
 		}
 		return all
-	}, told)
+	}, record)
 	return err
 }
 
-// datagrams is where a process takes datagrams; empty: it does not run. Numbers behind
-// the nodes' are control services'.
-func (h *Testbed) datagrams(number int) string {
-	if k := number - len(h.nodes); k >= 0 {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if k < len(h.services) {
-			return h.services[k].PeerAddr()
+// peerAddr returns the address for datagrams of a process, or an empty string if the process does
+// not run. The numbers after those of the nodes are the control services'.
+func (b *Testbed) peerAddr(number int) string {
+	if k := number - len(b.nodes); k >= 0 {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		if k < len(b.controlServices) {
+			return b.controlServices[k].PeerAddr()
 		}
 		return ""
 	}
-	h.nodes[number].mu.Lock()
-	defer h.nodes[number].mu.Unlock()
-	if h.nodes[number].proc == nil {
+	b.nodes[number].mu.Lock()
+	defer b.nodes[number].mu.Unlock()
+	if b.nodes[number].proc == nil {
 		return ""
 	}
-	return h.nodes[number].proc.PeerAddr()
+	return b.nodes[number].proc.PeerAddr()
 }
 
-// usualWay is how datagrams go where no fault hinders them.
-func (h *Testbed) usualWay() link.Shape {
-	return link.Shape{Delay: h.s.Net.Messages.Duration, Loss: h.s.Net.Lost}
+// defaultShape is the delay and loss of datagrams that no fault impairs.
+func (b *Testbed) defaultShape() link.Shape {
+	return link.Shape{Delay: b.scenario.Net.Messages.Duration, Loss: b.scenario.Net.Lost}
 }
 
-// setWays changes how datagrams go; nil: as usual.
-func (h *Testbed) setWays(ways [][2]int, to *link.Shape) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, w := range ways {
+// setImpairments changes the delay and loss of datagrams; nil restores the default.
+func (b *Testbed) setImpairments(pairs [][2]int, to *link.Shape) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, p := range pairs {
 		if to == nil {
-			delete(h.ways, w)
+			delete(b.impairments, p)
 		} else {
-			h.ways[w] = *to
+			b.impairments[p] = *to
 		}
 	}
 }
 
-// startNodes starts all nodes at once.
-func (h *Testbed) startNodes(ctx context.Context) error {
-	errs := make([]error, len(h.nodes))
+// startNodes configures all nodes and starts, concurrently, those that do not join later.
+func (b *Testbed) startNodes(ctx context.Context) error {
+	errs := make([]error, len(b.nodes))
 	var wg sync.WaitGroup
-	for i, n := range h.nodes {
-		addr, err := h.hosts.Listen(n.Name)
+	for i, n := range b.nodes {
+		addr, err := b.hosts.Listen(n.Name)
 		if err == nil {
-			addr, err = h.toDiscovery(n.Node, addr)
+			addr, err = b.discoveryAddr(n.Node, addr)
 		}
 		if err != nil {
 			return err
 		}
 		var peers []string
-		for _, r := range h.relays {
+		for _, r := range b.relays {
 			peers = append(peers, r.Addr())
 		}
-		if first := h.s.AtFirst(); n.Number < first { // its settings are older than those of nodes that join
+		if first := b.scenario.AtFirst(); n.Number < first { // its settings predate the nodes that join later
 			peers = peers[:first]
 		}
-		n.conf = nodeconf.Config{Name: n.Name, Listen: "127.0.0.1:0", Discovery: addr, Limits: h.o.Limits,
-			PeerListen: "127.0.0.1:0", Peers: peers, PeerBroadcast: h.toAll.Addr(), Settings: nodeconf.DeploymentSettings(h.s, n.Number, h.o.Deployment)}
-		if h.s.Fleet {
-			n.conf.Console = "127.0.0.1:0"
+		n.config = nodeconf.Config{Name: n.Name, Listen: "127.0.0.1:0", Discovery: addr, Limits: b.options.Limits,
+			PeerListen: "127.0.0.1:0", Peers: peers, PeerBroadcast: b.broadcast.Addr(), Settings: nodeconf.DeploymentSettings(b.scenario, n.Number, b.options.Deployment)}
+		if b.scenario.Fleet {
+			n.config.Console = "127.0.0.1:0"
 		}
-		if n.Number < h.s.AtFirst() {
-			wg.Go(func() { errs[i] = h.startNode(n) })
+		if n.Number < b.scenario.AtFirst() {
+			wg.Go(func() { errs[i] = b.startNode(n) })
 		}
 	}
 	wg.Wait()
@@ -412,11 +414,11 @@
 	return errors.Join(errs...)
 }
 
-// startNode starts a node's next process and takes it in.
-func (h *Testbed) startNode(n *node) error {
-	h.mu.Lock()
-	stopping := h.stopping
-	h.mu.Unlock()
+// startNode starts a node's next process and registers it, unless one runs already.
+func (b *Testbed) startNode(n *node) error {
+	b.mu.Lock()
+	stopping := b.stopping
+	b.mu.Unlock()
 	if stopping {
 		return nil
 	}
@@ -425,103 +427,103 @@
 	if n.proc != nil {
 		return nil
 	}
-	n.life++
-	n.conf.Seed = fmt.Sprintf("%016x", uint64(h.o.Seed)*1_000_003+uint64(n.Number)*101+uint64(n.life))
-	n.conf.InitialList = h.hosts.InitialList(n.Name)
-	more, err := h.operator(n.Name)
+	n.incarnation++
+	n.config.Seed = fmt.Sprintf("%016x", uint64(b.options.Seed)*1_000_003+uint64(n.Number)*101+uint64(n.incarnation))
+	n.config.InitialList = b.hosts.InitialList(n.Name)
+	more, err := b.writeOperatorFile(n.Name)
 	if err != nil {
 		return err
 	}
-	if steps := h.clockSteps(n.Node); len(steps) > 0 {
+	if steps := b.clockSteps(n.Node); len(steps) > 0 {
 		more = append(more, wallclock.StepsVariable+"="+wallclock.FormatSteps(steps))
 	}
-	options := process.Options{Environment: more, FaultyCalls: h.callsOf(n.Node)}
+	options := process.Options{Environment: more, FaultyCalls: b.faultyCalls(n.Node)}
 	if len(options.FaultyCalls) > 0 {
-		options.FaultRules = n.fail.begin(h.o.Seed*1_000_003 + int64(n.Number)*101 + int64(n.life))
+		options.FaultRules = n.callFaults.newRules(b.options.Seed*1_000_003 + int64(n.Number)*101 + int64(n.incarnation))
 	}
-	proc, err := process.StartNode(h.o.Program, h.dir, n.conf, options)
+	proc, err := process.StartNode(b.options.Program, b.dir, n.config, options)
 	if err != nil {
 		return err
 	}
-	n.proc, n.told = proc, false
-	n.live.Store(proc)
-	life := n.life
-	h.watches.Go(func() { h.watch(n, proc, life) })
-	if text := proc.PeerAddr(); text != "" { // else its settings allow none
-		at, err := netip.ParseAddrPort(text) // what comes from elsewhere is nobody's, and is dropped
+	n.proc, n.stopRequested = proc, false
+	n.latest.Store(proc)
+	incarnation := n.incarnation
+	b.watchers.Go(func() { b.watchProcess(n, proc, incarnation) })
+	if text := proc.PeerAddr(); text != "" { // empty if its settings allow no peers
+		at, err := netip.ParseAddrPort(text) // datagrams from any other address are dropped
 		if err != nil {
-			return fmt.Errorf("%s takes datagrams: %w", n.Name, err)
+			return fmt.Errorf("%s: address for datagrams: %w", n.Name, err)
 		}
-		h.from.Store(at, n.Number)
+		b.senders.Store(at, n.Number)
 	}
-	h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeUp, Node: n.Name})
-	h.front.Up(caller.Place{Node: n.Name, Addr: proc.Addr, Life: n.life})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeUp, Node: n.Name})
+	b.front.Up(caller.Place{Node: n.Name, Addr: proc.Addr, Life: n.incarnation})
 	return nil
 }
 
-// watch waits for the end of a node's process, and keeps what it said of broken
-// invariants, or of a crash: an end that nobody told it.
-func (h *Testbed) watch(n *node, p *process.Process, life int) {
+// watchProcess waits for the end of a node's process, collects its error lines and records a crash
+// if the process ended without a request.
+func (b *Testbed) watchProcess(n *node, p *process.Process, incarnation int) {
 	<-p.Ended()
 	<-p.LogDrained()
 	n.mu.Lock()
-	crashed := !n.told && n.life == life
+	crashed := !n.stopRequested && n.incarnation == incarnation
 	n.mu.Unlock()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	crashed = crashed && !h.stopping
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	crashed = crashed && !b.stopping
 	if crashed {
-		h.fail(fmt.Errorf("%s crashed: %s", n.Name, strings.Join(p.Log(), "; ")))
-		h.rec.Add(history.Event{At: h.Clock(), Kind: history.NodeCrash, Node: n.Name, Note: strings.Join(p.Log(), "; ")})
+		b.setError(fmt.Errorf("%s crashed: %s", n.Name, strings.Join(p.Log(), "; ")))
+		b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeCrash, Node: n.Name, Note: strings.Join(p.Log(), "; ")})
 	}
 	for _, line := range p.ErrorLines() {
-		h.alarms = append(h.alarms, ErrorLine{Node: n.Name, Line: line})
+		b.errorLines = append(b.errorLines, ErrorLine{Node: n.Name, Line: line})
 	}
 }
 
-// ErrorLine is what a node's process said of itself: a broken invariant, or a panic.
+// ErrorLine is a log line in which a node's process reports a broken invariant, a panic or a data race.
 type ErrorLine struct{ Node, Line string }
 
-// ErrorLines gives what processes have said that have ended; all of them after Close.
-func (h *Testbed) ErrorLines() []ErrorLine {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Clone(h.alarms)
+// ErrorLines returns the error lines of processes that have ended; after Close, of all processes.
+func (b *Testbed) ErrorLines() []ErrorLine {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return slices.Clone(b.errorLines)
 }
 
-// Close ends every process, connection and file of the run.
-func (h *Testbed) Close() {
-	h.mu.Lock()
-	h.stopping = true
-	h.mu.Unlock()
-	h.clients.Close()
-	for _, n := range h.nodes {
+// Close stops all processes, closes all connections and removes the run's files.
+func (b *Testbed) Close() {
+	b.mu.Lock()
+	b.stopping = true
+	b.mu.Unlock()
+	b.clients.Close()
+	for _, n := range b.nodes {
 		n.mu.Lock()
 		if n.proc != nil {
 			n.proc.Kill()
-			n.cpu += n.proc.FinalCPUTime()
+			n.cpuTime += n.proc.FinalCPUTime()
 			n.proc = nil
 		}
 		n.mu.Unlock()
 	}
-	for _, x := range h.services {
+	for _, x := range b.controlServices {
 		x.Kill()
 	}
-	h.watches.Wait()
-	h.hosts.Close()
-	for _, l := range h.cuts {
+	b.watchers.Wait()
+	b.hosts.Close()
+	for _, l := range b.discoveryLinks {
 		l.Close()
 	}
-	for _, t := range h.slots {
+	for _, t := range b.slots {
 		for _, l := range t.links {
 			l.Close()
 		}
 		t.server.Close()
 	}
-	for _, u := range append(h.relays, h.toAll) {
+	for _, u := range append(b.relays, b.broadcast) {
 		if u != nil {
 			u.Close()
 		}
 	}
-	os.RemoveAll(h.dir)
+	os.RemoveAll(b.dir)
 }
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -19,33 +19,32 @@
 	"ivylock/scenarios"
 )
 
-// slowLook is how long a look at all consoles may take to tell that too much is held.
-const slowLook = 600 * time.Millisecond
+// maxSampleTime limits how long it may take to query all consoles for a sample of the sum of leases to count.
+const maxSampleTime = 600 * time.Millisecond
 
-// looker asks all consoles now and then, and keeps what they hold together of each
-// whole, as a part of it, and how many use each server.
-type looker struct {
+// leaseSampler queries all consoles periodically and keeps the sum of the leases and the users of each server.
+type leaseSampler struct {
 	at    []time.Duration
-	held  []float64        // of the quota
-	slow  []bool           // the look took long
-	users []map[string]int // nodes by the server that they use
+	held  []float64        // as a fraction of the quota
+	slow  []bool           // the sample took longer than maxSampleTime
+	users []map[string]int // number of nodes that use each server
 }
 
-func (l *looker) look(ctx context.Context, h *Testbed) {
-	for till(ctx, h, h.Clock()+400*time.Millisecond) {
-		sum, from := 0.0, h.Clock()
-		records := h.CurrentRecords()
+func (l *leaseSampler) sample(ctx context.Context, bed *Testbed) {
+	for waitUntil(ctx, bed, bed.Clock()+400*time.Millisecond) {
+		sum, from := 0.0, bed.Clock()
+		records := bed.CurrentRecords()
 		for _, s := range audit.New(records, audit.DefaultOptions()).SharedQuotas() {
 			if strings.HasPrefix(s.Quota, "quota") {
 				sum = s.Held / s.Total
 			}
 		}
-		l.at, l.held, l.slow = append(l.at, h.Clock()), append(l.held, sum), append(l.slow, h.Clock()-from > slowLook)
+		l.at, l.held, l.slow = append(l.at, bed.Clock()), append(l.held, sum), append(l.slow, bed.Clock()-from > maxSampleTime)
 		l.users = append(l.users, usersOf(records))
 	}
 }
 
-// usersOf counts the nodes that use each server, by their records.
+// usersOf counts the nodes that use each server, according to their records.
 func usersOf(records []version.Record) map[string]int {
 	users := map[string]int{}
 	for _, r := range records {
@@ -56,26 +55,26 @@
 	return users
 }
 
-// usersBetween gives the median number of nodes that use each server in a time.
-func (l *looker) usersBetween(from, to time.Duration) map[string]int {
-	looks := map[string][]int{}
+// usersBetween returns the median number of nodes that use each server, over the samples in a time.
+func (l *leaseSampler) usersBetween(from, to time.Duration) map[string]int {
+	samples := map[string][]int{}
 	for i, at := range l.at {
 		if at >= from && at < to {
 			for server, n := range l.users[i] {
-				looks[server] = append(looks[server], n)
+				samples[server] = append(samples[server], n)
 			}
 		}
 	}
 	medians := map[string]int{}
-	for server, counts := range looks {
+	for server, counts := range samples {
 		slices.Sort(counts)
 		medians[server] = counts[len(counts)/2]
 	}
 	return medians
 }
 
-// between gives the median of what was held in a time.
-func (l *looker) between(from, to time.Duration) float64 {
+// heldBetween returns the median of the fraction held, over the samples in a time.
+func (l *leaseSampler) heldBetween(from, to time.Duration) float64 {
 	var all []float64
 	for i, at := range l.at {
 		if at >= from && at < to {
@@ -89,9 +88,9 @@
 	return all[len(all)/2]
 }
 
-// regained gives how long after each of a scenario's changes nine tenths are held for
-// good, as far as the time to the next one tells; longest last.
-func (l *looker) regained(s *scenario.Scenario) (all []time.Duration) {
+// recoveryTimes returns how long after each of a scenario's changes nine tenths of the quota are held
+// for good, in ascending order. It omits changes that were followed by another one too soon.
+func (l *leaseSampler) recoveryTimes(s *scenario.Scenario) (all []time.Duration) {
 	changes := []time.Duration{s.Length.Duration}
 	for _, f := range s.Faults {
 		changes = append(changes, f.At.Duration)
@@ -108,7 +107,7 @@
 				took = at - from
 			}
 		}
-		if took < changes[k+1]-from-time.Second { // else the next change came before
+		if took < changes[k+1]-from-time.Second { // else the next change came too soon
 			all = append(all, took.Round(100*time.Millisecond))
 		}
 	}
@@ -116,16 +115,15 @@
 	return all
 }
 
-// lateMost is how many requests may end without an answer in their clients' time where
-// dozens of processes share a few cores: an answer that falls due has 50 ms, and a
-// process that gets no core for so long can't give it. All other breaches count.
-const lateMost = 2
+// maxLate limits how many requests may get no answer in their clients' time where dozens of processes
+// share a few cores: a process that gets no core for 50 ms can't answer in time.
+const maxLate = 2
 
-// check lists what did not hold of a run with many processes.
+// check lists what did not hold in a run with many processes.
 func check(s *scenario.Scenario, h *history.History) []string {
 	v, late := judge.Judge(h), 0
 	v.Breaches = slices.DeleteFunc(v.Breaches, func(b judge.Breach) bool {
-		if b.Rule == judge.NoRequestLost && strings.Contains(b.Detail, "client's time") && late < lateMost {
+		if b.Rule == judge.NoRequestLost && strings.Contains(b.Detail, "client's time") && late < maxLate {
 			late++
 			return true
 		}
@@ -134,18 +132,17 @@
 	return holds.Check(s, h, &v)
 }
 
-// Fleets of 12 to 36 processes that grow by settings that the old ones do not know, are
-// split into two and three, lose nine of twelve at once: the rules hold, all together
-// hold no more than the whole, and nine tenths of it from 5 s after each change on; in
-// the end all agree who is there.
-func TestFleetsThroughEachChange(t *testing.T) {
+// Fleets of 12 to 36 processes grow, split and lose nine of twelve nodes: the sum of all leases stays
+// within the quota, reaches nine tenths of it within 5 s after each change, and in the end all processes
+// agree on the members.
+func TestFleetsRecoverAfterMembershipChanges(t *testing.T) {
 	t.Parallel()
 	all := map[string][][2]time.Duration{
 		"split": {{4, 6}, {11, 14}, {21, 24}, {29, 33}, {38, 44}},
 		"seven": {{4, 6}, {11, 20}, {25, 30}},
 		"crowd": {{4, 5}, {14, 23}, {32, 38}},
 	}
-	if *longRuns { // crowd grows as far, and in memory both are played
+	if *longRuns { // crowd grows as much, and both run in memory
 		all["grow"] = [][2]time.Duration{{4, 6}, {15, 20}, {32, 40}}
 	}
 	for name, spans := range all {
@@ -156,30 +153,30 @@
 				t.Fatal(err)
 			}
 			s.Load.Rate, s.Quota = s.Load.Rate/2, s.Quota/2
-			var l looker
+			var l leaseSampler
 			var last []version.Record
-			h, _ := day(t, s, Options{NoRecordFiles: true}, l.look, func(ctx context.Context, h *Testbed) {
-				if till(ctx, h, s.Length.Duration-500*time.Millisecond) {
-					last = h.CurrentRecords()
+			h, _ := runFleet(t, s, Options{NoRecordFiles: true}, l.sample, func(ctx context.Context, bed *Testbed) {
+				if waitUntil(ctx, bed, s.Length.Duration-500*time.Millisecond) {
+					last = bed.CurrentRecords()
 				}
 			})
 			for _, line := range check(s, h) {
 				t.Error(line)
 			}
 			if name == "crowd" {
-				for _, line := range crowdUses(h, &l) {
+				for _, line := range checkServerUse(h, &l) {
 					t.Error(line)
 				}
 			}
-			t.Logf("nine tenths are held again after each change: %v", l.regained(s))
-			for i, part := range l.held {
-				if part > 1.06 && !l.slow[i] { // consoles do not answer all at one moment
-					t.Errorf("%.3f of the quota is held at %v", part, l.at[i])
+			t.Logf("times until nine tenths of the quota are held again after each change: %v", l.recoveryTimes(s))
+			for i, fraction := range l.held {
+				if fraction > 1.06 && !l.slow[i] { // consoles don't answer at the same moment
+					t.Errorf("%.3f of the quota is held at %v", fraction, l.at[i])
 				}
 			}
 			for _, x := range spans {
-				if part := l.between(x[0]*time.Second, x[1]*time.Second); part < 0.9 {
-					t.Errorf("%.3f of the quota is held between %v and %v s", part, int(x[0]), int(x[1]))
+				if fraction := l.heldBetween(x[0]*time.Second, x[1]*time.Second); fraction < 0.9 {
+					t.Errorf("%.3f of the quota is held between %v and %v s", fraction, int(x[0]), int(x[1]))
 				}
 			}
 			up := map[string]int{"grow": 6, "split": 24, "seven": 12, "crowd": 36}[name]
@@ -187,174 +184,175 @@
 				t.Errorf("%d processes are up", len(last))
 			}
 			for _, x := range audit.New(last, audit.DefaultOptions()).Views() {
-				if x.Alive != up && name != "grow" && name != "crowd" { // there some are suspected for a while after they have left
-					t.Errorf("%s knows %d alive of %d: %v", x.Process, x.Alive, up, x.NotAlive)
+				if x.Alive != up && name != "grow" && name != "crowd" { // in these, processes that left may still be suspected
+					t.Errorf("%s has %d members alive, want %d: %v", x.Process, x.Alive, up, x.NotAlive)
 				}
 			}
 		})
 	}
 }
 
-// crowdUses lists what does not hold of who uses which server in the scenario crowd. The
-// processes' own records tell their sets: of 36 processes at least eight of the planned nine
-// use each server, as views differ while words are lost, and with those that would have too
-// few at most 20; the six that are left use nearly all. Sends tell that each server is used
-// at all, and by no more than the bound of fleet/subset, three times nine and those with few:
-// at this rate chance says how many processes send to a slow server in a few seconds.
-func crowdUses(h *history.History, l *looker) (out []string) {
+// checkServerUse lists unexpected numbers of users of servers in the scenario crowd. By their records
+// 8 to 20 of 36 processes have a server in their subsets, where 9 are planned: views differ while
+// messages are lost, and processes with too few servers use more. The six that are left use nearly all.
+// By the sends, each server is used, and by no more processes than fleet/subset allows.
+func checkServerUse(h *history.History, l *leaseSampler) (out []string) {
 	for _, x := range []struct {
-		from, to            time.Duration
-		least, most         int     // processes with a server in their sets
-		senders             int     // processes that send to a server, at most
-		leastMean, mostMean float64 // of the processes that send
+		from, to         time.Duration
+		min, max         int     // processes with a server in their subsets
+		maxSenders       int     // processes that send to a server
+		minMean, maxMean float64 // of the processes that send to a server
 	}{
 		{14 * time.Second, 22 * time.Second, 8, 20, 31, 4, 24},
 		{34 * time.Second, 38 * time.Second, 3, 6, 6, 4, 6},
 		{42 * time.Second, 46 * time.Second, 8, 20, 31, 2, 24},
 	} {
-		sets := l.usersBetween(x.from, x.to)
-		for server, n := range sets {
-			if n < x.least || n > x.most {
-				out = append(out, fmt.Sprintf("%s is in the sets of %d processes from %v to %v", server, n, x.from, x.to))
+		subsets := l.usersBetween(x.from, x.to)
+		for server, n := range subsets {
+			if n < x.min || n > x.max {
+				out = append(out, fmt.Sprintf("%s is in the subsets of %d processes from %v to %v", server, n, x.from, x.to))
 			}
 		}
 		senders, sum := holds.NodesPerServer(h, x.from, x.to), 0
 		for server, n := range senders {
-			if sum += n; n > x.senders {
-				out = append(out, fmt.Sprintf("%s is sent to by %d processes from %v to %v", server, n, x.from, x.to))
+			if sum += n; n > x.maxSenders {
+				out = append(out, fmt.Sprintf("%s receives requests from %d processes from %v to %v", server, n, x.from, x.to))
 			}
 		}
-		if len(sets) != 12 || len(senders) != 12 {
-			out = append(out, fmt.Sprintf("%d servers are in sets and %d are sent to from %v to %v", len(sets), len(senders), x.from, x.to))
+		if len(subsets) != 12 || len(senders) != 12 {
+			out = append(out, fmt.Sprintf("%d servers are in subsets and %d receive requests from %v to %v", len(subsets), len(senders), x.from, x.to))
 		}
-		if mean := float64(sum) / 12; mean < x.leastMean || mean > x.mostMean {
-			out = append(out, fmt.Sprintf("servers are sent to by %.1f processes each from %v to %v", mean, x.from, x.to))
+		if mean := float64(sum) / 12; mean < x.minMean || mean > x.maxMean {
+			out = append(out, fmt.Sprintf("servers receive requests from %.1f processes each from %v to %v", mean, x.from, x.to))
 		}
 	}
 	return out
 }
 
-// Three control services are the guards of twelve nodes. Whichever nine nodes are killed,
-// those that are left have nine tenths of the whole; a guard that is cut off or killed
-// changes nothing, and on its side of a split a node has its floor alone.
+// With three control services as guards, the nodes left after nine of twelve were killed hold nine tenths
+// of the quota. A guard that is cut off or killed changes nothing, and a node that reaches only that guard
+// is limited to its floor.
 func TestControlServicesAsGuards(t *testing.T) {
 	t.Parallel()
 	s := parse(t, "name = \"guards\"\nlength = \"32s\"\nfleet = true\nquota = 50.0\noperator = \"\"\"\nmembers = true\nquotas = true\nwork = true\nstrangers = [\"127.0.0.0/8\"]\n"+
-		"guards = [1000, 1001, 1002]\nmost = 64\n\"\"\"\n[must]\nfaults_happen = true\n[load]\nrate = 50.0\n"+strings.ReplaceAll(nine, "nodes = 3", "nodes = 4")+
+		"guards = [1000, 1001, 1002]\nmost = 64\n\"\"\"\n[must]\nfaults_happen = true\n[load]\nrate = 50.0\n"+strings.ReplaceAll(nineNodes, "nodes = 3", "nodes = 4")+
 		"[[fault]]\nat = \"16s\"\nfor = \"9s\"\nwhat = \"kill\"\nwho = [\"n0\", \"n1\", \"n2\", \"n4\", \"n5\", \"n6\", \"n8\", \"n9\", \"n10\"]\n")
-	var l looker
+	var l leaseSampler
 	held := map[int]float64{}
-	h, _ := day(t, s, Options{ControlProgram: control, ControlServices: 3, NoRecordFiles: true}, l.look, func(ctx context.Context, h *Testbed) {
-		if till(ctx, h, 6*time.Second) { // one side: a guard and node 3
-			h.SetServicePartition(1, []int{0, 1, 2, 4, 5, 6, 7, 8, 9, 10, 11}, true)
-			h.SetServicePartition(0, []int{3}, true)
-			h.SetServicePartition(2, []int{3}, true)
+	h, _ := runFleet(t, s, Options{ControlProgram: control, ControlServices: 3, NoRecordFiles: true}, l.sample, func(ctx context.Context, bed *Testbed) {
+		if waitUntil(ctx, bed, 6*time.Second) { // node 3 reaches guard 1 alone of the guards
+			bed.SetServicePartition(1, []int{0, 1, 2, 4, 5, 6, 7, 8, 9, 10, 11}, true)
+			bed.SetServicePartition(0, []int{3}, true)
+			bed.SetServicePartition(2, []int{3}, true)
 		}
-		if till(ctx, h, 11*time.Second) {
-			for _, r := range h.CurrentRecords() {
+		if waitUntil(ctx, bed, 11*time.Second) {
+			for _, r := range bed.CurrentRecords() {
 				for _, p := range r.Leases {
 					if p.Quota == "quota club" {
 						held[r.Number] = p.Held / p.Total
 					}
 				}
 			}
-			h.SetServicePartition(1, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, false)
-			h.SetServicePartition(0, []int{3}, false)
-			h.SetServicePartition(2, []int{3}, false)
+			bed.SetServicePartition(1, []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, false)
+			bed.SetServicePartition(0, []int{3}, false)
+			bed.SetServicePartition(2, []int{3}, false)
 		}
-		if till(ctx, h, 14*time.Second) {
-			h.ControlServices()[2].Kill()
+		if waitUntil(ctx, bed, 14*time.Second) {
+			bed.ControlServices()[2].Kill()
 		}
 	})
 	for _, line := range check(s, h) {
 		t.Error(line)
 	}
-	if held[3] > 0.1 { // its floor, and what it has borrowed: it hears the other nodes
-		t.Errorf("beside one guard of three node 3 holds %.3f of the quota", held[3])
+	if held[3] > 0.1 { // its floor and leases: it still reaches the other nodes
+		t.Errorf("with one guard of three node 3 holds %.3f of the quota", held[3])
 	}
 	for _, x := range [][2]time.Duration{{10, 14}, {21, 25}, {30, 32}} {
-		if part := l.between(x[0]*time.Second, x[1]*time.Second); part < 0.9 || part > 1.06 {
-			t.Errorf("%.3f of the quota is held between %v and %v s", part, int(x[0]), int(x[1]))
+		if fraction := l.heldBetween(x[0]*time.Second, x[1]*time.Second); fraction < 0.9 || fraction > 1.06 {
+			t.Errorf("%.3f of the quota is held between %v and %v s", fraction, int(x[0]), int(x[1]))
 		}
 	}
 }
 
-// Six in ten datagrams lost, one direction only, words later than a suspicion lasts,
-// doubled and out of order; a node whose name is known under a life an hour ahead, as
-// after a step of its clock; and a process that tells all others' names, lives and
-// leases. Never is more held than the whole, and in the end all is held and all agree.
-func TestBadTalkAndLiars(t *testing.T) {
+// Datagrams are lost, delayed beyond the suspicion timeout, duplicated and reordered, one node is known
+// under an incarnation an hour ahead, and a faulty process forges names, incarnations and leases. The
+// leases never exceed the quota, and in the end the quota is used and all agree on the members.
+func TestBadLinksAndForgedMessagesDontBreakTheFleet(t *testing.T) {
 	t.Parallel()
 	s := parse(t, "name = \"rough\"\nlength = \"38s\"\nfleet = true\nquota = 30.0\noperator = \"\"\"\nmembers = true\nquotas = true\nwork = true\nguards = [0, 4, 8]\nmost = 16\n\"\"\"\n"+
-		"[must]\nfaults_happen = true\n[load]\nrate = 30.0\n"+nine+
+		"[must]\nfaults_happen = true\n[load]\nrate = 30.0\n"+nineNodes+
 		"[[fault]]\nat = \"4s\"\nfor = \"5s\"\nwhat = \"peers\"\nwho = [\"hall-nord\", \"hall-syd\", \"hall-vest\"]\nloss = 0.6\n"+
 		"[[fault]]\nat = \"10s\"\nfor = \"4s\"\nwhat = \"peers\"\nwho = [\"n1\"]\nway = \"out\"\nstate = \"black-hole\"\n"+
 		"[[fault]]\nat = \"15s\"\nfor = \"5s\"\nwhat = \"peers\"\nwho = [\"n2\", \"n6\"]\ndelay = \"2500ms\"\njitter = \"1s\"\n"+
 		"[[fault]]\nat = \"21s\"\nfor = \"4s\"\nwhat = \"peers\"\nwho = [\"hall-nord\", \"hall-syd\", \"hall-vest\"]\ndouble = 0.5\njitter = \"200ms\"\n"+
 		"[[fault]]\nat = \"16s\"\nfor = \"3s\"\nwhat = \"kill\"\nwho = [\"n5\"]\n")
-	// roster's datagrams as docs/members.md has them: a ping of a name, with one member.
-	ping := func(id, life, of, ofLife uint32, status byte) []byte {
+	// ping encodes a ping of fleet/roster with one member, in the format of docs/members.md.
+	ping := func(id, incarnation, member, memberIncarnation uint32, status byte) []byte {
 		b := binary.BigEndian.AppendUint32([]byte{0xF2, 0}, 7)
-		b = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, id), life)
+		b = binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, id), incarnation)
 		b = append(b, make([]byte, 2+4+4+6)...)
-		b = binary.BigEndian.AppendUint32(append(b, status), of)
-		b = binary.BigEndian.AppendUint32(b, ofLife)
-		return append(b, 0, 9, 0, 0, 0, byte(of), 0, 1)
+		b = binary.BigEndian.AppendUint32(append(b, status), member)
+		b = binary.BigEndian.AppendUint32(b, memberIncarnation)
+		return append(b, 0, 9, 0, 0, 0, byte(member), 0, 1)
 	}
-	var l looker
+	var l leaseSampler
 	var last []version.Record
-	lies := 0
-	h, _ := day(t, s, Options{WithoutFleet: []string{"n7"}, NoRecordFiles: true}, l.look, func(ctx context.Context, h *Testbed) {
+	rounds := 0
+	h, _ := runFleet(t, s, Options{WithoutFleet: []string{"n7"}, NoRecordFiles: true}, l.sample, func(ctx context.Context, bed *Testbed) {
 		now := uint32(time.Now().Unix())
-		for till(ctx, h, 3*time.Second) && h.Clock() < 30*time.Second && wait(ctx, 200*time.Millisecond) {
+		for waitUntil(ctx, bed, 3*time.Second) && bed.Clock() < 30*time.Second && sleep(ctx, 200*time.Millisecond) {
 			for _, to := range []int{0, 1, 2, 3, 4, 5, 6, 8} {
-				for of := uint32(0); of < 9; of++ { // n7 buries all, and says of all that they have later lives
-					h.SendSpoofed(7, to, ping(7, now, of, now, 2))
-					h.SendSpoofed(7, to, ping(7, now, of, now+900, 0))
+				for member := uint32(0); member < 9; member++ { // n7 reports all as gone, and all with later incarnations
+					bed.SendSpoofed(7, to, ping(7, now, member, now, 2))
+					bed.SendSpoofed(7, to, ping(7, now, member, now+900, 0))
 				}
-				h.SendSpoofed(7, to, ping(3, now, 3, now, 3))                                                                          // another's name
-				h.SendSpoofed(7, to, ping(9999, now, 1<<31, now, 0))                                                                   // names that nobody has
-				h.SendSpoofed(7, to, shares.Encode(0, shares.Grant{Incarnation: 1, Nonce: 1, Amount: 1 << 40, Duration: time.Second})) // not asked for
-				h.SendSpoofed(7, to, shares.Encode(251, shares.ClaimReply{Incarnation: 1, Round: 3, Granted: shares.SlotSet{^uint64(0)}}))
-				h.SendSpoofed(7, to, make([]byte, 400))
-				if h.Clock() > 16500*time.Millisecond && h.Clock() < 18*time.Second && to != 5 {
-					h.SendSpoofed(5, to, ping(5, now+3600, 5, now+3600, 0)) // as n5 itself, an hour ahead, before it starts anew
+				// Another node's name.
+				bed.SendSpoofed(7, to, ping(3, now, 3, now, 3))
+				// Unknown processes.
+				bed.SendSpoofed(7, to, ping(9999, now, 1<<31, now, 0))
+				// A grant that was not requested.
+				bed.SendSpoofed(7, to, shares.Encode(0, shares.Grant{Incarnation: 1, Nonce: 1, Amount: 1 << 40, Duration: time.Second}))
+				bed.SendSpoofed(7, to, shares.Encode(251, shares.ClaimReply{Incarnation: 1, Round: 3, Granted: shares.SlotSet{^uint64(0)}}))
+				bed.SendSpoofed(7, to, make([]byte, 400))
+				if bed.Clock() > 16500*time.Millisecond && bed.Clock() < 18*time.Second && to != 5 {
+					bed.SendSpoofed(5, to, ping(5, now+3600, 5, now+3600, 0)) // as n5 itself, an hour ahead, before its restart
 				}
-				lies++
+				rounds++
 			}
 		}
-		if till(ctx, h, s.Length.Duration-500*time.Millisecond) {
-			last = h.CurrentRecords()
+		if waitUntil(ctx, bed, s.Length.Duration-500*time.Millisecond) {
+			last = bed.CurrentRecords()
 		}
 	})
-	if lies < 500 {
-		t.Fatalf("%d rounds of lies", lies)
+	if rounds < 500 {
+		t.Fatalf("%d rounds of forged messages", rounds)
 	}
 	for _, line := range check(s, h) {
 		t.Error(line)
 	}
-	for i, part := range l.held {
-		if part > 1.06 && !l.slow[i] {
-			t.Errorf("%.3f of the quota is held at %v", part, l.at[i])
+	for i, fraction := range l.held {
+		if fraction > 1.06 && !l.slow[i] {
+			t.Errorf("%.3f of the quota is held at %v", fraction, l.at[i])
 		}
 	}
-	if part := l.between(34*time.Second, 38*time.Second); part < 0.85 { // n7 has no part of it
-		t.Errorf("%.3f of the quota is held in the end", part)
+	if fraction := l.heldBetween(34*time.Second, 38*time.Second); fraction < 0.85 { // n7 holds no lease
+		t.Errorf("%.3f of the quota is held in the end", fraction)
 	}
-	lives := map[uint32]bool{}
+	incarnations := map[uint32]bool{}
 	for _, r := range last {
 		for _, m := range r.Members {
 			if m.Process == 5 {
-				lives[m.Incarnation] = true
+				incarnations[m.Incarnation] = true
 			}
 		}
 	}
-	if len(lives) != 1 {
-		t.Errorf("n5 is known under lives %v", lives)
+	if len(incarnations) != 1 {
+		t.Errorf("n5 is known under the incarnations %v", incarnations)
 	}
 	for _, x := range audit.New(last, audit.DefaultOptions()).Views() {
-		if slices.ContainsFunc(x.NotAlive, func(o string) bool { return !strings.Contains(o, "7 ") }) || !x.HasQuorum { // n7 is none of them
-			t.Errorf("%s knows %d alive, guards answer %v: %v", x.Process, x.Alive, x.HasQuorum, x.NotAlive)
+		// n7 is no member.
+		if slices.ContainsFunc(x.NotAlive, func(o string) bool { return !strings.Contains(o, "7 ") }) || !x.HasQuorum {
+			t.Errorf("%s has %d members alive, guards answer %v: %v", x.Process, x.Alive, x.HasQuorum, x.NotAlive)
 		}
 	}
 }
--- a/internal/lab/real/real_test.go
+++ b/internal/lab/real/real_test.go
@@ -22,7 +22,7 @@
 
 var program, control string
 
-// TestMain builds the programs once: the tests run them as processes.
+// TestMain builds the programs that the tests run as processes.
 func TestMain(m *testing.M) {
 	if sysfault.IsLauncher() {
 		sysfault.RunLauncher()
@@ -44,43 +44,43 @@
 	os.Exit(code)
 }
 
-// processesPerCore is how many nodes tests run at once for each core. A node costs a tenth of
-// a core or less at the rates of these tests, its share of the lab included.
-const processesPerCore = 14
+// nodesPerCore limits how many nodes run at once for each core. At the rates of these tests a node
+// uses a tenth of a core or less, with its part of the lab.
+const nodesPerCore = 14
 
-// processes bounds the nodes of all tests that run at once: a verdict must not depend on how
-// many tests with dozens of them meet on a small machine.
+// nodeSlots limits the nodes of all parallel tests, so that results don't depend on how many large
+// tests run at the same time on a small machine.
 var (
-	mostProcesses = int64(processesPerCore * runtime.NumCPU())
-	processes     = semaphore.NewWeighted(mostProcesses)
+	maxNodes  = int64(nodesPerCore * runtime.NumCPU())
+	nodeSlots = semaphore.NewWeighted(maxNodes)
 )
 
-// takeProcesses waits until a test may run so many nodes, and gives what gives them back.
-func takeProcesses(t *testing.T, count int) (release func()) {
+// reserveNodes waits until a test may run so many nodes.
+func reserveNodes(t *testing.T, count int) (release func()) {
 	t.Helper()
-	weight := min(int64(count), mostProcesses)
-	if err := processes.Acquire(t.Context(), weight); err != nil {
+	weight := min(int64(count), maxNodes)
+	if err := nodeSlots.Acquire(t.Context(), weight); err != nil {
 		t.Fatal(err)
 	}
-	return func() { processes.Release(weight) }
+	return func() { nodeSlots.Release(weight) }
 }
 
-// play runs a scenario and fails the test with all that did not hold.
-func play(t *testing.T, text string) {
+// runScenario runs a scenario and reports every rule and expectation that did not hold.
+func runScenario(t *testing.T, text string) {
 	t.Helper()
 	s, err := scenario.Parse(t.Name(), []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer takeProcesses(t, len(s.Nodes()))()
+	defer reserveNodes(t, len(s.Nodes()))()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
-	h, err := New(ctx, s, Options{Program: program})
+	bed, err := New(ctx, s, Options{Program: program})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := h.Run(ctx)
-	h.Close()
+	got, err := bed.Run(ctx)
+	bed.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,17 +88,17 @@
 	for _, line := range holds.Check(s, got, &v) {
 		t.Error(line)
 	}
-	for _, a := range h.ErrorLines() {
+	for _, a := range bed.ErrorLines() {
 		t.Errorf("%s: %s", a.Node, a.Line)
 	}
 	for i := range got.Events {
 		if e := &got.Events[i]; e.Kind == history.NodeOver {
-			t.Errorf("%s still ran when its time to end was up, at %v", e.Node, e.At)
+			t.Errorf("%s still ran at its shutdown timeout, at %v", e.Node, e.At)
 		}
 	}
 }
 
-const halls = `
+const twoZones = `
 [[hall]]
 name = "hall-nord"
 nodes = 1
@@ -117,13 +117,12 @@
 served = 0.5
 `
 
-// The rules hold, and each fault is shown to happen, on real sockets with real
-// processes. The load is light: a verdict must not depend on the machine.
-func TestProcessesDieAndComeBack(t *testing.T) {
+// The load of this and the following tests is light, so that results don't depend on the machine.
+func TestRulesHoldWhenProcessesDieAndRestart(t *testing.T) {
 	t.Parallel()
-	play(t, `name = "processes"
+	runScenario(t, `name = "processes"
 length = "12s"
-`+halls+`
+`+twoZones+`
 [load]
 rate = 60.0
 [[fault]]
@@ -154,11 +153,11 @@
 `)
 }
 
-func TestTheListChangesAndDiscoveryFails(t *testing.T) {
+func TestRulesHoldWhenTheListChangesAndDiscoveryFails(t *testing.T) {
 	t.Parallel()
-	play(t, `name = "list"
+	runScenario(t, `name = "list"
 length = "11s"
-`+halls+`
+`+twoZones+`
 [load]
 rate = 60.0
 [[fault]]
@@ -192,11 +191,11 @@
 `)
 }
 
-func TestLinksAndAnswersAreBad(t *testing.T) {
+func TestRulesHoldWithBadLinksAndResponses(t *testing.T) {
 	t.Parallel()
-	play(t, `name = "links"
+	runScenario(t, `name = "links"
 length = "12s"
-`+halls+`
+`+twoZones+`
 [load]
 rate = 60.0
 [[fault]]
@@ -245,11 +244,11 @@
 `)
 }
 
-func TestAHallIsLostTwiceOnceWithItsNode(t *testing.T) {
+func TestRulesHoldWhenAZoneIsLostWithAndWithoutItsNode(t *testing.T) {
 	t.Parallel()
-	play(t, `name = "lost"
+	runScenario(t, `name = "lost"
 length = "10s"
-`+strings.Replace(halls, "served = 0.5", "served = 0.4", 1)+`
+`+strings.Replace(twoZones, "served = 0.5", "served = 0.4", 1)+`
 [load]
 rate = 40.0
 [[fault]]
@@ -265,16 +264,15 @@
 `)
 }
 
-// No port is fixed and none raced for: the same scenario twice at once passes
-// twice.
-func TestTwiceAtOnce(t *testing.T) {
+// Concurrent runs must not compete for ports.
+func TestSameScenarioRunsTwiceConcurrently(t *testing.T) {
 	t.Parallel()
-	for _, name := range []string{"one", "other"} {
+	for _, name := range []string{"first", "second"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			play(t, `name = "twice"
+			runScenario(t, `name = "twice"
 length = "5s"
-`+halls+`
+`+twoZones+`
 [load]
 rate = 40.0
 [[fault]]
--- a/internal/lab/real/run.go
+++ b/internal/lab/real/run.go
@@ -13,45 +13,45 @@
 	"ivylock/internal/lab/load"
 )
 
-// Run plays the load and the timeline and gives the history. It returns early
-// with ctx's error if ctx ends; the history up to there is still good.
-func (h *Testbed) Run(ctx context.Context) (*history.History, error) {
+// Run plays the load and the timeline and returns the history. If ctx ends it returns early with
+// ctx's error and the history up to then.
+func (b *Testbed) Run(ctx context.Context) (*history.History, error) {
 	now := time.Now()
-	h.unix = now
-	h.base.Store(&now)
+	b.startTime = now
+	b.clockStart.Store(&now)
 	var faults sync.WaitGroup
-	for i := range h.s.Faults {
-		f := &h.s.Faults[i]
-		faults.Go(func() { h.fault(ctx, f) })
+	for i := range b.scenario.Faults {
+		f := &b.scenario.Faults[i]
+		faults.Go(func() { b.runFault(ctx, f) })
 	}
-	h.play(ctx, load.NewStreamOf(h.s, h.o.Deployment, h.o.Seed))
+	b.playLoad(ctx, load.NewStreamOf(b.scenario, b.options.Deployment, b.options.Seed))
 	faults.Wait()
-	h.pending.Wait()
+	b.pending.Wait()
 	if ctx.Err() == nil {
-		wait(ctx, h.s.End()-h.Clock()) // a scenario ends with its last fault
+		sleep(ctx, b.scenario.End()-b.Clock()) // the last fault may end after the load
 	}
-	events, dropped := h.rec.Take()
-	h.mu.Lock()
-	out := &history.History{Setup: h.setup, Events: events}
-	h.mu.Unlock()
-	if err := h.failed.Load(); err != nil {
+	events, dropped := b.recorder.Take()
+	b.mu.Lock()
+	out := &history.History{Setup: b.setup, Events: events}
+	b.mu.Unlock()
+	if err := b.firstErr.Load(); err != nil {
 		return out, *err
 	}
 	if dropped > 0 {
-		return out, fmt.Errorf("%d events over the bound of %d: the history is not whole; shorten the scenario", dropped, history.MaxEvents)
+		return out, fmt.Errorf("%d events beyond the maximum of %d were dropped: the history is incomplete; shorten the scenario", dropped, history.MaxEvents)
 	}
 	return out, ctx.Err()
 }
 
-// fail notes the first thing that the lab itself could not do.
-func (h *Testbed) fail(err error) {
+// setError keeps the first error of the lab itself.
+func (b *Testbed) setError(err error) {
 	if err != nil {
-		h.failed.CompareAndSwap(nil, &err)
+		b.firstErr.CompareAndSwap(nil, &err)
 	}
 }
 
-// wait sleeps unless ctx ends; it tells whether it slept.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for a time and reports whether it did; false means that ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -62,88 +62,89 @@
 	}
 }
 
-// long is a wait that must end with the run.
-const long = 100 * time.Millisecond
+// preciseSleep is the last part of the wait for an order, which uses a precise timer and ignores the
+// context.
+const preciseSleep = 100 * time.Millisecond
 
-// play sends the orders at their times, whatever became of those before.
-func (h *Testbed) play(ctx context.Context, st *load.Stream) {
-	room := make(chan struct{}, maxOrders)
+// playLoad starts each order at its time, whether or not earlier ones have finished (open loop).
+func (b *Testbed) playLoad(ctx context.Context, st *load.Stream) {
+	open := make(chan struct{}, maxOrders)
 	for {
 		o, more := st.Next()
 		if !more {
 			return
 		}
-		d := o.At - h.Clock()
-		if d > long && !wait(ctx, d-long) || ctx.Err() != nil {
+		d := o.At - b.Clock()
+		if d > preciseSleep && !sleep(ctx, d-preciseSleep) || ctx.Err() != nil {
 			return
 		}
-		alarm.Sleep(o.At - h.Clock()) // to a fraction of a millisecond
+		alarm.Sleep(o.At - b.Clock())
 		select {
-		case room <- struct{}{}:
+		case open <- struct{}{}:
 		default:
-			h.mu.Lock()
-			h.waited++
-			h.mu.Unlock()
-			room <- struct{}{}
+			b.mu.Lock()
+			b.throttled++
+			b.mu.Unlock()
+			open <- struct{}{}
 		}
-		h.mu.Lock()
-		h.late = append(h.late, h.Clock()-o.At)
-		h.mu.Unlock()
-		h.pending.Add(1)
+		b.mu.Lock()
+		b.sendDelays = append(b.sendDelays, b.Clock()-o.At)
+		b.mu.Unlock()
+		b.pending.Add(1)
 		go func() {
-			defer h.pending.Done()
-			h.clients.Order(&o)
-			<-room
+			defer b.pending.Done()
+			b.clients.Order(&o)
+			<-open
 		}()
 	}
 }
 
-// LabStats tells how well the lab itself kept up.
+// LabStats are measures of the lab itself: whether it kept up with the load.
 type LabStats struct {
-	LateP50, LateP99 time.Duration // orders sent after their time
-	Waited           int           // orders that had to wait for the lab's bound
-	NodeCPU          time.Duration // of all node processes, once Close is done
-	Resent           int           // requests on connections that a node had closed
-	Dialled          int
+	LateP50, LateP99 time.Duration // delay of orders against their planned time
+	Waited           int           // orders that waited as maxOrders were open
+	NodeCPU          time.Duration // processor time of all node processes; complete after Close
+	Resent           int           // requests repeated as the node had closed the connection
+	Dialled          int           // connections that clients opened
 }
 
-// LabStats gives the lab's own figures.
-func (h *Testbed) LabStats() LabStats {
-	h.mu.Lock()
-	late := append([]time.Duration(nil), h.late...)
-	o := LabStats{Waited: h.waited}
-	h.mu.Unlock()
-	o.LateP50, o.LateP99 = judge.Quantile(late, 0.5), judge.Quantile(late, 0.99)
-	st := h.clients.Stats()
+// LabStats returns the measures of the lab itself.
+func (b *Testbed) LabStats() LabStats {
+	b.mu.Lock()
+	delays := append([]time.Duration(nil), b.sendDelays...)
+	o := LabStats{Waited: b.throttled}
+	b.mu.Unlock()
+	o.LateP50, o.LateP99 = judge.Quantile(delays, 0.5), judge.Quantile(delays, 0.99)
+	st := b.clients.Stats()
 	o.Resent, o.Dialled = st.Resent, st.Dialled
-	for _, n := range h.nodes {
+	for _, n := range b.nodes {
 		n.mu.Lock()
-		o.NodeCPU += n.cpu
+		o.NodeCPU += n.cpuTime
 		n.mu.Unlock()
 	}
 	return o
 }
 
-// LateRequests tells how many requests were sent on connections of nodes that were told to end,
-// and how many of them crossed the end of an unused connection.
-func (h *Testbed) LateRequests() (late, crossed int) {
-	st := h.clients.Stats()
+// LateRequests returns how many requests were sent on connections of nodes that had been sent
+// SIGTERM, and how many of these met an unused connection that the node was just closing.
+func (b *Testbed) LateRequests() (late, crossed int) {
+	st := b.clients.Stats()
 	return st.Late, st.Crossed
 }
 
-// ServerStatus is a server as a screen shows it.
+// ServerStatus is the state of a server for display.
 type ServerStatus struct {
 	Name, Zone, Kind, State string
 	Active, Waiting         int
-	WarmRatio               float64 // of its capacity
+	WarmRatio               float64 // capacity as a fraction of the warm server's
 }
 
-// ServerStatuses gives all servers.
-func (h *Testbed) ServerStatuses() []ServerStatus {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// ServerStatuses returns the state of all servers.
+func (b *Testbed) ServerStatuses() []ServerStatus {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var out []ServerStatus
-	for _, t := range h.slots {
+	for _, t := range b.slots {
 		st, active, waiting, part := t.server.Look()
 		r := ServerStatus{Name: t.id, Zone: t.Hall, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: part}
 		switch {
--- a/internal/lab/real/services.go
+++ b/internal/lab/real/services.go
@@ -10,60 +10,60 @@
 	"ivylock/internal/lab/process"
 )
 
-// ControlServices are the control services of the run, that are of the fleet.
-func (h *Testbed) ControlServices() []*process.Process { return h.services }
+// ControlServices returns the control services that are members of the fleet.
+func (b *Testbed) ControlServices() []*process.Process { return b.controlServices }
 
-// SetServicePartition lets no datagram pass between a control service and some nodes, by number,
-// or ends that.
-func (h *Testbed) SetServicePartition(k int, nodes []int, cut bool) {
-	var ways [][2]int
+// SetServicePartition drops all datagrams between a control service and some nodes, by number, or
+// lets them pass again.
+func (b *Testbed) SetServicePartition(k int, nodes []int, cut bool) {
+	var pairs [][2]int
 	for _, n := range nodes {
-		ways = append(ways, [2]int{n, len(h.nodes) + k}, [2]int{len(h.nodes) + k, n})
+		pairs = append(pairs, [2]int{n, len(b.nodes) + k}, [2]int{len(b.nodes) + k, n})
 	}
 	if cut {
-		h.setWays(ways, &blackHole)
+		b.setImpairments(pairs, &blackHole)
 	} else {
-		h.setWays(ways, nil)
+		b.setImpairments(pairs, nil)
 	}
 }
 
-// name is a process's name by number.
-func (h *Testbed) name(number int) string {
-	if k := number - len(h.nodes); k >= 0 {
+// processName returns the name of a node or a control service by its number.
+func (b *Testbed) processName(number int) string {
+	if k := number - len(b.nodes); k >= 0 {
 		return fmt.Sprintf("c%d", k)
 	}
-	return h.nodes[number].Name
+	return b.nodes[number].Name
 }
 
-func (h *Testbed) startServices() error {
-	for k := range h.o.ControlServices {
-		s, err := h.startService(k)
+func (b *Testbed) startServices() error {
+	for k := range b.options.ControlServices {
+		s, err := b.startService(k)
 		if err != nil {
 			return err
 		}
-		h.mu.Lock()
-		h.services = append(h.services, s)
-		h.mu.Unlock()
+		b.mu.Lock()
+		b.controlServices = append(b.controlServices, s)
+		b.mu.Unlock()
 	}
 	return nil
 }
 
-// startService starts a control service.
-func (h *Testbed) startService(k int) (*process.Process, error) {
-	name := h.name(len(h.nodes) + k)
-	discovery, err := h.hosts.Listen(name)
+// startService writes the configuration of a control service and starts it.
+func (b *Testbed) startService(k int) (*process.Process, error) {
+	name := b.processName(len(b.nodes) + k)
+	discovery, err := b.hosts.Listen(name)
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(h.dir, name+".toml")
+	path := filepath.Join(b.dir, name+".toml")
 	text := fmt.Sprintf("[fleet]\n%s\n[control]\nname = %q\nlisten = \"127.0.0.1:0\"\nplain_text = true\ndiscovery = %q\nconsole = \"127.0.0.1:0\"\n"+
 		"fleet_listen = \"127.0.0.1:0\"\nfleet_id = %d\nfleet_seeds = [%q, %q]\n[[control.service]]\nname = \"clips\"\n"+
 		"[[control.service.class]]\nname = \"fetch\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"5s\"\n",
-		h.s.Oper+"\n"+h.o.FleetSettings, name, discovery, member.FirstControlID+k, h.relays[0].Addr(), h.relays[1].Addr())
+		b.scenario.Oper+"\n"+b.options.FleetSettings, name, discovery, member.FirstControlID+k, b.relays[0].Addr(), b.relays[1].Addr())
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	s, err := process.StartControl(h.o.ControlProgram, path, name)
+	s, err := process.StartControl(b.options.ControlProgram, path, name)
 	if err != nil {
 		return nil, err
 	}
@@ -71,6 +71,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	h.from.Store(at, len(h.nodes)+k)
+	b.senders.Store(at, len(b.nodes)+k)
 	return s, nil
 }
