--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -1,6 +1,6 @@
-// Package soak runs many real nodes under random faults that overlap in time, and tells
-// whether the rules held and each process kept its own invariants. A seed names its
-// deployment, its load and its timeline for good.
+// Package soak runs fleets of node processes under random faults that overlap in time, and checks that
+// the rules hold and that no process reports a broken invariant. A seed determines the deployment, the
+// load and the timeline.
 package soak
 
 import (
@@ -16,178 +16,179 @@
 	"ivylock/internal/lab/sysfault"
 )
 
-// Bounds say what a soak draws from.
+// Bounds limit what a soak generates.
 type Bounds struct {
-	MinNodes, MaxNodes int           // processes, 1 to 48
+	MinNodes, MaxNodes int           // number of nodes, 1 to 48
 	Length             time.Duration // of the load
-	FaultsPerSecond    float64       // how many faults begin, on average
-	RatePerNode        float64       // first tries a second
-	ClockSteps         bool          // wall clocks step: the nodes are built with -tags faults
-	SystemCalls        bool          // system calls fail; whoever plays calls sysfault.RunLauncher where that is to be
+	FaultsPerSecond    float64       // mean rate at which faults begin
+	RatePerNode        float64       // orders per second and node
+	ClockSteps         bool          // include steps of wall clocks; needs nodes built with -tags faults
+	SystemCalls        bool          // include failing system calls; the caller's main must support sysfault.RunLauncher
 }
 
-// DefaultBounds are the bounds of a run by hand on eight cores.
+// DefaultBounds are the bounds of a manual run on eight cores.
 var DefaultBounds = Bounds{MinNodes: 10, MaxNodes: 40, Length: 20 * time.Second, FaultsPerSecond: 2, RatePerNode: 12, SystemCalls: true}
 
-// The rules' figures that a soak draws nothing of: the standing page's.
+// Limits of the rules that are the same for all seeds.
 const (
-	answerSlack = 500 * time.Millisecond
-	leaveSlack  = 100 * time.Millisecond
-	toldLatest  = 6 * time.Second
+	answerSlack    = 500 * time.Millisecond
+	leaveSlack     = 100 * time.Millisecond
+	notifiedWithin = 6 * time.Second
 )
 
-// drawer draws one soak.
-type drawer struct {
+// generator generates the scenario of one seed.
+type generator struct {
 	*rand.Rand
-	s      *scenario.Scenario
-	bounds Bounds
+	scenario *scenario.Scenario
+	bounds   Bounds
 }
 
-func (d *drawer) between(lo, hi time.Duration) time.Duration {
-	return (lo + time.Duration(d.Int64N(int64(hi-lo)))).Round(10 * time.Millisecond)
+func (g *generator) randomDuration(lo, hi time.Duration) time.Duration {
+	return (lo + time.Duration(g.Int64N(int64(hi-lo)))).Round(10 * time.Millisecond)
 }
 
-func (d *drawer) span(lo, hi time.Duration) scenario.Span {
-	return scenario.Span{Duration: d.between(lo, hi)}
+func (g *generator) randomSpan(lo, hi time.Duration) scenario.Span {
+	return scenario.Span{Duration: g.randomDuration(lo, hi)}
 }
 
-// Generate gives the scenario and the deployment of a seed.
+// Generate returns the scenario and the deployment of a seed.
 func Generate(seed int64, b Bounds) (*scenario.Scenario, *load.Deployment) {
-	d := &drawer{Rand: rand.New(rand.NewPCG(uint64(seed), 0x736f616b)), bounds: b}
-	d.s = &scenario.Scenario{Name: fmt.Sprintf("soak-%d", seed), Seed: seed, Length: scenario.Span{Duration: b.Length},
-		Client: scenario.Client{Retries: d.IntN(3), TryShare: 0.5 + 0.3*d.Float64(), Honour: d.Float64(),
-			Leaves: 0.3 * d.Float64(), Pieces: 0.1 * d.Float64(), Late: 3 + d.IntN(6)},
-		Hosts: scenario.Hosts{Lag: d.span(50*time.Millisecond, time.Second)},
-		Net:   scenario.Net{Lost: 0.1 * d.Float64()}}
-	nodes := b.MinNodes + d.IntN(b.MaxNodes-b.MinNodes+1)
-	d.drawHalls(nodes)
-	deployment, work := d.drawDeployment()
+	g := &generator{Rand: rand.New(rand.NewPCG(uint64(seed), 0x736f616b)), bounds: b}
+	g.scenario = &scenario.Scenario{Name: fmt.Sprintf("soak-%d", seed), Seed: seed, Length: scenario.Span{Duration: b.Length},
+		Client: scenario.Client{Retries: g.IntN(3), TryShare: 0.5 + 0.3*g.Float64(), Honour: g.Float64(),
+			Leaves: 0.3 * g.Float64(), Pieces: 0.1 * g.Float64(), Late: 3 + g.IntN(6)},
+		Hosts: scenario.Hosts{Lag: g.randomSpan(50*time.Millisecond, time.Second)},
+		Net:   scenario.Net{Lost: 0.1 * g.Float64()}}
+	nodes := b.MinNodes + g.IntN(b.MaxNodes-b.MinNodes+1)
+	g.addZones(nodes)
+	deployment, work := g.newDeployment()
 	capacity := 0.0
-	for _, x := range d.s.Servers() {
+	for _, x := range g.scenario.Servers() {
 		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[x.Kind]
 	}
-	d.s.Load.Rate = min(float64(nodes)*b.RatePerNode, 0.6*capacity/work)
+	g.scenario.Load.Rate = min(float64(nodes)*b.RatePerNode, 0.6*capacity/work)
 	for range int(b.Length.Seconds() * b.FaultsPerSecond) {
-		f := d.drawFault()
-		d.add(f)
+		f := g.randomFault()
+		g.add(f)
 		switch {
-		case f.What == scenario.WhatTerm && d.IntN(2) == 0:
-			d.add(d.hangAround(f))
-		case f.What == scenario.WhatDrain && d.IntN(3) > 0:
-			for _, with := range d.lateConnections(f) {
-				d.add(with)
+		case f.What == scenario.WhatTerm && g.IntN(2) == 0:
+			g.add(g.hangServers(f))
+		case f.What == scenario.WhatDrain && g.IntN(3) > 0:
+			for _, fault := range g.delayConnections(f) {
+				g.add(fault)
 			}
 		}
 	}
-	for range 1 + int(b.Length/(4*time.Second)) { // after all others, so that a seed's stay what they were
-		d.add(scenario.Fault{What: scenario.WhatNoFiles, At: d.span(200*time.Millisecond, b.Length), For: d.span(20*time.Millisecond, 150*time.Millisecond),
-			Who: some(d, d.s.Nodes(), func(x scenario.Node) string { return x.Name }, len(d.s.Nodes()))})
+	for range 1 + int(b.Length/(4*time.Second)) { // after the other kinds, which keeps their random draws the same
+		g.add(scenario.Fault{What: scenario.WhatNoFiles, At: g.randomSpan(200*time.Millisecond, b.Length), For: g.randomSpan(20*time.Millisecond, 150*time.Millisecond),
+			Who: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))})
 	}
 	if b.ClockSteps {
-		d.drawClockSteps()
+		g.addClockSteps()
 	}
 	if b.SystemCalls {
-		d.drawSystemCalls()
+		g.addCallFaults()
 	}
-	if err := scenario.Check(d.s); err != nil {
-		panic(fmt.Sprintf("soak: seed %d draws what can't be played: %v", seed, err))
+	if err := scenario.Check(g.scenario); err != nil {
+		panic(fmt.Sprintf("soak: seed %d generates an invalid scenario: %v", seed, err))
 	}
-	return d.s, deployment
+	return g.scenario, deployment
 }
 
-// drawClockSteps has the wall clocks of some machines step, by seconds or by an hour.
-func (d *drawer) drawClockSteps() {
-	for range 2 + int(d.bounds.Length/(4*time.Second)) {
-		f := scenario.Fault{What: scenario.WhatClock, At: d.span(100*time.Millisecond, d.bounds.Length),
-			Who: some(d, d.s.Nodes(), func(x scenario.Node) string { return x.Name }, len(d.s.Nodes()))}
-		if f.Delay = d.span(time.Second, 20*time.Second); d.IntN(2) == 0 {
+// addClockSteps adds steps of the wall clocks of some machines, by seconds or by an hour.
+func (g *generator) addClockSteps() {
+	for range 2 + int(g.bounds.Length/(4*time.Second)) {
+		f := scenario.Fault{What: scenario.WhatClock, At: g.randomSpan(100*time.Millisecond, g.bounds.Length),
+			Who: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))}
+		if f.Delay = g.randomSpan(time.Second, 20*time.Second); g.IntN(2) == 0 {
 			f.Delay.Duration = time.Hour
 		}
-		f.State = []string{"", "back"}[d.IntN(2)]
-		d.add(f)
+		f.State = []string{"", "back"}[g.IntN(2)]
+		g.add(f)
 	}
 }
 
-// failing are the kinds of system calls that are drawn. Files play no part where the platform
-// holds no listening socket.
-var failing = []sysfault.Call{sysfault.Accept, sysfault.Socket, sysfault.Connect, sysfault.SendTo, sysfault.Receive}
+// faultyCalls are the kinds of system calls that fail. Calls on files are omitted: nodes use files only
+// where the platform holds the listening socket.
+var faultyCalls = []sysfault.Call{sysfault.Accept, sysfault.Socket, sysfault.Connect, sysfault.SendTo, sysfault.Receive}
 
-// drawSystemCalls has a part of some nodes' system calls fail, for some of the time.
-func (d *drawer) drawSystemCalls() {
-	for range 2 + int(d.bounds.Length/(3*time.Second)) {
-		call := failing[d.IntN(len(failing))]
+// addCallFaults adds faults in which a fraction of some nodes' system calls fail.
+func (g *generator) addCallFaults() {
+	for range 2 + int(g.bounds.Length/(3*time.Second)) {
+		call := faultyCalls[g.IntN(len(faultyCalls))]
 		names := slices.Sorted(maps.Keys(sysfault.Errors[call]))
-		f := scenario.Fault{What: scenario.WhatCalls, Call: string(call), Error: names[d.IntN(len(names))], Part: 0.05 + 0.75*d.Float64(),
-			At: d.span(200*time.Millisecond, d.bounds.Length), For: d.span(50*time.Millisecond, 3*time.Second),
-			Who: some(d, d.s.Nodes(), func(x scenario.Node) string { return x.Name }, len(d.s.Nodes()))}
-		d.add(f)
+		f := scenario.Fault{What: scenario.WhatCalls, Call: string(call), Error: names[g.IntN(len(names))], Part: 0.05 + 0.75*g.Float64(),
+			At: g.randomSpan(200*time.Millisecond, g.bounds.Length), For: g.randomSpan(50*time.Millisecond, 3*time.Second),
+			Who: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))}
+		g.add(f)
 	}
 }
 
-// add takes a fault in, unless it can't be carried out together with the others.
-func (d *drawer) add(f scenario.Fault) {
-	d.s.Faults = append(d.s.Faults, f)
-	if scenario.Check(d.s) != nil {
-		d.s.Faults = d.s.Faults[:len(d.s.Faults)-1]
+// add adds a fault, unless the scenario is invalid with it.
+func (g *generator) add(f scenario.Fault) {
+	g.scenario.Faults = append(g.scenario.Faults, f)
+	if scenario.Check(g.scenario) != nil {
+		g.scenario.Faults = g.scenario.Faults[:len(g.scenario.Faults)-1]
 	}
 }
 
-// hangAround has most servers hang while nodes are told to end.
-func (d *drawer) hangAround(restart scenario.Fault) scenario.Fault {
-	f := scenario.Fault{What: scenario.WhatHang, At: restart.At, For: d.span(time.Second, 5*time.Second)}
-	f.At.Duration = max(0, f.At.Duration-d.between(0, 300*time.Millisecond))
-	servers := d.s.Servers()
-	for _, i := range d.Perm(len(servers))[:max(1, len(servers)-1-d.IntN(1+len(servers)/3))] {
+// hangServers returns a fault in which most servers hang around the time of a restart of nodes.
+func (g *generator) hangServers(restart scenario.Fault) scenario.Fault {
+	f := scenario.Fault{What: scenario.WhatHang, At: restart.At, For: g.randomSpan(time.Second, 5*time.Second)}
+	f.At.Duration = max(0, f.At.Duration-g.randomDuration(0, 300*time.Millisecond))
+	servers := g.scenario.Servers()
+	for _, i := range g.Perm(len(servers))[:max(1, len(servers)-1-g.IntN(1+len(servers)/3))] {
 		f.Who = append(f.Who, servers[i].Name)
 	}
 	return f
 }
 
-// lateConnections has connections to servers come up late, or not at all, just before they
-// drain, and ends those that there are.
-func (d *drawer) lateConnections(drain scenario.Fault) []scenario.Fault {
-	late := scenario.Fault{What: scenario.WhatLink, State: "black-hole", Who: drain.Who, At: drain.At, For: d.span(500*time.Millisecond, 1200*time.Millisecond)}
-	late.At.Duration = max(100*time.Millisecond, late.At.Duration-d.between(50*time.Millisecond, 500*time.Millisecond))
+// delayConnections returns faults that close idle connections to servers just before they drain and
+// keep new ones from being established until later.
+func (g *generator) delayConnections(drain scenario.Fault) []scenario.Fault {
+	late := scenario.Fault{What: scenario.WhatLink, State: "black-hole", Who: drain.Who, At: drain.At, For: g.randomSpan(500*time.Millisecond, 1200*time.Millisecond)}
+	late.At.Duration = max(100*time.Millisecond, late.At.Duration-g.randomDuration(50*time.Millisecond, 500*time.Millisecond))
 	idle := scenario.Fault{What: scenario.WhatIdle, Who: drain.Who, At: late.At}
 	idle.At.Duration -= 50 * time.Millisecond
 	return []scenario.Fault{idle, late}
 }
 
-func (d *drawer) drawHalls(nodes int) {
-	halls := 1 + d.IntN(3)
-	for i := range halls {
-		h := scenario.Hall{Name: fmt.Sprintf("hall-%c", 'a'+i), Nodes: nodes / halls, PodSize: 2 + d.IntN(4), Servers: map[string]int{}}
-		if i < nodes%halls {
-			h.Nodes++
+// addZones adds zones with a number of nodes in all, and random servers.
+func (g *generator) addZones(nodes int) {
+	zones := 1 + g.IntN(3)
+	for i := range zones {
+		z := scenario.Hall{Name: fmt.Sprintf("hall-%c", 'a'+i), Nodes: nodes / zones, PodSize: 2 + g.IntN(4), Servers: map[string]int{}}
+		if i < nodes%zones {
+			z.Nodes++
 		}
-		for range 3 + d.IntN(4) {
-			h.Servers[[]string{"fast-6", "std-6", "slow-6"}[d.IntN(3)]]++
+		for range 3 + g.IntN(4) {
+			z.Servers[[]string{"fast-6", "std-6", "slow-6"}[g.IntN(3)]]++
 		}
-		d.s.Halls = append(d.s.Halls, h)
+		g.scenario.Halls = append(g.scenario.Halls, z)
 	}
 }
 
-// drawDeployment draws classes of each effect and the other settings, and gives the mean
-// work of a request in seconds.
-func (d *drawer) drawDeployment() (*load.Deployment, float64) {
+// newDeployment returns random settings with classes of each effect, and the mean work of a request in
+// seconds.
+func (g *generator) newDeployment() (*load.Deployment, float64) {
 	out := &load.Deployment{Limits: load.Limits}
 	out.Limits.AnswerSlack, out.Limits.LeaveSlack, out.Limits.FallTold = answerSlack, leaveSlack, true
-	out.Limits.ToldLatest = toldLatest
-	longest := d.between(300*time.Millisecond, 4*time.Second)
+	out.Limits.ToldLatest = notifiedWithin
+	longest := g.randomDuration(300*time.Millisecond, 4*time.Second)
 	work, shares := 0.0, 0.0
-	for i, effect := range []history.Effect{history.Safe, history.Keyed, history.Unsafe, history.Safe, history.Keyed}[:3+d.IntN(3)] {
-		low := d.between(10*time.Millisecond, 60*time.Millisecond)
-		c := history.Class{Name: fmt.Sprintf("class-%d", i), Share: 0.2 + d.Float64(), WorkLow: low, WorkHigh: 2 * low,
-			Deadline: d.between(longest/2, longest+time.Millisecond*20), Worth: float64(1 + d.IntN(12)), Effect: effect,
-			Scope: []history.Scope{history.Pods, history.Halls, history.All}[d.IntN(3)], Window: d.between(500*time.Millisecond, 8*time.Second)}
-		c.Aim = time.Duration((0.3 + 0.7*d.Float64()) * float64(c.Deadline))
+	for i, effect := range []history.Effect{history.Safe, history.Keyed, history.Unsafe, history.Safe, history.Keyed}[:3+g.IntN(3)] {
+		low := g.randomDuration(10*time.Millisecond, 60*time.Millisecond)
+		c := history.Class{Name: fmt.Sprintf("class-%d", i), Share: 0.2 + g.Float64(), WorkLow: low, WorkHigh: 2 * low,
+			Deadline: g.randomDuration(longest/2, longest+time.Millisecond*20), Worth: float64(1 + g.IntN(12)), Effect: effect,
+			Scope: []history.Scope{history.Pods, history.Halls, history.All}[g.IntN(3)], Window: g.randomDuration(500*time.Millisecond, 8*time.Second)}
+		c.Aim = time.Duration((0.3 + 0.7*g.Float64()) * float64(c.Deadline))
 		work, shares = work+c.Share*1.5*low.Seconds(), shares+c.Share
 		out.Classes = append(out.Classes, c)
 	}
-	mode, report := []string{"on_request", "pushed"}[d.IntN(2)], []string{"none", "probe", "answers"}[d.IntN(3)]
-	caps := map[string]any{"cancel": d.IntN(3) > 0, "may_duplicate": d.IntN(2) == 0, "peers": d.IntN(4) > 0, "probes": d.IntN(2) == 0,
-		"retry_after": d.IntN(2) == 0, "max_attempts": 1 + d.IntN(5), "conn_idle_ns": d.between(2*time.Second, time.Minute),
-		"connect_timeout_ns": []time.Duration{d.between(100*time.Millisecond, 500*time.Millisecond), d.between(1200*time.Millisecond, 2500*time.Millisecond)}[d.IntN(2)]}
+	mode, report := []string{"on_request", "pushed"}[g.IntN(2)], []string{"none", "probe", "answers"}[g.IntN(3)]
+	caps := map[string]any{"cancel": g.IntN(3) > 0, "may_duplicate": g.IntN(2) == 0, "peers": g.IntN(4) > 0, "probes": g.IntN(2) == 0,
+		"retry_after": g.IntN(2) == 0, "max_attempts": 1 + g.IntN(5), "conn_idle_ns": g.randomDuration(2*time.Second, time.Minute),
+		"connect_timeout_ns": []time.Duration{g.randomDuration(100*time.Millisecond, 500*time.Millisecond), g.randomDuration(1200*time.Millisecond, 2500*time.Millisecond)}[g.IntN(2)]}
 	out.Settings = func(all map[string]any) {
 		all["membership_mode"] = mode
 		for k, v := range caps {
@@ -198,8 +199,8 @@
 	return out, work / shares
 }
 
-// kinds are the faults that are drawn, with their weights.
-var kinds = []struct {
+// faultKinds are the kinds of random faults, with their weights.
+var faultKinds = []struct {
 	what   string
 	weight int
 }{
@@ -209,13 +210,13 @@
 	{scenario.WhatLost, 1}, {scenario.WhatPeers, 1}, {scenario.WhatSlow, 1},
 }
 
-func (d *drawer) drawKind() string {
-	all := 0
-	for _, k := range kinds {
-		all += k.weight
+func (g *generator) randomKind() string {
+	total := 0
+	for _, k := range faultKinds {
+		total += k.weight
 	}
-	pick := d.IntN(all)
-	for _, k := range kinds {
+	pick := g.IntN(total)
+	for _, k := range faultKinds {
 		if pick -= k.weight; pick < 0 {
 			return k.what
 		}
@@ -223,63 +224,63 @@
 	return scenario.WhatTerm
 }
 
-// some gives one to most names of a list.
-func some[T any](d *drawer, of []T, name func(T) string, most int) (out []string) {
-	for _, i := range d.Perm(len(of))[:1+d.IntN(min(most, len(of)))] {
+// randomNames returns the names of one to limit random elements of a list.
+func randomNames[T any](g *generator, of []T, name func(T) string, limit int) (out []string) {
+	for _, i := range g.Perm(len(of))[:1+g.IntN(min(limit, len(of)))] {
 		out = append(out, name(of[i]))
 	}
 	return out
 }
 
-func (d *drawer) drawFault() scenario.Fault {
-	f := scenario.Fault{What: d.drawKind(), At: d.span(200*time.Millisecond, d.bounds.Length-200*time.Millisecond),
-		For: d.span(300*time.Millisecond, 5*time.Second)}
-	servers, nodes := d.s.Servers(), d.s.Nodes()
+func (g *generator) randomFault() scenario.Fault {
+	f := scenario.Fault{What: g.randomKind(), At: g.randomSpan(200*time.Millisecond, g.bounds.Length-200*time.Millisecond),
+		For: g.randomSpan(300*time.Millisecond, 5*time.Second)}
+	servers, nodes := g.scenario.Servers(), g.scenario.Nodes()
 	server := func(x scenario.Server) string { return x.Name }
 	node := func(x scenario.Node) string { return x.Name }
 	switch f.What {
 	case scenario.WhatTerm:
-		f.Who = some(d, nodes, node, max(1, len(nodes)/5))
-		f.For = d.span(200*time.Millisecond, 3*time.Second) // the next process waits for the end of this one
+		f.Who = randomNames(g, nodes, node, max(1, len(nodes)/5))
+		f.For = g.randomSpan(200*time.Millisecond, 3*time.Second) // the next process starts when this one has ended
 	case scenario.WhatHold:
-		f.Who, f.For = some(d, nodes, node, max(1, len(nodes)/3)), d.span(20*time.Millisecond, 150*time.Millisecond)
+		f.Who, f.For = randomNames(g, nodes, node, max(1, len(nodes)/3)), g.randomSpan(20*time.Millisecond, 150*time.Millisecond)
 	case scenario.WhatReload, scenario.WhatMute:
-		f.Who, f.For = some(d, nodes, node, len(nodes)), scenario.Span{}
+		f.Who, f.For = randomNames(g, nodes, node, len(nodes)), scenario.Span{}
 	case scenario.WhatKill:
-		if f.Who = some(d, servers, server, 1); d.IntN(2) == 0 {
-			f.Who = some(d, nodes, node, max(1, len(nodes)/8))
+		if f.Who = randomNames(g, servers, server, 1); g.IntN(2) == 0 {
+			f.Who = randomNames(g, nodes, node, max(1, len(nodes)/8))
 		}
 	case scenario.WhatHang:
-		f.Who = some(d, servers, server, max(1, len(servers)*2/3))
+		f.Who = randomNames(g, servers, server, max(1, len(servers)*2/3))
 	case scenario.WhatLost:
-		f.Who = []string{d.s.Halls[d.IntN(len(d.s.Halls))].Name}
+		f.Who = []string{g.scenario.Halls[g.IntN(len(g.scenario.Halls))].Name}
 	case scenario.WhatLink:
-		f.Who = some(d, servers, server, 2)
-		if d.IntN(2) == 0 {
-			f.Who = append(f.Who, some(d, nodes, node, 2)...)
+		f.Who = randomNames(g, servers, server, 2)
+		if g.IntN(2) == 0 {
+			f.Who = append(f.Who, randomNames(g, nodes, node, 2)...)
 		}
-		if d.IntN(4) == 0 {
-			f.Delay, f.Loss = d.span(5*time.Millisecond, 60*time.Millisecond), 0.05*d.Float64()
+		if g.IntN(4) == 0 {
+			f.Delay, f.Loss = g.randomSpan(5*time.Millisecond, 60*time.Millisecond), 0.05*g.Float64()
 		} else {
-			f.State = []string{"half-open", "reset", "black-hole"}[d.IntN(3)]
+			f.State = []string{"half-open", "reset", "black-hole"}[g.IntN(3)]
 		}
 	case scenario.WhatSpoil:
-		f.Who, f.Part = some(d, servers, server, 2), 0.05+0.5*d.Float64()
+		f.Who, f.Part = randomNames(g, servers, server, 2), 0.05+0.5*g.Float64()
 	case scenario.WhatLag:
-		f.Delay = d.span(100*time.Millisecond, time.Second)
+		f.Delay = g.randomSpan(100*time.Millisecond, time.Second)
 	case scenario.WhatFlap:
-		f.Who, f.Every = some(d, servers, server, 1), d.span(50*time.Millisecond, time.Second)
+		f.Who, f.Every = randomNames(g, servers, server, 1), g.randomSpan(50*time.Millisecond, time.Second)
 	case scenario.WhatReplace:
-		f.Who, f.For = some(d, servers, server, 1), d.span(200*time.Millisecond, 2*time.Second)
+		f.Who, f.For = randomNames(g, servers, server, 1), g.randomSpan(200*time.Millisecond, 2*time.Second)
 	case scenario.WhatIdle:
-		f.Who, f.For = some(d, servers, server, len(servers)), scenario.Span{}
+		f.Who, f.For = randomNames(g, servers, server, len(servers)), scenario.Span{}
 	case scenario.WhatPeers:
-		f.Who, f.Loss, f.Jitter = some(d, nodes, node, len(nodes)), 0.5*d.Float64(), d.span(10*time.Millisecond, 300*time.Millisecond)
+		f.Who, f.Loss, f.Jitter = randomNames(g, nodes, node, len(nodes)), 0.5*g.Float64(), g.randomSpan(10*time.Millisecond, 300*time.Millisecond)
 	case scenario.WhatSlow:
-		f.Part = 0.5 * d.Float64()
+		f.Part = 0.5 * g.Float64()
 	case scenario.WhatOutage:
 	default:
-		f.Who = some(d, servers, server, 2)
+		f.Who = randomNames(g, servers, server, 2)
 	}
 	return f
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -12,36 +12,36 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Result is what became of one seed.
+// Result is the result of one seed.
 type Result struct {
 	Seed         int64
 	Nodes        int
 	Faults       int
-	Violations   []string // what did not hold, a line each; none: all did
+	Violations   []string // rules and expectations that did not hold, a line each
 	Tries        int
-	LateRequests int // requests on connections of nodes that were told to end
-	Crossed      int // of these, those on unused connections that ended unread in that moment
-	Restarts     int // processes that were told to end
-	Overdue      int // of these, those that still ran when their time was up
+	LateRequests int // requests on connections of nodes that had been sent SIGTERM
+	Crossed      int // of these, those on unused connections that the node was just closing
+	Restarts     int // processes that were sent SIGTERM
+	Overdue      int // of these, those that still ran at the shutdown timeout
 	Elapsed      time.Duration
 	History      *history.History
 	Scenario     *scenario.Scenario
 }
 
-// Passed tells whether all held.
+// Passed reports whether everything held.
 func (r *Result) Passed() bool { return len(r.Violations) == 0 }
 
-// Run plays a seed with a node's program. The error is of the lab itself; a node that
-// crashes is none.
+// Run runs a seed with a node's program. It returns an error if the lab itself fails; a crash of a node
+// is a violation.
 func Run(ctx context.Context, program string, seed int64, b Bounds) (*Result, error) {
 	s, d := Generate(seed, b)
 	began := time.Now()
-	h, err := real.New(ctx, s, real.Options{Program: program, Deployment: d})
+	bed, err := real.New(ctx, s, real.Options{Program: program, Deployment: d})
 	if err != nil {
 		return nil, err
 	}
-	got, err := h.Run(ctx)
-	h.Close()
+	got, err := bed.Run(ctx)
+	bed.Close()
 	r := &Result{Seed: seed, Nodes: len(s.Nodes()), Faults: len(s.Faults), Elapsed: time.Since(began), History: got, Scenario: s}
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
@@ -50,21 +50,22 @@
 		r.add("the run failed: %v", err)
 	}
 	r.judge(got)
-	for _, a := range h.ErrorLines() {
+	for _, a := range bed.ErrorLines() {
 		r.add("%s said: %s", a.Node, a.Line)
 	}
-	r.LateRequests, r.Crossed = h.LateRequests()
+	r.LateRequests, r.Crossed = bed.LateRequests()
 	if r.Crossed > max(2, r.LateRequests/20) {
 		r.add("%d of %d late requests crossed the end of an unused connection", r.Crossed, r.LateRequests)
 	}
 	return r, nil
 }
 
+// add adds a violation.
 func (r *Result) add(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// judge takes what the history shows.
+// judge adds what the history shows.
 func (r *Result) judge(h *history.History) {
 	v := judge.Judge(h)
 	r.Tries = v.Service.Tries
@@ -82,7 +83,7 @@
 	}
 }
 
-// Summary is the result on one line, and what did not hold on further ones.
+// Summary returns the result on one line, followed by a line for each of the first 20 violations.
 func (r *Result) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d: %d nodes, %d faults, %d tries, %d restarts, %d late requests (%d crossed), %.0f s: ", r.Seed, r.Nodes, r.Faults, r.Tries, r.Restarts, r.LateRequests, r.Crossed, r.Elapsed.Seconds())
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -18,11 +18,11 @@
 	"ivylock/internal/lab/sysfault"
 )
 
-var mutants = flag.Bool("soak-mutants", false, "build nodes that are broken on purpose, and see that soaks find each")
+var mutants = flag.Bool("soak-mutants", false, "build faulty nodes and check that soaks find each fault")
 
 var program string
 
-// TestMain builds the node once: the tests run it as processes.
+// TestMain builds the program that the tests run as processes.
 func TestMain(m *testing.M) {
 	if sysfault.IsLauncher() {
 		sysfault.RunLauncher()
@@ -44,18 +44,17 @@
 	os.Exit(code)
 }
 
-// small are bounds of a soak that two busy cores carry.
-var small = Bounds{MinNodes: 10, MaxNodes: 10, Length: 12 * time.Second, FaultsPerSecond: 2, RatePerNode: 4, ClockSteps: true, SystemCalls: true}
+// smallBounds are for a run on two busy cores.
+var smallBounds = Bounds{MinNodes: 10, MaxNodes: 10, Length: 12 * time.Second, FaultsPerSecond: 2, RatePerNode: 4, ClockSteps: true, SystemCalls: true}
 
-// The rules hold, and each process keeps its invariants, under faults that overlap. Seeds that
-// once did not hold stay here.
-func TestSeedsHold(t *testing.T) {
+// These seeds include former failures.
+func TestRulesHoldUnderOverlappingFaults(t *testing.T) {
 	for _, seed := range []int64{1, 4, 6} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 			defer cancel()
-			r, err := Run(ctx, program, seed, small)
+			r, err := Run(ctx, program, seed, smallBounds)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -63,21 +62,21 @@
 				t.Fail()
 			}
 			if r.Tries < 100 || r.Restarts == 0 {
-				t.Errorf("it shows nothing: %d tries, %d restarts", r.Tries, r.Restarts)
+				t.Errorf("too little happened: %d tries, %d restarts", r.Tries, r.Restarts)
 			}
 		})
 	}
 }
 
-// Each seed draws what can be played, always the same, with faults that overlap.
-func TestDrawsArePlayable(t *testing.T) {
+// A seed always generates the same valid scenario, and faults overlap.
+func TestGeneratedScenariosAreValidAndReproducible(t *testing.T) {
 	overlaps, kinds := 0, map[string]int{}
 	const seeds = 60
 	for seed := range int64(seeds) {
 		s, d := Generate(seed, DefaultBounds)
 		again, _ := Generate(seed, DefaultBounds)
 		if !reflect.DeepEqual(s, again) {
-			t.Fatalf("seed %d draws two scenarios", seed)
+			t.Fatalf("seed %d generates two different scenarios", seed)
 		}
 		if n := len(s.Nodes()); n < DefaultBounds.MinNodes || n > DefaultBounds.MaxNodes {
 			t.Errorf("seed %d: %d nodes", seed, n)
@@ -99,13 +98,13 @@
 	}
 	for _, what := range []string{scenario.WhatTerm, scenario.WhatHold, scenario.WhatHang, scenario.WhatKill, scenario.WhatReload, scenario.WhatMute, scenario.WhatIdle, scenario.WhatNoFiles, scenario.WhatCalls} {
 		if kinds[what] < seeds/4 {
-			t.Errorf("%s was drawn %d times in %d seeds", what, kinds[what], seeds)
+			t.Errorf("%s was generated %d times in %d seeds", what, kinds[what], seeds)
 		}
 	}
 }
 
-// What a history shows beside the rules counts too.
-func TestAProcessThatOverstaysDoesNotHold(t *testing.T) {
+// A process that outlives its shutdown timeout is a violation, although no rule of the judge covers it.
+func TestProcessThatOutlivesItsShutdownTimeoutIsAViolation(t *testing.T) {
 	r := &Result{}
 	r.judge(&history.History{Events: []history.Event{{Kind: history.NodeTerm, Node: "n0"}, {Kind: history.NodeOver, Node: "n0"}}})
 	if r.Passed() || r.Restarts != 1 || r.Overdue != 1 || !strings.Contains(r.Summary(), "still ran") {
@@ -113,7 +112,7 @@
 	}
 }
 
-// mutant is a fault that is put into the node: texts of its files are replaced.
+// mutant is a faulty build of the node: texts in its source files are replaced.
 type mutant struct {
 	name  string
 	edits []edit
@@ -121,28 +120,28 @@
 
 type edit struct{ file, old, new string }
 
-// Soaks find nodes that are broken on purpose. Two faults six seeds do not find, as they need a
-// connection that comes up a second late: writing for what is over, and to a server that drains.
-// internal/front's TestNothingIsWrittenForWhatEndedWhileItDialled forces both.
+// Six seeds find each mutant. Two faults are not among them, as they need a connection that is established
+// a second late: writing for a request that has ended, and writing to a draining server. internal/front's
+// TestNothingIsWrittenIfRequestEndsDuringDial covers both.
 func TestSoaksFindBrokenNodes(t *testing.T) {
 	if !*mutants {
-		t.Skip("without -soak-mutants")
+		t.Skip("needs -soak-mutants")
 	}
-	fixedEnd := edit{"guard/schedule.go", "kill := KillMargin + min(deadline, LongestDeadline)", "kill := KillMargin + LongestDeadline; _ = deadline"}
+	fixedTimeout := edit{"guard/schedule.go", "kill := KillMargin + min(deadline, LongestDeadline)", "kill := KillMargin + LongestDeadline; _ = deadline"}
 	for _, m := range []mutant{
-		{"the incident: unused connections stay, what is late is taken, the end is fixed", []edit{fixedEnd,
+		{"the incident: unused connections stay open, late requests are accepted, the shutdown timeout is fixed", []edit{fixedTimeout,
 			{"internal/front/conns.go", "[]map[net.Conn]time.Time{c.fresh, c.idle}", "[]map[net.Conn]time.Time{c.idle}"},
 			{"internal/node/lifecycle.go", "return !told || l.schedule.MayTake(since)", "return !told || l.schedule.MayTake(since) || true"}}},
-		{"the end does not follow the settings", []edit{fixedEnd}},
-		{"nothing is answered at the end", []edit{{"internal/node/node.go", "func (n *Node) answerAll() {", "func (n *Node) answerAll() {\n\tif true {\n\t\treturn\n\t}"}}},
-		{"unsafe requests are repeated", []edit{{"guard/repeat.go", "\tcase Safe:\n\t\treturn true\n\tcase Keyed", "\tcase Safe, Unsafe:\n\t\treturn true\n\tcase Keyed"}}},
-		{"keyed requests leave their group", []edit{{"guard/repeat.go", "return now < sent+r.Window && r.knows(earlier, to)", "return now < sent+r.Window"}}},
-		{"refusals promise too much", []edit{{"guard/repeat.go", "return r.Effect == Safe || r.Effect == Keyed && r.Scope == ScopeAll", "return true"}}},
+		{"the shutdown timeout ignores the settings", []edit{fixedTimeout}},
+		{"open requests get no answer at the end of the shutdown", []edit{{"internal/node/node.go", "func (n *Node) answerAll() {", "func (n *Node) answerAll() {\n\tif true {\n\t\treturn\n\t}"}}},
+		{"unsafe requests are retried", []edit{{"guard/repeat.go", "\tcase Safe:\n\t\treturn true\n\tcase Keyed", "\tcase Safe, Unsafe:\n\t\treturn true\n\tcase Keyed"}}},
+		{"keyed requests are retried outside their scope", []edit{{"guard/repeat.go", "return now < sent+r.Window && r.knows(earlier, to)", "return now < sent+r.Window"}}},
+		{"requests are refused although a retry may repeat their effect", []edit{{"guard/repeat.go", "return r.Effect == Safe || r.Effect == Keyed && r.Scope == ScopeAll", "return true"}}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
-			broken := m.build(t)
+			faulty := m.build(t)
 			for seed := int64(1); seed <= 6; seed++ {
-				r, err := Run(context.Background(), broken, seed, Bounds{MinNodes: 10, MaxNodes: 14, Length: 12 * time.Second, FaultsPerSecond: 2.5, RatePerNode: 10})
+				r, err := Run(context.Background(), faulty, seed, Bounds{MinNodes: 10, MaxNodes: 14, Length: 12 * time.Second, FaultsPerSecond: 2.5, RatePerNode: 10})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -151,12 +150,12 @@
 					return
 				}
 			}
-			t.Error("six seeds held")
+			t.Error("six seeds did not find the fault")
 		})
 	}
 }
 
-// build builds the node with the fault in it.
+// build builds the node with the edits applied and returns the path of the program.
 func (m mutant) build(t *testing.T) string {
 	t.Helper()
 	dir, replace := t.TempDir(), map[string]string{}
@@ -166,15 +165,15 @@
 			t.Fatal(err)
 		}
 		from := file
-		if changed, again := replace[file]; again {
-			from = changed
+		if edited, found := replace[file]; found {
+			from = edited
 		}
 		raw, err := os.ReadFile(from)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if strings.Count(string(raw), e.old) != 1 {
-			t.Fatalf("%s has %d times %q", e.file, strings.Count(string(raw), e.old), e.old)
+			t.Fatalf("%s contains %d times, not once: %q", e.file, strings.Count(string(raw), e.old), e.old)
 		}
 		replace[file] = filepath.Join(dir, fmt.Sprintf("changed-%d.go", i))
 		if err := os.WriteFile(replace[file], []byte(strings.Replace(string(raw), e.old, e.new, 1)), 0o600); err != nil {
@@ -189,8 +188,8 @@
 	if err := os.WriteFile(overlay, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if said, err := exec.Command("go", "build", "-overlay", overlay, "-o", out, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, said)
+	if output, err := exec.Command("go", "build", "-overlay", overlay, "-o", out, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, output)
 	}
 	return out
 }
