--- a/internal/lab/sysfault/launch.go
+++ b/internal/lab/sysfault/launch.go
@@ -11,19 +11,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// launchVariable tells a copy of the lab's own program that it is to put the filter of these
-// calls on itself, send the listener's descriptor and execute what its arguments say.
+// launchVariable makes a copy of the lab's own program a launcher. It lists the calls of the filter that
+// the launcher installs on itself, before it sends the listener's descriptor and executes its arguments.
 const launchVariable = "IVYLAB_SYSFAULT_CALLS"
 
 // launchSocket is the descriptor on which the launcher sends the listener.
 const launchSocket = 3
 
-// IsLauncher tells whether this process is a launcher: Launch is to be called then, before
-// anything else.
+// IsLauncher reports whether this process is a launcher. If so, call RunLauncher before anything else.
 func IsLauncher() bool { return os.Getenv(launchVariable) != "" }
 
-// RunLauncher puts the filter on this process and executes what the arguments say. It does not
-// return.
+// RunLauncher installs the filter on this process and executes the program named by the arguments. It
+// does not return.
 func RunLauncher() {
 	err := launch(os.Getenv(launchVariable), os.Args[1:])
 	fmt.Fprintf(os.Stderr, "sysfault: %v\n", err)
@@ -31,16 +30,16 @@
 }
 
 func launch(calls string, args []string) error {
-	runtime.LockOSThread() // the filter is this thread's, and so is what it executes
+	runtime.LockOSThread() // the filter applies to one thread, which must also execute the program
 	var kinds []Call
 	for _, name := range strings.Split(calls, ",") {
 		if _, known := numbers[Call(name)]; !known {
-			return fmt.Errorf("unknown call %q; there are %s", name, list(Calls))
+			return fmt.Errorf("unknown call %q; there are %s", name, joinNames(Calls))
 		}
 		kinds = append(kinds, Call(name))
 	}
 	if len(args) == 0 {
-		return errors.New("nothing to execute")
+		return errors.New("no program to execute")
 	}
 	if err := os.Unsetenv(launchVariable); err != nil {
 		return err
@@ -51,23 +50,23 @@
 		return err
 	}
 	if err := unix.Sendmsg(launchSocket, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return fmt.Errorf("the listener is not sent: %w", err)
+		return fmt.Errorf("sending the listener: %w", err)
 	}
 	unix.CloseOnExec(launchSocket)
 	return fmt.Errorf("%s: %w", args[0], unix.Exec(args[0], args, environment))
 }
 
-// Command is a program that runs under rules.
+// Command is a program whose system calls fail according to rules.
 type Command struct {
-	*exec.Cmd // Path, Args and ExtraFiles are not to be changed
-	ours      *os.File
-	theirs    *os.File
+	*exec.Cmd          // Path, Args and ExtraFiles must not be changed
+	ours      *os.File // end of the socket pair on which the listener is received
+	theirs    *os.File // end that the launcher inherits
 	rules     *Rules
 }
 
-// NewCommand prepares a program, named by its path, whose calls of these kinds fail as the
-// rules say. Whoever uses it calls Launch first thing in main, or in TestMain, where Launching
-// says so.
+// NewCommand prepares a program, given by its path, whose calls of these kinds fail according to the
+// rules. The calling program must call RunLauncher at the start of main or TestMain if IsLauncher
+// returns true.
 func NewCommand(rules *Rules, calls []Call, program string, args ...string) (*Command, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -80,11 +79,11 @@
 	c := &Command{Cmd: exec.Command(self, append([]string{program}, args...)...), rules: rules,
 		ours: os.NewFile(uintptr(pair[0]), "sysfault"), theirs: os.NewFile(uintptr(pair[1]), "sysfault")}
 	c.ExtraFiles = []*os.File{c.theirs}
-	c.Env = append(os.Environ(), launchVariable+"="+strings.ReplaceAll(list(calls), " ", ""))
+	c.Env = append(os.Environ(), launchVariable+"="+strings.ReplaceAll(joinNames(calls), " ", ""))
 	return c, nil
 }
 
-// Start starts the program and answers its calls until it has ended.
+// Start starts the program and the supervisor that answers its calls until it has ended.
 func (c *Command) Start() error {
 	defer c.ours.Close()
 	err := c.Cmd.Start()
@@ -102,23 +101,23 @@
 	return nil
 }
 
-// receiveListener takes the listener's descriptor from the launcher.
+// receiveListener receives the listener's descriptor from the launcher.
 func (c *Command) receiveListener() (int, error) {
-	data, control := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
-	n, used, _, _, err := unix.Recvmsg(int(c.ours.Fd()), data, control, unix.MSG_CMSG_CLOEXEC)
+	data, oob := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
+	n, used, _, _, err := unix.Recvmsg(int(c.ours.Fd()), data, oob, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
-		return 0, fmt.Errorf("no listener: %w", err)
+		return 0, fmt.Errorf("receiving the listener: %w", err)
 	}
 	if n == 0 {
-		return 0, errors.New("the launcher ended and sent no listener; its standard error tells why")
+		return 0, errors.New("the launcher ended without sending the listener; see its standard error")
 	}
-	messages, err := unix.ParseSocketControlMessage(control[:used])
+	messages, err := unix.ParseSocketControlMessage(oob[:used])
 	if err != nil || len(messages) != 1 {
-		return 0, fmt.Errorf("no listener in %d messages: %v", len(messages), err)
+		return 0, fmt.Errorf("no listener in %d control messages: %v", len(messages), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return 0, fmt.Errorf("%d descriptors: %v", len(fds), err)
+		return 0, fmt.Errorf("got %d descriptors, want the listener: %v", len(fds), err)
 	}
 	return fds[0], nil
 }
--- a/internal/lab/sysfault/supervise.go
+++ b/internal/lab/sysfault/supervise.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// notification is struct seccomp_notif: a call that waits for its answer.
+// notification is struct seccomp_notif: a call that waits for a response.
 type notification struct {
 	id           uint64
-	thread       uint32 // of the caller
+	thread       uint32 // ID of the calling thread
 	flags        uint32
 	number       int32
 	architecture uint32
@@ -21,11 +21,11 @@
 	args         [6]uint64
 }
 
-// response is struct seccomp_notif_resp: the answer.
+// response is struct seccomp_notif_resp.
 type response struct {
 	id    uint64
 	value int64
-	errno int32 // negative
+	errno int32 // negated
 	flags uint32
 }
 
@@ -63,25 +63,24 @@
 	}
 }
 
-// answerOne takes a call and answers it. A call whose thread has been interrupted or has ended
-// meanwhile wants no answer.
+// answerOne receives a call and responds to it. Errors are ignored: the calling thread may have been
+// interrupted or have ended meanwhile.
 func (s *supervisor) answerOne() {
 	var call notification
-	if s.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&call)) != nil {
+	if s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&call)) != nil {
 		return
 	}
-	answer := response{id: call.id}
+	resp := response{id: call.id}
 	kind := s.kinds[call.number]
-	if errno := s.rules.judge(kind, func() bool { return s.applies(kind, &call) }); errno != 0 {
-		answer.errno = -int32(errno)
+	if errno := s.rules.decide(kind, func() bool { return s.applies(kind, &call) }); errno != 0 {
+		resp.errno = -int32(errno)
 	} else {
-		answer.flags = unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE
+		resp.flags = unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE
 	}
-	s.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&answer))
+	s.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&resp))
 }
 
-// applies tells whether a call of a kind is one that may be made to fail: of writes those to
-// files alone.
+// applies reports whether a call may be made to fail: of writes, only those to files.
 func (s *supervisor) applies(kind Call, call *notification) bool {
 	if kind != Write {
 		return true
@@ -90,7 +89,7 @@
 	return err == nil && strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "/dev/")
 }
 
-func (s *supervisor) control(request uint, argument unsafe.Pointer) error {
+func (s *supervisor) ioctl(request uint, argument unsafe.Pointer) error {
 	if _, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), uintptr(request), uintptr(argument)); errno != 0 {
 		return errno
 	}
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -1,7 +1,6 @@
-// Package sysfault has system calls of a process fail as the machine below it would have them
-// fail. The process is an ordinary build of the program: a seccomp filter hands the calls that
-// may fail to the lab, which answers each with an error or lets it go on. No privilege is
-// needed, and nothing outside the process is touched.
+// Package sysfault injects failures into the system calls of a child process. The program is an ordinary
+// build: a seccomp filter notifies the lab of the calls that may fail, and the lab answers each with an
+// error or lets it continue. This needs no privileges and affects no other process.
 package sysfault
 
 import (
@@ -18,25 +17,25 @@
 // Call is a kind of system call that can be made to fail.
 type Call string
 
-// The calls.
+// The kinds of system calls.
 const (
-	Accept  Call = "accept"  // of a connection
-	Socket  Call = "socket"  // a new one
-	Connect Call = "connect" // of a connection or a datagram socket
-	SendTo  Call = "sendto"  // a datagram
-	Receive Call = "receive" // a datagram; a look at what waits on a connection
-	Write   Call = "write"   // to a file; writes to connections and pipes go on
-	Open    Call = "open"    // of a file
-	Sync    Call = "sync"    // of a file or folder to the disk
-	Rename  Call = "rename"  // of a file
+	Accept  Call = "accept"  // accepts a connection
+	Socket  Call = "socket"  // creates a socket
+	Connect Call = "connect" // connects a stream or datagram socket
+	SendTo  Call = "sendto"  // sends a datagram
+	Receive Call = "receive" // receives a datagram, or peeks at a connection
+	Write   Call = "write"   // writes to a file; writes to connections and pipes always continue
+	Open    Call = "open"    // opens a file
+	Sync    Call = "sync"    // flushes a file or directory to disk
+	Rename  Call = "rename"  // renames a file
 )
 
-// Calls are all kinds, in the order of their names.
+// Calls are all kinds, sorted by name.
 var Calls = slices.Sorted(slices.Values([]Call{Accept, Socket, Connect, SendTo, Receive, Write, Open, Sync, Rename}))
 
-// Errors are the errors that a call may end with, by their names: what accept(2), socket(2),
-// connect(2), send(2), recv(2), write(2), open(2), fsync(2) and rename(2) list and what a
-// machine short of something, or without a network for a moment, gives.
+// Errors are the errors of each kind of call, by name: of those in the manual pages accept(2), socket(2),
+// connect(2), send(2), recv(2), write(2), open(2), fsync(2) and rename(2), the ones that a machine
+// returns when it is short of a resource or loses its network.
 var Errors = map[Call]map[string]syscall.Errno{
 	Accept: errnos(syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 		syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EINTR),
@@ -51,7 +50,7 @@
 	Rename:  errnos(syscall.ENOSPC, syscall.EIO, syscall.EROFS),
 }
 
-// errnos names errors.
+// errnos maps errors by their names.
 func errnos(all ...syscall.Errno) map[string]syscall.Errno {
 	named := map[string]syscall.Errno{}
 	for _, e := range all {
@@ -60,21 +59,21 @@
 	return named
 }
 
-// Rule has a part of the calls of a kind fail.
+// Rule makes calls of a kind fail with a probability.
 type Rule struct {
 	Call        Call
 	Errno       syscall.Errno
-	Probability float64 // of the calls, 0 to 1
+	Probability float64 // above 0, up to 1
 }
 
-// ParseRule makes the rule of a call and an error by their names, such as "accept" and "ENOBUFS".
-func ParseRule(call, errno string, part float64) (Rule, error) {
-	known, is := Errors[Call(call)]
-	if !is {
-		return Rule{}, fmt.Errorf("unknown call %q; there are %s", call, list(Calls))
+// ParseRule returns the rule for a call and an error, given by names such as "accept" and "ENOBUFS".
+func ParseRule(call, errno string, probability float64) (Rule, error) {
+	known, ok := Errors[Call(call)]
+	if !ok {
+		return Rule{}, fmt.Errorf("unknown call %q; there are %s", call, joinNames(Calls))
 	}
-	number, is := known[errno]
-	if !is {
+	number, ok := known[errno]
+	if !ok {
 		names := make([]string, 0, len(known))
 		for name := range known {
 			names = append(names, name)
@@ -82,13 +81,13 @@
 		slices.Sort(names)
 		return Rule{}, fmt.Errorf("%s does not end with %q; it may end with %s", call, errno, strings.Join(names, ", "))
 	}
-	if part <= 0 || part > 1 {
-		return Rule{}, fmt.Errorf("a part of %v of the calls is not over 0 and up to 1", part)
+	if probability <= 0 || probability > 1 {
+		return Rule{}, fmt.Errorf("the part of the calls must be above 0 and at most 1; it is %v", probability)
 	}
-	return Rule{Call(call), number, part}, nil
+	return Rule{Call(call), number, probability}, nil
 }
 
-func list(calls []Call) string {
+func joinNames(calls []Call) string {
 	names := make([]string, len(calls))
 	for i, c := range calls {
 		names[i] = string(c)
@@ -96,8 +95,8 @@
 	return strings.Join(names, ", ")
 }
 
-// Rules are what holds for a process now, and what they have done. Their methods may be
-// called from several goroutines.
+// Rules are the rules in effect for a process, with counts of the failed calls. It is safe for
+// concurrent use.
 type Rules struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
@@ -105,19 +104,19 @@
 	failed map[Call]int
 }
 
-// NewRules makes the rules of a process, of which none holds yet.
+// NewRules returns an empty set of rules.
 func NewRules(seed int64) *Rules {
 	return &Rules{rng: rand.New(rand.NewPCG(uint64(seed), 0x73797366)), failed: map[Call]int{}}
 }
 
-// Add has a rule hold until Remove.
+// Add puts a rule into effect until Remove.
 func (r *Rules) Add(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rules = append(r.rules, rule)
 }
 
-// Remove ends a rule that was added.
+// Remove removes a rule that was added.
 func (r *Rules) Remove(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,16 +125,16 @@
 	}
 }
 
-// FailureCount tells how many calls of a kind have been made to fail.
+// FailureCount returns how many calls of a kind have failed by these rules.
 func (r *Rules) FailureCount(call Call) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.failed[call]
 }
 
-// judge gives the error with which a call is to end; 0 if it goes on. applies is asked
-// whether a rule that would have it fail is meant for this very call.
-func (r *Rules) judge(call Call, applies func() bool) syscall.Errno {
+// decide returns the error with which a call fails, or 0 if it continues. It calls applies only for a
+// call that would fail, to check that the rule covers that very call.
+func (r *Rules) decide(call Call, applies func() bool) syscall.Errno {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rule := range r.rules {
--- a/internal/lab/sysfault/sysfault_test.go
+++ b/internal/lab/sysfault/sysfault_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// targetVariable has the test's program do one thing for each line that it reads.
+// targetVariable makes the test's program a target, which makes one call for each line that it reads.
 const targetVariable = "SYSFAULT_TEST_TARGET"
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// target makes the call that each line names, and says the name of the error or "ok".
+// target makes the call that each line names and prints the error's text or "ok".
 func target() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// replace writes a file anew.
+// replace replaces a file atomically.
 func replace(path string) error {
 	f, err := os.Create(path + ".new")
 	if err != nil {
@@ -82,8 +82,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// Each kind of call fails as its rule says while that holds, and only then.
-func TestCallsFailWhileTheirRuleHolds(t *testing.T) {
+func TestCallsFailOnlyWhileTheirRuleIsInEffect(t *testing.T) {
 	rules := NewRules(1)
 	c, err := NewCommand(rules, Calls, os.Args[0])
 	if err != nil {
@@ -104,9 +103,9 @@
 	}
 	defer c.Wait()
 	defer in.Close()
-	said := bufio.NewScanner(out)
-	said.Scan()
-	addr := said.Text()
+	output := bufio.NewScanner(out)
+	output.Scan()
+	addr := output.Text()
 	ask := func(call Call) string {
 		t.Helper()
 		if call == Accept {
@@ -117,10 +116,10 @@
 			defer conn.Close()
 		}
 		io.WriteString(in, string(call)+"\n")
-		if !said.Scan() {
-			t.Fatalf("it has ended: %v", said.Err())
+		if !output.Scan() {
+			t.Fatalf("the target ended: %v", output.Err())
 		}
-		return said.Text()
+		return output.Text()
 	}
 	for _, x := range []struct {
 		call  Call
@@ -128,7 +127,7 @@
 	}{{Accept, syscall.ENOBUFS}, {Connect, syscall.EADDRNOTAVAIL}, {SendTo, syscall.EPERM}, {Write, syscall.ENOSPC}, {Open, syscall.EROFS},
 		{Sync, syscall.EIO}, {Rename, syscall.ENOSPC}} {
 		if got := ask(x.call); got != "ok" {
-			t.Errorf("%s with no rule: %s", x.call, got)
+			t.Errorf("%s without a rule: %s", x.call, got)
 		}
 		rule := Rule{x.call, x.errno, 1}
 		rules.Add(rule)
@@ -136,26 +135,25 @@
 			t.Errorf("%s: %s, want %v", x.call, got, x.errno)
 		}
 		if rules.FailureCount(x.call) == 0 {
-			t.Errorf("%s: none is counted", x.call)
+			t.Errorf("%s: no failed call is counted", x.call)
 		}
 		rules.Remove(rule)
 		if got := ask(x.call); got != "ok" {
-			t.Errorf("%s after its rule: %s", x.call, got)
+			t.Errorf("%s after its rule was removed: %s", x.call, got)
 		}
 	}
 }
 
-// Of the calls of a kind the part fails that the rule says, and none of another kind.
-func TestPartsOfCallsFail(t *testing.T) {
+func TestRuleFailsItsFractionOfItsCallsOnly(t *testing.T) {
 	r := NewRules(3)
 	r.Add(Rule{Accept, syscall.ENOBUFS, 0.25})
 	failed := 0
 	for range 4000 {
-		if r.judge(Accept, func() bool { return true }) == syscall.ENOBUFS {
+		if r.decide(Accept, func() bool { return true }) == syscall.ENOBUFS {
 			failed++
 		}
-		if r.judge(Sync, func() bool { return true }) != 0 || r.judge(Accept, func() bool { return false }) != 0 {
-			t.Fatal("a call failed that no rule is meant for")
+		if r.decide(Sync, func() bool { return true }) != 0 || r.decide(Accept, func() bool { return false }) != 0 {
+			t.Fatal("a call failed that no rule covers")
 		}
 	}
 	if failed < 900 || failed > 1100 || r.FailureCount(Accept) != failed {
@@ -163,45 +161,44 @@
 	}
 }
 
-func TestRulesAreNamed(t *testing.T) {
+func TestParseRule(t *testing.T) {
 	if r, err := ParseRule("accept", "ENOBUFS", 0.5); err != nil || r != (Rule{Accept, syscall.ENOBUFS, 0.5}) {
 		t.Errorf("%v, %v", r, err)
 	}
 	for _, x := range []struct {
 		call, errno string
-		part        float64
+		probability float64
 		want        string
 	}{{"listen", "EIO", 1, "there are accept, connect"}, {"fsync", "EIO", 1, "unknown call"}, {"sync", "EPERM", 1, "EIO, ENOSPC"}, {"sync", "EIO", 0, "part"}, {"sync", "EIO", 1.5, "part"}} {
-		if _, err := ParseRule(x.call, x.errno, x.part); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s, %s, %v: %v", x.call, x.errno, x.part, err)
+		if _, err := ParseRule(x.call, x.errno, x.probability); err == nil || !strings.Contains(err.Error(), x.want) {
+			t.Errorf("%s, %s, %v: %v", x.call, x.errno, x.probability, err)
 		}
 	}
 	for call := range numbers {
 		if len(Errors[call]) == 0 {
-			t.Errorf("%s ends with no error", call)
+			t.Errorf("%s has no errors", call)
 		}
 	}
 }
 
-// A program that can't be run is told by the launcher, and a launcher that was asked for
-// nothing known runs nothing.
-func TestWhatCanNotBeRunIsTold(t *testing.T) {
+// The launcher reports a program that can't be executed, and fails on an unknown call.
+func TestLauncherReportsWhatItCannotRun(t *testing.T) {
 	c, err := NewCommand(NewRules(1), []Call{Accept}, filepath.Join(t.TempDir(), "missing"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said strings.Builder
-	c.Stderr = &said
+	var stderr strings.Builder
+	c.Stderr = &stderr
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Wait(); err == nil || !strings.Contains(said.String(), "missing") {
-		t.Errorf("%v: %s", err, said.String())
+	if err := c.Wait(); err == nil || !strings.Contains(stderr.String(), "missing") {
+		t.Errorf("%v: %s", err, stderr.String())
 	}
 	if c, err = NewCommand(NewRules(1), []Call{"listen"}, os.Args[0]); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Start(); err == nil {
-		t.Error("it runs")
+		t.Error("started with an unknown call")
 	}
 }
