--- a/internal/lab/alarm/alarm.go
+++ b/internal/lab/alarm/alarm.go
@@ -1,6 +1,6 @@
-// Package alarm calls functions at their times, to a fraction of a
-// millisecond. Go's own timers wake an idle process to the millisecond, which
-// would be the greatest part of what the lab adds to a request.
+// Package alarm provides timers with a precision of a fraction of a millisecond. Go's own timers wake an
+// idle process with a precision of a millisecond, which would be the largest part of the latency that the
+// lab adds to a request.
 package alarm
 
 import (
@@ -14,53 +14,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// Timer is one thing planned. Its methods may be called from several
-// goroutines.
+// Timer calls a function at its time. Its methods are safe for concurrent use.
 type Timer struct {
-	do    func()
-	due   time.Time
-	index int // in the heap; -1: not planned
+	callback func()
+	due      time.Time
+	index    int // in the heap; -1: not set
 }
 
 var (
-	mu     sync.Mutex
-	queue  alarms
-	wake   int // descriptor of an event: something is due before what the thread waits for
-	thread sync.Once
+	mu        sync.Mutex
+	queue     timerHeap
+	wakeFD    int // eventfd that interrupts the thread's wait when an earlier timer is set
+	startOnce sync.Once
 )
 
-// New makes an alarm that is not set. do must not take long: it runs on the
-// one thread of all alarms.
-func New(do func()) *Timer { return &Timer{do: do, index: -1} }
+// New returns a timer that is not set. The callback must not block: it runs on the one thread of all
+// timers.
+func New(callback func()) *Timer { return &Timer{callback: callback, index: -1} }
 
-// Set plans the alarm for a time from now, in place of what it was set to.
-func (a *Timer) Set(after time.Duration) {
-	thread.Do(begin)
+// Set makes the timer fire after a duration from now, instead of at an earlier setting's time.
+func (t *Timer) Set(after time.Duration) {
+	startOnce.Do(startThread)
 	due := time.Now().Add(after)
 	mu.Lock()
-	a.due = due
-	if a.index >= 0 {
-		heap.Fix(&queue, a.index)
+	t.due = due
+	if t.index >= 0 {
+		heap.Fix(&queue, t.index)
 	} else {
-		heap.Push(&queue, a)
+		heap.Push(&queue, t)
 	}
-	first := a.index == 0
+	first := t.index == 0
 	mu.Unlock()
 	if first {
-		unix.Write(wake, binary.NativeEndian.AppendUint64(nil, 1)) // it fails only where 2^64-2 wait to be read
+		unix.Write(wakeFD, binary.NativeEndian.AppendUint64(nil, 1)) // fails only if the counter is at its maximum
 	}
 }
 
-// Stop takes back what was planned. It does not wait for a call that runs.
-func (a *Timer) Stop() {
+// Stop cancels the timer. It does not wait for a callback that is running.
+func (t *Timer) Stop() {
 	mu.Lock()
 	defer mu.Unlock()
-	if a.index >= 0 {
-		heap.Remove(&queue, a.index)
+	if t.index >= 0 {
+		heap.Remove(&queue, t.index)
 	}
 }
 
-// Sleep sleeps, and wakes on time.
+// Sleep pauses the goroutine for a duration, with the precision of a Timer.
 func Sleep(d time.Duration) {
 	if d <= 0 {
 		return
@@ -70,28 +69,28 @@
 	<-done
 }
 
-func begin() {
+func startThread() {
 	var err error
-	if wake, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
-		panic(fmt.Sprintf("alarm: eventfd: %v", err)) // out of descriptors before anything ran
+	if wakeFD, err = unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK); err != nil {
+		panic(fmt.Sprintf("alarm: eventfd: %v", err)) // the process is out of descriptors
 	}
 	go run()
 }
 
-// run is the thread of all alarms. It waits in the kernel, not in Go's timers.
+// run runs all timers on a locked thread, which waits in the kernel instead of with Go's timers.
 func run() {
 	runtime.LockOSThread()
 	for {
-		a, left := next()
-		if a != nil {
-			a.do()
+		t, left := next()
+		if t != nil {
+			t.callback()
 			continue
 		}
-		await(left)
+		wait(left)
 	}
 }
 
-// next takes the alarm that is due; or gives how long the thread is to wait, below 0 if nothing is planned.
+// next removes and returns a timer that is due, or returns how long to wait; below 0 if no timer is set.
 func next() (due *Timer, left time.Duration) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -104,39 +103,39 @@
 	return heap.Pop(&queue).(*Timer), 0
 }
 
-// await waits so long, without an end if that is below 0, or until an earlier alarm is set.
-func await(left time.Duration) {
+// wait waits for a duration, without a limit if it is below 0, or until an earlier timer is set.
+func wait(left time.Duration) {
 	var timeout *unix.Timespec
 	if left >= 0 {
-		t := unix.NsecToTimespec(int64(left))
-		timeout = &t
+		spec := unix.NsecToTimespec(int64(left))
+		timeout = &spec
 	}
-	event := []unix.PollFd{{Fd: int32(wake), Events: unix.POLLIN}}
-	if n, _ := unix.Ppoll(event, timeout, nil); n > 0 { // an error, as EINTR, means another turn
+	event := []unix.PollFd{{Fd: int32(wakeFD), Events: unix.POLLIN}}
+	if n, _ := unix.Ppoll(event, timeout, nil); n > 0 { // after an error such as EINTR, run calls next again
 		var count [8]byte
-		unix.Read(wake, count[:])
+		unix.Read(wakeFD, count[:])
 	}
 }
 
-// alarms is a heap, the next due first.
-type alarms []*Timer
+// timerHeap is a heap.Interface with the earliest timer first.
+type timerHeap []*Timer
 
-func (h alarms) Len() int           { return len(h) }
-func (h alarms) Less(i, j int) bool { return h[i].due.Before(h[j].due) }
-func (h alarms) Swap(i, j int) {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].due.Before(h[j].due) }
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
-func (h *alarms) Push(x any) {
-	a := x.(*Timer)
-	a.index = len(*h)
-	*h = append(*h, a)
+func (h *timerHeap) Push(x any) {
+	t := x.(*Timer)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
-func (h *alarms) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
-	a := old[len(old)-1]
+	t := old[len(old)-1]
 	old[len(old)-1] = nil
-	a.index = -1
+	t.index = -1
 	*h = old[:len(old)-1]
-	return a
+	return t
 }
--- a/internal/lab/alarm/alarm_test.go
+++ b/internal/lab/alarm/alarm_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-func TestAlarmsRingInOrderAndNotBefore(t *testing.T) {
+func TestTimersFireInOrderAndNotEarly(t *testing.T) {
 	var mu sync.Mutex
 	var got []int
 	var wg sync.WaitGroup
@@ -21,38 +21,38 @@
 			defer mu.Unlock()
 			got = append(got, n)
 			if took := time.Since(start); took < time.Duration(n)*time.Millisecond {
-				t.Errorf("the alarm for %d ms rang after %v", n, took)
+				t.Errorf("the timer for %d ms fired after %v", n, took)
 			}
 		}).Set(time.Duration(n) * time.Millisecond)
 	}
 	wg.Wait()
 	if len(got) != 3 || got[0] != 10 || got[1] != 20 || got[2] != 30 {
-		t.Errorf("rang %v", got)
+		t.Errorf("fired in the order %v", got)
 	}
 }
 
-func TestAnAlarmIsMovedAndStopped(t *testing.T) {
-	rang := make(chan time.Time, 10)
-	a := New(func() { rang <- time.Now() })
-	a.Set(time.Hour)
-	a.Set(5 * time.Millisecond) // earlier
+func TestTimerIsResetAndStopped(t *testing.T) {
+	fired := make(chan time.Time, 10)
+	timer := New(func() { fired <- time.Now() })
+	timer.Set(time.Hour)
+	timer.Set(5 * time.Millisecond) // earlier
 	select {
-	case <-rang:
-	case <-time.After(patience):
-		t.Fatal("it kept its first time")
+	case <-fired:
+	case <-time.After(testTimeout):
+		t.Fatal("did not fire at its second, earlier time")
 	}
-	a.Set(30 * time.Millisecond)
-	a.Stop()
-	a.Stop()
+	timer.Set(30 * time.Millisecond)
+	timer.Stop()
+	timer.Stop()
 	Sleep(60 * time.Millisecond)
-	if len(rang) > 0 {
-		t.Error("it rang although it was stopped")
+	if len(fired) > 0 {
+		t.Error("fired although it was stopped")
 	}
-	a.Set(0) // it may be set again
+	timer.Set(0) // a stopped timer may be set again
 	select {
-	case <-rang:
-	case <-time.After(patience):
-		t.Fatal("it does not ring again")
+	case <-fired:
+	case <-time.After(testTimeout):
+		t.Fatal("did not fire after it was set again")
 	}
 }
 
