--- a/internal/lab/nodeconf/nodeconf.go
+++ b/internal/lab/nodeconf/nodeconf.go
@@ -1,5 +1,4 @@
-// Package nodeconf words a scenario as the configuration that a node is told
-// at its start, in the form of the protocol and deployment pages.
+// Package nodeconf converts a scenario to the configuration of its nodes.
 package nodeconf
 
 import (
@@ -16,14 +15,14 @@
 	"ivylock/internal/settings"
 )
 
-// Limits are those of the node's own machine.
+// Limits are the resources of a node's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is the file that PROXY_CONFIG names.
+// Config is the content of the file that PROXY_CONFIG names.
 type Config struct {
 	Name          string          `json:"name"`
 	Listen        string          `json:"listen"`
@@ -42,12 +41,12 @@
 
 var scopes = map[history.Scope]string{history.Pods: "cell", history.Halls: "zone", history.All: "all"}
 
-// Settings gives the settings of one node of a scenario.
+// Settings returns the settings of one node of a scenario in the default deployment, load.Brief.
 func Settings(s *scenario.Scenario, number int) json.RawMessage {
 	return DeploymentSettings(s, number, load.Brief(s))
 }
 
-// DeploymentSettings gives them in another deployment.
+// DeploymentSettings returns the settings of one node of a scenario in a deployment.
 func DeploymentSettings(s *scenario.Scenario, number int, d *load.Deployment) json.RawMessage {
 	type object = map[string]any
 	var classes []object
@@ -59,15 +58,15 @@
 		}
 		classes = append(classes, o)
 	}
-	var halls []string
-	for _, h := range s.Halls {
-		halls = append(halls, h.Name)
+	var zones []string
+	for _, z := range s.Halls {
+		zones = append(zones, z.Name)
 	}
-	m, _ := clip.Of("std-6")
+	machine, _ := clip.Of("std-6")
 	nodes := s.Nodes()
-	known := len(nodes)
-	if number < s.AtFirst() { // its settings are older than those of nodes that join
-		known = s.AtFirst()
+	balancers := len(nodes)
+	if number < s.AtFirst() { // its settings predate the nodes that join later
+		balancers = s.AtFirst()
 	}
 	accounts := []object{}
 	if s.Quota > 0 {
@@ -75,7 +74,7 @@
 	}
 	all := object{
 		"accounts":  accounts,
-		"balancers": known, "slot_no": number, "zone": nodes[number].Hall, "failure_domains": halls,
+		"balancers": balancers, "slot_no": number, "zone": nodes[number].Hall, "failure_domains": zones,
 		"kinds": []string{"fast-6", "std-6", "slow-6"}, "family": "proxy", "tier": 0, "tiers": []string{"clip-web"},
 		"caps": object{"cancel": true, "conn_idle_ns": 60e9, "connect_timeout_ns": 250e6, "cpu_us_per_s": 15000,
 			"max_attempts": 4, "max_retry_after_ns": load.MaxRetryAfter, "may_duplicate": true, "most_held": 20000,
@@ -85,7 +84,7 @@
 		"classes": classes, "client_habits": object{"marks_retry": false},
 		"goal":            object{"whole": 0.6, "worst_window": 0.2, "worst_class": 0.2, "worst_tenant": 0},
 		"membership_mode": "on_request", "report": object{"how": "probe", "fields": []string{"inflight", "queue"}},
-		"invariants": object{"answer_slack_ns": 0, "ask_within_ns": 10e9, "cold_from": m.ColdFrom, "cold_ns": m.ColdTime,
+		"invariants": object{"answer_slack_ns": 0, "ask_within_ns": 10e9, "cold_from": machine.ColdFrom, "cold_ns": machine.ColdTime,
 			"drain_grace_ns": d.Limits.DrainGrace, "overload_factor": d.Limits.FallFactor, "tip_after_ns": d.Limits.FallTime},
 		"over_share_worth": 0.05, "tick_ns": 5e6, "weight_kind": "nominal", "worth_by": "request",
 	}
@@ -94,16 +93,16 @@
 	}
 	raw, err := json.Marshal(all)
 	if err != nil {
-		panic(fmt.Sprintf("nodeconf: settings of plain values do not encode: %v", err))
+		panic(fmt.Sprintf("nodeconf: encoding the settings: %v", err))
 	}
 	return raw
 }
 
-// BalancerSettings gives the same settings as the decision module takes them.
+// BalancerSettings returns the settings of DeploymentSettings in decoded form.
 func BalancerSettings(s *scenario.Scenario, number int, d *load.Deployment) balance.Settings {
-	set, err := settings.Decode(DeploymentSettings(s, number, d))
+	decoded, err := settings.Decode(DeploymentSettings(s, number, d))
 	if err != nil {
-		panic(fmt.Sprintf("nodeconf: settings of its own making do not decode: %v", err))
+		panic(fmt.Sprintf("nodeconf: decoding the encoded settings: %v", err))
 	}
-	return set
+	return decoded
 }
