--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -34,7 +34,7 @@
 	maxOrders         = 20_000                 // open orders; further ones wait
 	frontNoticeDelay  = time.Second            // until the clients' load balancer notices that a node was killed
 	unreachableNotice = 5 * time.Second        // until discovery removes an unreachable server
-	acceptAfterTerm   = 300 * time.Millisecond // in which new connections still arrive after SIGTERM
+	acceptAfterTerm   = 300 * time.Millisecond // for which new connections still arrive after SIGTERM
 )
 
 // Options are the settings of a run.
@@ -51,7 +51,7 @@
 	ObserveEvents   func(history.Event) // receives each event, one at a time; may be nil
 }
 
-// Testbed is one run of a scenario, with its processes and simulated surroundings.
+// Testbed runs one scenario. It owns the processes and the simulated clients, servers and discovery.
 type Testbed struct {
 	scenario        *scenario.Scenario
 	options         Options
@@ -171,14 +171,14 @@
 		if pods[pod] == nil {
 			pods[pod] = clip.NewPod(window)
 		}
-		r := clip.SpeedRange[x.Kind]
-		t := &slot{Server: x, id: x.Name, pod: pods[pod], speed: r[0] + (r[1]-r[0])*rng.Float64(),
+		speeds := clip.SpeedRange[x.Kind]
+		t := &slot{Server: x, id: x.Name, pod: pods[pod], speed: speeds[0] + (speeds[1]-speeds[0])*rng.Float64(),
 			addrs: map[string]string{}, links: map[string]*link.TCP{}}
-		m, err := b.newModel(t)
+		model, err := b.newModel(t)
 		if err != nil {
 			return err
 		}
-		t.server = clipserver.New(clipserver.Config{Model: m, Clock: b.Clock, Record: b.recorder.Add, Entered: t.entered})
+		t.server = clipserver.New(clipserver.Config{Model: model, Clock: b.Clock, Record: b.recorder.Add, Entered: t.entered})
 		for _, n := range b.nodes {
 			if t.addrs[n.Name], err = t.server.Listen(n.Name); err != nil {
 				return err
@@ -210,16 +210,16 @@
 
 // newModel creates the model of the server in a slot, under the slot's current ID.
 func (b *Testbed) newModel(t *slot) (*clip.Server, error) {
-	m, err := clip.Of(t.Kind)
+	machine, err := clip.Of(t.Kind)
 	if err != nil {
 		return nil, err
 	}
-	m.Speed = t.speed
+	machine.Speed = t.speed
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.setup.Servers = append(b.setup.Servers, history.Server{Name: t.id, Hall: t.Hall, Kind: t.Kind, Pod: t.Pod})
 	l := b.options.Deployment.Limits
-	return clip.NewServer(t.id, m, clip.Fall{Factor: l.FallFactor, Time: l.FallTime, Spare: l.FallSpare}, t.pod), nil
+	return clip.NewServer(t.id, machine, clip.Fall{Factor: l.FallFactor, Time: l.FallTime, Spare: l.FallSpare}, t.pod), nil
 }
 
 // route is the path from one node to one server.
@@ -306,15 +306,15 @@
 			return nil
 		}
 		b.mu.Lock()
-		shape, bad := b.impairments[[2]int{i, j}]
-		back := b.relays[i]
+		shape, impaired := b.impairments[[2]int{i, j}]
+		relay := b.relays[i]
 		b.mu.Unlock()
-		if !bad {
+		if !impaired {
 			shape = b.defaultShape()
 		} else {
 			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Hindered, Node: b.processName(i)})
 		}
-		return []link.Hop{{From: back.Conn(), To: to, Shape: shape}}
+		return []link.Hop{{From: relay.Conn(), To: to, Shape: shape}}
 	}
 	record := func(from netip.AddrPort, bytes, receivers int) {
 		if i, known := sender(from); known {
@@ -430,14 +430,14 @@
 	n.incarnation++
 	n.config.Seed = fmt.Sprintf("%016x", uint64(b.options.Seed)*1_000_003+uint64(n.Number)*101+uint64(n.incarnation))
 	n.config.InitialList = b.hosts.InitialList(n.Name)
-	more, err := b.writeOperatorFile(n.Name)
+	environment, err := b.writeOperatorFile(n.Name)
 	if err != nil {
 		return err
 	}
 	if steps := b.clockSteps(n.Node); len(steps) > 0 {
-		more = append(more, wallclock.StepsVariable+"="+wallclock.FormatSteps(steps))
+		environment = append(environment, wallclock.StepsVariable+"="+wallclock.FormatSteps(steps))
 	}
-	options := process.Options{Environment: more, FaultyCalls: b.faultyCalls(n.Node)}
+	options := process.Options{Environment: environment, FaultyCalls: b.faultyCalls(n.Node)}
 	if len(options.FaultyCalls) > 0 {
 		options.FaultRules = n.callFaults.newRules(b.options.Seed*1_000_003 + int64(n.Number)*101 + int64(n.incarnation))
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -35,14 +35,14 @@
 // is a violation.
 func Run(ctx context.Context, program string, seed int64, b Bounds) (*Result, error) {
 	s, d := Generate(seed, b)
-	began := time.Now()
+	start := time.Now()
 	bed, err := real.New(ctx, s, real.Options{Program: program, Deployment: d})
 	if err != nil {
 		return nil, err
 	}
 	got, err := bed.Run(ctx)
 	bed.Close()
-	r := &Result{Seed: seed, Nodes: len(s.Nodes()), Faults: len(s.Faults), Elapsed: time.Since(began), History: got, Scenario: s}
+	r := &Result{Seed: seed, Nodes: len(s.Nodes()), Faults: len(s.Faults), Elapsed: time.Since(start), History: got, Scenario: s}
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -65,7 +65,7 @@
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// judge adds what the history shows.
+// judge counts restarts and adds the breaches and the exceeded shutdown timeouts of a history.
 func (r *Result) judge(h *history.History) {
 	v := judge.Judge(h)
 	r.Tries = v.Service.Tries
