--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -297,10 +297,10 @@
 				"[[fault]]\nat = \"2s\"\nfor = \"%v\"\nwhat = \"stop\"\nwho = [\"n4\"]\n"+
 				"[[fault]]\nat = \"2200ms\"\nfor = \"%v\"\nwhat = \"drain\"\nwho = [\"hall-nord.1\", \"hall-syd.2\"]\n", pause+6*time.Second, nineNodes, pause, pause+2*time.Second))
 			h, records := runFleet(t, s, Options{})
-			v, lost, caught := judge.Judge(h), 0, 0
+			v, lost, sent := judge.Judge(h), 0, 0
 			for _, b := range v.Breaches {
 				if holds.WrittenAfterPause(s, b, "n4") {
-					if caught++; caught > 1 { // at most the one it was about to write
+					if sent++; sent > 1 { // at most the one it was about to write
 						t.Error(b)
 					}
 				} else if holds.LostDuringPause(s, b) {
@@ -450,7 +450,7 @@
 	}
 }
 
-// Nodes of an older build, without the fleet, must not keep the others from notifying one that is cut
+// Nodes of an older build, which lack the fleet protocol, must not keep the others from notifying one that is cut
 // off.
 func TestNodesWithoutFleetAmongOthers(t *testing.T) {
 	t.Parallel()
@@ -482,7 +482,7 @@
 	s.Faults = s.Faults[:2] // the cut, and one drain
 	faulty := []string{"n0", "n2", "n8"}
 	rounds := 0
-	var old []byte
+	var replayed []byte
 	h, records := runFleet(t, s, Options{WithoutFleet: faulty}, func(ctx context.Context, bed *Testbed) {
 		for waitUntil(ctx, bed, 2*time.Second) && sleep(ctx, 100*time.Millisecond) {
 			now := time.Since(bed.StartTime()) + time.Duration(bed.StartTime().UnixNano())
@@ -492,9 +492,9 @@
 				bed.SendSpoofed(0, to, huge)
 				v.List.Generation = 60
 				all := append(v.Append([]byte{0xF1, 2}), 0, 0, 0, 0, 0, 0, 0, 0, 60, 0, 1, 0, 0, 0, 0, 0, 40)
-				for _, hall := range []string{"nord", "syd", "vest"} {
+				for _, zone := range []string{"nord", "syd", "vest"} {
 					for k := 1; k <= 4; k++ {
-						key := version.KeyOf(fmt.Sprintf("hall-%s.%d", hall, k))
+						key := version.KeyOf(fmt.Sprintf("hall-%s.%d", zone, k))
 						for b := 56; b >= 0; b -= 8 {
 							all = append(all, byte(key>>b))
 						}
@@ -504,10 +504,10 @@
 				bed.SendSpoofed(2, to, all)
 				bed.SendSpoofed(8, to, append([]byte{0xF1, 9}, huge[2:]...))
 				bed.SendSpoofed(8, to, []byte{0xF1})
-				if old == nil {
-					old = huge
+				if replayed == nil {
+					replayed = huge
 				}
-				bed.SendSpoofed(0, to, old) // a replay
+				bed.SendSpoofed(0, to, replayed)
 				rounds++
 			}
 		}
@@ -528,14 +528,14 @@
 				t.Errorf("%s was %s: %s", r.Process, c.Mode, c.Why)
 			}
 		}
-		out := 0
+		falsely := 0
 		for _, w := range r.Withdrawals {
 			if w.ReportedBy == 2 && w.Server != "hall-nord.1" { // which does drain
-				out++
+				falsely++
 			}
 		}
-		if out > 3 {
-			t.Errorf("%s withdrew %d of 12 servers on the report of one faulty peer", r.Process, out)
+		if falsely > 3 {
+			t.Errorf("%s withdrew %d of 12 servers on the report of one faulty peer", r.Process, falsely)
 		}
 	}
 	if g := v.Service; g.Measure < 0.9 {
@@ -571,12 +571,12 @@
 func TestDiscoveryInstancesDisagree(t *testing.T) {
 	t.Parallel()
 	s := parse(t, "name = \"two\"\nlength = \"12s\"\nfleet = true\n[load]\nrate = 100.0\n"+nineNodes)
-	halves := []string{"n0", "n1", "n3", "n4"}
+	diverted := []string{"n0", "n1", "n3", "n4"}
 	h, records := runFleet(t, s, Options{}, func(ctx context.Context, bed *Testbed) {
 		if !waitUntil(ctx, bed, 2*time.Second) {
 			return
 		}
-		bed.Discovery().SetAlternative(halves, func(l hosts.List) hosts.List {
+		bed.Discovery().SetAlternative(diverted, func(l hosts.List) hosts.List {
 			out := hosts.List{Reset: true}
 			for _, e := range l.Instances {
 				if e.InstanceID == "hall-nord.1" {
@@ -603,7 +603,7 @@
 			t.Errorf("%s ends with another list", r.Process)
 		}
 		for _, w := range r.Withdrawals {
-			if slices.Contains(halves, r.Process) {
+			if slices.Contains(diverted, r.Process) {
 				known[r.Process+" "+w.Server] = true
 			}
 			if w.ReportedBy == version.OwnSource {
@@ -617,7 +617,7 @@
 			t.Errorf("%s: %s, %s", r.Process, c.Mode, c.Why)
 		}
 	}
-	if len(known) < 2*len(halves) || len(own) < 2 {
+	if len(known) < 2*len(diverted) || len(own) < 2 {
 		t.Errorf("the nodes of the other discovery know %d of its withdrawals, %d servers from their own source: %v", len(known), len(own), known)
 	}
 }
