--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -127,15 +127,15 @@
 	if !*mutants {
 		t.Skip("needs -soak-mutants")
 	}
-	fixedTimeout := edit{"guard/schedule.go", "kill := KillMargin + min(deadline, LongestDeadline)", "kill := KillMargin + LongestDeadline; _ = deadline"}
+	fixedTimeout := edit{"guard/schedule.go", "kill := KillMargin + min(deadline, MaxDeadline)", "kill := KillMargin + MaxDeadline; _ = deadline"}
 	for _, m := range []mutant{
 		{"the incident: unused connections stay open, late requests are accepted, the shutdown timeout is fixed", []edit{fixedTimeout,
 			{"internal/front/conns.go", "[]map[net.Conn]time.Time{c.fresh, c.idle}", "[]map[net.Conn]time.Time{c.idle}"},
-			{"internal/node/lifecycle.go", "return !told || l.schedule.MayTake(since)", "return !told || l.schedule.MayTake(since) || true"}}},
+			{"internal/node/lifecycle.go", "return !told || l.schedule.MayServe(since)", "return !told || l.schedule.MayServe(since) || true"}}},
 		{"the shutdown timeout ignores the settings", []edit{fixedTimeout}},
 		{"open requests get no answer at the end of the shutdown", []edit{{"internal/node/node.go", "func (n *Node) answerAll() {", "func (n *Node) answerAll() {\n\tif true {\n\t\treturn\n\t}"}}},
 		{"unsafe requests are retried", []edit{{"guard/repeat.go", "\tcase Safe:\n\t\treturn true\n\tcase Keyed", "\tcase Safe, Unsafe:\n\t\treturn true\n\tcase Keyed"}}},
-		{"keyed requests are retried outside their scope", []edit{{"guard/repeat.go", "return now < sent+r.Window && r.knows(earlier, to)", "return now < sent+r.Window"}}},
+		{"keyed requests are retried outside their scope", []edit{{"guard/repeat.go", "return now < sent+r.Window && r.sameGroup(earlier, to)", "return now < sent+r.Window"}}},
 		{"requests are refused although a retry may repeat their effect", []edit{{"guard/repeat.go", "return r.Effect == Safe || r.Effect == Keyed && r.Scope == ScopeAll", "return true"}}},
 	} {
 		t.Run(m.name, func(t *testing.T) {
