--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -53,7 +53,7 @@
 func NewFront(nodes []scenario.Node) *Front {
 	f := &Front{halls: map[string]string{}, places: map[string]Place{}, lives: map[string]int{}, ends: map[Place]time.Time{}}
 	for _, n := range nodes {
-		f.halls[n.Name] = n.Hall
+		f.halls[n.Name] = n.Zone
 		f.order = append(f.order, n.Name)
 	}
 	return f
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -32,8 +32,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &scenario.Scenario{Client: scenario.Client{Retries: 2, TryShare: 0.5, Backoff: scenario.Span{Duration: time.Millisecond}}}
-	front := NewFront([]scenario.Node{{Name: "n0", Hall: "hall"}})
+	s := &scenario.Scenario{Client: scenario.Client{Retries: 2, TryTimeoutFraction: 0.5, Backoff: scenario.Span{Duration: time.Millisecond}}}
+	front := NewFront([]scenario.Node{{Name: "n0", Zone: "hall"}})
 	front.Up(Place{"n0", l.Addr().String(), 1})
 	start := time.Now()
 	r := &rig{t: t, Clients: &Clients{Scenario: s, Front: front, Clock: func() time.Duration { return time.Since(start) }, Slack: 50 * time.Millisecond}}
@@ -209,7 +209,7 @@
 }
 
 func TestTheFrontDealsWithinTheHallWhileItCan(t *testing.T) {
-	f := NewFront([]scenario.Node{{Name: "n0", Hall: "a"}, {Name: "n1", Hall: "b"}, {Name: "n2", Hall: "b"}})
+	f := NewFront([]scenario.Node{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}, {Name: "n2", Zone: "b"}})
 	if _, any := f.Deal("a"); any {
 		t.Error("nobody is up")
 	}
--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -33,7 +33,7 @@
 	runtime.GOMAXPROCS(1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return a.fail(NotHeld, err)
+		return a.fail(ExitFailed, err)
 	}
 	fmt.Fprintf(a.err, "reverse-proxy serves on %s\n", l.Addr())
 	mux := http.NewServeMux()
@@ -42,7 +42,7 @@
 	s := &http.Server{Handler: mux}
 	go func() { <-ctx.Done(); s.Close() }()
 	s.Serve(l)
-	return Held
+	return ExitPassed
 }
 
 // bench measures the node on one core beside net/http/httputil's proxy over
@@ -56,28 +56,28 @@
 	program := f.String("node", "", "the node's `program`; empty: it is built from this source tree")
 	against := f.String("against", "", "another node's `program`, instead of the standard library's proxy: both run beside one another and are loaded in turn")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if *rounds < 1 || *rounds > 100 || *length < 500*time.Millisecond || *length > time.Minute {
-		return a.fail(Misuse, errors.New("want 1 to 100 rounds of 500ms to 1m"))
+		return a.fail(ExitUsage, errors.New("want 1 to 100 rounds of 500ms to 1m"))
 	}
 	dir, err := os.MkdirTemp("", "ivylab-bench-")
 	if err != nil {
-		return a.fail(NotHeld, err)
+		return a.fail(ExitFailed, err)
 	}
 	defer os.RemoveAll(dir)
 	if *program == "" {
 		*program = filepath.Join(dir, "ivylock")
 		if out, err := exec.CommandContext(ctx, "go", "build", "-o", *program, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
-			return a.fail(Misuse, fmt.Errorf("the node could not be built here (-node names one that is): %v %s", err, strings.TrimSpace(string(out))))
+			return a.fail(ExitUsage, fmt.Errorf("the node could not be built here (-node names one that is): %v %s", err, strings.TrimSpace(string(out))))
 		}
 	}
 	if *body < 0 || *body > 64<<20 {
-		return a.fail(Misuse, errors.New("want a body of 0 to 64 MiB"))
+		return a.fail(ExitUsage, errors.New("want a body of 0 to 64 MiB"))
 	}
 	servers, stop, err := perf.Servers(4, *work, *body)
 	if err != nil {
-		return a.fail(NotHeld, err)
+		return a.fail(ExitFailed, err)
 	}
 	defer stop()
 	fmt.Fprintf(a.out, "4 servers that answer %d bytes after %v, closed-loop clients, one core for each proxy, %d rounds of %v\n", *body, *work, *rounds, *length)
@@ -95,11 +95,11 @@
 		for range *rounds {
 			node, err := a.measure(ctx, dir, *program, servers, clients, *body, *length)
 			if err != nil {
-				return a.fail(NotHeld, err)
+				return a.fail(ExitFailed, err)
 			}
 			other, err := a.measure(ctx, dir, "", servers, clients, *body, *length)
 			if err != nil {
-				return a.fail(NotHeld, err)
+				return a.fail(ExitFailed, err)
 			}
 			for _, x := range []measured{node, other} {
 				fmt.Fprintf(a.out, "%-8d %-14s %10.0f %10.1f %9d %9d %8.2f%%\n", clients, x.name, x.Rate, x.cpu, x.P50.Microseconds(), x.P99.Microseconds(),
@@ -115,7 +115,7 @@
 		fmt.Fprintf(a.out, "%-8d node / reverse proxy, medians: answers/s %.2f, CPU a request %.2f, p50 %.2f, p99 %.2f\n", clients,
 			median(rate), median(cpu), median(p50), median(p99))
 	}
-	return Held
+	return ExitPassed
 }
 
 // pair compares two builds of the node: both processes stand beside one
@@ -126,7 +126,7 @@
 	for i, program := range programs {
 		p, err := process.StartNode(program, dir, benchConfig(servers), process.Options{})
 		if err != nil {
-			return a.fail(NotHeld, err)
+			return a.fail(ExitFailed, err)
 		}
 		defer p.Kill()
 		nodes[i] = p
@@ -140,12 +140,12 @@
 			for k := range nodes {
 				i := (k + round) % 2
 				if ctx.Err() != nil {
-					return a.fail(NotHeld, ctx.Err())
+					return a.fail(ExitFailed, ctx.Err())
 				}
 				before := nodes[i].CPUTime()
 				f, err := perf.Closed(perf.Load{Addr: nodes[i].Addr, Clients: clients, Length: length, Class: "viewer-clip", Size: body})
 				if err != nil {
-					return a.fail(NotHeld, err)
+					return a.fail(ExitFailed, err)
 				}
 				now[i] = float64((nodes[i].CPUTime() - before).Microseconds()) / float64(max(1, f.Requests))
 			}
@@ -159,7 +159,7 @@
 		}
 		fmt.Fprintf(a.out, "%-8d %12.1f %12.1f %8.3f %8.3f %8.3f\n", clients, median(cpu[0]), median(cpu[1]), median(ratios), slices.Min(ratios), slices.Max(ratios))
 	}
-	return Held
+	return ExitPassed
 }
 
 type measured struct {
@@ -218,7 +218,7 @@
 }
 
 func benchConfig(servers []string) nodeconf.Config {
-	s := &scenario.Scenario{Halls: []scenario.Hall{{Name: "hall", Nodes: 1, Servers: map[string]int{"fast-6": len(servers)}}}}
+	s := &scenario.Scenario{Zones: []scenario.Zone{{Name: "hall", Nodes: 1, Servers: map[string]int{"fast-6": len(servers)}}}}
 	c := nodeconf.Config{Name: "bench", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: "1",
 		Limits: nodeconf.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, InitialList: hosts.List{Generation: 1, Reset: true}, Settings: nodeconf.Settings(s, 0)}
 	for i, addr := range servers {
--- a/internal/lab/command/ceiling.go
+++ b/internal/lab/command/ceiling.go
@@ -28,20 +28,20 @@
 	f := flag.NewFlagSet("ceiling", flag.ContinueOnError)
 	length := f.Duration("length", 3*time.Second, "how `long` at each rate")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if *length < time.Second || *length > time.Minute {
-		return a.fail(Misuse, errors.New("-length: want 1s to 1m"))
+		return a.fail(ExitUsage, errors.New("-length: want 1s to 1m"))
 	}
 	best := 0.0
 	fmt.Fprintf(a.out, "%10s %10s %12s %12s %12s\n", "asked/s", "served/s", "late p99", "added p50", "added p99")
 	for _, rate := range []float64{250, 500, 1000, 2000, 3000, 4000, 6000, 8000, 12000} {
 		if ctx.Err() != nil {
-			return NotHeld
+			return ExitFailed
 		}
 		served, late, p50, p99, err := added(rate, *length)
 		if err != nil {
-			return a.fail(NotHeld, err)
+			return a.fail(ExitFailed, err)
 		}
 		fmt.Fprintf(a.out, "%10.0f %10.0f %12v %12v %12v\n", rate, served, late.Round(time.Microsecond), p50.Round(time.Microsecond), p99.Round(time.Microsecond))
 		if p99 >= addedMost || served < 0.95*rate {
@@ -50,14 +50,14 @@
 		best = rate
 	}
 	fmt.Fprintf(a.out, "the lab adds less than %v at p99 up to %.0f requests a second\n", addedMost, best)
-	return Held
+	return ExitPassed
 }
 
 // added runs the lab without a node.
 func added(rate float64, length time.Duration) (served float64, late, p50, p99 time.Duration, err error) {
 	s := &scenario.Scenario{Name: "ceiling", Seed: 1, Length: scenario.Span{Duration: length},
-		Load:  scenario.Load{Rate: rate, WorkPer: 0.01}, // about a millisecond, so that no queue is part of it
-		Halls: []scenario.Hall{{Name: "hall", Nodes: 12, Servers: map[string]int{"fast-6": 12}}}}
+		Load:  scenario.Load{Rate: rate, WorkFactor: 0.01}, // about a millisecond, so that no queue is part of it
+		Zones: []scenario.Zone{{Name: "hall", Nodes: 12, Servers: map[string]int{"fast-6": 12}}}}
 	if err := scenario.Check(s); err != nil {
 		return 0, 0, 0, 0, err
 	}
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -29,9 +29,9 @@
 
 // The exit codes.
 const (
-	Held    = 0
-	NotHeld = 1 // a rule, a figure, or the run itself
-	Misuse  = 2 // unknown words or a bad file: nothing was started
+	ExitPassed = 0
+	ExitFailed = 1 // a rule, a figure, or the run itself
+	ExitUsage  = 2 // unknown words or a bad file: nothing was started
 )
 
 const usage = `ivylab plays halls of clip servers, nodes and clients on this machine.
@@ -64,7 +64,7 @@
 	a := &app{out, errs, rows}
 	if len(args) == 0 {
 		fmt.Fprint(errs, usage)
-		return Misuse
+		return ExitUsage
 	}
 	switch args[0] {
 	case "demo":
@@ -97,10 +97,10 @@
 		return a.reverseProxy(ctx, args[1:])
 	case "help", "-h", "-help", "--help":
 		fmt.Fprint(out, usage)
-		return Held
+		return ExitPassed
 	}
 	fmt.Fprintf(errs, "ivylab: unknown command %q; there are demo, list, run, sweep, soak, bench, ceiling, xds-drain, xds-day, experiment, plot, compare and judge\n", args[0])
-	return Misuse
+	return ExitUsage
 }
 
 // parse reads flags, and one word ahead of or behind them where a command
@@ -132,20 +132,20 @@
 func (a *app) list(args []string) int {
 	f := flag.NewFlagSet("list", flag.ContinueOnError)
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	files, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil {
-		return a.fail(Misuse, err)
+		return a.fail(ExitUsage, err)
 	}
 	for _, file := range files {
 		s, err := scenario.LoadFile(scenarios.Files, file)
 		if err != nil {
-			return a.fail(Misuse, err)
+			return a.fail(ExitUsage, err)
 		}
-		fmt.Fprintf(a.out, "%-14s %4.0f s  %s\n", s.Name, s.Length.Seconds(), s.About)
+		fmt.Fprintf(a.out, "%-14s %4.0f s  %s\n", s.Name, s.Length.Seconds(), s.Description)
 	}
-	return Held
+	return ExitPassed
 }
 
 // find gives a scenario by its name, or reads a file.
@@ -185,11 +185,11 @@
 	program := f.String("node", "", "the node's `program`; empty: it is built from this source tree")
 	to.flags(f)
 	if !a.parse(f, args, &word) {
-		return Misuse
+		return ExitUsage
 	}
 	s, err := find(word)
 	if err != nil {
-		return a.fail(Misuse, err)
+		return a.fail(ExitUsage, err)
 	}
 	if *inMemory {
 		start := time.Now()
@@ -204,18 +204,18 @@
 	if program == "" {
 		built, clean, err := buildNode(ctx)
 		if err != nil {
-			return a.fail(Misuse, err)
+			return a.fail(ExitUsage, err)
 		}
 		defer clean()
 		program = built
 	}
 	o.Program = program
-	live := show.NewLive(load.ClassesOf(s))
+	live := show.NewLiveView(load.ClassesOf(s))
 	o.ObserveEvents = live.Add
 	start := time.Now()
 	hall, err := real.New(ctx, s, o)
 	if err != nil {
-		return a.fail(NotHeld, err)
+		return a.fail(ExitFailed, err)
 	}
 	over := make(chan struct{})
 	shown := make(chan struct{})
@@ -230,16 +230,16 @@
 	own := hall.LabStats()
 	if err != nil && ctx.Err() != nil {
 		fmt.Fprintln(a.err, "ivylab: stopped; all processes have ended")
-		return NotHeld
+		return ExitFailed
 	}
 	if err != nil {
-		return a.fail(NotHeld, err)
+		return a.fail(ExitFailed, err)
 	}
 	return a.finish(s, h, &own, to, time.Since(start), nil)
 }
 
 // follow shows a run until it is over: a screen that changes, or plain lines.
-func (a *app) follow(h *real.Testbed, l *show.Live, s *scenario.Scenario, over <-chan struct{}, screen bool) {
+func (a *app) follow(h *real.Testbed, l *show.LiveView, s *scenario.Scenario, over <-chan struct{}, screen bool) {
 	every := 2 * time.Second
 	if screen = screen && a.rows > 0; screen {
 		every = 250 * time.Millisecond
@@ -267,11 +267,11 @@
 type Result struct {
 	Scenario string         `json:"scenario"`
 	Seed     int64          `json:"seed"`
-	Held     bool           `json:"held"`
-	Left     []string       `json:"did_not_hold"`
+	Passed   bool           `json:"held"`
+	Failures []string       `json:"did_not_hold"`
 	Verdict  *judge.Verdict `json:"verdict"`
-	Lab      *real.LabStats `json:"lab,omitempty"` // the lab's own part, on sockets
-	Took     float64        `json:"took_s"`
+	LabStats *real.LabStats `json:"lab,omitempty"` // the lab's own part, on sockets
+	Elapsed  float64        `json:"took_s"`
 	Events   int            `json:"events"`
 }
 
@@ -281,16 +281,16 @@
 	left := append(holds.Check(s, h, &v), more...)
 	r := Result{s.Name, h.Setup.Seed, len(left) == 0, left, &v, own, took.Seconds(), len(h.Events)}
 	if err := to.write(h, &r); err != nil {
-		return a.fail(NotHeld, err)
+		return a.fail(ExitFailed, err)
 	}
 	a.verdict(h, &r)
 	if to.report != "" {
 		fmt.Fprintf(a.out, "report: %s\n", to.report)
 	}
 	if len(left) > 0 {
-		return NotHeld
+		return ExitFailed
 	}
-	return Held
+	return ExitPassed
 }
 
 func (x files) write(h *history.History, r *Result) error {
@@ -301,7 +301,7 @@
 			return e.Encode(r)
 		}),
 		put(x.history, h.Write),
-		put(x.report, func(w io.Writer) error { return show.Report(w, h, r.Verdict, r.Left) }))
+		put(x.report, func(w io.Writer) error { return show.Report(w, h, r.Verdict, r.Failures) }))
 }
 
 // put writes a file; an empty path is none.
@@ -325,16 +325,16 @@
 		fmt.Fprintf(a.out, "  %-16s %6d orders, %6d within aim, p50 %4d ms, p99 %5d ms, %d tries refused, %d failed\n",
 			c.Class, c.Orders, c.OnTime, c.P50.Milliseconds(), c.P99.Milliseconds(), c.Refused, c.Failed)
 	}
-	if r.Lab != nil {
-		fmt.Fprintf(a.out, "the lab sent its orders late by %v (p50) and %v (p99)\n", r.Lab.LateP50.Round(10*time.Microsecond), r.Lab.LateP99.Round(10*time.Microsecond))
+	if r.LabStats != nil {
+		fmt.Fprintf(a.out, "the lab sent its orders late by %v (p50) and %v (p99)\n", r.LabStats.LateP50.Round(10*time.Microsecond), r.LabStats.LateP99.Round(10*time.Microsecond))
 	} else {
-		fmt.Fprintf(a.out, "%.0f s of the lab's time in %.2f s\n", h.Events[len(h.Events)-1].At.Seconds(), r.Took)
+		fmt.Fprintf(a.out, "%.0f s of the lab's time in %.2f s\n", h.Events[len(h.Events)-1].At.Seconds(), r.Elapsed)
 	}
-	if r.Held {
+	if r.Passed {
 		fmt.Fprintln(a.out, "HELD: the four rules were kept, and all that the scenario asks")
 		return
 	}
-	for _, line := range r.Left {
+	for _, line := range r.Failures {
 		fmt.Fprintln(a.out, "DID NOT HOLD:", line)
 	}
 }
@@ -343,25 +343,25 @@
 	var word string
 	f := flag.NewFlagSet("judge", flag.ContinueOnError)
 	if !a.parse(f, args, &word) {
-		return Misuse
+		return ExitUsage
 	}
 	file, err := os.Open(word)
 	if err != nil {
-		return a.fail(Misuse, err)
+		return a.fail(ExitUsage, err)
 	}
 	defer file.Close()
 	h, err := history.Read(file)
 	if err != nil {
-		return a.fail(Misuse, fmt.Errorf("%s: %w", word, err))
+		return a.fail(ExitUsage, fmt.Errorf("%s: %w", word, err))
 	}
 	v := judge.Judge(h)
 	left := holds.BreachLines(&v)
 	r := Result{h.Setup.Scenario, h.Setup.Seed, len(left) == 0, left, &v, &real.LabStats{}, 0, len(h.Events)}
 	a.verdict(h, &r)
 	if len(left) > 0 {
-		return NotHeld
+		return ExitFailed
 	}
-	return Held
+	return ExitPassed
 }
 
 func (a *app) sweep(args []string) int {
@@ -370,30 +370,30 @@
 	first := f.Int64("from", 1, "the first `seed`")
 	deployments := f.Bool("deployments", false, "of deployments that are drawn too, not the brief's")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if *seeds < 1 || *seeds > 1_000_000 {
-		return a.fail(Misuse, errors.New("-seeds: want 1 to 1,000,000"))
+		return a.fail(ExitUsage, errors.New("-seeds: want 1 to 1,000,000"))
 	}
 	start := time.Now()
 	if *deployments {
-		broken, tries := sweep.Deployments(*first, *seeds)
+		broken, tries := sweep.RunDeployments(*first, *seeds)
 		for _, seed := range slices.Sorted(maps.Keys(broken)) {
 			fmt.Fprintf(a.out, "seed %d breaks %v\n", seed, broken[seed])
 		}
 		fmt.Fprintf(a.out, "%d deployments, %d tries in %.1f s: %d break a rule\n", *seeds, tries, time.Since(start).Seconds(), len(broken))
 		if len(broken) > 0 {
-			return NotHeld
+			return ExitFailed
 		}
-		return Held
+		return ExitPassed
 	}
 	res := sweep.Run(*first, *seeds, nil, func(x sweep.Finding) bool {
-		fmt.Fprintf(a.out, "seed %d breaks %v\nshrunk in %d replays, it still breaks %v:\n\n%s\n", x.Seed, x.Breach, x.Replayed, x.Left, x.TOML())
+		fmt.Fprintf(a.out, "seed %d breaks %v\nshrunk in %d replays, it still breaks %v:\n\n%s\n", x.Seed, x.Breach, x.Replays, x.ShrunkBreach, x.TOML())
 		return true
 	})
 	took := time.Since(start)
-	fmt.Fprintf(a.out, "%d timelines, %d tries, %.0f s of the lab's time in %.1f s (%.0f timelines a minute): %d break a rule\n", res.Played, res.Requests,
-		res.Virtual.Seconds(), took.Seconds(), float64(res.Played)/took.Minutes(), len(res.Findings))
+	fmt.Fprintf(a.out, "%d timelines, %d tries, %.0f s of the lab's time in %.1f s (%.0f timelines a minute): %d break a rule\n", res.Played, res.Tries,
+		res.SimulatedTime.Seconds(), took.Seconds(), float64(res.Played)/took.Minutes(), len(res.Findings))
 	if len(res.Findings) > 0 {
 		var all []int64
 		for _, x := range res.Findings {
@@ -401,7 +401,7 @@
 		}
 		slices.Sort(all)
 		fmt.Fprintln(a.out, "seeds:", all)
-		return NotHeld
+		return ExitFailed
 	}
-	return Held
+	return ExitPassed
 }
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -61,7 +61,7 @@
 		{[]string{"judge", "nothing"}, "no such file"},
 	} {
 		code, _, errs := run(context.Background(), c.args...)
-		if code != Misuse || !strings.Contains(errs, c.say) {
+		if code != ExitUsage || !strings.Contains(errs, c.say) {
 			t.Errorf("%v: code %d, said %q, want %q", c.args, code, errs, c.say)
 		}
 	}
@@ -69,7 +69,7 @@
 
 func TestListNamesEveryScenario(t *testing.T) {
 	code, out, errs := run(context.Background(), "list")
-	if code != Held || !strings.Contains(out, "hall-lost") || !strings.Contains(out, "overlap") {
+	if code != ExitPassed || !strings.Contains(out, "hall-lost") || !strings.Contains(out, "overlap") {
 		t.Errorf("code %d: %s%s", code, out, errs)
 	}
 }
@@ -78,7 +78,7 @@
 	dir := t.TempDir()
 	js, hist, page := filepath.Join(dir, "a.json"), filepath.Join(dir, "a.hist"), filepath.Join(dir, "a.html")
 	code, out, errs := run(context.Background(), "run", write(t, small), "-memory", "-json", js, "-history", hist, "-report", page, "-seed", "9")
-	if code != Held || !strings.Contains(out, "HELD") {
+	if code != ExitPassed || !strings.Contains(out, "HELD") {
 		t.Fatalf("code %d: %s%s", code, out, errs)
 	}
 	raw, err := os.ReadFile(js)
@@ -86,28 +86,28 @@
 		t.Fatal(err)
 	}
 	var r Result
-	if err := json.Unmarshal(raw, &r); err != nil || !r.Held || r.Seed != 9 || r.Verdict.Service.Orders == 0 {
+	if err := json.Unmarshal(raw, &r); err != nil || !r.Passed || r.Seed != 9 || r.Verdict.Service.Orders == 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
 	if info, err := os.Stat(page); err != nil || info.Size() == 0 {
 		t.Errorf("report: %v", err)
 	}
-	if code, out, errs := run(context.Background(), "judge", hist); code != Held {
+	if code, out, errs := run(context.Background(), "judge", hist); code != ExitPassed {
 		t.Errorf("judge: code %d: %s%s", code, out, errs)
 	}
 	// What does not hold is said and is the exit code.
 	code, out, _ = run(context.Background(), "run", write(t, small+"[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"heavy\"\nclass = \"cut-order\"\npart = 0.000001\nfactor = 20.0\n"), "-memory")
-	if code != NotHeld || !strings.Contains(out, "DID NOT HOLD: fault 2 (heavy cut-order) did not happen") {
+	if code != ExitFailed || !strings.Contains(out, "DID NOT HOLD: fault 2 (heavy cut-order) did not happen") {
 		t.Errorf("code %d: %s", code, out)
 	}
 }
 
 func TestSweepSaysWhatItPlayed(t *testing.T) {
 	code, out, errs := run(context.Background(), "sweep", "-seeds", "3", "-from", "100")
-	if code != Held || !strings.Contains(out, "3 timelines") {
+	if code != ExitPassed || !strings.Contains(out, "3 timelines") {
 		t.Errorf("code %d: %s%s", code, out, errs)
 	}
-	if code, out, errs = run(context.Background(), "sweep", "-deployments", "-seeds", "3"); code != Held || !strings.Contains(out, "3 deployments") {
+	if code, out, errs = run(context.Background(), "sweep", "-deployments", "-seeds", "3"); code != ExitPassed || !strings.Contains(out, "3 deployments") {
 		t.Errorf("code %d: %s%s", code, out, errs)
 	}
 }
@@ -131,7 +131,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	code, out, errs := run(context.Background(), "run", write(t, small), "-node", program)
-	if code != Held {
+	if code != ExitPassed {
 		t.Errorf("code %d: %s%s", code, out, errs)
 	}
 	if left := children(t, program); left != "" {
@@ -140,7 +140,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	time.AfterFunc(700*time.Millisecond, stop)
 	code, out, errs = run(ctx, "demo", "-node", program, "-rate", "30", "-seconds", "60", "-report", filepath.Join(t.TempDir(), "x.html"))
-	if code != NotHeld || !strings.Contains(errs, "stopped") {
+	if code != ExitFailed || !strings.Contains(errs, "stopped") {
 		t.Errorf("stopped: code %d: %s%s", code, out, errs)
 	}
 	if left := children(t, program); left != "" {
@@ -168,7 +168,7 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	until("ended", func() bool { return children(t, program) == "" })
-	if code, _, errs := run(context.Background(), "run", write(t, small), "-node", "/bin/false"); code != NotHeld || !strings.Contains(errs, "ended at once") {
+	if code, _, errs := run(context.Background(), "run", write(t, small), "-node", "/bin/false"); code != ExitFailed || !strings.Contains(errs, "ended at once") {
 		t.Errorf("a program that is no node: code %d: %s", code, errs)
 	}
 }
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -29,17 +29,17 @@
 	to.flags(f)
 	f.Set("report", "ivylab-demo.html")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if *seconds < 5 || *seconds > 600 {
-		return a.fail(Misuse, errors.New("-seconds: want 5 to 600"))
+		return a.fail(ExitUsage, errors.New("-seconds: want 5 to 600"))
 	}
 	if *rate == 0 {
 		*rate = min(rateMost, ratePerCore*float64(runtime.NumCPU()))
 	}
 	s := demoScenario(*seconds, *rate)
 	if err := scenario.Check(s); err != nil {
-		return a.fail(Misuse, err)
+		return a.fail(ExitUsage, err)
 	}
 	fmt.Fprintf(a.out, "One discovery, 12 clip servers in three halls, three nodes as processes, %.0f requests a second for %.0f s.\n", *rate, *seconds)
 	fmt.Fprintln(a.out, "hall-nord.1 drains, later hall-vest.2 goes silent and comes back cold. Ctrl-C ends it.")
@@ -51,14 +51,14 @@
 		return scenario.Span{Duration: time.Duration(part * seconds * float64(time.Second))}
 	}
 	s := &scenario.Scenario{Name: "demo", Seed: 1, Length: at(1), Load: scenario.Load{Rate: rate},
-		Client: scenario.Client{Retries: 2, Honour: 0.85},
+		Client: scenario.Client{Retries: 2, RetryAfterFraction: 0.85},
 		Faults: []scenario.Fault{
-			{At: at(0.2), For: at(0.25), What: scenario.WhatDrain, Who: []string{"hall-nord.1"}},
-			{At: at(0.5), For: at(0.25), What: scenario.WhatSilent, Who: []string{"hall-vest.2"}},
+			{At: at(0.2), For: at(0.25), Kind: scenario.FaultDrain, Targets: []string{"hall-nord.1"}},
+			{At: at(0.5), For: at(0.25), Kind: scenario.FaultSilent, Targets: []string{"hall-vest.2"}},
 		},
-		Must: scenario.Must{Faults: true, Served: 0.5}}
+		Requirements: scenario.Requirements{RequireFaults: true, MinServed: 0.5}}
 	for _, hall := range []string{"hall-nord", "hall-syd", "hall-vest"} {
-		s.Halls = append(s.Halls, scenario.Hall{Name: hall, Nodes: 1, Servers: map[string]int{"fast-6": 2, "std-6": 1, "slow-6": 1}})
+		s.Zones = append(s.Zones, scenario.Zone{Name: hall, Nodes: 1, Servers: map[string]int{"fast-6": 2, "std-6": 1, "slow-6": 1}})
 	}
 	return s
 }
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -29,15 +29,15 @@
 	f.BoolVar(&b.ClockSteps, "clock-steps", false, "wall clocks of nodes step, too; wants a node that was built with -tags faults")
 	f.BoolVar(&b.SystemCalls, "system-calls", b.SystemCalls, "a part of nodes' system calls fails, too")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if b.MinNodes < 1 || b.MaxNodes > 48 || b.MinNodes > b.MaxNodes || *seeds < 1 || b.Length.Seconds() < 2 {
-		return a.fail(Misuse, errors.New("soak: want 1 to 48 processes, one seed and 2 s or more"))
+		return a.fail(ExitUsage, errors.New("soak: want 1 to 48 processes, one seed and 2 s or more"))
 	}
 	if *program == "" {
 		built, clean, err := buildNode(ctx, map[bool][]string{true: {"-tags", "faults"}}[b.ClockSteps]...)
 		if err != nil {
-			return a.fail(Misuse, err)
+			return a.fail(ExitUsage, err)
 		}
 		defer clean()
 		*program = built
@@ -46,7 +46,7 @@
 	for i := range *seeds {
 		r, err := soak.Run(ctx, *program, *from+int64(i), b)
 		if err != nil {
-			return a.fail(NotHeld, err)
+			return a.fail(ExitFailed, err)
 		}
 		fmt.Fprintln(a.out, r.Summary())
 		if r.Passed() {
@@ -54,14 +54,14 @@
 		}
 		failed++
 		if err := put(*historyFile, r.History.Write); err != nil {
-			return a.fail(NotHeld, err)
+			return a.fail(ExitFailed, err)
 		}
 	}
 	fmt.Fprintf(a.out, "%d of %d seeds held\n", *seeds-failed, *seeds)
 	if failed > 0 {
-		return NotHeld
+		return ExitFailed
 	}
-	return Held
+	return ExitPassed
 }
 
 // buildNode builds the node's program from this source tree.
--- a/internal/lab/command/xdsday.go
+++ b/internal/lab/command/xdsday.go
@@ -22,14 +22,14 @@
 	seeds := f.Int("seeds", 5, "runs of each, with further seeds; 1 to 100")
 	times := f.Float64("load", 1, "times each scenario's own load; 0.1 to 10")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if *seeds < 1 || *seeds > 100 || !(*times >= 0.1 && *times <= 10) {
-		return a.fail(Misuse, fmt.Errorf("xds-day: -seeds must be from 1 to 100, -load from 0.1 to 10"))
+		return a.fail(ExitUsage, fmt.Errorf("xds-day: -seeds must be from 1 to 100, -load from 0.1 to 10"))
 	}
 	files, err := fs.Glob(scenarios.Files, "*.toml")
 	if err != nil {
-		return a.fail(Misuse, err)
+		return a.fail(ExitUsage, err)
 	}
 	type result struct {
 		measure  float64
@@ -43,11 +43,11 @@
 	for i, file := range files {
 		s, err := scenario.LoadFile(scenarios.Files, file)
 		if err != nil {
-			return a.fail(Misuse, err)
+			return a.fail(ExitUsage, err)
 		}
 		s.Load.Rate *= *times
-		names[i], results[i] = s.Name, make([]result, len(policy.Ways))
-		for j, way := range policy.Ways {
+		names[i], results[i] = s.Name, make([]result, len(policy.All))
+		for j, way := range policy.All {
 			for seed := range *seeds {
 				done.Go(func() {
 					room <- struct{}{}
@@ -68,14 +68,14 @@
 	}
 	done.Wait()
 	if ctx.Err() != nil {
-		return NotHeld
+		return ExitFailed
 	}
 	fmt.Fprintf(a.out, "%-12s", "measure")
-	for _, way := range policy.Ways {
+	for _, way := range policy.All {
 		fmt.Fprintf(a.out, " %16s", way)
 	}
 	fmt.Fprintln(a.out)
-	sums := make([]result, len(policy.Ways))
+	sums := make([]result, len(policy.All))
 	line := func(name string, rs []result, parts float64) {
 		var b strings.Builder
 		for _, r := range rs {
@@ -95,5 +95,5 @@
 		}
 	}
 	line("mean", sums, float64(len(names)))
-	return Held
+	return ExitPassed
 }
--- a/internal/lab/command/xdsdrain.go
+++ b/internal/lab/command/xdsdrain.go
@@ -23,10 +23,10 @@
 	seed := f.Uint64("seed", 1, "of the choices")
 	program := f.String("control", beside("ivylock-control"), "the control service's program")
 	if !a.parse(f, args, nil) {
-		return Misuse
+		return ExitUsage
 	}
 	if *count < len(xdsdrain.Faults) || *count > 10000 || *halls < 1 || *halls > 16 {
-		return a.fail(Misuse, fmt.Errorf("xds-drain: 7 to 10000 drains in 1 to 16 halls"))
+		return a.fail(ExitUsage, fmt.Errorf("xds-drain: 7 to 10000 drains in 1 to 16 halls"))
 	}
 	jobs := make(chan xdsdrain.Fault)
 	var mu sync.Mutex
@@ -74,21 +74,21 @@
 	close(jobs)
 	done.Wait()
 	if failed != nil {
-		return a.fail(NotHeld, failed)
+		return a.fail(ExitFailed, failed)
 	}
 	fmt.Fprintf(a.out, "%-15s %7s %8s %8s %8s %10s %8s\n", "fault", "drains", "p50 ms", "p99 ms", "max ms", "no server", "streams")
-	code := Held
+	code := ExitPassed
 	for _, s := range xdsdrain.Summarise(all) {
 		ms := func(d time.Duration) string { return fmt.Sprintf("%.0f", float64(d)/1e6) }
 		fmt.Fprintf(a.out, "%-15s %7d %8s %8s %8s %9.1f%% %8d\n", s.Fault, s.Drains, ms(s.P50), ms(s.P99), ms(s.Max), 100*s.Dark, s.Streams)
 		if s.Max > drainLimit {
-			code = NotHeld
+			code = ExitFailed
 		}
 	}
 	if ctx.Err() != nil {
-		return NotHeld
+		return ExitFailed
 	}
-	if code != Held {
+	if code != ExitPassed {
 		fmt.Fprintf(a.out, "a drained server got a new request later than %v\n", drainLimit)
 	}
 	return code
--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -14,8 +14,8 @@
 
 // Mean is a mean with its 95% interval over seeds.
 type Mean struct {
-	N         int
-	Mean, Off float64 // half the interval's width; 0 with one value
+	N               int
+	Mean, HalfWidth float64 // half the interval's width; 0 with one value
 }
 
 // MeanOf gives the mean of some values, with Student's interval.
@@ -23,18 +23,18 @@
 	m := Mean{N: len(x), Mean: stat.Mean(x, nil)}
 	if len(x) > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-		m.Off = t * stat.StdErr(stat.StdDev(x, nil), float64(len(x)))
+		m.HalfWidth = t * stat.StdErr(stat.StdDev(x, nil), float64(len(x)))
 	}
 	return m
 }
 
-// Group is all seeds of one combination.
+// GroupKey is all seeds of one combination.
 type Group struct {
-	Cell     // its seed means nothing
-	Rows     []Row
-	Measure  Mean
-	WorstTen Mean
-	Breaches [5]int
+	Cell        // its seed means nothing
+	Rows        []Row
+	Measure     Mean
+	WorstWindow Mean
+	Breaches    [5]int
 }
 
 // Groups puts rows together, in the order in which their combinations come.
@@ -42,10 +42,10 @@
 	at := map[string]int{}
 	var out []Group
 	for _, r := range rows {
-		i, known := at[r.Group()]
+		i, known := at[r.GroupKey()]
 		if !known {
 			i = len(out)
-			at[r.Group()] = i
+			at[r.GroupKey()] = i
 			out = append(out, Group{Cell: r.Cell})
 		}
 		out[i].Rows = append(out[i].Rows, r)
@@ -56,7 +56,7 @@
 	for i := range out {
 		g := &out[i]
 		g.Measure = MeanOf(values(g.Rows, func(r Row) float64 { return r.Measure }))
-		g.WorstTen = MeanOf(values(g.Rows, func(r Row) float64 { return r.WorstTen }))
+		g.WorstWindow = MeanOf(values(g.Rows, func(r Row) float64 { return r.WorstWindow }))
 	}
 	return out
 }
@@ -71,12 +71,12 @@
 
 // Difference is what one combination gained or lost between two files.
 type Difference struct {
-	Group       string
-	N           int     // days that are in both
-	Mean        float64 // of the measure, the second less the first
-	Low, High   float64 // 95% by bootstrap over the pairs
-	Breaches    int     // more in the second
-	Worse, More bool    // beyond noise
+	Group         string
+	N             int     // days that are in both
+	Mean          float64 // of the measure, the second less the first
+	Low, High     float64 // 95% by bootstrap over the pairs
+	Breaches      int     // more in the second
+	Worse, Better bool    // beyond noise
 }
 
 const resamples = 4000
@@ -101,11 +101,11 @@
 		if !both {
 			continue
 		}
-		p := by[r.Group()]
+		p := by[r.GroupKey()]
 		if p == nil {
 			p = &pairs{}
-			by[r.Group()] = p
-			order = append(order, r.Group())
+			by[r.GroupKey()] = p
+			order = append(order, r.GroupKey())
 		}
 		p.diffs = append(p.diffs, r.Measure-x.Measure)
 		for rule := range r.Breaches {
@@ -122,7 +122,7 @@
 		d := Difference{Group: g, N: len(p.diffs), Mean: stat.Mean(p.diffs, nil), Breaches: p.breaches}
 		d.Low, d.High = bootstrap(rng, p.diffs)
 		d.Worse = d.High < 0 && d.Mean < -least || p.breaches > 0
-		d.More = d.Low > 0 && d.Mean > least
+		d.Better = d.Low > 0 && d.Mean > least
 		out = append(out, d)
 	}
 	return out, nil
@@ -149,14 +149,14 @@
 	var ways, days []string
 	cells := map[string]Group{}
 	for _, g := range groups {
-		way, day, _ := strings.Cut(g.Group(), " ")
+		way, day, _ := strings.Cut(g.GroupKey(), " ")
 		if !slices.Contains(ways, way) {
 			ways = append(ways, way)
 		}
 		if !slices.Contains(days, day) {
 			days = append(days, day)
 		}
-		cells[g.Group()] = g
+		cells[g.GroupKey()] = g
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "| day |")
@@ -173,8 +173,8 @@
 				continue
 			}
 			fmt.Fprintf(&b, " %.3f", g.Measure.Mean)
-			if g.Measure.Off > 0 {
-				fmt.Fprintf(&b, " ± %.3f", g.Measure.Off)
+			if g.Measure.HalfWidth > 0 {
+				fmt.Fprintf(&b, " ± %.3f", g.Measure.HalfWidth)
 			}
 			if n := g.Breaches[1] + g.Breaches[2] + g.Breaches[3] + g.Breaches[4]; n > 0 {
 				fmt.Fprintf(&b, " (%d)", n)
--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -27,39 +27,39 @@
 
 // Design is one file.
 type Design struct {
-	Name    string      `toml:"name"`
-	About   string      `toml:"about"`
-	Ways    []string    `toml:"ways"`    // of choosing; empty: all
-	Sizes   []string    `toml:"sizes"`   // servers x proxies, such as "100x10"
-	Loads   []float64   `toml:"loads"`   // of what warm servers can do
-	Faults  []string    `toml:"faults"`  // empty: quiet
-	Seeds   int         `toml:"seeds"`   // of each combination; 0: 3
-	From    int64       `toml:"from"`    // the first seed; 0: 1
-	Sample  int         `toml:"sample"`  // so many combinations by chance; 0: all
-	Length  strict.Span `toml:"length"`  // of a day; 0: 24 s
-	Halls   int         `toml:"halls"`   // 0: 3
-	Retries int         `toml:"retries"` // clients' own
-	// Controls are numbers of control services, a level each; empty: one.
-	Controls []int       `toml:"controls"`
-	Late     strict.Span `toml:"late"`    // that steered proxies' reports take, on average
-	Frozen   float64     `toml:"frozen"`  // part of the proxies that hears and says nothing from a third of the day on
-	Subsets  []int       `toml:"subsets"` // servers of a hall that a steered proxy is told of, a level each; 0: all
+	Name        string      `toml:"name"`
+	Description string      `toml:"about"`
+	Policies    []string    `toml:"ways"`    // of choosing; empty: all
+	Sizes       []string    `toml:"sizes"`   // servers x proxies, such as "100x10"
+	Loads       []float64   `toml:"loads"`   // of what warm servers can do
+	Faults      []string    `toml:"faults"`  // empty: quiet
+	Seeds       int         `toml:"seeds"`   // of each combination; 0: 3
+	FirstSeed   int64       `toml:"from"`    // the first seed; 0: 1
+	SampleSize  int         `toml:"sample"`  // so many combinations by chance; 0: all
+	Length      strict.Span `toml:"length"`  // of a day; 0: 24 s
+	Halls       int         `toml:"halls"`   // 0: 3
+	Retries     int         `toml:"retries"` // clients' own
+	// ControlServices are numbers of control services, a level each; empty: one.
+	ControlServices []int       `toml:"controls"`
+	ReportDelay     strict.Span `toml:"late"`    // that steered proxies' reports take, on average
+	FrozenFraction  float64     `toml:"frozen"`  // part of the proxies that hears and says nothing from a third of the day on
+	SubsetSizes     []int       `toml:"subsets"` // servers of a hall that a steered proxy is told of, a level each; 0: all
 }
 
 // Cell is one day to play in one way.
 type Cell struct {
-	Way policy.Way `json:"way"`
+	Policy policy.Name `json:"way"`
 	fleet.Day
 }
 
 // Key names a cell within a file: the same for the same figures.
 func (c Cell) Key() string {
-	return fmt.Sprintf("%s %dx%d/%d load %g %s%s %v retries %d seed %d", c.Way, c.Servers, c.Proxies, c.Halls, c.Load, c.Fault, c.services(), c.Length, c.Retries, c.Seed)
+	return fmt.Sprintf("%s %dx%d/%d load %g %s%s %v retries %d seed %d", c.Policy, c.Servers, c.Proxies, c.Halls, c.Load, c.Fault, c.services(), c.Length, c.Retries, c.Seed)
 }
 
-// Group names what all seeds of one combination share.
-func (c Cell) Group() string {
-	return fmt.Sprintf("%s %dx%d load %g %s%s", c.Way, c.Servers, c.Proxies, c.Load, c.Fault, c.services())
+// GroupKey names what all seeds of one combination share.
+func (c Cell) GroupKey() string {
+	return fmt.Sprintf("%s %dx%d load %g %s%s", c.Policy, c.Servers, c.Proxies, c.Load, c.Fault, c.services())
 }
 
 func (c Cell) services() string {
@@ -80,7 +80,7 @@
 }
 
 // Day names the day, whichever way it is played.
-func (c Cell) DayKey() string { return strings.TrimPrefix(c.Key(), string(c.Way)+" ") }
+func (c Cell) WorkloadKey() string { return strings.TrimPrefix(c.Key(), string(c.Policy)+" ") }
 
 // cost is about how much work a cell is, to tell the time that is left.
 func (c Cell) cost() float64 {
@@ -106,8 +106,8 @@
 	if d.Seeds == 0 {
 		d.Seeds = 3
 	}
-	if d.From == 0 {
-		d.From = 1
+	if d.FirstSeed == 0 {
+		d.FirstSeed = 1
 	}
 	if d.Length.Duration == 0 {
 		d.Length.Duration = 24 * time.Second
@@ -118,9 +118,9 @@
 	if len(d.Faults) == 0 {
 		d.Faults = []string{string(fleet.Quiet)}
 	}
-	if len(d.Ways) == 0 {
-		for _, w := range policy.Ways {
-			d.Ways = append(d.Ways, string(w))
+	if len(d.Policies) == 0 {
+		for _, w := range policy.All {
+			d.Policies = append(d.Policies, string(w))
 		}
 	}
 	if key, text := d.check(); text != "" {
@@ -139,26 +139,26 @@
 		return "", "no loads; want loads = [0.5, 0.9], of what the servers can do"
 	case d.Seeds < 1 || d.Seeds > maxSeeds:
 		return "seeds", fmt.Sprintf("seeds: want 1 to %d", maxSeeds)
-	case d.From < 1:
+	case d.FirstSeed < 1:
 		return "from", "from: want the first seed, 1 or more"
-	case d.Sample < 0:
+	case d.SampleSize < 0:
 		return "sample", "sample: want how many combinations to take, or leave it out for all"
 	case d.Length.Duration < time.Second || d.Length.Duration > 10*time.Minute:
 		return "length", "length: want 1s to 10m"
-	case slices.ContainsFunc(d.Controls, func(n int) bool { return n < 1 || n > 16 }):
+	case slices.ContainsFunc(d.ControlServices, func(n int) bool { return n < 1 || n > 16 }):
 		return "controls", "controls: want 1 to 16 control services"
-	case slices.ContainsFunc(d.Subsets, func(n int) bool { return n < 0 }):
+	case slices.ContainsFunc(d.SubsetSizes, func(n int) bool { return n < 0 }):
 		return "subsets", "subsets: want 0 or more servers"
-	case d.Late.Duration > 10*time.Second:
+	case d.ReportDelay.Duration > 10*time.Second:
 		return "late", "late: want 10s at most"
-	case d.Frozen < 0 || d.Frozen > 1:
+	case d.FrozenFraction < 0 || d.FrozenFraction > 1:
 		return "frozen", "frozen: want a part of the proxies, 0 to 1"
 	case d.Retries < 0 || d.Retries > 2:
 		return "retries", "retries: want 0, 1 or 2"
 	}
-	for _, w := range d.Ways {
-		if !slices.Contains(policy.Ways, policy.Way(w)) {
-			return "ways", fmt.Sprintf("unknown way %q; there are %v", w, policy.Ways)
+	for _, w := range d.Policies {
+		if !slices.Contains(policy.All, policy.Name(w)) {
+			return "ways", fmt.Sprintf("unknown way %q; there are %v", w, policy.All)
 		}
 	}
 	cells, err := d.Cells()
@@ -189,11 +189,11 @@
 // drawn by the design's own name and size, the same each time.
 func (d *Design) Cells() ([]Cell, error) {
 	var combos []Cell
-	controls := d.Controls
+	controls := d.ControlServices
 	if len(controls) == 0 {
 		controls = []int{0}
 	}
-	subsets := d.Subsets
+	subsets := d.SubsetSizes
 	if len(subsets) == 0 {
 		subsets = []int{0}
 	}
@@ -207,11 +207,11 @@
 		}
 		for _, load := range d.Loads {
 			for _, fault := range d.Faults {
-				for _, way := range d.Ways {
+				for _, way := range d.Policies {
 					for _, n := range controls {
 						for _, part := range subsets {
-							combos = append(combos, Cell{policy.Way(way), fleet.Day{Servers: servers, Proxies: proxies, Halls: d.Halls, Load: load,
-								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, Controls: n, Subset: part, Late: d.Late.Duration, Frozen: d.Frozen}})
+							combos = append(combos, Cell{policy.Name(way), fleet.Day{Servers: servers, Proxies: proxies, Halls: d.Halls, Load: load,
+								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, Controls: n, Subset: part, Late: d.ReportDelay.Duration, Frozen: d.FrozenFraction}})
 						}
 					}
 				}
@@ -221,15 +221,15 @@
 	if len(combos) == 0 {
 		return nil, errors.New("no combination")
 	}
-	if d.Sample > 0 && d.Sample < len(combos) {
-		r := rand.New(rand.NewPCG(uint64(len(combos)), uint64(d.Sample)))
+	if d.SampleSize > 0 && d.SampleSize < len(combos) {
+		r := rand.New(rand.NewPCG(uint64(len(combos)), uint64(d.SampleSize)))
 		r.Shuffle(len(combos), func(i, j int) { combos[i], combos[j] = combos[j], combos[i] })
-		combos = combos[:d.Sample]
+		combos = combos[:d.SampleSize]
 	}
 	cells := make([]Cell, 0, min(maxCells+1, len(combos)*d.Seeds))
 	for _, c := range combos {
 		for i := range d.Seeds {
-			c.Seed = d.From + int64(i)
+			c.Seed = d.FirstSeed + int64(i)
 			if cells = append(cells, c); len(cells) > maxCells {
 				return cells, nil
 			}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -60,8 +60,8 @@
 	played := 0
 	if err := Run(context.Background(), d, cut, "c1", func(p Progress) {
 		played++
-		if p.Found != len(before) {
-			t.Errorf("it found %d of %d", p.Found, len(before))
+		if p.Resumed != len(before) {
+			t.Errorf("it found %d of %d", p.Resumed, len(before))
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 func TestCompareTellsNoiseFromADifference(t *testing.T) {
 	rows := func(shift, noise float64, broken int) (out []Row) {
 		for i := range 12 {
-			c := Cell{policy.Least, fleet.Day{Servers: 12, Proxies: 3, Load: 0.5, Seed: int64(i + 1)}}
+			c := Cell{policy.TwoChoices, fleet.Day{Servers: 12, Proxies: 3, Load: 0.5, Seed: int64(i + 1)}}
 			sign := float64(1 - 2*(i%2))
 			r := Row{Cell: c, Measure: 0.8 + 0.02*float64(i) + shift + noise*sign}
 			r.Breaches[4] = broken
@@ -121,7 +121,7 @@
 		"broken rules": {rows(0.03, 0.005, 1), true, true},
 	} {
 		all, err := Compare(rows(0, 0, 0), c.b, 0.005)
-		if err != nil || len(all) != 1 || all[0].Worse != c.worse || all[0].More != c.more {
+		if err != nil || len(all) != 1 || all[0].Worse != c.worse || all[0].Better != c.more {
 			t.Errorf("%s: %+v, %v", name, all, err)
 		}
 	}
@@ -158,7 +158,7 @@
 
 func TestFiguresAndPageAreDrawn(t *testing.T) {
 	var rows []Row
-	for _, way := range []policy.Way{policy.Least, policy.Chance} {
+	for _, way := range []policy.Name{policy.TwoChoices, policy.Random} {
 		for _, load := range []float64{0.3, 0.6} {
 			for seed := range int64(3) {
 				c := Cell{way, fleet.Day{Servers: 12, Proxies: 3, Load: load, Fault: fleet.Quiet, Seed: seed}}
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -33,7 +33,7 @@
 
 var shown = []value{
 	{"service measure", func(r Row) float64 { return r.Measure }},
-	{"worst 10 s", func(r Row) float64 { return r.WorstTen }},
+	{"worst 10 s", func(r Row) float64 { return r.WorstWindow }},
 	{"p99 of broadcast clips, ms", func(r Row) float64 { return r.P99["broadcast-clip"] }},
 }
 
@@ -77,7 +77,7 @@
 	var ways []string
 	at := map[string]map[float64][]float64{}
 	for _, r := range rows {
-		w := string(r.Way)
+		w := string(r.Policy)
 		if at[w] == nil {
 			at[w] = map[float64][]float64{}
 			ways = append(ways, w)
@@ -94,7 +94,7 @@
 		for _, l := range loads {
 			m := MeanOf(at[w][l])
 			pts.XYs = append(pts.XYs, plotter.XY{X: l, Y: m.Mean})
-			pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{m.Off, m.Off})
+			pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{m.HalfWidth, m.HalfWidth})
 		}
 		line, dots, err := plotter.NewLinePoints(pts.XYs)
 		if err != nil {
@@ -158,21 +158,21 @@
 	}{Title: title, Rows: len(rows)}
 	groups := Groups(rows)
 	for _, g := range groups {
-		if !slices.Contains(data.Ways, string(g.Way)) {
-			data.Ways = append(data.Ways, string(g.Way))
+		if !slices.Contains(data.Ways, string(g.Policy)) {
+			data.Ways = append(data.Ways, string(g.Policy))
 		}
 	}
 	lines := map[string]int{}
 	for _, g := range groups {
-		_, day, _ := strings.Cut(g.Group(), " ")
+		_, day, _ := strings.Cut(g.GroupKey(), " ")
 		i, known := lines[day]
 		if !known {
 			i = len(data.Lines)
 			lines[day] = i
 			data.Lines = append(data.Lines, line{day, make([]cell, len(data.Ways))})
 		}
-		data.Lines[i].Cells[slices.Index(data.Ways, string(g.Way))] = cell{
-			fmt.Sprintf("%.3f ± %.3f", g.Measure.Mean, g.Measure.Off), g.Breaches[1] + g.Breaches[2] + g.Breaches[3] + g.Breaches[4]}
+		data.Lines[i].Cells[slices.Index(data.Ways, string(g.Policy))] = cell{
+			fmt.Sprintf("%.3f ± %.3f", g.Measure.Mean, g.Measure.HalfWidth), g.Breaches[1] + g.Breaches[2] + g.Breaches[3] + g.Breaches[4]}
 	}
 	for _, f := range figures {
 		_, svg, _ := strings.Cut(string(f.SVG), "<svg")                // without the XML declaration
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -17,24 +17,24 @@
 // Row is a finished cell.
 type Row struct {
 	Cell
-	Commit     string             `json:"commit"` // of the program that played it
-	Measure    float64            `json:"measure"`
-	Whole      float64            `json:"whole"`
-	WorstTen   float64            `json:"worst_10s"`
-	WorstClass float64            `json:"worst_class"`
-	Refused    float64            `json:"refused"`  // share of tries
-	P99        map[string]float64 `json:"p99_ms"`   // by class, of served orders
-	Breaches   [5]int             `json:"breaches"` // by rule, 1 to 4
-	Swing      float64            `json:"swing"`    // see fleet.Result
-	Orders     int                `json:"orders"`
-	Events     uint64             `json:"events"`
-	Took       float64            `json:"took_s"` // of wall time
+	Commit          string             `json:"commit"` // of the program that played it
+	Measure         float64            `json:"measure"`
+	OnTimeRatio     float64            `json:"whole"`
+	WorstWindow     float64            `json:"worst_10s"`
+	WorstClass      float64            `json:"worst_class"`
+	Refused         float64            `json:"refused"`  // share of tries
+	P99             map[string]float64 `json:"p99_ms"`   // by class, of served orders
+	Breaches        [5]int             `json:"breaches"` // by rule, 1 to 4
+	DispersionIndex float64            `json:"swing"`    // see fleet.Result
+	Orders          int                `json:"orders"`
+	Events          uint64             `json:"events"`
+	Elapsed         float64            `json:"took_s"` // of wall time
 }
 
 func rowOf(c Cell, r fleet.Result, commit string, took time.Duration) Row {
 	s := r.Service
-	row := Row{Cell: c, Commit: commit, Measure: s.Measure, Whole: s.OnTimeRatio, WorstTen: s.WorstWindow, WorstClass: s.WorstClass,
-		Refused: float64(s.Refused) / float64(max(1, s.Tries)), P99: map[string]float64{}, Swing: r.Swing, Orders: s.Orders, Events: r.Steps, Took: took.Seconds()}
+	row := Row{Cell: c, Commit: commit, Measure: s.Measure, OnTimeRatio: s.OnTimeRatio, WorstWindow: s.WorstWindow, WorstClass: s.WorstClass,
+		Refused: float64(s.Refused) / float64(max(1, s.Tries)), P99: map[string]float64{}, DispersionIndex: r.Swing, Orders: s.Orders, Events: r.Steps, Elapsed: took.Seconds()}
 	for _, k := range s.Classes {
 		row.P99[k.Class] = float64(k.P99.Microseconds()) / 1000
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -17,9 +17,9 @@
 
 // Progress is how far a run is.
 type Progress struct {
-	Done, All, Found int // cells; those found in the file
-	Left             time.Duration
-	Last             Row
+	Done, Total, Resumed int // cells; those found in the file
+	Remaining            time.Duration
+	Last                 Row
 }
 
 // collect is how much the heap may grow before the collector runs: a run has
@@ -73,7 +73,7 @@
 		done  = 0.0
 		bad   error
 		begun = time.Now()
-		p     = Progress{All: len(cells), Found: len(cells) - len(left), Done: len(cells) - len(left)}
+		p     = Progress{Total: len(cells), Resumed: len(cells) - len(left), Done: len(cells) - len(left)}
 	)
 	for range min(runtime.GOMAXPROCS(0), max(1, len(left))) {
 		wg.Go(func() {
@@ -87,7 +87,7 @@
 				next++
 				mu.Unlock()
 				start := time.Now()
-				r, err := fleet.Play(c.Day, c.Way)
+				r, err := fleet.Play(c.Day, c.Policy)
 				row := rowOf(c, r, commit, time.Since(start))
 				mu.Lock()
 				if err == nil {
@@ -98,7 +98,7 @@
 				} else {
 					done += c.cost()
 					p.Done, p.Last = p.Done+1, row
-					p.Left = time.Duration((todo - done) / done * float64(time.Since(begun)))
+					p.Remaining = time.Duration((todo - done) / done * float64(time.Since(begun)))
 					if told != nil {
 						told(p)
 					}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -83,10 +83,10 @@
 	r := rand.New(rand.NewPCG(uint64(d.Seed), 0x666c656574))
 	span := func(t time.Duration) scenario.Span { return scenario.Span{Duration: t} }
 	s := &scenario.Scenario{Name: fmt.Sprintf("fleet-%d-%s", d.Servers, d.Fault), Seed: d.Seed, Length: span(d.Length),
-		Client: scenario.Client{Retries: d.Retries, Honour: 0.85}}
+		Client: scenario.Client{Retries: d.Retries, RetryAfterFraction: 0.85}}
 	capacity := 0.0
 	for i := range d.Halls {
-		h := scenario.Hall{Name: fmt.Sprintf("hall-%c", 'a'+i), Servers: map[string]int{}, PodSize: 4}
+		h := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Servers: map[string]int{}, PodSize: 4}
 		for n := i; n < d.Servers; n += d.Halls {
 			kind := "slow-6"
 			if x := r.Float64(); x < 0.39 {
@@ -104,13 +104,13 @@
 		for n := i; n < d.Proxies; n += d.Halls {
 			h.Nodes++
 		}
-		s.Halls = append(s.Halls, h)
+		s.Zones = append(s.Zones, h)
 	}
 	s.Load.Rate = capacity / MeanWork() * d.Load
 	if err := d.faults(s, r); err != nil {
 		return nil, err
 	}
-	return s, scenario.CheckModel(s)
+	return s, scenario.CheckInMemory(s)
 }
 
 // faults puts what goes wrong on the timeline.
@@ -130,30 +130,30 @@
 	switch d.Fault {
 	case Quiet, "":
 	case Silent:
-		add(scenario.Fault{What: scenario.WhatSilent, At: at(0.25), For: at(0.33), Who: some(1.0 / 12)})
+		add(scenario.Fault{Kind: scenario.FaultSilent, At: at(0.25), For: at(0.33), Targets: some(1.0 / 12)})
 	case Hang:
-		add(scenario.Fault{What: scenario.WhatHang, At: at(0.25), For: at(0.4), Who: some(1.0 / 12)})
+		add(scenario.Fault{Kind: scenario.FaultHang, At: at(0.25), For: at(0.4), Targets: some(1.0 / 12)})
 	case Heavy:
-		add(scenario.Fault{What: scenario.WhatHeavy, At: at(0.2), For: at(0.6), Class: "viewer-clip", Part: 0.02, Factor: 20})
+		add(scenario.Fault{Kind: scenario.FaultHeavy, At: at(0.2), For: at(0.6), Class: "viewer-clip", Fraction: 0.02, Factor: 20})
 	case Lost:
-		add(scenario.Fault{What: scenario.WhatLost, At: at(0.25), For: at(0.33), Who: []string{s.Halls[len(s.Halls)-1].Name}})
+		add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.25), For: at(0.33), Targets: []string{s.Zones[len(s.Zones)-1].Name}})
 	case Replace:
 		var own []string
 		for _, x := range s.Servers() {
-			if x.Hall == s.Halls[0].Name {
+			if x.Zone == s.Zones[0].Name {
 				own = append(own, x.Name)
 			}
 		}
 		for i := range 4 {
 			from, to := i*len(own)/4, (i+1)*len(own)/4
 			if from < to {
-				add(scenario.Fault{What: scenario.WhatReplace, At: at(0.15 + 0.17*float64(i)), For: at(0.04), Who: own[from:to]})
+				add(scenario.Fault{Kind: scenario.FaultReplace, At: at(0.15 + 0.17*float64(i)), For: at(0.04), Targets: own[from:to]})
 			}
 		}
 	case Return:
-		order := r.Perm(len(s.Halls) - 1)
+		order := r.Perm(len(s.Zones) - 1)
 		for i, h := range order {
-			add(scenario.Fault{What: scenario.WhatLost, At: at(0.2), For: at(0.2 + 0.1*float64(i)), Who: []string{s.Halls[h+1].Name}})
+			add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.2), For: at(0.2 + 0.1*float64(i)), Targets: []string{s.Zones[h+1].Name}})
 		}
 	default:
 		all := make([]string, len(Faults))
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 	var first string
 	for i, procs := range []int{1, 2, 4} {
 		before := runtime.GOMAXPROCS(procs)
-		r, err := Play(d, policy.Least)
+		r, err := Play(d, policy.TwoChoices)
 		runtime.GOMAXPROCS(before)
 		if err != nil {
 			t.Fatal(err)
@@ -29,7 +29,7 @@
 		}
 	}
 	d.Seed = 6
-	if r, _ := Play(d, policy.Least); fmt.Sprintf("%+v", r) == first {
+	if r, _ := Play(d, policy.TwoChoices); fmt.Sprintf("%+v", r) == first {
 		t.Error("two seeds gave the same day")
 	}
 }
@@ -60,7 +60,7 @@
 			steps, virtual := uint64(0), time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				r, err := Play(Day{Servers: size.servers, Proxies: size.proxies, Load: 0.6, Fault: Quiet,
-					Length: time.Duration(max(1, 2000/size.servers)) * time.Second, Seed: int64(i + 1)}, policy.Least)
+					Length: time.Duration(max(1, 2000/size.servers)) * time.Second, Seed: int64(i + 1)}, policy.TwoChoices)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -77,14 +77,14 @@
 // many proxies too. The measure is shown to see a herd.
 func TestSteeredProxiesDoNotHerd(t *testing.T) {
 	d := Day{Servers: 24, Proxies: 12, Load: 0.6, Fault: Quiet, Length: 16 * time.Second, Seed: 3}
-	swing := func(way policy.Way, d Day) float64 {
+	swing := func(way policy.Name, d Day) float64 {
 		r, err := Play(d, way)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r.Swing
 	}
-	chance, steered, herd := swing(policy.Chance, d), swing(policy.Steer, d), swing(policy.Herd, d)
+	chance, steered, herd := swing(policy.Random, d), swing(policy.XDS, d), swing(policy.Herd, d)
 	t.Logf("chance %.2f, steered %.2f, a herd %.0f", chance, steered, herd)
 	if steered > 2 || chance > 2 {
 		t.Errorf("steered %.2f, by chance %.2f", steered, chance)
@@ -93,7 +93,7 @@
 		t.Errorf("a herd is %.2f", herd)
 	}
 	d.Load, d.Late = 0.9, time.Second
-	if s := swing(policy.Steer, d); s > 4 {
+	if s := swing(policy.XDS, d); s > 4 {
 		t.Errorf("at 0.9 of the capacity with late reports %.2f", s)
 	}
 }
@@ -103,7 +103,7 @@
 func TestLateReportsAndFrozenProxies(t *testing.T) {
 	for _, f := range []Fault{Quiet, Replace, Lost} {
 		d := Day{Servers: 24, Proxies: 20, Load: 0.5, Fault: f, Length: 16 * time.Second, Seed: 2, Late: time.Second, Frozen: 0.1, Retries: 1}
-		r, err := Play(d, policy.Steer)
+		r, err := Play(d, policy.XDS)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	change(s)
-	if err := scenario.CheckModel(s); err != nil {
+	if err := scenario.CheckInMemory(s); err != nil {
 		t.Fatal(err)
 	}
 	by := newSeconds(d)
@@ -90,8 +90,8 @@
 				who = append(who, n.Name)
 			}
 		}
-		s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatOutage, At: span(4900 * time.Millisecond), For: span(4 * time.Second)},
-			scenario.Fault{What: scenario.WhatKill, At: span(5 * time.Second), For: span(300 * time.Millisecond), Who: who})
+		s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultDiscoveryOutage, At: span(4900 * time.Millisecond), For: span(4 * time.Second)},
+			scenario.Fault{Kind: scenario.FaultKill, At: span(5 * time.Second), For: span(300 * time.Millisecond), Targets: who})
 	}, memory.Options{})
 	if before, after := by.part(3, 5), by.part(8, 12); after < before-0.03 {
 		t.Errorf("%.3f of the requests served before, %.3f from 2.7 s after their return on", before, after)
@@ -110,9 +110,9 @@
 	for _, lost := range []int{0, 1} {
 		d := Day{Servers: 45, Proxies: 64, Load: 0.75, Length: 14 * time.Second, Retries: 2, Seed: 8}
 		hard(t, d, func(s *scenario.Scenario) {
-			s.Halls[0].Nodes, s.Halls[1].Nodes, s.Halls[2].Nodes = 4, 30, 30
-			s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatLost, At: span(3 * time.Second), For: span(4 * time.Second),
-				Who: []string{s.Halls[lost].Name}})
+			s.Zones[0].Nodes, s.Zones[1].Nodes, s.Zones[2].Nodes = 4, 30, 30
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultZoneLost, At: span(3 * time.Second), For: span(4 * time.Second),
+				Targets: []string{s.Zones[lost].Name}})
 		}, memory.Options{})
 	}
 }
@@ -135,8 +135,8 @@
 					}
 				}
 				at := 2*time.Second + time.Duration(wave)*1700*time.Millisecond
-				s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatReplace, At: span(at), For: span(500 * time.Millisecond), Who: who},
-					scenario.Fault{What: scenario.WhatHang, At: span(at + 1500*time.Millisecond), For: span(20 * time.Second), Who: who[:len(who)/5+1]})
+				s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultReplace, At: span(at), For: span(500 * time.Millisecond), Targets: who},
+					scenario.Fault{Kind: scenario.FaultHang, At: span(at + 1500*time.Millisecond), For: span(20 * time.Second), Targets: who[:len(who)/5+1]})
 				bad = append(bad, who[:len(who)/5+1]...)
 			}
 		}, memory.Options{})
@@ -171,7 +171,7 @@
 // shock makes all requests three times as heavy for 3 s, as if all servers were three times slower.
 func shock(s *scenario.Scenario, at time.Duration) {
 	for _, class := range []string{"broadcast-clip", "viewer-clip", "cut-order", "tag-event"} {
-		s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatHeavy, At: span(at), For: span(3 * time.Second), Class: class, Part: 1, Factor: 3})
+		s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultHeavy, At: span(at), For: span(3 * time.Second), Class: class, Fraction: 1, Factor: 3})
 	}
 }
 
@@ -205,24 +205,24 @@
 func TestAHallCutOffServesItself(t *testing.T) {
 	d := Day{Servers: 48, Proxies: 84, Load: 0.6, Length: 14 * time.Second, Retries: 2, Seed: 8}
 	by := hard(t, d, func(s *scenario.Scenario) {
-		s.Hosts.Lag = span(2 * time.Second)
+		s.Discovery.NotificationDelay = span(2 * time.Second)
 		var here, there []string // servers of the hall and nodes of the others; and the other way round
 		for _, x := range s.Servers() {
-			if x.Hall == s.Halls[0].Name {
+			if x.Zone == s.Zones[0].Name {
 				here = append(here, x.Name)
 			} else {
 				there = append(there, x.Name)
 			}
 		}
 		for _, n := range s.Nodes() {
-			if n.Hall == s.Halls[0].Name {
+			if n.Zone == s.Zones[0].Name {
 				there = append(there, n.Name)
 			} else {
 				here = append(here, n.Name)
 			}
 		}
 		for _, who := range [][]string{here, there} {
-			s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatLink, At: span(4 * time.Second), For: span(6 * time.Second), Who: who, State: "black-hole"})
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultLink, At: span(4 * time.Second), For: span(6 * time.Second), Targets: who, State: "black-hole"})
 		}
 	}, memory.Options{})
 	// Some of what was out when the cut came is lost with it; then each side does what it can, and all is well after.
@@ -275,7 +275,7 @@
 	} {
 		p := mean(func(s *scenario.Scenario) {
 			if c.late > 0 {
-				s.Net.Messages = span(c.late)
+				s.Net.PeerDelay = span(c.late)
 			}
 		}, memory.Options{Mutant: c.mutant})
 		if t.Logf("%s: %.3f of the requests served, %.3f without", name, p, plain); p < c.least {
@@ -306,12 +306,12 @@
 				who = append(who, nodes[i].Name)
 			}
 			at := 2*time.Second + time.Duration(part)*1200*time.Millisecond
-			s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatTerm, At: span(at), For: span(time.Second), Who: who})
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultRestart, At: span(at), For: span(time.Second), Targets: who})
 			who = nil
 			for i := part; i < len(servers); i += 20 {
 				who = append(who, servers[i].Name)
 			}
-			s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatReplace, At: span(at), For: span(time.Second), Who: who})
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultReplace, At: span(at), For: span(time.Second), Targets: who})
 		}
 	}, memory.Options{})
 	if p := by.part(2, 16); p < 0.95 {
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -31,7 +31,7 @@
 
 // Play plays a day in a way to choose servers. The same day and way give the
 // same result.
-func Play(d Day, way policy.Way) (Result, error) {
+func Play(d Day, way policy.Name) (Result, error) {
 	s, err := d.Scenario()
 	if err != nil {
 		return Result{}, err
@@ -41,12 +41,12 @@
 
 // play plays a day's scenario, which may have been changed, and tells of each
 // event. Of the options it takes the mutant.
-func play(d Day, s *scenario.Scenario, way policy.Way, with memory.Options, also func(*history.Event)) Result {
-	controls := policy.Controls{Services: d.Controls, Subset: d.Subset, Late: d.Late, Frozen: d.Frozen, FrozenFrom: s.Length.Duration / 3}
+func play(d Day, s *scenario.Scenario, way policy.Name, with memory.Options, also func(*history.Event)) Result {
+	controls := policy.ControlPlane{Services: d.Controls, SubsetSize: d.Subset, ReportDelay: d.Late, FrozenFraction: d.Frozen, FrozenStart: s.Length.Duration / 3}
 	if d.Controls > 1 {
-		controls.LostFrom, controls.LostUntil = s.Length.Duration*2/5, s.Length.Duration*3/4
+		controls.OutageStart, controls.OutageEnd = s.Length.Duration*2/5, s.Length.Duration*3/4
 	}
-	o := policy.OptionsWith(way, d.Seed, controls)
+	o := policy.OptionsWithControls(way, d.Seed, controls)
 	o.Mutant = with.Mutant
 	var live *judge.Checker
 	last := time.Duration(0)
--- a/internal/lab/fleet/subset_test.go
+++ b/internal/lab/fleet/subset_test.go
@@ -14,7 +14,7 @@
 
 // live has nodes find out who is alive, and use servers by that.
 func live(s *scenario.Scenario) {
-	s.Fleet, s.Oper = true, "members = true\nsubsets = true"
+	s.Fleet, s.OperatorConfig = true, "members = true\nsubsets = true"
 }
 
 // One of 42 nodes has half of all traffic: it uses servers by what it has to do, and what
@@ -25,7 +25,7 @@
 	equal := hard(t, d, live, memory.Options{}).part(3, 10)
 	unlike := hard(t, d, func(s *scenario.Scenario) {
 		live(s)
-		s.Halls[0].Nodes, s.Halls[1].Nodes = 1, 41
+		s.Zones[0].Nodes, s.Zones[1].Nodes = 1, 41
 	}, memory.Options{}).part(3, 10)
 	if unlike < equal-0.08 {
 		t.Errorf("%.3f of the requests served, %.3f by equal nodes", unlike, equal)
@@ -52,7 +52,7 @@
 		live(s)
 		var hall, servers []string
 		for _, n := range s.Nodes() {
-			if n.Hall == s.Halls[0].Name {
+			if n.Zone == s.Zones[0].Name {
 				hall = append(hall, n.Name)
 			}
 		}
@@ -62,11 +62,11 @@
 			}
 		}
 		add := func(what string, at, length time.Duration, who []string) {
-			s.Faults = append(s.Faults, scenario.Fault{What: what, At: span(at), For: span(length), Who: who})
+			s.Faults = append(s.Faults, scenario.Fault{Kind: what, At: span(at), For: span(length), Targets: who})
 		}
-		add(scenario.WhatSplit, 5*time.Second, 6*time.Second, hall)
-		add(scenario.WhatCut, 5*time.Second, 6*time.Second, hall)
-		add(scenario.WhatReplace, 6500*time.Millisecond, time.Second, servers)
+		add(scenario.FaultPartition, 5*time.Second, 6*time.Second, hall)
+		add(scenario.FaultDiscoveryCut, 5*time.Second, 6*time.Second, hall)
+		add(scenario.FaultReplace, 6500*time.Millisecond, time.Second, servers)
 	}, memory.Options{})
 	if before, cut, after := by.part(2, 5), by.part(5, 11), by.part(15, 20); cut < 0.6 || after < before-0.03 {
 		t.Errorf("%.3f of the requests served before, %.3f meanwhile, %.3f after", before, cut, after)
@@ -88,7 +88,7 @@
 		for _, n := range nodes[4*k : 4*k+4] {
 			who = append(who, n.Name)
 		}
-		s.Faults = append(s.Faults, scenario.Fault{What: scenario.WhatTerm, At: span(4*time.Second + time.Duration(k)*1500*time.Millisecond), For: span(time.Second), Who: who})
+		s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultRestart, At: span(4*time.Second + time.Duration(k)*1500*time.Millisecond), For: span(time.Second), Targets: who})
 	}
 	begun := map[string][]int{}
 	r := play(d, s, "nodes", memory.Options{}, func(e *history.Event) {
--- a/internal/lab/holds/holds.go
+++ b/internal/lab/holds/holds.go
@@ -25,29 +25,29 @@
 // Check returns the requirements that were not met, one line each.
 func Check(s *scenario.Scenario, h *history.History, v *judge.Verdict) []string {
 	filtered := *v
-	if s.Must.Stops {
+	if s.Requirements.AllowPauseLoss {
 		filtered.Breaches = slices.DeleteFunc(slices.Clone(v.Breaches), func(b judge.Breach) bool { return LostDuringPause(s, b) })
 	}
 	out := BreachLines(&filtered)
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	metrics := v.Service
-	if metrics.Measure < s.Must.Measure {
-		add("service measure %.3f, at least %.3f is asked", metrics.Measure, s.Must.Measure)
+	if metrics.Measure < s.Requirements.MinMeasure {
+		add("service measure %.3f, at least %.3f is asked", metrics.Measure, s.Requirements.MinMeasure)
 	}
 	served := 0
 	for _, c := range metrics.Classes {
 		served += c.Served
 	}
-	if ratio := float64(served) / float64(max(1, metrics.Orders)); ratio < s.Must.Served {
-		add("%.3f of the orders served, at least %.3f is asked", ratio, s.Must.Served)
+	if ratio := float64(served) / float64(max(1, metrics.Orders)); ratio < s.Requirements.MinServed {
+		add("%.3f of the orders served, at least %.3f is asked", ratio, s.Requirements.MinServed)
 	}
-	if ratio := float64(metrics.Refused) / float64(max(1, metrics.Tries)); s.Must.Refused > 0 && ratio > s.Must.Refused {
-		add("%.3f of the tries refused, at most %.3f is allowed", ratio, s.Must.Refused)
+	if ratio := float64(metrics.Refused) / float64(max(1, metrics.Tries)); s.Requirements.MaxRefused > 0 && ratio > s.Requirements.MaxRefused {
+		add("%.3f of the tries refused, at most %.3f is allowed", ratio, s.Requirements.MaxRefused)
 	}
 	if metrics.Orders == 0 {
 		add("no order was sent")
 	}
-	if s.Must.Faults {
+	if s.Requirements.RequireFaults {
 		for i := range s.Faults {
 			if missing := MissingEvidence(s, &s.Faults[i], h); missing != "" {
 				add("fault %d (%v) did not happen: %s", i+1, s.Faults[i], missing)
@@ -66,10 +66,10 @@
 func LostDuringPause(s *scenario.Scenario, b judge.Breach) bool {
 	for i := range s.Faults {
 		fault := &s.Faults[i]
-		if fault.What != scenario.WhatStop || b.Rule != judge.NoRequestLost || b.At <= fault.At.Duration || b.At >= fault.At.Duration+fault.For.Duration+resumeTime {
+		if fault.Kind != scenario.FaultPause || b.Rule != judge.NoRequestLost || b.At <= fault.At.Duration || b.At >= fault.At.Duration+fault.For.Duration+resumeTime {
 			continue
 		}
-		_, nodes := s.Pick(fault.Who)
+		_, nodes := s.Select(fault.Targets)
 		for _, n := range nodes {
 			if strings.Contains(b.Detail, "taken by "+n.Name+",") || WrittenAfterPause(s, b, n.Name) {
 				return true
@@ -85,7 +85,7 @@
 func WrittenAfterPause(s *scenario.Scenario, b judge.Breach, node string) bool {
 	return slices.ContainsFunc(s.Faults, func(f scenario.Fault) bool {
 		end := f.At.Duration + f.For.Duration
-		return f.What == scenario.WhatStop && b.Rule == judge.NoRequestLost && b.At >= end && b.At < end+resumeTime/4 &&
+		return f.Kind == scenario.FaultPause && b.Rule == judge.NoRequestLost && b.At >= end && b.At < end+resumeTime/4 &&
 			strings.Contains(b.Detail, "was sent by "+node+" to ")
 	})
 }
@@ -119,7 +119,7 @@
 // MissingEvidence returns which events expected of a fault are missing in a history,
 // or "" if none are. A lag of discovery leaves no events of its own.
 func MissingEvidence(s *scenario.Scenario, f *scenario.Fault, h *history.History) string {
-	servers, nodes := s.Pick(f.Who)
+	servers, nodes := s.Select(f.Targets)
 	isServer, isNode := map[string]bool{}, map[string]bool{}
 	for _, x := range servers {
 		isServer[x.Name] = true
@@ -162,33 +162,33 @@
 	coldStarts := func() string {
 		return atLeast(count(to-eventMargin, to+eventMargin, func(e *history.Event) bool { return onServers(history.Start)(e) && e.ColdTime > 0 }), len(servers), "cold starts at its end")
 	}
-	switch f.What {
-	case scenario.WhatSilent, scenario.WhatLost, scenario.WhatLostNodes:
+	switch f.Kind {
+	case scenario.FaultSilent, scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost:
 		all := []string{noneOf(count(from+eventMargin, to-eventMargin, onServers(history.Attempt, history.Run, history.Probe)), "attempts came while it was cut off"), coldStarts()}
-		if f.What == scenario.WhatLostNodes {
+		if f.Kind == scenario.FaultZoneAndNodesLost {
 			all = append(all, atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeKilled && isNode[e.Node] }), len(nodes), "nodes killed"))
 		}
 		return firstNonEmpty(all...)
-	case scenario.WhatHang:
+	case scenario.FaultHang:
 		return firstNonEmpty(atLeast(count(from, to, onServers(history.Attempt)), 1, "attempts taken"),
 			noneOf(count(from+eventMargin, to-eventMargin, onServers(history.Run)), "effects began while it hung"))
-	case scenario.WhatKill:
+	case scenario.FaultKill:
 		missing := atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeKilled && isNode[e.Node] }), len(nodes), "nodes killed")
 		if len(servers) > 0 {
 			missing = firstNonEmpty(missing, noneOf(count(from+eventMargin, to-eventMargin, onServers(history.Attempt)), "attempts came while it was dead"), coldStarts())
 		}
 		return missing
-	case scenario.WhatTerm:
+	case scenario.FaultRestart:
 		return firstNonEmpty(atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeTerm && isNode[e.Node] }), len(nodes), "words to end"),
 			atLeast(count(from, to+2*time.Second, func(e *history.Event) bool { return e.Kind == history.NodeEnded && isNode[e.Node] }), len(nodes), "nodes that ended"))
-	case scenario.WhatDrain:
+	case scenario.FaultDrain:
 		return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool { return onServers(history.Told)(e) && e.Lifecycle == hosts.Draining }), len(servers), "words of a drain")
-	case scenario.WhatReplace:
+	case scenario.FaultReplace:
 		return atLeast(count(from, to+eventMargin, func(e *history.Event) bool {
 			old, _, replaced := strings.Cut(e.Server, "-r")
 			return e.Kind == history.Start && replaced && isServer[old]
 		}), len(servers), "starts under a new id")
-	case scenario.WhatLink:
+	case scenario.FaultLink:
 		if f.State != "" {
 			return noneOf(count(from+eventMargin, to-eventMargin, func(e *history.Event) bool {
 				return e.Kind == history.Attempt && (len(servers) == 0 || isServer[e.Server]) && (len(nodes) == 0 || isNode[e.Node])
@@ -197,7 +197,7 @@
 		return atLeast(count(from, to, func(e *history.Event) bool {
 			return e.Kind == history.Attempt && e.At-e.First >= f.Delay.Duration*9/10
 		}), 1, "attempts delayed")
-	case scenario.WhatHeavy:
+	case scenario.FaultHeavy:
 		class := map[string]string{}
 		for i := range h.Events {
 			if e := &h.Events[i]; e.Kind == history.Try {
@@ -212,35 +212,35 @@
 				}), 1, "heavy requests")
 			}
 		}
-	case scenario.WhatSpoil:
+	case scenario.FaultCorrupt:
 		return atLeast(count(from, to, onServers(history.Spoilt)), 1, "spoilt answers")
-	case scenario.WhatSlow:
+	case scenario.FaultSlowReader:
 		return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool { return e.Kind == history.Slow }), 1, "slow readers")
-	case scenario.WhatOutage:
+	case scenario.FaultDiscoveryOutage:
 		return noneOf(count(from+eventMargin, to-eventMargin, func(e *history.Event) bool { return e.Kind == history.Told }), "words were told while it was down")
-	case scenario.WhatStop:
+	case scenario.FaultPause:
 		stopped := func(kind history.Kind, at time.Duration) int {
 			return count(at, at+eventMargin, func(e *history.Event) bool { return e.Kind == kind && isNode[e.Node] })
 		}
 		return firstNonEmpty(atLeast(stopped(history.NodeStop, from), len(nodes), "nodes that stand still"), atLeast(stopped(history.NodeCont, to), len(nodes), "nodes that go on"),
 			noneOf(count(from+eventMargin, to-time.Millisecond, func(e *history.Event) bool { return e.Kind == history.Message && isNode[e.Node] }), "datagrams came while it stood still"))
-	case scenario.WhatNoFiles:
+	case scenario.FaultNoDescriptors:
 		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NoFiles && isNode[e.Node] }), len(nodes), "nodes without descriptors")
-	case scenario.WhatCalls:
+	case scenario.FaultSystemCalls:
 		return atLeast(count(to, to+eventMargin, func(e *history.Event) bool { return e.Kind == history.CallsFail && isNode[e.Node] }), 1, "nodes whose calls failed")
-	case scenario.WhatCut:
+	case scenario.FaultDiscoveryCut:
 		asked := func(e *history.Event) bool { return e.Kind == history.Asked && isNode[e.Node] }
 		return firstNonEmpty(atLeast(count(0, from, asked), len(nodes), "calls to discovery before it"), noneOf(count(from+eventMargin, to-eventMargin, asked), "calls came to discovery"))
-	case scenario.WhatPeers, scenario.WhatSplit:
+	case scenario.FaultPeerLinks, scenario.FaultPartition:
 		return atLeast(count(from, to, func(e *history.Event) bool { return e.Kind == history.Hindered }), 1, "datagrams hindered")
-	case scenario.WhatJoin:
+	case scenario.FaultJoin:
 		return atLeast(count(from, from+5*time.Second, func(e *history.Event) bool { return e.Kind == history.NodeUp && isNode[e.Node] }), len(nodes), "nodes that started")
-	case scenario.WhatLeave:
+	case scenario.FaultLeave:
 		return firstNonEmpty(atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeTerm && isNode[e.Node] }), len(nodes), "words to end"),
 			noneOf(count(from, h.Setup.Length, func(e *history.Event) bool { return e.Kind == history.NodeUp && isNode[e.Node] }), "nodes came back"))
-	case scenario.WhatForget:
+	case scenario.FaultDiscoveryRestart:
 		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.Forgot }), 1, "restarts")
-	case scenario.WhatFlap:
+	case scenario.FaultFlap:
 		return atLeast(count(from, to, func(e *history.Event) bool { return onServers(history.Change)(e) && e.Lifecycle == hosts.Removed }), 1, "words that it is gone")
 	}
 	return ""
--- a/internal/lab/holds/holds_test.go
+++ b/internal/lab/holds/holds_test.go
@@ -29,13 +29,13 @@
 		h := memory.Run(&calm, memory.Options{})
 		for i := range s.Faults {
 			f := &s.Faults[i]
-			if f.What == scenario.WhatLag {
+			if f.Kind == scenario.FaultDiscoveryDelay {
 				continue // leaves no events of its own
 			}
-			if f.What == scenario.WhatOutage { // one update shows that discovery was up
+			if f.Kind == scenario.FaultDiscoveryOutage { // one update shows that discovery was up
 				h.Events = append(h.Events, history.Event{At: f.At.Duration + f.For.Duration/2, Kind: history.Told})
 			}
-			seen[f.What] = true
+			seen[f.Kind] = true
 			if MissingEvidence(s, f, h) == "" {
 				t.Errorf("%s: fault %v is not reported missing", s.Name, f)
 			}
@@ -47,7 +47,7 @@
 }
 
 func TestCheckReportsMissedBounds(t *testing.T) {
-	s := &scenario.Scenario{Must: scenario.Must{Measure: 0.9, Served: 0.9, Refused: 0.1}}
+	s := &scenario.Scenario{Requirements: scenario.Requirements{MinMeasure: 0.9, MinServed: 0.9, MaxRefused: 0.1}}
 	v := &judge.Verdict{Service: judge.ServiceMetrics{Measure: 0.8, Orders: 10, Tries: 20, Refused: 5,
 		Classes: []judge.ClassStats{{Served: 8}}}}
 	if got := Check(s, &history.History{}, v); len(got) != 3 {
--- a/internal/lab/load/deployment.go
+++ b/internal/lab/load/deployment.go
@@ -22,7 +22,7 @@
 // Brief is the brief's deployment, with a scenario's own shares and work.
 func Brief(s *scenario.Scenario) *Deployment {
 	d := &Deployment{Classes: ClassesOf(s), Limits: Limits}
-	if s.Quota > 0 {
+	if s.TenantQuota > 0 {
 		d.Tenants = []string{Tenant}
 	}
 	return d
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -13,8 +13,8 @@
 func day(t *testing.T, seed int64) *scenario.Scenario {
 	t.Helper()
 	s := &scenario.Scenario{Name: "x", Seed: seed, Length: scenario.Span{Duration: time.Minute}, Load: scenario.Load{Rate: 300},
-		Client: scenario.Client{Retries: 2, Honour: 1},
-		Halls:  []scenario.Hall{{Name: "a", Nodes: 1, Servers: map[string]int{"fast-6": 1}}, {Name: "b", Servers: map[string]int{"fast-6": 1}}}}
+		Client: scenario.Client{Retries: 2, RetryAfterFraction: 1},
+		Zones:  []scenario.Zone{{Name: "a", Nodes: 1, Servers: map[string]int{"fast-6": 1}}, {Name: "b", Servers: map[string]int{"fast-6": 1}}}}
 	if err := scenario.Check(s); err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 
 func TestASeedGivesOneStreamWhateverTheFaults(t *testing.T) {
 	plain, heavy := day(t, 1), day(t, 1)
-	heavy.Faults = []scenario.Fault{{What: scenario.WhatHeavy, At: scenario.Span{Duration: 10 * time.Second},
-		For: scenario.Span{Duration: 20 * time.Second}, Class: "cut-order", Part: 0.1, Factor: 20}}
+	heavy.Faults = []scenario.Fault{{Kind: scenario.FaultHeavy, At: scenario.Span{Duration: 10 * time.Second},
+		For: scenario.Span{Duration: 20 * time.Second}, Class: "cut-order", Fraction: 0.1, Factor: 20}}
 	a, b, c := all(plain, 7), all(plain, 7), all(heavy, 7)
 	if !reflect.DeepEqual(a, b) {
 		t.Fatal("one seed gave two streams")
--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -51,7 +51,7 @@
 	for _, c := range st.classes {
 		st.total += c.Share
 	}
-	for _, h := range s.Halls {
+	for _, h := range s.Zones {
 		if h.Nodes > 0 {
 			st.halls = append(st.halls, h.Name)
 		}
@@ -66,8 +66,8 @@
 		if part, set := s.Load.Shares[out[i].Name]; set {
 			out[i].Share = part
 		}
-		out[i].WorkLow = time.Duration(float64(out[i].WorkLow) * s.Load.WorkPer)
-		out[i].WorkHigh = time.Duration(float64(out[i].WorkHigh) * s.Load.WorkPer)
+		out[i].WorkLow = time.Duration(float64(out[i].WorkLow) * s.Load.WorkFactor)
+		out[i].WorkHigh = time.Duration(float64(out[i].WorkHigh) * s.Load.WorkFactor)
 	}
 	return out
 }
@@ -108,23 +108,23 @@
 	if o.Class.Effect == history.Keyed {
 		o.Key = fmt.Sprintf("k%016x", st.rng.Uint64())
 	}
-	o.Honour = st.rng.Float64() < st.s.Client.Honour
+	o.Honour = st.rng.Float64() < st.s.Client.RetryAfterFraction
 	o.Retry = [2]float64{st.rng.Float64(), st.rng.Float64()}
-	if st.habits.Float64() < st.s.Client.Leaves {
-		o.Leaves = time.Duration((0.01 + 0.9*st.habits.Float64()) * st.s.Client.TryShare * float64(o.Class.Deadline))
+	if st.habits.Float64() < st.s.Client.AbandonFraction {
+		o.Leaves = time.Duration((0.01 + 0.9*st.habits.Float64()) * st.s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
 	}
-	if st.habits.Float64() < st.s.Client.Pieces {
+	if st.habits.Float64() < st.s.Client.SlowWriteFraction {
 		o.Pieces = 2 + st.habits.IntN(5)
 	}
 	hit := st.rng.Float64() // one draw whatever the faults, so that orders do not shift
 	for _, f := range st.s.Faults {
-		if st.at < f.At.Duration || st.at >= f.At.Duration+f.For.Duration || hit >= f.Part {
+		if st.at < f.At.Duration || st.at >= f.At.Duration+f.For.Duration || hit >= f.Fraction {
 			continue
 		}
 		switch {
-		case f.What == scenario.WhatHeavy && f.Class == o.Class.Name:
+		case f.Kind == scenario.FaultHeavy && f.Class == o.Class.Name:
 			o.Work = time.Duration(f.Factor * float64(mean))
-		case f.What == scenario.WhatSlow:
+		case f.Kind == scenario.FaultSlowReader:
 			o.Slow = true
 		}
 	}
@@ -147,7 +147,7 @@
 // Patience is how long a client waits for a try that it sends now: a share of
 // the deadline, and no longer than what is left of that.
 func Patience(s *scenario.Scenario, o *Order, now time.Duration) time.Duration {
-	try := time.Duration(s.Client.TryShare * float64(o.Class.Deadline))
+	try := time.Duration(s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
 	return min(try, o.At+o.Class.Deadline-now)
 }
 
--- a/internal/lab/memory/audit_test.go
+++ b/internal/lab/memory/audit_test.go
@@ -25,7 +25,7 @@
 	span := func(d time.Duration) scenario.Span { return scenario.Span{Duration: d.Round(time.Millisecond)} }
 	s := &scenario.Scenario{Name: "cut", Seed: seed, Fleet: true, Length: span(11 * time.Second), Load: scenario.Load{Rate: 60 + 100*rng.Float64()}}
 	for _, zone := range []string{"hall-nord", "hall-syd", "hall-vest"} {
-		s.Halls = append(s.Halls, scenario.Hall{Name: zone, Nodes: 3, Servers: map[string]int{"fast-6": 2, "std-6": 2}})
+		s.Zones = append(s.Zones, scenario.Zone{Name: zone, Nodes: 3, Servers: map[string]int{"fast-6": 2, "std-6": 2}})
 	}
 	add := func(f scenario.Fault) {
 		if s.Faults = append(s.Faults, f); scenario.Check(s) != nil {
@@ -36,15 +36,15 @@
 		return span(from + time.Duration(rng.Int64N(int64(more))))
 	}
 	cutOff := []string{fmt.Sprintf("n%d", rng.IntN(3)), fmt.Sprintf("n%d", 3+rng.IntN(3)), fmt.Sprintf("n%d", 6+rng.IntN(3))}[:1+rng.IntN(3)]
-	add(scenario.Fault{What: scenario.WhatCut, At: at(1500*time.Millisecond, 3*time.Second), For: at(2*time.Second, 14*time.Second), Who: cutOff})
-	add(scenario.Fault{What: scenario.WhatPeers, At: span(0), For: span(11 * time.Second), Who: []string{"hall-nord", "hall-syd", "hall-vest"}, Loss: 0.5 * rng.Float64(), Double: 0.1})
+	add(scenario.Fault{Kind: scenario.FaultDiscoveryCut, At: at(1500*time.Millisecond, 3*time.Second), For: at(2*time.Second, 14*time.Second), Targets: cutOff})
+	add(scenario.Fault{Kind: scenario.FaultPeerLinks, At: span(0), For: span(11 * time.Second), Targets: []string{"hall-nord", "hall-syd", "hall-vest"}, Loss: 0.5 * rng.Float64(), DuplicateFraction: 0.1})
 	for i := range 1 + rng.IntN(4) {
 		server := []string{fmt.Sprintf("hall-%s.%d", []string{"nord", "syd", "vest"}[rng.IntN(3)], 1+i)}
 		switch rng.IntN(3) {
 		case 0:
-			add(scenario.Fault{What: scenario.WhatKill, At: at(2*time.Second, 4*time.Second), For: at(time.Second, 3*time.Second), Who: server})
+			add(scenario.Fault{Kind: scenario.FaultKill, At: at(2*time.Second, 4*time.Second), For: at(time.Second, 3*time.Second), Targets: server})
 		default:
-			add(scenario.Fault{What: scenario.WhatDrain, At: at(2*time.Second, 4*time.Second), For: at(2*time.Second, 6*time.Second), Who: server})
+			add(scenario.Fault{Kind: scenario.FaultDrain, At: at(2*time.Second, 4*time.Second), For: at(2*time.Second, 6*time.Second), Targets: server})
 		}
 	}
 	if err := scenario.Check(s); err != nil {
@@ -132,8 +132,8 @@
 		allowed := lateSends(h, 500*time.Millisecond, h.Setup.Length)
 		killed := map[string]bool{} // sends to a dead process are not in the history
 		for _, f := range s.Faults {
-			if f.What == scenario.WhatKill {
-				killed[f.Who[0]] = true
+			if f.Kind == scenario.FaultKill {
+				killed[f.Targets[0]] = true
 			}
 		}
 		for x := range reported {
--- a/internal/lab/memory/client.go
+++ b/internal/lab/memory/client.go
@@ -90,7 +90,7 @@
 	if !known {
 		for _, n := range w.nodes {
 			if i := 0; n.inRotation {
-				if n.Hall != zone {
+				if n.Zone != zone {
 					i = 1
 				}
 				groups[i] = append(groups[i], n)
@@ -124,7 +124,7 @@
 	c.nodeIncarnation, c.deadline = c.node.incarnation, w.now+timeout
 	w.record(history.Event{Kind: history.Try, Order: order.ID, Try: c.id, Number: number, Class: order.Class.Name, Node: c.node.Name, Deadline: c.deadline, Key: order.Key})
 	w.trackOpen(c.node, c)
-	w.schedule(w.now+w.jitter(w.scenario.Net.Client.Duration), c, requestArrival, 0)
+	w.schedule(w.now+w.jitter(w.scenario.Net.ClientDelay.Duration), c, requestArrival, 0)
 	w.schedule(c.deadline+w.setup.Limits.Slack, c, clientTimeout, 0)
 }
 
--- a/internal/lab/memory/faults.go
+++ b/internal/lab/memory/faults.go
@@ -44,7 +44,7 @@
 
 // scheduleFault schedules the begin and the end of a fault.
 func (w *world) scheduleFault(fault *scenario.Fault) {
-	servers, nodes := w.scenario.Pick(fault.Who)
+	servers, nodes := w.scenario.Select(fault.Targets)
 	machines := func() []*machine {
 		var out []*machine
 		for _, x := range servers {
@@ -60,8 +60,8 @@
 		}
 	}
 	var begin, end func()
-	switch fault.What {
-	case scenario.WhatSilent, scenario.WhatLost, scenario.WhatLostNodes:
+	switch fault.Kind {
+	case scenario.FaultSilent, scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost:
 		begin = func() {
 			each(func(c *machine) {
 				c.unreachable = true
@@ -75,12 +75,12 @@
 					})
 				}
 			})()
-			if fault.What == scenario.WhatLostNodes {
+			if fault.Kind == scenario.FaultZoneAndNodesLost {
 				w.killNodes(nodes, fault.For.Duration)
 			}
 		}
 		end = each((*machine).restart)
-	case scenario.WhatHang:
+	case scenario.FaultHang:
 		begin = each(func(c *machine) { c.completeJobs(); c.model.SetState(w.now, clip.Hung) })
 		end = each(func(c *machine) {
 			if c.model.State() == clip.Hung {
@@ -88,49 +88,49 @@
 				c.completeJobs()
 			}
 		})
-	case scenario.WhatKill:
+	case scenario.FaultKill:
 		begin = func() {
 			each(func(c *machine) { c.crash(); w.publish(c, hosts.Removed, w.discoveryLag) })()
 			w.killNodes(nodes, fault.For.Duration)
 		}
 		end = each((*machine).restart)
-	case scenario.WhatTerm:
+	case scenario.FaultRestart:
 		begin = func() {
 			for _, x := range nodes {
 				w.nodes[x.Number].terminate(fault.For.Duration, true)
 			}
 		}
-	case scenario.WhatLeave:
+	case scenario.FaultLeave:
 		begin = func() {
 			for _, x := range nodes {
 				w.nodes[x.Number].terminate(3*time.Second, false)
 			}
 		}
-	case scenario.WhatJoin:
+	case scenario.FaultJoin:
 		begin = func() {
 			for _, x := range nodes {
 				w.nodes[x.Number].start()
 			}
 		}
-	case scenario.WhatDrain:
+	case scenario.FaultDrain:
 		begin = each(func(c *machine) { w.publish(c, hosts.Draining, w.discoveryLag) })
 		end = each(func(c *machine) { w.publish(c, hosts.Up, w.discoveryLag) })
-	case scenario.WhatFlap:
-		begin = each(func(c *machine) { w.flap(c, fault.Every.Duration, w.now+fault.For.Duration, false) })
+	case scenario.FaultFlap:
+		begin = each(func(c *machine) { w.flap(c, fault.Interval.Duration, w.now+fault.For.Duration, false) })
 		end = each(func(c *machine) { w.publish(c, hosts.Up, w.discoveryLag) })
-	case scenario.WhatReplace:
+	case scenario.FaultReplace:
 		begin = each(func(c *machine) { w.replace(c, fault.For.Duration) })
-	case scenario.WhatLink:
+	case scenario.FaultLink:
 		begin = func() { w.setLinks(machines(), nodes, link{fault.Delay.Duration, fault.Loss, fault.State}) }
 		end = func() { w.setLinks(machines(), nodes, link{}) }
-	case scenario.WhatSpoil:
-		begin = each(func(c *machine) { c.errorProbability = fault.Part })
+	case scenario.FaultCorrupt:
+		begin = each(func(c *machine) { c.errorProbability = fault.Fraction })
 		end = each(func(c *machine) { c.errorProbability = 0 })
-	case scenario.WhatOutage:
+	case scenario.FaultDiscoveryOutage:
 		begin, end = func() { w.setOutage(true) }, func() { w.setOutage(false) }
-	case scenario.WhatLag:
+	case scenario.FaultDiscoveryDelay:
 		begin, end = func() { w.discoveryLag += fault.Delay.Duration }, func() { w.discoveryLag -= fault.Delay.Duration }
-	case scenario.WhatStop:
+	case scenario.FaultPause:
 		begin = func() {
 			for _, x := range nodes {
 				w.record(history.Event{Kind: history.NodeStop, Node: x.Name})
@@ -142,7 +142,7 @@
 				w.record(history.Event{Kind: history.NodeCont, Node: x.Name})
 			}
 		}
-	case scenario.WhatCut:
+	case scenario.FaultDiscoveryCut:
 		set := func(cut bool) func() {
 			return func() {
 				for _, x := range nodes {
@@ -151,21 +151,21 @@
 			}
 		}
 		begin, end = set(true), set(false)
-	case scenario.WhatPeers, scenario.WhatSplit:
+	case scenario.FaultPeerLinks, scenario.FaultPartition:
 		begin = func() {
-			for _, x := range w.scenario.Ways(fault) {
-				w.impairments[x] = impairment{loss: fault.Loss, delay: fault.Delay.Duration, jitter: fault.Jitter.Duration, duplicate: fault.Double}
-				if fault.State != "" || fault.What == scenario.WhatSplit {
+			for _, x := range w.scenario.PeerPaths(fault) {
+				w.impairments[x] = impairment{loss: fault.Loss, delay: fault.Delay.Duration, jitter: fault.Jitter.Duration, duplicate: fault.DuplicateFraction}
+				if fault.State != "" || fault.Kind == scenario.FaultPartition {
 					w.impairments[x] = impairment{loss: 1}
 				}
 			}
 		}
 		end = func() {
-			for _, x := range w.scenario.Ways(fault) {
+			for _, x := range w.scenario.PeerPaths(fault) {
 				delete(w.impairments, x)
 			}
 		}
-	case scenario.WhatForget:
+	case scenario.FaultDiscoveryRestart:
 		begin = func() {
 			w.setOutage(true)
 			w.registry.Restart(1)
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -196,7 +196,7 @@
 		return true
 	}
 	f.agent.Recorder().CountStaleRefusal()
-	client.scheduleAnswer(n.world.jitter(n.world.scenario.Net.Client.Duration), history.Refused, "", time.Second)
+	client.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), history.Refused, "", time.Second)
 	return false
 }
 
--- a/internal/lab/memory/hour_test.go
+++ b/internal/lab/memory/hour_test.go
@@ -14,7 +14,7 @@
 // consecutive faults is close to that after ten minutes, and no rule is broken.
 func TestHeapStaysBoundedOverAnHourOfFaults(t *testing.T) {
 	s := &scenario.Scenario{Name: "hour", Seed: 3, Length: scenario.Span{Duration: time.Minute}, Load: scenario.Load{Rate: 12},
-		Client: scenario.Client{Retries: 2, Honour: 0.8}, Halls: []scenario.Hall{
+		Client: scenario.Client{Retries: 2, RetryAfterFraction: 0.8}, Zones: []scenario.Zone{
 			{Name: "hall-nord", Nodes: 1, Servers: map[string]int{"fast-6": 2, "std-6": 2}}, {Name: "hall-syd", Nodes: 1, Servers: map[string]int{"std-6": 3}}}}
 	if err := scenario.Check(s); err != nil {
 		t.Fatal(err)
@@ -22,24 +22,24 @@
 	s.Length.Duration = time.Hour // scenario.Check allows at most ten minutes
 	span := func(d time.Duration) scenario.Span { return scenario.Span{Duration: d} }
 	for i, at := 0, 10*time.Second; at < time.Hour-time.Minute; i, at = i+1, at+12*time.Second {
-		f := scenario.Fault{At: span(at), For: span(6 * time.Second), Who: []string{s.Servers()[i%7].Name}}
+		f := scenario.Fault{At: span(at), For: span(6 * time.Second), Targets: []string{s.Servers()[i%7].Name}}
 		switch i % 8 {
 		case 0:
-			f.What = scenario.WhatDrain
+			f.Kind = scenario.FaultDrain
 		case 1:
-			f.What = scenario.WhatKill
+			f.Kind = scenario.FaultKill
 		case 2:
-			f.What = scenario.WhatSilent
+			f.Kind = scenario.FaultSilent
 		case 3:
-			f.What, f.Every = scenario.WhatFlap, span(500*time.Millisecond)
+			f.Kind, f.Interval = scenario.FaultFlap, span(500*time.Millisecond)
 		case 4:
-			f.What = scenario.WhatHang
+			f.Kind = scenario.FaultHang
 		case 5:
-			f.What, f.State = scenario.WhatLink, "reset"
+			f.Kind, f.State = scenario.FaultLink, "reset"
 		case 6:
-			f.What, f.Part = scenario.WhatSpoil, 0.3
+			f.Kind, f.Fraction = scenario.FaultCorrupt, 0.3
 		case 7:
-			f.What, f.Who = scenario.WhatOutage, nil
+			f.Kind, f.Targets = scenario.FaultDiscoveryOutage, nil
 		}
 		s.Faults = append(s.Faults, f)
 	}
--- a/internal/lab/memory/list.go
+++ b/internal/lab/memory/list.go
@@ -60,7 +60,7 @@
 			n.applyUpdate(kind, list)
 		}
 	}
-	w.after(w.jitter(w.scenario.Net.SameHall.Duration), arrive)
+	w.after(w.jitter(w.scenario.Net.SameZone.Duration), arrive)
 }
 
 // watchFailed reports a failed watch to the module.
@@ -83,7 +83,7 @@
 	}
 	incarnation, watchID := n.incarnation, n.watchID
 	current := func() bool { return n.incarnation == incarnation && n.watchID == watchID }
-	w.after(w.jitter(w.scenario.Net.SameHall.Duration), func() {
+	w.after(w.jitter(w.scenario.Net.SameZone.Duration), func() {
 		switch {
 		case !current():
 		case w.outage || n.discoveryCut:
--- a/internal/lab/memory/machine.go
+++ b/internal/lab/memory/machine.go
@@ -61,13 +61,13 @@
 	}
 	w.machines = append(w.machines, c)
 	w.byName[server.Name] = c
-	w.setup.Servers = append(w.setup.Servers, history.Server{Name: server.Name, Hall: server.Hall, Kind: server.Kind, Pod: server.Pod})
+	w.setup.Servers = append(w.setup.Servers, history.Server{Name: server.Name, Hall: server.Zone, Kind: server.Kind, Pod: server.Pod})
 	return c
 }
 
 // listEntry returns the entry of the machine in the discovery list.
 func (c *machine) listEntry(lifecycle string) hosts.Entry {
-	entry := hosts.Entry{InstanceID: c.Name, HostPort: c.Name + ":80", Zone: c.Hall, MachineType: c.Kind, Cell: c.Pod,
+	entry := hosts.Entry{InstanceID: c.Name, HostPort: c.Name + ":80", Zone: c.Zone, MachineType: c.Kind, Cell: c.Pod,
 		Lifecycle: lifecycle, Weight: c.model.Machine.Capacity()}
 	if c.startedAt > 0 {
 		entry.StartedAtMs = (Epoch + c.startedAt).Milliseconds()
--- a/internal/lab/memory/members_test.go
+++ b/internal/lab/memory/members_test.go
@@ -103,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Oper = "members = true\nquotas = true\nstrangers = [\"127.0.0.0/8\"]"
+		s.OperatorConfig = "members = true\nquotas = true\nstrangers = [\"127.0.0.0/8\"]"
 		at := 16 * time.Second
 		Run(s, Options{Seed: 1, ObserveRecords: func(now time.Duration, all []version.Record) {
 			if fraction := heldFractions(all)["quota club"]; now/time.Second == at/time.Second && (fraction < want-0.05 || fraction > want+0.05) {
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -144,7 +144,7 @@
 	n.world.record(history.Event{Kind: history.NodeKilled, Node: n.Name})
 	n.stop()
 	for _, c := range n.waitingClients() {
-		c.scheduleAnswer(n.world.jitter(n.world.scenario.Net.Client.Duration), history.Broken, "", 0)
+		c.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), history.Broken, "", 0)
 	}
 	n.requests = nil
 	n.world.after(frontNoticeDelay, func() {
@@ -303,7 +303,7 @@
 		return
 	}
 	r.done = true
-	r.clientTry.scheduleAnswer(n.world.jitter(n.world.scenario.Net.Client.Duration), status, server, retryAfter)
+	r.clientTry.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), status, server, retryAfter)
 	n.release(r)
 }
 
@@ -361,7 +361,7 @@
 	a.id = w.lastAttemptID
 	a.target = a.server.current()
 	a.targetIncarnation = a.target.incarnation
-	delay := w.networkDelay(n.Hall, a.target.Hall) + a.target.linkDelay(a)
+	delay := w.networkDelay(n.Zone, a.target.Zone) + a.target.linkDelay(a)
 	if p := n.pool(a.target); p.incarnation == a.target.incarnation && p.idle > 0 {
 		p.idle--
 		a.hasConn = true
@@ -465,7 +465,7 @@
 	if a.target.unreachable || a.node.link(a.target).state == "black-hole" {
 		return
 	}
-	delay := w.networkDelay(a.node.Hall, a.target.Hall) + a.target.linkDelay(a)
+	delay := w.networkDelay(a.node.Zone, a.target.Zone) + a.target.linkDelay(a)
 	w.schedule(w.now+delay, a, attemptEnd, uint64(code))
 }
 
@@ -514,7 +514,7 @@
 	}
 	if code == balance.OK && !r.done {
 		r.done = true
-		r.clientTry.scheduleAnswer(n.world.jitter(n.world.scenario.Net.Client.Duration), history.Served, a.target.Name, 0)
+		r.clientTry.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), history.Served, a.target.Name, 0)
 	}
 	ended := balance.AttemptEnded{ID: balance.RequestID(r.id), Attempt: a.number, Server: a.server.id, RequestDone: r.done,
 		Elapsed: took, Code: code, Report: a.report}
@@ -584,11 +584,11 @@
 		n.world.record(history.Event{Kind: history.Hindered, Node: n.Name})
 	}
 	for range 1 + bernoulli(n.world, effect.duplicate) {
-		if n.world.rng.Float64() < max(effect.loss, n.world.scenario.Net.Lost) {
+		if n.world.rng.Float64() < max(effect.loss, n.world.scenario.Net.PeerLoss) {
 			continue
 		}
 		incarnation := peer.incarnation
-		n.world.after(n.world.jitter(n.world.scenario.Net.Messages.Duration)+effect.extraDelay(n.world), func() {
+		n.world.after(n.world.jitter(n.world.scenario.Net.PeerDelay.Duration)+effect.extraDelay(n.world), func() {
 			peer.receiveDatagram(incarnation, n.Number, data)
 		})
 	}
--- a/internal/lab/memory/world.go
+++ b/internal/lab/memory/world.go
@@ -105,9 +105,9 @@
 		options.Seed = s.Seed
 	}
 	w := &world{scenario: s, rng: rand.New(rand.NewPCG(uint64(options.Seed), 0x6d656d)), byName: map[string]*machine{},
-		pods: map[int]*clip.Pod{}, registry: hosts.NewRegistry(40), roundRobin: map[string]int{}, openTries: map[*node][]*clientTry{}, links: map[pair]link{}, impairments: map[[2]int]impairment{}, memberConfig: options.Fleet, onRecord: options.OnRecord, mutant: options.Mutant, skipDrainCheck: options.SkipDrainCheck, loadReports: options.LoadReports, newDecider: options.Decider, discoveryLag: s.Hosts.Lag.Duration}
+		pods: map[int]*clip.Pod{}, registry: hosts.NewRegistry(40), roundRobin: map[string]int{}, openTries: map[*node][]*clientTry{}, links: map[pair]link{}, impairments: map[[2]int]impairment{}, memberConfig: options.Fleet, onRecord: options.OnRecord, mutant: options.Mutant, skipDrainCheck: options.SkipDrainCheck, loadReports: options.LoadReports, newDecider: options.Decider, discoveryLag: s.Discovery.NotificationDelay.Duration}
 	if s.Fleet && w.memberConfig == nil {
-		f, err := operator.Parse(s.Name, []byte("[fleet]\n"+s.Oper+"\n"))
+		f, err := operator.Parse(s.Name, []byte("[fleet]\n"+s.OperatorConfig+"\n"))
 		if err != nil {
 			panic(err) // scenario.Check has parsed it
 		}
@@ -119,7 +119,7 @@
 	}
 	w.setup = history.Setup{Scenario: s.Name, Seed: options.Seed, Length: s.Length.Duration, Classes: w.deployment.Classes, Limits: w.deployment.Limits}
 	for _, x := range s.Nodes() {
-		w.setup.Nodes = append(w.setup.Nodes, history.Node{Name: x.Name, Hall: x.Hall})
+		w.setup.Nodes = append(w.setup.Nodes, history.Node{Name: x.Name, Hall: x.Zone})
 	}
 	if options.ObserveEvents != nil {
 		w.observe = options.ObserveEvents(&w.setup)
@@ -130,7 +130,7 @@
 	w.registry.Advance(0)
 	for _, x := range s.Nodes() {
 		n := &node{Node: x, world: w}
-		if w.nodes = append(w.nodes, n); x.Number < s.AtFirst() {
+		if w.nodes = append(w.nodes, n); x.Number < s.InitialNodes() {
 			n.start()
 		}
 	}
@@ -214,7 +214,7 @@
 // networkDelay returns the one-way delay between two zones.
 func (w *world) networkDelay(a, b string) time.Duration {
 	if a == b {
-		return w.jitter(w.scenario.Net.SameHall.Duration)
+		return w.jitter(w.scenario.Net.SameZone.Duration)
 	}
-	return w.jitter(w.scenario.Net.CrossHall.Duration)
+	return w.jitter(w.scenario.Net.CrossZone.Duration)
 }
--- a/internal/lab/nodeconf/nodeconf.go
+++ b/internal/lab/nodeconf/nodeconf.go
@@ -59,22 +59,22 @@
 		classes = append(classes, o)
 	}
 	var zones []string
-	for _, z := range s.Halls {
+	for _, z := range s.Zones {
 		zones = append(zones, z.Name)
 	}
 	machine, _ := clip.Of("std-6")
 	nodes := s.Nodes()
 	balancers := len(nodes)
-	if number < s.AtFirst() { // its settings predate the nodes that join later
-		balancers = s.AtFirst()
+	if number < s.InitialNodes() { // its settings predate the nodes that join later
+		balancers = s.InitialNodes()
 	}
 	accounts := []object{}
-	if s.Quota > 0 {
-		accounts = append(accounts, object{"name": load.Tenant, "quota_per_s": s.Quota})
+	if s.TenantQuota > 0 {
+		accounts = append(accounts, object{"name": load.Tenant, "quota_per_s": s.TenantQuota})
 	}
 	all := object{
 		"accounts":  accounts,
-		"balancers": balancers, "slot_no": number, "zone": nodes[number].Hall, "failure_domains": zones,
+		"balancers": balancers, "slot_no": number, "zone": nodes[number].Zone, "failure_domains": zones,
 		"kinds": []string{"fast-6", "std-6", "slow-6"}, "family": "proxy", "tier": 0, "tiers": []string{"clip-web"},
 		"caps": object{"cancel": true, "conn_idle_ns": 60e9, "connect_timeout_ns": 250e6, "cpu_us_per_s": 15000,
 			"max_attempts": 4, "max_retry_after_ns": load.MaxRetryAfter, "may_duplicate": true, "most_held": 20000,
--- a/internal/lab/perf/scale_test.go
+++ b/internal/lab/perf/scale_test.go
@@ -136,7 +136,7 @@
 
 // config is that of the first node.
 func (d day) config(discovery string, known hosts.List) nodeconf.Config {
-	s := &scenario.Scenario{Halls: []scenario.Hall{{Name: "hall", Nodes: d.nodes, Servers: map[string]int{"fast-6": d.servers}}}}
+	s := &scenario.Scenario{Zones: []scenario.Zone{{Name: "hall", Nodes: d.nodes, Servers: map[string]int{"fast-6": d.servers}}}}
 	c := nodeconf.Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: "1", PeerListen: "127.0.0.1:0",
 		Limits: nodeconf.Limits{Cores: 1, MemoryMB: 64, Sockets: 512}, InitialList: known, Settings: nodeconf.Settings(s, 0)}
 	for i := range d.nodes { // nobody is there
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -16,67 +16,69 @@
 	"ivylock/steer"
 )
 
-// Way is how a server is chosen.
-type Way string
+// Name is how a server is chosen.
+type Name string
 
 // The ways.
 const (
-	Nodes    Way = "nodes"    // our nodes, with the decision module
-	Steer    Way = "xds"      // proxies steered by the control service
-	Least    Way = "least"    // the one with fewer requests of this proxy, of two by chance (Mitzenmacher)
-	Fewest   Way = "fewest"   // the one with the fewest requests of this proxy, of all
-	Chance   Way = "chance"   // any
-	Turn     Way = "turn"     // one after another
-	EWMA     Way = "ewma"     // of two, by peak-sensitive latency times requests (Finagle, Linkerd)
-	Weighted Way = "weighted" // by answers a second over utilisation, as servers report them (gRPC A58)
-	Prequal  Way = "prequal"  // by a pool of probes, hot or cold, then latency (Wydrowski and others, NSDI 2024)
-	Aperture Way = "aperture" // of two within a part of the servers, the same for its life (Finagle)
+	Nodes          Name = "nodes"    // our nodes, with the decision module
+	XDS            Name = "xds"      // proxies steered by the control service
+	TwoChoices     Name = "least"    // the one with fewer requests of this proxy, of two by chance (Mitzenmacher)
+	LeastRequests  Name = "fewest"   // the one with the fewest requests of this proxy, of all
+	Random         Name = "chance"   // any
+	RoundRobin     Name = "turn"     // one after another
+	PeakEWMA       Name = "ewma"     // of two, by peak-sensitive latency times requests (Finagle, Linkerd)
+	WeightedRandom Name = "weighted" // by answers a second over utilisation, as servers report them (gRPC A58)
+	Prequal        Name = "prequal"  // by a pool of probes, hot or cold, then latency (Wydrowski and others, NSDI 2024)
+	Aperture       Name = "aperture" // of two within a part of the servers, the same for its life (Finagle)
 )
 
 // Herd is none to compare with: in each second all go for the same server. It is
 // what a measure of herding must see.
-const Herd Way = "herd"
+const Herd Name = "herd"
 
-// Ways lists them all; the first four are those of old.
-var Ways = []Way{Nodes, Steer, Least, Chance, Fewest, Turn, EWMA, Weighted, Prequal, Aperture}
+// All lists them all; the first four are those of old.
+var All = []Name{Nodes, XDS, TwoChoices, Random, LeastRequests, RoundRobin, PeakEWMA, WeightedRandom, Prequal, Aperture}
 
 // Options gives the run's options for a way. They serve one run.
-func Options(way Way, seed int64) memory.Options { return OptionsWith(way, seed, Controls{}) }
+func Options(way Name, seed int64) memory.Options {
+	return OptionsWithControls(way, seed, ControlPlane{})
+}
 
-// OptionsWith is Options with several control services, for steered proxies.
-func OptionsWith(way Way, seed int64, c Controls) memory.Options {
-	return memory.Options{Seed: seed, Decider: deciders(way, c), LoadReports: way == Weighted}
+// OptionsWithControls is Options with several control services, for steered proxies.
+func OptionsWithControls(way Name, seed int64, c ControlPlane) memory.Options {
+	return memory.Options{Seed: seed, Decider: deciders(way, c), LoadReports: way == WeightedRandom}
 }
 
 // deciders gives what Options.Decider wants, for one run. For Nodes it is nil.
-func deciders(way Way, with Controls) func(scenario.Node, balance.Settings, int64) memory.Decider {
+func deciders(way Name, with ControlPlane) func(scenario.Node, balance.Settings, int64) memory.Decider {
 	if way == Nodes {
 		return nil
 	}
 	services := newServices(with)
 	return func(n scenario.Node, s balance.Settings, seed int64) memory.Decider {
-		p := &proxy{id: steer.ProxyID(n.Name), hall: n.Hall, set: s, rnd: rand.New(rand.NewPCG(uint64(seed), 11)),
+		p := &proxy{id: steer.ProxyID(n.Name), hall: n.Zone, set: s, rnd: rand.New(rand.NewPCG(uint64(seed), 11)),
 			open: map[balance.RequestID]*request{}, classes: map[string]balance.Class{}}
 		for _, x := range s.Classes {
 			p.classes[x.Name] = x
 		}
 		switch way {
-		case Steer:
+		case XDS:
 			for _, c := range services.all {
 				c.begin(s, with)
 			}
 			p.services, p.home = services, n.Number
 			p.turn(0)
 			p.chooser = &steered{proxy: p}
-		case Least:
+		case TwoChoices:
 			p.chooser = &leastOfTwo{rnd: p.rnd}
-		case Fewest:
+		case LeastRequests:
 			p.chooser = &fewest{rnd: p.rnd}
-		case Turn:
+		case RoundRobin:
 			p.chooser = &turn{at: p.rnd.IntN(1 << 20)}
-		case EWMA:
+		case PeakEWMA:
 			p.chooser = &ewma{rnd: p.rnd}
-		case Weighted:
+		case WeightedRandom:
 			p.chooser = &weighted{rnd: p.rnd}
 		case Prequal:
 			p.chooser = &prequal{proxy: p}
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -11,7 +11,7 @@
 	"ivylock/scenarios"
 )
 
-func play(t *testing.T, name string, way Way) judge.Verdict {
+func play(t *testing.T, name string, way Name) judge.Verdict {
 	t.Helper()
 	s, err := scenario.LoadFile(scenarios.Files, name+".toml")
 	if err != nil {
@@ -25,7 +25,7 @@
 // server, and serve more than a choice by chance all the same.
 func TestSteeredProxiesKeepTheRulesAndServeMoreThanChance(t *testing.T) {
 	for _, name := range []string{"quiet", "drain", "silent", "replace"} {
-		v, chance := play(t, name, Steer), play(t, name, Chance)
+		v, chance := play(t, name, XDS), play(t, name, Random)
 		if !v.Passed() {
 			t.Errorf("%s: %v", name, v.Breaches[:min(3, len(v.Breaches))])
 		}
@@ -36,7 +36,7 @@
 }
 
 func TestEachWayIsTheSameEachTime(t *testing.T) {
-	for _, way := range Ways {
+	for _, way := range All {
 		a, b := play(t, "drain", way), play(t, "drain", way)
 		if fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("%s: %+v and %+v", way, a.Service, b.Service)
@@ -48,7 +48,7 @@
 // comparison sees something.
 func TestChanceIsWorse(t *testing.T) {
 	began := time.Now()
-	nodes, chance := play(t, "silent", Nodes), play(t, "silent", Chance)
+	nodes, chance := play(t, "silent", Nodes), play(t, "silent", Random)
 	if chance.Service.Measure >= nodes.Service.Measure {
 		t.Errorf("by chance %.3f, nodes %.3f", chance.Service.Measure, nodes.Service.Measure)
 	}
--- a/internal/lab/policy/steered.go
+++ b/internal/lab/policy/steered.go
@@ -16,35 +16,35 @@
 	reportEvery = 500 * time.Millisecond
 )
 
-// Controls says how many control services there are and what happens to them.
+// ControlPlane says how many control services there are and what happens to them.
 // Proxies are divided among them and each knows only what its own report. One
 // that is lost is missed by its proxies after a second; they go on with what it
 // told last until then, and go back when it has returned.
-type Controls struct {
-	Services  int           // 0: one
-	LostFrom  time.Duration // the first one; 0: never
-	LostUntil time.Duration
-	Subset    int // steer.Settings.SubsetSize
+type ControlPlane struct {
+	Services    int           // 0: one
+	OutageStart time.Duration // the first one; 0: never
+	OutageEnd   time.Duration
+	SubsetSize  int // steer.Settings.SubsetSize
 
-	// Late is how long load reports take, each from nothing to twice as long: so
+	// ReportDelay is how long load reports take, each from nothing to twice as long: so
 	// they come out of order. Frozen is the part of the proxies that from
-	// FrozenFrom on neither report nor take news, and go on sending by what they
+	// FrozenStart on neither report nor take news, and go on sending by what they
 	// were told last.
-	Late       time.Duration
-	Frozen     float64
-	FrozenFrom time.Duration
+	ReportDelay    time.Duration
+	FrozenFraction float64
+	FrozenStart    time.Duration
 }
 
 const missAfter = time.Second
 
 // services are the control services of a run.
 type services struct {
-	Controls
+	ControlPlane
 	all []*control
 }
 
-func newServices(with Controls) *services {
-	s := &services{Controls: with}
+func newServices(with ControlPlane) *services {
+	s := &services{ControlPlane: with}
 	for range max(1, with.Services) {
 		s.all = append(s.all, &control{})
 	}
@@ -54,7 +54,7 @@
 // lost tells whether a service is lost at a time of the module's clock.
 func (s *services) lost(c *control, now balance.Time) bool {
 	at := now - memory.Epoch
-	return c == s.all[0] && s.LostFrom > 0 && at >= s.LostFrom && at < s.LostUntil
+	return c == s.all[0] && s.OutageStart > 0 && at >= s.OutageStart && at < s.OutageEnd
 }
 
 func (s *services) listed(now balance.Time, cached bool, servers []*server) {
@@ -67,8 +67,8 @@
 
 // freeze has a proxy keep what it was told last, if it is one of those.
 func (p *proxy) freeze(now balance.Time) {
-	if with := p.services.Controls; p.frozen == nil && with.Frozen > 0 && now-memory.Epoch >= with.FrozenFrom &&
-		float64(p.home%10) < 10*with.Frozen {
+	if with := p.services.ControlPlane; p.frozen == nil && with.FrozenFraction > 0 && now-memory.Epoch >= with.FrozenStart &&
+		float64(p.home%10) < 10*with.FrozenFraction {
 		p.frozen = p.control.state(now)
 	}
 }
@@ -126,11 +126,11 @@
 	state *steer.State
 }
 
-func (c *control) begin(s balance.Settings, with Controls) {
+func (c *control) begin(s balance.Settings, with ControlPlane) {
 	if c.module != nil {
 		return
 	}
-	m, err := steer.New(steer.Settings{Classes: s.Classes, WarmupStartFraction: s.WarmupStartFraction, WarmupTime: s.WarmupTime, OverloadFactor: s.OverloadFactor, MaxServers: 1 << 16, SubsetSize: with.Subset})
+	m, err := steer.New(steer.Settings{Classes: s.Classes, WarmupStartFraction: s.WarmupStartFraction, WarmupTime: s.WarmupTime, OverloadFactor: s.OverloadFactor, MaxServers: 1 << 16, SubsetSize: with.SubsetSize})
 	if err != nil {
 		panic(err) // the lab's settings are its own
 	}
@@ -205,7 +205,7 @@
 			s.load = steer.Load{}
 		}
 		p.reported, p.in1, p.in2 = now, 0, 0
-		if late := p.services.Late; late > 0 {
+		if late := p.services.ReportDelay; late > 0 {
 			c.coming = append(c.coming, report{now + time.Duration(p.rnd.Int64N(int64(2*late))), l})
 		} else {
 			c.feed(now, l)
--- a/internal/lab/real/calls.go
+++ b/internal/lab/real/calls.go
@@ -56,12 +56,12 @@
 // faultyCalls returns the kinds of system calls that fail at a node at some time of the timeline.
 func (b *Testbed) faultyCalls(n scenario.Node) (calls []sysfault.Call) {
 	for _, f := range b.scenario.Faults {
-		if f.What != scenario.WhatCalls {
+		if f.Kind != scenario.FaultSystemCalls {
 			continue
 		}
-		_, nodes := b.scenario.Pick(f.Who)
+		_, nodes := b.scenario.Select(f.Targets)
 		if slices.ContainsFunc(nodes, func(x scenario.Node) bool { return x.Number == n.Number }) {
-			calls = append(calls, sysfault.Call(f.Call))
+			calls = append(calls, sysfault.Call(f.SystemCall))
 		}
 	}
 	slices.Sort(calls)
@@ -70,7 +70,7 @@
 
 // failCalls returns the action that makes system calls of nodes' processes fail.
 func (b *Testbed) failCalls(f *scenario.Fault, nodes []scenario.Node) action {
-	rule, err := sysfault.ParseRule(f.Call, f.Error, f.Part)
+	rule, err := sysfault.ParseRule(f.SystemCall, f.Errno, f.Fraction)
 	if err != nil {
 		b.setError(err) // not reached: the scenario was validated
 		return action{}
@@ -82,7 +82,7 @@
 	}, func() {
 		for _, x := range nodes {
 			if failed := b.nodes[x.Number].callFaults.remove(rule); failed > 0 {
-				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.CallsFail, Node: x.Name, Note: fmt.Sprintf("%s: %d", f.Call, failed)})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.CallsFail, Node: x.Name, Note: fmt.Sprintf("%s: %d", f.SystemCall, failed)})
 			}
 		}
 	}}
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -12,10 +12,10 @@
 func (b *Testbed) clockSteps(n scenario.Node) (steps []wallclock.Step) {
 	now := b.Clock()
 	for _, f := range b.scenario.Faults {
-		if f.What != scenario.WhatClock {
+		if f.Kind != scenario.FaultClockStep {
 			continue
 		}
-		_, nodes := b.scenario.Pick(f.Who)
+		_, nodes := b.scenario.Select(f.Targets)
 		if !slices.ContainsFunc(nodes, func(x scenario.Node) bool { return x.Number == n.Number }) {
 			continue
 		}
--- a/internal/lab/real/deploy_test.go
+++ b/internal/lab/real/deploy_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	played := 0
 	for seed := int64(1); played < 6; seed++ {
-		s, d := sweep.DrawDeployment(seed)
+		s, d := sweep.GenerateDeployment(seed)
 		if len(s.Nodes()) > 4 {
 			continue
 		}
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -39,7 +39,7 @@
 
 // forEachSlot returns a function that calls do concurrently for every slot that a fault names, and waits.
 func (b *Testbed) forEachSlot(f *scenario.Fault, do func(*slot)) func() {
-	servers, _ := b.scenario.Pick(f.Who)
+	servers, _ := b.scenario.Select(f.Targets)
 	var selected []*slot
 	for _, t := range b.slots {
 		for _, x := range servers {
@@ -60,57 +60,57 @@
 // newAction returns the action of a fault.
 func (b *Testbed) newAction(ctx context.Context, f *scenario.Fault) action {
 	each := func(do func(*slot)) func() { return b.forEachSlot(f, do) }
-	_, nodes := b.scenario.Pick(f.Who)
-	switch f.What {
-	case scenario.WhatSilent, scenario.WhatLost:
+	_, nodes := b.scenario.Select(f.Targets)
+	switch f.Kind {
+	case scenario.FaultSilent, scenario.FaultZoneLost:
 		return action{each(func(t *slot) { b.silenceServer(ctx, t, f.For.Duration) }), each(b.restartServer)}
-	case scenario.WhatLostNodes:
+	case scenario.FaultZoneAndNodesLost:
 		isolate := each(func(t *slot) { b.silenceServer(ctx, t, f.For.Duration) })
 		return action{func() { b.killNodes(nodes); isolate() }, func() { each(b.restartServer)(); b.restartNodes(nodes) }}
-	case scenario.WhatHang:
+	case scenario.FaultHang:
 		return action{each(func(t *slot) { t.server.Hang(true) }), each(func(t *slot) { t.server.Hang(false) })}
-	case scenario.WhatKill:
+	case scenario.FaultKill:
 		down := each(func(t *slot) {
 			t.server.Kill()
 			b.announce(t, hosts.Removed)
 		})
 		return action{func() { b.killNodes(nodes); down() }, func() { each(b.restartServer)(); b.restartNodes(nodes) }}
-	case scenario.WhatTerm:
+	case scenario.FaultRestart:
 		return action{begin: func() { b.terminateNodes(ctx, nodes) }, end: func() { b.restartNodes(nodes) }}
-	case scenario.WhatDrain:
+	case scenario.FaultDrain:
 		return action{each(func(t *slot) { b.announce(t, hosts.Draining) }), each(func(t *slot) { b.announce(t, hosts.Up) })}
-	case scenario.WhatReplace:
+	case scenario.FaultReplace:
 		return action{each(b.removeServer), each(b.startReplacement)}
-	case scenario.WhatLink:
-		return action{b.setLinks(f.Who, link.Shape{Delay: f.Delay.Duration, Loss: f.Loss, State: link.State(f.State)}),
-			b.setLinks(f.Who, link.Shape{})}
-	case scenario.WhatSpoil:
+	case scenario.FaultLink:
+		return action{b.setLinks(f.Targets, link.Shape{Delay: f.Delay.Duration, Loss: f.Loss, State: link.State(f.State)}),
+			b.setLinks(f.Targets, link.Shape{})}
+	case scenario.FaultCorrupt:
 		return action{each(func(t *slot) {
 			b.mu.Lock()
 			rng := rand.New(rand.NewPCG(b.rng.Uint64(), 1))
 			b.mu.Unlock()
-			t.server.Spoil(func() bool { return rng.Float64() < f.Part })
+			t.server.Spoil(func() bool { return rng.Float64() < f.Fraction })
 		}), each(func(t *slot) { t.server.Spoil(nil) })}
-	case scenario.WhatOutage:
+	case scenario.FaultDiscoveryOutage:
 		return action{func() { b.hosts.SetDown(true) }, func() { b.hosts.SetDown(false) }}
-	case scenario.WhatLag:
-		lag := b.scenario.Hosts.Lag.Duration
+	case scenario.FaultDiscoveryDelay:
+		lag := b.scenario.Discovery.NotificationDelay.Duration
 		return action{func() { b.hosts.SetLag(lag + f.Delay.Duration) }, func() { b.hosts.SetLag(lag) }}
-	case scenario.WhatStop, scenario.WhatHold:
+	case scenario.FaultPause, scenario.FaultBriefPause:
 		return b.pauseProcesses(nodes)
-	case scenario.WhatNoFiles:
+	case scenario.FaultNoDescriptors:
 		return b.exhaustDescriptors(nodes)
-	case scenario.WhatCalls:
+	case scenario.FaultSystemCalls:
 		return b.failCalls(f, nodes)
-	case scenario.WhatReload:
+	case scenario.FaultReload:
 		return action{begin: func() { b.reloadNodes(nodes) }}
-	case scenario.WhatMute:
+	case scenario.FaultWatchSilent:
 		return action{begin: func() { b.hosts.HangWaitingCalls(nodeNames(nodes)) }}
-	case scenario.WhatClock: // startNode passes the steps to each process
+	case scenario.FaultClockStep: // startNode passes the steps to each process
 		return action{}
-	case scenario.WhatIdle:
+	case scenario.FaultIdleClose:
 		return action{begin: each(func(t *slot) { t.server.CloseIdle() })}
-	case scenario.WhatCut:
+	case scenario.FaultDiscoveryCut:
 		set := func(state link.State) func() {
 			return func() {
 				for _, n := range nodes {
@@ -119,15 +119,15 @@
 			}
 		}
 		return action{set(link.BlackHole), set(link.Open)}
-	case scenario.WhatPeers:
+	case scenario.FaultPeerLinks:
 		usual := b.defaultShape()
-		bad := link.Shape{Delay: usual.Delay + f.Delay.Duration, Loss: max(usual.Loss, f.Loss), State: link.State(f.State), Jitter: f.Jitter.Duration, Double: f.Double}
-		return action{func() { b.setImpairments(b.scenario.Ways(f), &bad) }, func() { b.setImpairments(b.scenario.Ways(f), nil) }}
-	case scenario.WhatSplit:
-		return action{func() { b.setImpairments(b.scenario.Ways(f), &blackHole) }, func() { b.setImpairments(b.scenario.Ways(f), nil) }}
-	case scenario.WhatJoin:
+		bad := link.Shape{Delay: usual.Delay + f.Delay.Duration, Loss: max(usual.Loss, f.Loss), State: link.State(f.State), Jitter: f.Jitter.Duration, Double: f.DuplicateFraction}
+		return action{func() { b.setImpairments(b.scenario.PeerPaths(f), &bad) }, func() { b.setImpairments(b.scenario.PeerPaths(f), nil) }}
+	case scenario.FaultPartition:
+		return action{func() { b.setImpairments(b.scenario.PeerPaths(f), &blackHole) }, func() { b.setImpairments(b.scenario.PeerPaths(f), nil) }}
+	case scenario.FaultJoin:
 		return action{begin: func() { b.restartNodes(nodes) }}
-	case scenario.WhatLeave:
+	case scenario.FaultLeave:
 		return action{begin: func() {
 			b.terminateNodes(ctx, nodes)
 			go func() { // they end long before the run does
@@ -136,12 +136,12 @@
 				}
 			}()
 		}}
-	case scenario.WhatForget:
+	case scenario.FaultDiscoveryRestart:
 		return action{begin: func() { b.hosts.Restart(1) }}
-	case scenario.WhatFlap:
+	case scenario.FaultFlap:
 		stop := make(chan struct{})
 		var flapping sync.WaitGroup
-		return action{each(func(t *slot) { flapping.Go(func() { b.flapServer(t, f.Every.Duration, stop) }) }),
+		return action{each(func(t *slot) { flapping.Go(func() { b.flapServer(t, f.Interval.Duration, stop) }) }),
 			func() { close(stop); flapping.Wait(); each(func(t *slot) { b.announce(t, hosts.Up) })() }}
 	}
 	return action{} // heavy requests and slow readers are part of the load
@@ -329,7 +329,7 @@
 // sendLateRequests sends requests to a process that is about to be sent SIGTERM, on open connections
 // and on new ones. The caller holds the node's lock.
 func (b *Testbed) sendLateRequests(n *node) {
-	if b.scenario.Client.Late == 0 {
+	if b.scenario.Client.LateConnections == 0 {
 		return
 	}
 	place := caller.Place{Node: n.Name, Addr: n.proc.Addr, Life: n.incarnation}
@@ -339,7 +339,7 @@
 	b.pending.Add(1)
 	go func() {
 		defer b.pending.Done()
-		b.clients.Ending(place, b.options.Deployment.Classes, b.scenario.Client.Late, b.shutdownTimeout(), seed)
+		b.clients.Ending(place, b.options.Deployment.Classes, b.scenario.Client.LateConnections, b.shutdownTimeout(), seed)
 	}()
 }
 
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -22,7 +22,7 @@
 func (b *Testbed) discoveryAddr(n scenario.Node, addr string) (string, error) {
 	for i := range b.scenario.Faults {
 		f := &b.scenario.Faults[i]
-		if _, nodes := b.scenario.Pick(f.Who); f.What != scenario.WhatCut || !slices.Contains(nodes, n) {
+		if _, nodes := b.scenario.Select(f.Targets); f.Kind != scenario.FaultDiscoveryCut || !slices.Contains(nodes, n) {
 			continue
 		}
 		l, err := link.NewTCP(func() string { return addr }, b.Clock)
@@ -46,7 +46,7 @@
 	if !b.options.NoRecordFiles {
 		text += fmt.Sprintf("record_file = %q\nrecord_every = \"200ms\"\n", b.recordFile(name))
 	}
-	text += b.scenario.Oper + "\n" + b.options.FleetSettings + "\n"
+	text += b.scenario.OperatorConfig + "\n" + b.options.FleetSettings + "\n"
 	return []string{"IVYLOCK_OPERATOR=" + path}, os.WriteFile(path, []byte(text), 0o600)
 }
 
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -135,7 +135,7 @@
 	b.hosts = hosts.NewService(40, b.Clock, b.recorder.Add, b.serverAddr)
 	for _, x := range s.Nodes() {
 		b.nodes = append(b.nodes, &node{Node: x})
-		b.setup.Nodes = append(b.setup.Nodes, history.Node{Name: x.Name, Hall: x.Hall})
+		b.setup.Nodes = append(b.setup.Nodes, history.Node{Name: x.Name, Hall: x.Zone})
 	}
 	err = errors.Join(b.startServers(), b.startRelays())
 	if err == nil {
@@ -148,7 +148,7 @@
 		b.Close()
 		return nil, err
 	}
-	b.hosts.SetLag(s.Hosts.Lag.Duration)
+	b.hosts.SetLag(s.Discovery.NotificationDelay.Duration)
 	return b, nil
 }
 
@@ -188,10 +188,10 @@
 		b.slotsByID[t.id] = t
 	}
 	for _, f := range b.scenario.Faults { // links are added only where the timeline changes them
-		if f.What != scenario.WhatLink {
+		if f.Kind != scenario.FaultLink {
 			continue
 		}
-		for _, p := range b.routes(f.Who) {
+		for _, p := range b.routes(f.Targets) {
 			if p.slot.links[p.node] != nil {
 				continue
 			}
@@ -217,7 +217,7 @@
 	machine.Speed = t.speed
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.setup.Servers = append(b.setup.Servers, history.Server{Name: t.id, Hall: t.Hall, Kind: t.Kind, Pod: t.Pod})
+	b.setup.Servers = append(b.setup.Servers, history.Server{Name: t.id, Hall: t.Zone, Kind: t.Kind, Pod: t.Pod})
 	l := b.options.Deployment.Limits
 	return clip.NewServer(t.id, machine, clip.Fall{Factor: l.FallFactor, Time: l.FallTime, Spare: l.FallSpare}, t.pod), nil
 }
@@ -231,7 +231,7 @@
 // routes lists the routes that a fault's names select: those to the named servers, those from the
 // named nodes or, if both are named, those between them.
 func (b *Testbed) routes(who []string) []route {
-	servers, nodes := b.scenario.Pick(who)
+	servers, nodes := b.scenario.Select(who)
 	if len(servers) == 0 {
 		servers = b.scenario.Servers()
 	}
@@ -277,7 +277,7 @@
 
 // listEntry returns the entry of a slot's server on discovery's list.
 func (b *Testbed) listEntry(t *slot, lifecycle string) hosts.Entry {
-	e := hosts.Entry{InstanceID: t.id, Zone: t.Hall, MachineType: t.Kind, Cell: t.Pod, Lifecycle: lifecycle,
+	e := hosts.Entry{InstanceID: t.id, Zone: t.Zone, MachineType: t.Kind, Cell: t.Pod, Lifecycle: lifecycle,
 		Weight: 6 * t.speed}
 	if t.startedAt > 0 {
 		e.StartedAtMs = b.startTime.Add(t.startedAt).UnixMilli()
@@ -363,7 +363,7 @@
 
 // defaultShape is the delay and loss of datagrams that no fault impairs.
 func (b *Testbed) defaultShape() link.Shape {
-	return link.Shape{Delay: b.scenario.Net.Messages.Duration, Loss: b.scenario.Net.Lost}
+	return link.Shape{Delay: b.scenario.Net.PeerDelay.Duration, Loss: b.scenario.Net.PeerLoss}
 }
 
 // setImpairments changes the delay and loss of datagrams; nil restores the default.
@@ -395,7 +395,7 @@
 		for _, r := range b.relays {
 			peers = append(peers, r.Addr())
 		}
-		if first := b.scenario.AtFirst(); n.Number < first { // its settings predate the nodes that join later
+		if first := b.scenario.InitialNodes(); n.Number < first { // its settings predate the nodes that join later
 			peers = peers[:first]
 		}
 		n.config = nodeconf.Config{Name: n.Name, Listen: "127.0.0.1:0", Discovery: addr, Limits: b.options.Limits,
@@ -403,7 +403,7 @@
 		if b.scenario.Fleet {
 			n.config.Console = "127.0.0.1:0"
 		}
-		if n.Number < b.scenario.AtFirst() {
+		if n.Number < b.scenario.InitialNodes() {
 			wg.Go(func() { errs[i] = b.startNode(n) })
 		}
 	}
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -152,7 +152,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Load.Rate, s.Quota = s.Load.Rate/2, s.Quota/2
+			s.Load.Rate, s.TenantQuota = s.Load.Rate/2, s.TenantQuota/2
 			var l leaseSampler
 			var last []version.Record
 			h, _ := runFleet(t, s, Options{NoRecordFiles: true}, l.sample, func(ctx context.Context, bed *Testbed) {
--- a/internal/lab/real/run.go
+++ b/internal/lab/real/run.go
@@ -146,7 +146,7 @@
 	var out []ServerStatus
 	for _, t := range b.slots {
 		st, active, waiting, part := t.server.Look()
-		r := ServerStatus{Name: t.id, Zone: t.Hall, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: part}
+		r := ServerStatus{Name: t.id, Zone: t.Zone, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: part}
 		switch {
 		case st == clip.Down:
 			r.State = "down"
--- a/internal/lab/real/services.go
+++ b/internal/lab/real/services.go
@@ -59,7 +59,7 @@
 	text := fmt.Sprintf("[fleet]\n%s\n[control]\nname = %q\nlisten = \"127.0.0.1:0\"\nplain_text = true\ndiscovery = %q\nconsole = \"127.0.0.1:0\"\n"+
 		"fleet_listen = \"127.0.0.1:0\"\nfleet_id = %d\nfleet_seeds = [%q, %q]\n[[control.service]]\nname = \"clips\"\n"+
 		"[[control.service.class]]\nname = \"fetch\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"5s\"\n",
-		b.scenario.Oper+"\n"+b.options.FleetSettings, name, discovery, member.FirstControlID+k, b.relays[0].Addr(), b.relays[1].Addr())
+		b.scenario.OperatorConfig+"\n"+b.options.FleetSettings, name, discovery, member.FirstControlID+k, b.relays[0].Addr(), b.relays[1].Addr())
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
--- a/internal/lab/scenario/decode.go
+++ b/internal/lab/scenario/decode.go
@@ -6,7 +6,7 @@
 	"ivylock/internal/strict"
 )
 
-// Error is what is wrong with a file, on one line.
+// Errno is what is wrong with a file, on one line.
 type Error = strict.Error
 
 // Span is a time that is written with its unit.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -49,7 +49,7 @@
 	}
 	var names []string
 	for _, n := range s.Nodes() {
-		names = append(names, n.Name+"@"+n.Hall)
+		names = append(names, n.Name+"@"+n.Zone)
 	}
 	if got := strings.Join(names, " "); got != "n0@hall-nord n1@hall-syd n2@hall-syd" {
 		t.Errorf("nodes %s", got)
--- a/internal/lab/show/live.go
+++ b/internal/lab/show/live.go
@@ -17,9 +17,9 @@
 	maxKnown = 100_000         // orders and tries that it remembers
 )
 
-// Live follows a run as it goes on. Its methods may be called from several
+// LiveView follows a run as it goes on. Its methods may be called from several
 // goroutines.
-type Live struct {
+type LiveView struct {
 	mu      sync.Mutex
 	classes []history.Class
 	byName  map[string]*history.Class
@@ -39,9 +39,9 @@
 	within   bool
 }
 
-// NewLive makes one for a class table.
-func NewLive(classes []history.Class) *Live {
-	l := &Live{classes: classes, byName: map[string]*history.Class{}, orders: map[string]history.Event{}, tries: map[string]history.Event{},
+// NewLiveView makes one for a class table.
+func NewLiveView(classes []history.Class) *LiveView {
+	l := &LiveView{classes: classes, byName: map[string]*history.Class{}, orders: map[string]history.Event{}, tries: map[string]history.Event{},
 		faults: map[string]time.Duration{}}
 	for i := range classes {
 		l.byName[classes[i].Name] = &classes[i]
@@ -50,7 +50,7 @@
 }
 
 // Add takes an event.
-func (l *Live) Add(e history.Event) {
+func (l *LiveView) Add(e history.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch e.Kind {
@@ -101,7 +101,7 @@
 	p50, p99        time.Duration
 }
 
-func (l *Live) figures(now time.Duration) []figures {
+func (l *LiveView) figures(now time.Duration) []figures {
 	for len(l.answers) > 0 && l.answers[0].at < now-recent {
 		l.answers = l.answers[1:]
 	}
@@ -136,7 +136,7 @@
 }
 
 // Screen words the whole screen, in so many lines at most.
-func (l *Live) Screen(title string, now, length time.Duration, rows []real.ServerStatus, lines int) string {
+func (l *LiveView) Screen(title string, now, length time.Duration, rows []real.ServerStatus, lines int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b strings.Builder
@@ -162,7 +162,7 @@
 }
 
 // Line words the state on one line.
-func (l *Live) Line(now time.Duration, rows []real.ServerStatus) string {
+func (l *LiveView) Line(now time.Duration, rows []real.ServerStatus) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	text := fmt.Sprintf("%5.1fs worth served %5.1f%%, refused %d;", now.Seconds(), 100*l.share(), l.refused)
@@ -176,14 +176,14 @@
 	return text + fmt.Sprintf(" in flight %d; now: %s", held, l.now())
 }
 
-func (l *Live) share() float64 {
+func (l *LiveView) share() float64 {
 	if l.worth[1] == 0 {
 		return 1
 	}
 	return l.worth[0] / l.worth[1]
 }
 
-func (l *Live) now() string {
+func (l *LiveView) now() string {
 	if len(l.faults) == 0 {
 		return "nothing wrong"
 	}
--- a/internal/lab/show/report.go
+++ b/internal/lab/show/report.go
@@ -24,7 +24,7 @@
 // Report writes one self-contained page about a run. left is what did not
 // hold; none means the run is as asked.
 func Report(w io.Writer, h *history.History, v *judge.Verdict, left []string) error {
-	s := SeriesOf(h)
+	s := NewSeries(h)
 	p := plot{seconds: s.Seconds, faults: s.Faults}
 	page := struct {
 		Setup  history.Setup
@@ -32,15 +32,15 @@
 		Left   []string
 		Points float64
 		Plots  []drawn
-		Faults []Span
+		Faults []FaultInterval
 	}{h.Setup, v, left, v.Service.Penalties.Sum(), nil, s.Faults}
-	worth := p.draw("Service: worth within its aim, of the worth asked for, by second of the first try", 1, true, line{"worth", s.Worth})
+	worth := p.draw("Service: worth within its aim, of the worth asked for, by second of the first try", 1, true, line{"worth", s.OnTimeValue})
 	page.Plots = append(page.Plots, worth, p.draw("Refusals a second", 0, false, line{"refused", s.Refused}))
 	for _, hall := range hallsOf(h) {
 		var held, sent []line
 		for _, x := range h.Setup.Servers {
 			if x.Hall == hall {
-				held = append(held, line{x.Name + " " + x.Kind, s.Held[x.Name]})
+				held = append(held, line{x.Name + " " + x.Kind, s.InFlight[x.Name]})
 				sent = append(sent, line{x.Name + " " + x.Kind, s.Sent[x.Name]})
 			}
 		}
@@ -79,7 +79,7 @@
 // plot draws lines over the seconds of a run, with its faults marked.
 type plot struct {
 	seconds int
-	faults  []Span
+	faults  []FaultInterval
 }
 
 const (
--- a/internal/lab/show/series.go
+++ b/internal/lab/show/series.go
@@ -11,33 +11,33 @@
 
 // Series are figures by second of a history.
 type Series struct {
-	Seconds int
-	Worth   []float64            // share of the worth asked for that came within its aim; -1: nothing was asked
-	Refused []float64            // tries refused
-	Sent    map[string][]float64 // by server: attempts that came
-	Held    map[string][]float64 // by server: mean of the attempts it held
-	Faults  []Span
+	Seconds     int
+	OnTimeValue []float64            // share of the worth asked for that came within its aim; -1: nothing was asked
+	Refused     []float64            // tries refused
+	Sent        map[string][]float64 // by server: attempts that came
+	InFlight    map[string][]float64 // by server: mean of the attempts it held
+	Faults      []FaultInterval
 }
 
-// Span is a fault on the axis of time.
-type Span struct {
+// FaultInterval is a fault on the axis of time.
+type FaultInterval struct {
 	From, To time.Duration
 	Text     string
 }
 
-// SeriesOf counts a history by seconds.
-func SeriesOf(h *history.History) Series {
+// NewSeries counts a history by seconds.
+func NewSeries(h *history.History) Series {
 	end := h.Setup.Length
 	for _, e := range h.Events {
 		if e.Kind == history.FaultEnd {
 			end = max(end, e.At)
 		}
 	}
-	s := Series{Seconds: int(end/time.Second) + 1, Sent: map[string][]float64{}, Held: map[string][]float64{}}
-	s.Worth, s.Refused = make([]float64, s.Seconds), make([]float64, s.Seconds)
+	s := Series{Seconds: int(end/time.Second) + 1, Sent: map[string][]float64{}, InFlight: map[string][]float64{}}
+	s.OnTimeValue, s.Refused = make([]float64, s.Seconds), make([]float64, s.Seconds)
 	second := func(t time.Duration) int { return min(max(int(t/time.Second), 0), s.Seconds-1) }
 	for _, x := range h.Setup.Servers {
-		s.Sent[x.Name], s.Held[x.Name] = make([]float64, s.Seconds), make([]float64, s.Seconds)
+		s.Sent[x.Name], s.InFlight[x.Name] = make([]float64, s.Seconds), make([]float64, s.Seconds)
 	}
 	classes := map[string]*history.Class{}
 	for i := range h.Setup.Classes {
@@ -72,7 +72,7 @@
 			for _, a := range open[e.Try] { // what a server holds for others goes unseen here
 				for t := a.At; t < e.At; {
 					next := min((t/time.Second+1)*time.Second, e.At)
-					s.Held[a.Server][second(t)] += (next - t).Seconds()
+					s.InFlight[a.Server][second(t)] += (next - t).Seconds()
 					t = next
 				}
 			}
@@ -84,20 +84,20 @@
 			case e.Status == history.Served && known && !done[tries[e.Try]]:
 				done[tries[e.Try]] = true
 				if e.At-o.at <= o.class.Aim {
-					s.Worth[second(o.at)] += o.class.Worth
+					s.OnTimeValue[second(o.at)] += o.class.Worth
 				}
 			}
 		case history.Fault:
 			begun[e.Note] = e.At
 		case history.FaultEnd:
-			s.Faults = append(s.Faults, Span{begun[e.Note], e.At, e.Note})
+			s.Faults = append(s.Faults, FaultInterval{begun[e.Note], e.At, e.Note})
 		}
 	}
-	for i := range s.Worth {
+	for i := range s.OnTimeValue {
 		if asked[i] == 0 {
-			s.Worth[i] = -1
+			s.OnTimeValue[i] = -1
 		} else {
-			s.Worth[i] /= asked[i]
+			s.OnTimeValue[i] /= asked[i]
 		}
 	}
 	return s
--- a/internal/lab/show/show_test.go
+++ b/internal/lab/show/show_test.go
@@ -28,7 +28,7 @@
 
 func TestSeriesAddUpToTheVerdict(t *testing.T) {
 	h := played(t)
-	s, v := SeriesOf(h), judge.Judge(h)
+	s, v := NewSeries(h), judge.Judge(h)
 	sent, refused := 0.0, 0.0
 	for _, server := range h.Setup.Servers {
 		for _, n := range s.Sent[server.Name] {
@@ -86,7 +86,7 @@
 
 func TestTheScreenFitsAndShowsWhatGoesOn(t *testing.T) {
 	h := played(t)
-	l := NewLive(load.Classes)
+	l := NewLiveView(load.Classes)
 	rows := []real.ServerStatus{{Name: "hall-nord.1", Kind: "fast-6", State: "silent", WarmRatio: 1}, {Name: "hall-nord.2", Kind: "fast-6", Active: 6, Waiting: 2, WarmRatio: 0.5}}
 	for _, e := range h.Events {
 		if e.At < 8*time.Second {
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -55,10 +55,10 @@
 func Generate(seed int64, b Bounds) (*scenario.Scenario, *load.Deployment) {
 	g := &generator{Rand: rand.New(rand.NewPCG(uint64(seed), 0x736f616b)), bounds: b}
 	g.scenario = &scenario.Scenario{Name: fmt.Sprintf("soak-%d", seed), Seed: seed, Length: scenario.Span{Duration: b.Length},
-		Client: scenario.Client{Retries: g.IntN(3), TryShare: 0.5 + 0.3*g.Float64(), Honour: g.Float64(),
-			Leaves: 0.3 * g.Float64(), Pieces: 0.1 * g.Float64(), Late: 3 + g.IntN(6)},
-		Hosts: scenario.Hosts{Lag: g.randomSpan(50*time.Millisecond, time.Second)},
-		Net:   scenario.Net{Lost: 0.1 * g.Float64()}}
+		Client: scenario.Client{Retries: g.IntN(3), TryTimeoutFraction: 0.5 + 0.3*g.Float64(), RetryAfterFraction: g.Float64(),
+			AbandonFraction: 0.3 * g.Float64(), SlowWriteFraction: 0.1 * g.Float64(), LateConnections: 3 + g.IntN(6)},
+		Discovery: scenario.Discovery{NotificationDelay: g.randomSpan(50*time.Millisecond, time.Second)},
+		Net:       scenario.Net{PeerLoss: 0.1 * g.Float64()}}
 	nodes := b.MinNodes + g.IntN(b.MaxNodes-b.MinNodes+1)
 	g.addZones(nodes)
 	deployment, work := g.newDeployment()
@@ -71,17 +71,17 @@
 		f := g.randomFault()
 		g.add(f)
 		switch {
-		case f.What == scenario.WhatTerm && g.IntN(2) == 0:
+		case f.Kind == scenario.FaultRestart && g.IntN(2) == 0:
 			g.add(g.hangServers(f))
-		case f.What == scenario.WhatDrain && g.IntN(3) > 0:
+		case f.Kind == scenario.FaultDrain && g.IntN(3) > 0:
 			for _, fault := range g.delayConnections(f) {
 				g.add(fault)
 			}
 		}
 	}
 	for range 1 + int(b.Length/(4*time.Second)) { // after the other kinds, which keeps their random draws the same
-		g.add(scenario.Fault{What: scenario.WhatNoFiles, At: g.randomSpan(200*time.Millisecond, b.Length), For: g.randomSpan(20*time.Millisecond, 150*time.Millisecond),
-			Who: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))})
+		g.add(scenario.Fault{Kind: scenario.FaultNoDescriptors, At: g.randomSpan(200*time.Millisecond, b.Length), For: g.randomSpan(20*time.Millisecond, 150*time.Millisecond),
+			Targets: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))})
 	}
 	if b.ClockSteps {
 		g.addClockSteps()
@@ -98,8 +98,8 @@
 // addClockSteps adds steps of the wall clocks of some machines, by seconds or by an hour.
 func (g *generator) addClockSteps() {
 	for range 2 + int(g.bounds.Length/(4*time.Second)) {
-		f := scenario.Fault{What: scenario.WhatClock, At: g.randomSpan(100*time.Millisecond, g.bounds.Length),
-			Who: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))}
+		f := scenario.Fault{Kind: scenario.FaultClockStep, At: g.randomSpan(100*time.Millisecond, g.bounds.Length),
+			Targets: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))}
 		if f.Delay = g.randomSpan(time.Second, 20*time.Second); g.IntN(2) == 0 {
 			f.Delay.Duration = time.Hour
 		}
@@ -117,9 +117,9 @@
 	for range 2 + int(g.bounds.Length/(3*time.Second)) {
 		call := faultyCalls[g.IntN(len(faultyCalls))]
 		names := slices.Sorted(maps.Keys(sysfault.Errors[call]))
-		f := scenario.Fault{What: scenario.WhatCalls, Call: string(call), Error: names[g.IntN(len(names))], Part: 0.05 + 0.75*g.Float64(),
+		f := scenario.Fault{Kind: scenario.FaultSystemCalls, SystemCall: string(call), Errno: names[g.IntN(len(names))], Fraction: 0.05 + 0.75*g.Float64(),
 			At: g.randomSpan(200*time.Millisecond, g.bounds.Length), For: g.randomSpan(50*time.Millisecond, 3*time.Second),
-			Who: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))}
+			Targets: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))}
 		g.add(f)
 	}
 }
@@ -134,11 +134,11 @@
 
 // hangServers returns a fault in which most servers hang around the time of a restart of nodes.
 func (g *generator) hangServers(restart scenario.Fault) scenario.Fault {
-	f := scenario.Fault{What: scenario.WhatHang, At: restart.At, For: g.randomSpan(time.Second, 5*time.Second)}
+	f := scenario.Fault{Kind: scenario.FaultHang, At: restart.At, For: g.randomSpan(time.Second, 5*time.Second)}
 	f.At.Duration = max(0, f.At.Duration-g.randomDuration(0, 300*time.Millisecond))
 	servers := g.scenario.Servers()
 	for _, i := range g.Perm(len(servers))[:max(1, len(servers)-1-g.IntN(1+len(servers)/3))] {
-		f.Who = append(f.Who, servers[i].Name)
+		f.Targets = append(f.Targets, servers[i].Name)
 	}
 	return f
 }
@@ -146,9 +146,9 @@
 // delayConnections returns faults that close idle connections to servers just before they drain and
 // keep new ones from being established until later.
 func (g *generator) delayConnections(drain scenario.Fault) []scenario.Fault {
-	late := scenario.Fault{What: scenario.WhatLink, State: "black-hole", Who: drain.Who, At: drain.At, For: g.randomSpan(500*time.Millisecond, 1200*time.Millisecond)}
+	late := scenario.Fault{Kind: scenario.FaultLink, State: "black-hole", Targets: drain.Targets, At: drain.At, For: g.randomSpan(500*time.Millisecond, 1200*time.Millisecond)}
 	late.At.Duration = max(100*time.Millisecond, late.At.Duration-g.randomDuration(50*time.Millisecond, 500*time.Millisecond))
-	idle := scenario.Fault{What: scenario.WhatIdle, Who: drain.Who, At: late.At}
+	idle := scenario.Fault{Kind: scenario.FaultIdleClose, Targets: drain.Targets, At: late.At}
 	idle.At.Duration -= 50 * time.Millisecond
 	return []scenario.Fault{idle, late}
 }
@@ -157,14 +157,14 @@
 func (g *generator) addZones(nodes int) {
 	zones := 1 + g.IntN(3)
 	for i := range zones {
-		z := scenario.Hall{Name: fmt.Sprintf("hall-%c", 'a'+i), Nodes: nodes / zones, PodSize: 2 + g.IntN(4), Servers: map[string]int{}}
+		z := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Nodes: nodes / zones, PodSize: 2 + g.IntN(4), Servers: map[string]int{}}
 		if i < nodes%zones {
 			z.Nodes++
 		}
 		for range 3 + g.IntN(4) {
 			z.Servers[[]string{"fast-6", "std-6", "slow-6"}[g.IntN(3)]]++
 		}
-		g.scenario.Halls = append(g.scenario.Halls, z)
+		g.scenario.Zones = append(g.scenario.Zones, z)
 	}
 }
 
@@ -204,10 +204,10 @@
 	what   string
 	weight int
 }{
-	{scenario.WhatTerm, 8}, {scenario.WhatHold, 8}, {scenario.WhatHang, 6}, {scenario.WhatKill, 5}, {scenario.WhatDrain, 5},
-	{scenario.WhatLink, 5}, {scenario.WhatIdle, 4}, {scenario.WhatReplace, 3}, {scenario.WhatReload, 3}, {scenario.WhatMute, 3},
-	{scenario.WhatSilent, 2}, {scenario.WhatSpoil, 2}, {scenario.WhatFlap, 2}, {scenario.WhatOutage, 2}, {scenario.WhatLag, 1},
-	{scenario.WhatLost, 1}, {scenario.WhatPeers, 1}, {scenario.WhatSlow, 1},
+	{scenario.FaultRestart, 8}, {scenario.FaultBriefPause, 8}, {scenario.FaultHang, 6}, {scenario.FaultKill, 5}, {scenario.FaultDrain, 5},
+	{scenario.FaultLink, 5}, {scenario.FaultIdleClose, 4}, {scenario.FaultReplace, 3}, {scenario.FaultReload, 3}, {scenario.FaultWatchSilent, 3},
+	{scenario.FaultSilent, 2}, {scenario.FaultCorrupt, 2}, {scenario.FaultFlap, 2}, {scenario.FaultDiscoveryOutage, 2}, {scenario.FaultDiscoveryDelay, 1},
+	{scenario.FaultZoneLost, 1}, {scenario.FaultPeerLinks, 1}, {scenario.FaultSlowReader, 1},
 }
 
 func (g *generator) randomKind() string {
@@ -221,7 +221,7 @@
 			return k.what
 		}
 	}
-	return scenario.WhatTerm
+	return scenario.FaultRestart
 }
 
 // randomNames returns the names of one to limit random elements of a list.
@@ -233,54 +233,54 @@
 }
 
 func (g *generator) randomFault() scenario.Fault {
-	f := scenario.Fault{What: g.randomKind(), At: g.randomSpan(200*time.Millisecond, g.bounds.Length-200*time.Millisecond),
+	f := scenario.Fault{Kind: g.randomKind(), At: g.randomSpan(200*time.Millisecond, g.bounds.Length-200*time.Millisecond),
 		For: g.randomSpan(300*time.Millisecond, 5*time.Second)}
 	servers, nodes := g.scenario.Servers(), g.scenario.Nodes()
 	server := func(x scenario.Server) string { return x.Name }
 	node := func(x scenario.Node) string { return x.Name }
-	switch f.What {
-	case scenario.WhatTerm:
-		f.Who = randomNames(g, nodes, node, max(1, len(nodes)/5))
+	switch f.Kind {
+	case scenario.FaultRestart:
+		f.Targets = randomNames(g, nodes, node, max(1, len(nodes)/5))
 		f.For = g.randomSpan(200*time.Millisecond, 3*time.Second) // the next process starts when this one has ended
-	case scenario.WhatHold:
-		f.Who, f.For = randomNames(g, nodes, node, max(1, len(nodes)/3)), g.randomSpan(20*time.Millisecond, 150*time.Millisecond)
-	case scenario.WhatReload, scenario.WhatMute:
-		f.Who, f.For = randomNames(g, nodes, node, len(nodes)), scenario.Span{}
-	case scenario.WhatKill:
-		if f.Who = randomNames(g, servers, server, 1); g.IntN(2) == 0 {
-			f.Who = randomNames(g, nodes, node, max(1, len(nodes)/8))
+	case scenario.FaultBriefPause:
+		f.Targets, f.For = randomNames(g, nodes, node, max(1, len(nodes)/3)), g.randomSpan(20*time.Millisecond, 150*time.Millisecond)
+	case scenario.FaultReload, scenario.FaultWatchSilent:
+		f.Targets, f.For = randomNames(g, nodes, node, len(nodes)), scenario.Span{}
+	case scenario.FaultKill:
+		if f.Targets = randomNames(g, servers, server, 1); g.IntN(2) == 0 {
+			f.Targets = randomNames(g, nodes, node, max(1, len(nodes)/8))
 		}
-	case scenario.WhatHang:
-		f.Who = randomNames(g, servers, server, max(1, len(servers)*2/3))
-	case scenario.WhatLost:
-		f.Who = []string{g.scenario.Halls[g.IntN(len(g.scenario.Halls))].Name}
-	case scenario.WhatLink:
-		f.Who = randomNames(g, servers, server, 2)
+	case scenario.FaultHang:
+		f.Targets = randomNames(g, servers, server, max(1, len(servers)*2/3))
+	case scenario.FaultZoneLost:
+		f.Targets = []string{g.scenario.Zones[g.IntN(len(g.scenario.Zones))].Name}
+	case scenario.FaultLink:
+		f.Targets = randomNames(g, servers, server, 2)
 		if g.IntN(2) == 0 {
-			f.Who = append(f.Who, randomNames(g, nodes, node, 2)...)
+			f.Targets = append(f.Targets, randomNames(g, nodes, node, 2)...)
 		}
 		if g.IntN(4) == 0 {
 			f.Delay, f.Loss = g.randomSpan(5*time.Millisecond, 60*time.Millisecond), 0.05*g.Float64()
 		} else {
 			f.State = []string{"half-open", "reset", "black-hole"}[g.IntN(3)]
 		}
-	case scenario.WhatSpoil:
-		f.Who, f.Part = randomNames(g, servers, server, 2), 0.05+0.5*g.Float64()
-	case scenario.WhatLag:
+	case scenario.FaultCorrupt:
+		f.Targets, f.Fraction = randomNames(g, servers, server, 2), 0.05+0.5*g.Float64()
+	case scenario.FaultDiscoveryDelay:
 		f.Delay = g.randomSpan(100*time.Millisecond, time.Second)
-	case scenario.WhatFlap:
-		f.Who, f.Every = randomNames(g, servers, server, 1), g.randomSpan(50*time.Millisecond, time.Second)
-	case scenario.WhatReplace:
-		f.Who, f.For = randomNames(g, servers, server, 1), g.randomSpan(200*time.Millisecond, 2*time.Second)
-	case scenario.WhatIdle:
-		f.Who, f.For = randomNames(g, servers, server, len(servers)), scenario.Span{}
-	case scenario.WhatPeers:
-		f.Who, f.Loss, f.Jitter = randomNames(g, nodes, node, len(nodes)), 0.5*g.Float64(), g.randomSpan(10*time.Millisecond, 300*time.Millisecond)
-	case scenario.WhatSlow:
-		f.Part = 0.5 * g.Float64()
-	case scenario.WhatOutage:
+	case scenario.FaultFlap:
+		f.Targets, f.Interval = randomNames(g, servers, server, 1), g.randomSpan(50*time.Millisecond, time.Second)
+	case scenario.FaultReplace:
+		f.Targets, f.For = randomNames(g, servers, server, 1), g.randomSpan(200*time.Millisecond, 2*time.Second)
+	case scenario.FaultIdleClose:
+		f.Targets, f.For = randomNames(g, servers, server, len(servers)), scenario.Span{}
+	case scenario.FaultPeerLinks:
+		f.Targets, f.Loss, f.Jitter = randomNames(g, nodes, node, len(nodes)), 0.5*g.Float64(), g.randomSpan(10*time.Millisecond, 300*time.Millisecond)
+	case scenario.FaultSlowReader:
+		f.Fraction = 0.5 * g.Float64()
+	case scenario.FaultDiscoveryOutage:
 	default:
-		f.Who = randomNames(g, servers, server, 2)
+		f.Targets = randomNames(g, servers, server, 2)
 	}
 	return f
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("seed %d: %+v", seed, d)
 		}
 		for i, f := range s.Faults {
-			kinds[f.What]++
+			kinds[f.Kind]++
 			for _, g := range s.Faults[:i] {
 				if f.At.Duration < g.At.Duration+g.For.Duration && g.At.Duration < f.At.Duration+f.For.Duration {
 					overlaps++
@@ -96,7 +96,7 @@
 	if overlaps < 10*seeds {
 		t.Errorf("%d pairs of faults overlap in %d seeds", overlaps, seeds)
 	}
-	for _, what := range []string{scenario.WhatTerm, scenario.WhatHold, scenario.WhatHang, scenario.WhatKill, scenario.WhatReload, scenario.WhatMute, scenario.WhatIdle, scenario.WhatNoFiles, scenario.WhatCalls} {
+	for _, what := range []string{scenario.FaultRestart, scenario.FaultBriefPause, scenario.FaultHang, scenario.FaultKill, scenario.FaultReload, scenario.FaultWatchSilent, scenario.FaultIdleClose, scenario.FaultNoDescriptors, scenario.FaultSystemCalls} {
 		if kinds[what] < seeds/4 {
 			t.Errorf("%s was generated %d times in %d seeds", what, kinds[what], seeds)
 		}
--- a/internal/lab/sweep/deploy.go
+++ b/internal/lab/sweep/deploy.go
@@ -14,10 +14,10 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// DrawDeployment draws a timeline of a deployment that is not the brief's: one to eight
+// GenerateDeployment draws a timeline of a deployment that is not the brief's: one to eight
 // classes of any effect, one to five halls, up to six tenants, one to 300 nodes, lists that
 // are pushed or asked for, and all else that settings may hold.
-func DrawDeployment(seed int64) (*scenario.Scenario, *load.Deployment) {
+func GenerateDeployment(seed int64) (*scenario.Scenario, *load.Deployment) {
 	r := rand.New(rand.NewPCG(uint64(seed), 0x6465706c6f79))
 	between := func(lo, hi time.Duration) time.Duration {
 		return (lo + time.Duration(r.Int64N(int64(hi-lo)))).Round(time.Millisecond)
@@ -26,9 +26,9 @@
 		return scenario.Span{Duration: between(lo, hi).Round(10 * time.Millisecond)}
 	}
 	s := &scenario.Scenario{Name: fmt.Sprintf("deployment-%d", seed), Seed: seed, Length: span(6*time.Second, 12*time.Second),
-		Client: scenario.Client{Retries: r.IntN(3), TryShare: 0.5 + 0.3*r.Float64(), Honour: r.Float64()},
-		Hosts:  scenario.Hosts{Lag: span(100*time.Millisecond, 2*time.Second)},
-		Net:    scenario.Net{Lost: 0.1 * r.Float64()}}
+		Client:    scenario.Client{Retries: r.IntN(3), TryTimeoutFraction: 0.5 + 0.3*r.Float64(), RetryAfterFraction: r.Float64()},
+		Discovery: scenario.Discovery{NotificationDelay: span(100*time.Millisecond, 2*time.Second)},
+		Net:       scenario.Net{PeerLoss: 0.1 * r.Float64()}}
 	nodes, times := 1+r.IntN(6), 1
 	switch r.IntN(10) {
 	case 0:
@@ -39,14 +39,14 @@
 	}
 	halls, capacity := 1+r.IntN(5), 0.0
 	for i := range halls {
-		h := scenario.Hall{Name: fmt.Sprintf("hall-%c", 'a'+i), Nodes: nodes / halls, PodSize: 1 + r.IntN(6), Servers: map[string]int{}}
+		h := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Nodes: nodes / halls, PodSize: 1 + r.IntN(6), Servers: map[string]int{}}
 		if i < nodes%halls {
 			h.Nodes++
 		}
 		for range 1 + r.IntN(5) {
 			h.Servers[[]string{"fast-6", "std-6", "slow-6"}[r.IntN(3)]]++
 		}
-		s.Halls = append(s.Halls, h)
+		s.Zones = append(s.Zones, h)
 	}
 	for _, x := range s.Servers() {
 		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[x.Kind]
@@ -98,7 +98,7 @@
 	}
 	for range r.IntN(4) {
 		f := drawFault(r, s, span)
-		if f.What == scenario.WhatHeavy {
+		if f.Kind == scenario.FaultHeavy {
 			f.Class = "viewer-clip" // the scenario's own check knows the brief's classes
 		}
 		s.Faults = append(s.Faults, f)
@@ -109,22 +109,22 @@
 	if err := scenario.Check(s); err != nil {
 		panic(fmt.Sprintf("sweep: seed %d draws what can't be played: %v", seed, err))
 	}
-	for i := range s.Halls {
-		s.Halls[i].Nodes *= times
+	for i := range s.Zones {
+		s.Zones[i].Nodes *= times
 	}
 	return s, d
 }
 
-// PlayDeployment plays one and judges it.
-func PlayDeployment(seed int64) *judge.Verdict {
-	s, d := DrawDeployment(seed)
+// RunDeployment plays one and judges it.
+func RunDeployment(seed int64) *judge.Verdict {
+	s, d := GenerateDeployment(seed)
 	v := judge.Judge(memory.Run(s, memory.Options{Seed: seed, Deployment: d}))
 	return &v
 }
 
-// Deployments plays so many, from a seed on, and gives the seeds that broke a rule and
+// RunDeployments plays so many, from a seed on, and gives the seeds that broke a rule and
 // with what, and how many tries were made.
-func Deployments(first int64, count int) (broken map[int64]judge.Breach, tries int) {
+func RunDeployments(first int64, count int) (broken map[int64]judge.Breach, tries int) {
 	broken = map[int64]judge.Breach{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -132,7 +132,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for seed := range seeds {
-				v := PlayDeployment(seed)
+				v := RunDeployment(seed)
 				mu.Lock()
 				if tries += v.Service.Tries; !v.Passed() {
 					broken[seed] = v.Breaches[0]
--- a/internal/lab/sweep/deploy_test.go
+++ b/internal/lab/sweep/deploy_test.go
@@ -8,13 +8,13 @@
 	"ivylock/internal/lab/nodeconf"
 )
 
-// Deployments that nobody has seen break no rule. IVYLAB_DEPLOYMENTS plays more of them.
+// RunDeployments that nobody has seen break no rule. IVYLAB_DEPLOYMENTS plays more of them.
 func TestRandomDeploymentsBreakNoRule(t *testing.T) {
 	n := 50
 	if v, err := strconv.Atoi(os.Getenv("IVYLAB_DEPLOYMENTS")); err == nil {
 		n = v
 	}
-	broken, tries := Deployments(1, n)
+	broken, tries := RunDeployments(1, n)
 	for seed, b := range broken {
 		t.Errorf("seed %d: %v", seed, b)
 	}
@@ -31,7 +31,7 @@
 
 func TestMendedDeploymentsStayMended(t *testing.T) {
 	for seed, what := range mendedDeployments {
-		if v := PlayDeployment(seed); !v.Passed() {
+		if v := RunDeployment(seed); !v.Passed() {
 			t.Errorf("seed %d (%s) is back: %v", seed, what, v.Breaches[0])
 		}
 	}
@@ -46,14 +46,14 @@
 		}
 	}
 	for seed := range int64(200) {
-		s, d := DrawDeployment(seed)
+		s, d := GenerateDeployment(seed)
 		set := nodeconf.BalancerSettings(s, 0, d)
 		note("pushed", !set.ListOnDemand)
 		note("asked", set.ListOnDemand)
 		note("eight classes", len(set.Classes) == 8)
 		note("one class", len(set.Classes) == 1)
-		note("five halls", len(s.Halls) == 5)
-		note("one hall", len(s.Halls) == 1)
+		note("five halls", len(s.Zones) == 5)
+		note("one hall", len(s.Zones) == 1)
 		note("six tenants", len(set.Tenants) == 6)
 		note("no tenant", len(set.Tenants) == 0)
 		note("300 nodes", set.Nodes == 300)
--- a/internal/lab/sweep/draw.go
+++ b/internal/lab/sweep/draw.go
@@ -11,27 +11,27 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Draw gives the scenario of a seed: two or three halls, a load from a third
+// Generate gives the scenario of a seed: two or three halls, a load from a third
 // of what the servers can do to a little more than all of it, and one to five
 // faults that may overlap where that can be carried out.
-func Draw(seed int64) *scenario.Scenario {
+func Generate(seed int64) *scenario.Scenario {
 	r := rand.New(rand.NewPCG(uint64(seed), 0x7377656570))
 	span := func(lo, hi time.Duration) scenario.Span {
 		return scenario.Span{Duration: (lo + time.Duration(r.Int64N(int64(hi-lo)))).Round(10 * time.Millisecond)}
 	}
 	s := &scenario.Scenario{Name: fmt.Sprintf("sweep-%d", seed), Seed: seed, Length: span(8*time.Second, 16*time.Second),
-		Client: scenario.Client{Retries: r.IntN(3), TryShare: 0.5 + 0.3*r.Float64(), Honour: 0.7 + 0.3*r.Float64()},
-		Hosts:  scenario.Hosts{Lag: span(100*time.Millisecond, 2*time.Second)}}
+		Client:    scenario.Client{Retries: r.IntN(3), TryTimeoutFraction: 0.5 + 0.3*r.Float64(), RetryAfterFraction: 0.7 + 0.3*r.Float64()},
+		Discovery: scenario.Discovery{NotificationDelay: span(100*time.Millisecond, 2*time.Second)}}
 	capacity := 0.0
 	for i, name := range []string{"hall-nord", "hall-syd", "hall-vest"}[:2+r.IntN(2)] {
-		h := scenario.Hall{Name: name, Nodes: 1, PodSize: 3 + r.IntN(3), Servers: map[string]int{}}
+		h := scenario.Zone{Name: name, Nodes: 1, PodSize: 3 + r.IntN(3), Servers: map[string]int{}}
 		if i == 0 {
 			h.Servers["std-6"] = 1 // every hall has one at least
 		}
 		for range 2 + r.IntN(4) {
 			h.Servers[[]string{"fast-6", "std-6", "slow-6"}[r.IntN(3)]]++
 		}
-		s.Halls = append(s.Halls, h)
+		s.Zones = append(s.Zones, h)
 	}
 	for _, x := range s.Servers() {
 		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[x.Kind]
@@ -51,32 +51,32 @@
 	return s
 }
 
-var kinds = []string{scenario.WhatSilent, scenario.WhatHang, scenario.WhatHeavy, scenario.WhatLost, scenario.WhatLostNodes,
-	scenario.WhatKill, scenario.WhatTerm, scenario.WhatDrain, scenario.WhatReplace, scenario.WhatLink, scenario.WhatSpoil,
-	scenario.WhatOutage, scenario.WhatLag, scenario.WhatForget, scenario.WhatFlap}
+var kinds = []string{scenario.FaultSilent, scenario.FaultHang, scenario.FaultHeavy, scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost,
+	scenario.FaultKill, scenario.FaultRestart, scenario.FaultDrain, scenario.FaultReplace, scenario.FaultLink, scenario.FaultCorrupt,
+	scenario.FaultDiscoveryOutage, scenario.FaultDiscoveryDelay, scenario.FaultDiscoveryRestart, scenario.FaultFlap}
 
 func drawFault(r *rand.Rand, s *scenario.Scenario, span func(lo, hi time.Duration) scenario.Span) scenario.Fault {
-	f := scenario.Fault{What: kinds[r.IntN(len(kinds))], At: span(500*time.Millisecond, s.Length.Duration-time.Second),
+	f := scenario.Fault{Kind: kinds[r.IntN(len(kinds))], At: span(500*time.Millisecond, s.Length.Duration-time.Second),
 		For: span(500*time.Millisecond, 8*time.Second)}
 	servers, nodes := s.Servers(), s.Nodes()
 	oneServer := func() []string { return []string{servers[r.IntN(len(servers))].Name} }
-	switch f.What {
-	case scenario.WhatHeavy:
+	switch f.Kind {
+	case scenario.FaultHeavy:
 		f.Class = []string{"broadcast-clip", "viewer-clip", "cut-order", "tag-event"}[r.IntN(4)]
-		f.Part, f.Factor = 0.005+0.025*r.Float64(), 10+20*r.Float64()
-	case scenario.WhatLost, scenario.WhatLostNodes:
-		f.Who = []string{s.Halls[r.IntN(len(s.Halls))].Name}
-	case scenario.WhatTerm:
-		f.Who = []string{nodes[r.IntN(len(nodes))].Name}
+		f.Fraction, f.Factor = 0.005+0.025*r.Float64(), 10+20*r.Float64()
+	case scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost:
+		f.Targets = []string{s.Zones[r.IntN(len(s.Zones))].Name}
+	case scenario.FaultRestart:
+		f.Targets = []string{nodes[r.IntN(len(nodes))].Name}
 		f.For = span(3200*time.Millisecond, 5*time.Second)
-	case scenario.WhatKill:
-		if f.Who = oneServer(); r.IntN(2) == 0 {
-			f.Who = []string{nodes[r.IntN(len(nodes))].Name}
+	case scenario.FaultKill:
+		if f.Targets = oneServer(); r.IntN(2) == 0 {
+			f.Targets = []string{nodes[r.IntN(len(nodes))].Name}
 		}
-	case scenario.WhatLink:
-		f.Who = oneServer()
+	case scenario.FaultLink:
+		f.Targets = oneServer()
 		if r.IntN(2) == 0 {
-			f.Who = append(f.Who, nodes[r.IntN(len(nodes))].Name)
+			f.Targets = append(f.Targets, nodes[r.IntN(len(nodes))].Name)
 		}
 		switch r.IntN(4) {
 		case 0:
@@ -84,21 +84,21 @@
 		default:
 			f.State = []string{"half-open", "reset", "black-hole"}[r.IntN(3)]
 		}
-	case scenario.WhatSpoil:
-		f.Who, f.Part = oneServer(), 0.05+0.5*r.Float64()
-	case scenario.WhatLag:
+	case scenario.FaultCorrupt:
+		f.Targets, f.Fraction = oneServer(), 0.05+0.5*r.Float64()
+	case scenario.FaultDiscoveryDelay:
 		f.Delay = span(100*time.Millisecond, 4*time.Second)
-	case scenario.WhatFlap:
-		f.Who, f.Every = oneServer(), span(50*time.Millisecond, time.Second)
-	case scenario.WhatReplace:
-		f.Who, f.For = oneServer(), span(200*time.Millisecond, 3*time.Second)
-	case scenario.WhatForget:
+	case scenario.FaultFlap:
+		f.Targets, f.Interval = oneServer(), span(50*time.Millisecond, time.Second)
+	case scenario.FaultReplace:
+		f.Targets, f.For = oneServer(), span(200*time.Millisecond, 3*time.Second)
+	case scenario.FaultDiscoveryRestart:
 		f.For = scenario.Span{}
-	case scenario.WhatOutage:
+	case scenario.FaultDiscoveryOutage:
 	default:
-		f.Who = oneServer()
+		f.Targets = oneServer()
 		if r.IntN(3) == 0 {
-			f.Who = append(f.Who, oneServer()...)
+			f.Targets = append(f.Targets, oneServer()...)
 		}
 	}
 	return f
--- a/internal/lab/sweep/shrink.go
+++ b/internal/lab/sweep/shrink.go
@@ -15,16 +15,16 @@
 // faults, with shorter ones, with a shorter load. It keeps the seed. Each step
 // is kept only if the rule still breaks.
 func shrink(s *scenario.Scenario, b judge.Breach, mutant memory.Mutant) Finding {
-	f := Finding{Breach: b, Shrunk: s, Left: b}
+	f := Finding{Breach: b, Shrunk: s, ShrunkBreach: b}
 	breaks := func(c *scenario.Scenario) bool {
-		if f.Replayed >= mostReplays || scenario.Check(c) != nil {
+		if f.Replays >= mostReplays || scenario.Check(c) != nil {
 			return false
 		}
-		f.Replayed++
+		f.Replays++
 		v := judge.Judge(memory.Run(c, memory.Options{Seed: c.Seed, Mutant: mutant}))
 		for _, left := range v.Breaches {
 			if left.Rule == b.Rule {
-				f.Shrunk, f.Left = c, left
+				f.Shrunk, f.ShrunkBreach = c, left
 				return true
 			}
 		}
@@ -47,14 +47,14 @@
 					}
 				}
 			}
-			if len(f.Shrunk.Faults[i].Who) > 1 {
+			if len(f.Shrunk.Faults[i].Targets) > 1 {
 				c := clone(f.Shrunk)
-				c.Faults[i].Who = c.Faults[i].Who[:1]
+				c.Faults[i].Targets = c.Faults[i].Targets[:1]
 				again = breaks(c) || again
 			}
 		}
 		c := clone(f.Shrunk) // the load ends soon after the breach
-		if d := (f.Left.At + 200*time.Millisecond).Round(100 * time.Millisecond); d >= time.Second && d < c.Length.Duration-300*time.Millisecond {
+		if d := (f.ShrunkBreach.At + 200*time.Millisecond).Round(100 * time.Millisecond); d >= time.Second && d < c.Length.Duration-300*time.Millisecond {
 			c.Length.Duration = d
 			kept := c.Faults[:0]
 			for _, x := range c.Faults {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -15,11 +15,11 @@
 // Finding is a seed whose timeline breaks a rule, and the least timeline that
 // still breaks that rule.
 type Finding struct {
-	Seed     int64
-	Breach   judge.Breach // the first of the timeline as drawn
-	Shrunk   *scenario.Scenario
-	Left     judge.Breach // the first of the shrunk one
-	Replayed int          // runs that the shrinking took
+	Seed         int64
+	Breach       judge.Breach // the first of the timeline as drawn
+	Shrunk       *scenario.Scenario
+	ShrunkBreach judge.Breach // the first of the shrunk one
+	Replays      int          // runs that the shrinking took
 }
 
 // TOML words the shrunk timeline as a scenario file.
@@ -33,10 +33,10 @@
 
 // Result is what a sweep found.
 type Result struct {
-	Findings []Finding
-	Played   int
-	Requests int           // tries, over all timelines
-	Virtual  time.Duration // time that was played
+	Findings      []Finding
+	Played        int
+	Tries         int           // tries, over all timelines
+	SimulatedTime time.Duration // time that was played
 }
 
 // Run plays the timelines of the seeds from first on, count of them, on all
@@ -61,7 +61,7 @@
 					return
 				}
 				mu.Unlock()
-				s := Draw(seed)
+				s := Generate(seed)
 				h := memory.Run(s, memory.Options{Seed: seed, Mutant: mutant})
 				v := judge.Judge(h)
 				var found *Finding
@@ -72,9 +72,9 @@
 				}
 				mu.Lock()
 				res.Played++
-				res.Requests += v.Service.Tries
+				res.Tries += v.Service.Tries
 				if n := len(h.Events); n > 0 {
-					res.Virtual += h.Events[n-1].At
+					res.SimulatedTime += h.Events[n-1].At
 				}
 				if found != nil {
 					res.Findings = append(res.Findings, *found)
--- a/internal/lab/sweep/sweep_test.go
+++ b/internal/lab/sweep/sweep_test.go
@@ -21,10 +21,10 @@
 	}
 	res := Run(1, n, nil, nil)
 	for _, f := range res.Findings {
-		t.Errorf("seed %d: %v\nshrunk in %d replays: %v\n%s", f.Seed, f.Breach, f.Replayed, f.Left, f.TOML())
+		t.Errorf("seed %d: %v\nshrunk in %d replays: %v\n%s", f.Seed, f.Breach, f.Replays, f.ShrunkBreach, f.TOML())
 	}
-	if res.Played != n || res.Requests == 0 {
-		t.Errorf("played %d of %d timelines, %d tries", res.Played, n, res.Requests)
+	if res.Played != n || res.Tries == 0 {
+		t.Errorf("played %d of %d timelines, %d tries", res.Played, n, res.Tries)
 	}
 }
 
@@ -35,7 +35,7 @@
 
 func TestMendedSeedsStayMended(t *testing.T) {
 	for seed, what := range mended {
-		s := Draw(seed)
+		s := Generate(seed)
 		if v := judge.Judge(memory.Run(s, memory.Options{Seed: seed})); !v.Passed() {
 			t.Errorf("seed %d (%s) is back: %v", seed, what, v.Breaches[0])
 		}
@@ -44,8 +44,8 @@
 
 func TestASeedDrawsTheSameTimeline(t *testing.T) {
 	for seed := int64(1); seed < 50; seed++ {
-		f := Finding{Shrunk: Draw(seed)}
-		again := Finding{Shrunk: Draw(seed)}
+		f := Finding{Shrunk: Generate(seed)}
+		again := Finding{Shrunk: Generate(seed)}
 		if f.TOML() != again.TOML() {
 			t.Fatalf("seed %d drew two", seed)
 		}
@@ -73,9 +73,9 @@
 		t.Fatal("not found")
 	}
 	f := res.Findings[0]
-	drawn := Draw(f.Seed)
-	if f.Breach.Rule != judge.NoDuplicateEffect || f.Left.Rule != f.Breach.Rule {
-		t.Errorf("found %v, left %v", f.Breach, f.Left)
+	drawn := Generate(f.Seed)
+	if f.Breach.Rule != judge.NoDuplicateEffect || f.ShrunkBreach.Rule != f.Breach.Rule {
+		t.Errorf("found %v, left %v", f.Breach, f.ShrunkBreach)
 	}
 	if len(f.Shrunk.Faults) > len(drawn.Faults) || f.Shrunk.Length.Duration > drawn.Length.Duration {
 		t.Errorf("it grew from %d faults in %v to %d in %v", len(drawn.Faults), drawn.Length, len(f.Shrunk.Faults), f.Shrunk.Length)
