--- a/cmd/ivylock-control/versions_test.go
+++ b/cmd/ivylock-control/versions_test.go
@@ -86,8 +86,8 @@
 		if i%2 == 1 {
 			controls = []string{b.addr, a.addr}
 		}
-		p := &runningProxy{Proxy: xdsproxy.New(xdsproxy.Config{Controls: controls, Delta: i > 1,
-			Node: fmt.Sprintf("p%d", i), Zone: "hall-nord", Service: "clips", Clock: clock, Check: "/healthz"})}
+		p := &runningProxy{Proxy: xdsproxy.New(xdsproxy.Config{ControlServices: controls, Delta: i > 1,
+			NodeID: fmt.Sprintf("p%d", i), Zone: "hall-nord", Service: "clips", Clock: clock, HealthCheckPath: "/healthz"})}
 		startProxy(p)
 		proxies = append(proxies, p)
 	}
@@ -161,7 +161,7 @@
 	discovery.SetNow(entry(0, hosts.Draining))
 	drainedAt.Store(int64(clock()))
 	waitUntil("all proxies have moved to B and apply the drain", allProxies(audit.UpToDate, 4, b))
-	linkA.Set(link.Shape{State: link.BlackHole})
+	linkA.Set(link.Conditions{State: link.BlackHole})
 	restartedA := startControl(t, configA) // same address, list from before the drain
 	for i := 0; i < 4; i += 2 {
 		proxies[i].stop()
@@ -185,7 +185,7 @@
 		t.Fatalf("version after the restart is not lower: %d after %d",
 			record.Proxies[0].Published, before.Proxies[0].Published)
 	}
-	linkA.Set(link.Shape{})
+	linkA.Set(link.Conditions{})
 	waitUntil("the proxies that moved back to A are up to date", twoProxiesOf("a", audit.UpToDate))
 	waitUntil("all proxies are up to date", allProxies(audit.UpToDate, 1, restartedA, b))
 	finalAudit := auditOf(restartedA, b)
--- a/cmd/ivylock/upgrade_test.go
+++ b/cmd/ivylock/upgrade_test.go
@@ -337,7 +337,7 @@
 	p := newPlatform(t)
 	notified := make(chan time.Time, 100)
 	p.startDiscovery(func(e history.Event) {
-		if e.Kind == history.Told && e.Lifecycle == hosts.Draining {
+		if e.Kind == history.NodeNotified && e.Lifecycle == hosts.Draining {
 			notified <- time.Now()
 		}
 	})
--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -31,27 +31,27 @@
 	slowRead   = 20 * time.Millisecond // what a slow reader waits before it reads
 )
 
-// Place is where a connection may go: a node and the process that serves it.
-type Place struct {
-	Node, Addr string
-	Life       int // counts the node's processes
+// Target is where a connection may go: a node and the process that serves it.
+type Target struct {
+	Node, Addr  string
+	Incarnation int // counts the node's processes
 }
 
-// Front deals out connections among the nodes of a hall. Its methods may be
+// Balancer deals out connections among the nodes of a hall. Its methods may be
 // called from several goroutines.
-type Front struct {
+type Balancer struct {
 	mu     sync.Mutex
 	halls  map[string]string // node: hall
 	order  []string
-	places map[string]Place    // those it knows to be up
-	lives  map[string]int      // of the processes that have been killed so far
-	ends   map[Place]time.Time // when, by node and life
+	places map[string]Target    // those it knows to be up
+	lives  map[string]int       // of the processes that have been killed so far
+	ends   map[Target]time.Time // when, by node and life
 	turn   int
 }
 
-// NewFront makes one for the nodes of a scenario.
-func NewFront(nodes []scenario.Node) *Front {
-	f := &Front{halls: map[string]string{}, places: map[string]Place{}, lives: map[string]int{}, ends: map[Place]time.Time{}}
+// NewBalancer makes one for the nodes of a scenario.
+func NewBalancer(nodes []scenario.Node) *Balancer {
+	f := &Balancer{halls: map[string]string{}, places: map[string]Target{}, lives: map[string]int{}, ends: map[Target]time.Time{}}
 	for _, n := range nodes {
 		f.halls[n.Name] = n.Zone
 		f.order = append(f.order, n.Name)
@@ -59,28 +59,28 @@
 	return f
 }
 
-// Up takes a node in.
-func (f *Front) Up(p Place) {
+// Add takes a node in.
+func (f *Balancer) Add(p Target) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.places[p.Node] = p
 }
 
-// Down leaves a process of a node out.
-func (f *Front) Down(node string, life int) {
+// Remove leaves a process of a node out.
+func (f *Balancer) Remove(node string, life int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.places[node].Life == life {
+	if f.places[node].Incarnation == life {
 		delete(f.places, node)
 	}
 }
 
-// Killed notes that a process was killed, before the front notices it: what it
+// MarkKilled notes that a process was killed, before the front notices it: what it
 // had taken is the clients' to retry.
-func (f *Front) Killed(node string, life int) {
+func (f *Balancer) MarkKilled(node string, life int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lives[node], f.ends[Place{Node: node, Life: life}] = life, time.Now()
+	f.lives[node], f.ends[Target{Node: node, Incarnation: life}] = life, time.Now()
 }
 
 // killTime is how long a process may go on that is being killed.
@@ -88,23 +88,23 @@
 
 // wasKilled tells whether a process was killed that may have had a request in its
 // hands by then; not one that was sent on an old connection of it long after.
-func (f *Front) wasKilled(p Place, sent time.Time) bool {
+func (f *Balancer) wasKilled(p Target, sent time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if p.Life > f.lives[p.Node] {
+	if p.Incarnation > f.lives[p.Node] {
 		return false
 	}
-	end, known := f.ends[Place{Node: p.Node, Life: p.Life}]
+	end, known := f.ends[Target{Node: p.Node, Incarnation: p.Incarnation}]
 	return !known || !sent.After(end.Add(killTime))
 }
 
-// Deal gives the node for the next connection from a hall; a hall without one
+// Pick gives the node for the next connection from a hall; a hall without one
 // is served by the others.
-func (f *Front) Deal(hall string) (Place, bool) {
+func (f *Balancer) Pick(hall string) (Target, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, near := range []bool{true, false} {
-		var up []Place
+		var up []Target
 		for _, name := range f.order {
 			if p, known := f.places[name]; known && (f.halls[name] == hall) == near {
 				up = append(up, p)
@@ -115,13 +115,13 @@
 			return up[f.turn%len(up)], true
 		}
 	}
-	return Place{}, false
+	return Target{}, false
 }
 
 // Clients sends orders. Its methods may be called from several goroutines.
 type Clients struct {
 	Scenario *scenario.Scenario
-	Front    *Front
+	Balancer *Balancer
 	Clock    func() time.Duration
 	Record   func(history.Event)
 	Slack    time.Duration // that a client waits past its time, so that the judge sees how late an answer is
@@ -136,19 +136,19 @@
 
 // Stats are the clients' own counts.
 type Stats struct {
-	Dialled, Resent, NoPlace int
-	Late                     int // requests on connections of nodes that were told to end
-	Crossed                  int // of these, on connections that had carried nothing and were closed unread just then
+	Dialled, Resent, NoNode int
+	LateRequests            int // requests on connections of nodes that were told to end
+	CloseRaces              int // of these, on connections that had carried nothing and were closed unread just then
 }
 
 type conn struct {
 	*net.TCPConn
 	r     *bufio.Reader // over the conn's own Read
 	reads int           // since the latest answer began to arrive
-	place Place
+	place Target
 }
 
-func newConn(nc *net.TCPConn, p Place) *conn {
+func newConn(nc *net.TCPConn, p Target) *conn {
 	k := &conn{TCPConn: nc, place: p}
 	k.r = bufio.NewReader(k)
 	return k
@@ -160,12 +160,12 @@
 	return k.TCPConn.Read(to)
 }
 
-// Order sends an order with its retries and returns when it is over.
-func (c *Clients) Order(o *load.Order) {
-	c.Record(history.Event{At: c.Clock(), Kind: history.Ask, Order: o.ID, Class: o.Class.Name})
+// Send sends an order with its retries and returns when it is over.
+func (c *Clients) Send(o *load.Order) {
+	c.Record(history.Event{At: c.Clock(), Kind: history.OrderIssued, Order: o.ID, Class: o.Class.Name})
 	for n := 0; ; n++ {
 		st, retryAfter := c.try(o, n)
-		wait, again := load.Again(c.Scenario, o, n, st, retryAfter, c.Clock())
+		wait, again := load.NextRetry(c.Scenario, o, n, st, retryAfter, c.Clock())
 		if !again {
 			return
 		}
@@ -176,17 +176,17 @@
 // try sends one try and gives how it ended.
 func (c *Clients) try(o *load.Order, n int) (history.Status, time.Duration) {
 	id := fmt.Sprintf("%s.%d", o.ID, n)
-	patience := load.Patience(c.Scenario, o, c.Clock())
+	patience := load.TryTimeout(c.Scenario, o, c.Clock())
 	if patience < time.Millisecond {
-		return history.Left, 0
+		return history.Abandoned, 0
 	}
 	text := wording(o, id, patience)
 	var last result
 	for resend := false; ; resend = true {
-		k, fresh := c.take(o.Hall, resend)
+		k, fresh := c.take(o.Zone, resend)
 		if k == nil {
 			c.mu.Lock()
-			c.stats.NoPlace++
+			c.stats.NoNode++
 			c.mu.Unlock()
 			return history.Unreachable, 0
 		}
@@ -195,7 +195,7 @@
 		// A connection that the node closed between requests, as it may: the
 		// request goes out once more on a new one. Not if the process was killed
 		// with the request in its hands.
-		if last.status == history.Broken && last.silent && !fresh && !resend && !c.Front.wasKilled(k.place, began) {
+		if last.status == history.ConnectionBroken && last.silent && !fresh && !resend && !c.Balancer.wasKilled(k.place, began) {
 			c.mu.Lock()
 			c.stats.Resent++
 			c.mu.Unlock()
@@ -216,7 +216,7 @@
 		Node: k.place.Node, Key: o.Key, Deadline: r.sent + patience})
 	c.Record(history.Event{At: r.ended, Kind: history.Answer, Try: id, Status: r.status, Server: r.server})
 	if r.extra {
-		c.Record(history.Event{At: r.ended, Kind: history.Extra, Try: id})
+		c.Record(history.Event{At: r.ended, Kind: history.ExtraData, Try: id})
 	}
 }
 
@@ -262,7 +262,7 @@
 	c.open++
 	c.stats.Dialled++
 	c.mu.Unlock()
-	if p, any := c.Front.Deal(hall); any {
+	if p, any := c.Balancer.Pick(hall); any {
 		if nc, err := socket.Dial(p.Addr, dialTime); err == nil {
 			return newConn(nc, p), true
 		}
@@ -329,32 +329,32 @@
 			r.ended = arrived
 		}
 		if keep {
-			c.keep(o.Hall, k)
+			c.keep(o.Zone, k)
 		} else {
 			c.drop(k)
 		}
 	}()
-	k.SetDeadline(time.Now().Add(patience + c.Slack + time.Duration(o.Pieces)*piecePause))
+	k.SetDeadline(time.Now().Add(patience + c.Slack + time.Duration(o.WritePieces)*piecePause))
 	r.sent = c.Clock()
-	if err := writePieces(k, text, o.Pieces); err != nil {
-		r.status, r.silent = history.Broken, true
+	if err := writePieces(k, text, o.WritePieces); err != nil {
+		r.status, r.silent = history.ConnectionBroken, true
 		return r
 	}
 	r.written, r.sent = true, c.Clock()
 	k.SetDeadline(time.Now().Add(patience + c.Slack))
-	if o.Leaves > 0 {
-		k.SetReadDeadline(time.Now().Add(o.Leaves))
+	if o.AbandonAfter > 0 {
+		k.SetReadDeadline(time.Now().Add(o.AbandonAfter))
 	}
 	firstAt, err := c.await(k)
 	if err != nil {
-		if r.status, r.silent = lost(err), true; o.Leaves > 0 && r.status == history.GaveUp {
-			r.status = history.Left
+		if r.status, r.silent = lost(err), true; o.AbandonAfter > 0 && r.status == history.TimedOut {
+			r.status = history.Abandoned
 		}
 		return r
 	}
 	k.SetDeadline(time.Now().Add(patience + c.Slack))
-	if o.Slow {
-		c.Record(history.Event{At: c.Clock(), Kind: history.Slow, Try: id})
+	if o.SlowReader {
+		c.Record(history.Event{At: c.Clock(), Kind: history.SlowRead, Try: id})
 		time.Sleep(slowRead)
 	}
 	resp, err := http.ReadResponse(k.r, nil)
@@ -374,7 +374,7 @@
 	keep = !resp.Close && !r.extra
 	switch resp.StatusCode {
 	case http.StatusOK:
-		r.status = history.Wrong
+		r.status = history.WrongContent
 		if rest, ok := strings.CutPrefix(string(body), "clip "+id+" by "); ok {
 			r.status, r.server = history.Served, strings.TrimSpace(rest)
 		}
@@ -418,7 +418,7 @@
 // lost tells a time-out from a broken connection.
 func lost(err error) history.Status {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return history.GaveUp
+		return history.TimedOut
 	}
-	return history.Broken
+	return history.ConnectionBroken
 }
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -33,10 +33,10 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	s := &scenario.Scenario{Client: scenario.Client{Retries: 2, TryTimeoutFraction: 0.5, Backoff: scenario.Span{Duration: time.Millisecond}}}
-	front := NewFront([]scenario.Node{{Name: "n0", Zone: "hall"}})
-	front.Up(Place{"n0", l.Addr().String(), 1})
+	front := NewBalancer([]scenario.Node{{Name: "n0", Zone: "hall"}})
+	front.Add(Target{"n0", l.Addr().String(), 1})
 	start := time.Now()
-	r := &rig{t: t, Clients: &Clients{Scenario: s, Front: front, Clock: func() time.Duration { return time.Since(start) }, Slack: 50 * time.Millisecond}}
+	r := &rig{t: t, Clients: &Clients{Scenario: s, Balancer: front, Clock: func() time.Duration { return time.Since(start) }, Slack: 50 * time.Millisecond}}
 	r.Record = func(e history.Event) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -76,7 +76,7 @@
 
 func order(class int) *load.Order {
 	c := load.Classes[class]
-	o := &load.Order{ID: "o1", Class: &c, Hall: "hall", Work: time.Millisecond}
+	o := &load.Order{ID: "o1", Class: &c, Zone: "hall", Work: time.Millisecond}
 	if c.Effect == history.Keyed {
 		o.Key = "k"
 	}
@@ -102,7 +102,7 @@
 		if e.Kind == history.Answer {
 			out = append(out, string(e.Status))
 		}
-		if e.Kind == history.Extra {
+		if e.Kind == history.ExtraData {
 			out = append(out, "extra")
 		}
 	}
@@ -117,7 +117,7 @@
 		}
 		o := order(i)
 		o.ID = fmt.Sprint("o", i)
-		r.Order(o)
+		r.Send(o)
 		req := r.got[len(r.got)-1]
 		if req.Method != want.method || req.Header.Get("Idempotency-Key") != want.key || req.Header.Get("Request-Class") != o.Class.Name ||
 			!strings.HasPrefix(req.URL.Path, "/"+o.Class.Name+"/") || req.Header.Get("Request-Timeout-Ms") == "" {
@@ -162,7 +162,7 @@
 			quick := *o.Class
 			quick.Deadline = 2 * time.Second
 			o.Class = &quick
-			r.Order(o)
+			r.Send(o)
 			if got := r.statuses(); got != c.want {
 				t.Errorf("ended %q, want %q", got, c.want)
 			}
@@ -181,8 +181,8 @@
 	})
 	a, b := order(unsafe), order(unsafe)
 	b.ID = "o2"
-	r.Order(a)
-	r.Order(b)
+	r.Send(a)
+	r.Send(b)
 	if got := r.statuses(); got != "served served" || r.Stats().Resent != 1 || len(r.got) != 3 {
 		t.Errorf("%s, %d resent, %d requests", got, r.Stats().Resent, len(r.got))
 	}
@@ -194,51 +194,51 @@
 	var r *rig
 	r = newRig(t, func(n int, req *http.Request) string {
 		if n == 1 {
-			r.Front.Killed("n0", 1)
+			r.Balancer.MarkKilled("n0", 1)
 			return ""
 		}
 		return served(req)
 	})
 	a, b := order(unsafe), order(unsafe)
 	b.ID = "o2"
-	r.Order(a)
-	r.Order(b)
+	r.Send(a)
+	r.Send(b)
 	if got := r.statuses(); got != "served broken" || len(r.got) != 2 {
 		t.Errorf("%s, %d requests", got, len(r.got))
 	}
 }
 
 func TestTheFrontDealsWithinTheHallWhileItCan(t *testing.T) {
-	f := NewFront([]scenario.Node{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}, {Name: "n2", Zone: "b"}})
-	if _, any := f.Deal("a"); any {
+	f := NewBalancer([]scenario.Node{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}, {Name: "n2", Zone: "b"}})
+	if _, any := f.Pick("a"); any {
 		t.Error("nobody is up")
 	}
-	f.Up(Place{"n0", "x", 1})
-	f.Up(Place{"n1", "y", 1})
-	f.Up(Place{"n2", "z", 1})
+	f.Add(Target{"n0", "x", 1})
+	f.Add(Target{"n1", "y", 1})
+	f.Add(Target{"n2", "z", 1})
 	seen := map[string]int{}
 	for range 10 {
-		p, _ := f.Deal("b")
+		p, _ := f.Pick("b")
 		seen[p.Node]++
 	}
 	if seen["n1"] != 5 || seen["n2"] != 5 {
 		t.Errorf("dealt %v", seen)
 	}
-	f.Down("n0", 7) // an older word
-	if p, _ := f.Deal("a"); p.Node != "n0" {
+	f.Remove("n0", 7) // an older word
+	if p, _ := f.Pick("a"); p.Node != "n0" {
 		t.Errorf("dealt %v", p)
 	}
-	f.Down("n0", 1)
-	if p, any := f.Deal("a"); !any || p.Node == "n0" {
+	f.Remove("n0", 1)
+	if p, any := f.Pick("a"); !any || p.Node == "n0" {
 		t.Errorf("a hall without nodes got %v, %v", p, any)
 	}
 }
 
 func TestWithoutANodeAnOrderIsUnreachable(t *testing.T) {
 	r := newRig(t, func(int, *http.Request) string { return "" })
-	r.Front.Down("n0", 1)
-	r.Order(order(unsafe))
-	if got := r.statuses(); got != "" || r.Stats().NoPlace != 3 {
-		t.Errorf("%q, %d times no place", got, r.Stats().NoPlace)
+	r.Balancer.Remove("n0", 1)
+	r.Send(order(unsafe))
+	if got := r.statuses(); got != "" || r.Stats().NoNode != 3 {
+		t.Errorf("%q, %d times no place", got, r.Stats().NoNode)
 	}
 }
--- a/internal/lab/caller/late.go
+++ b/internal/lab/caller/late.go
@@ -23,11 +23,11 @@
 	lateKinds
 )
 
-// Ending sends requests to a process that is told to end, from now until it is killed, on
+// SendDuringShutdown sends requests to a process that is told to end, from now until it is killed, on
 // connections of each kind. It takes so many that are idle and opens as many new ones of
 // each other kind at once, and returns when all have been answered, or have ended. seed
 // draws classes and times.
-func (c *Clients) Ending(p Place, classes []history.Class, connections int, until time.Duration, seed int64) {
+func (c *Clients) SendDuringShutdown(p Target, classes []history.Class, connections int, until time.Duration, seed int64) {
 	r := rand.New(rand.NewPCG(uint64(seed), 0x6c617465))
 	var all sync.WaitGroup
 	send := func(k *conn, kind lateKind) {
@@ -76,7 +76,7 @@
 )
 
 // resting takes so many idle connections of a process out of use.
-func (c *Clients) resting(p Place, most int) (out []*conn) {
+func (c *Clients) resting(p Target, most int) (out []*conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for hall, list := range c.idle {
@@ -106,19 +106,19 @@
 		return
 	}
 	began := time.Now()
-	c.Record(history.Event{At: c.Clock(), Kind: history.Ask, Order: o.ID, Class: o.Class.Name})
+	c.Record(history.Event{At: c.Clock(), Kind: history.OrderIssued, Order: o.ID, Class: o.Class.Name})
 	r := c.exchange(k, text[part:], id, o, patience)
 	c.mu.Lock()
-	c.stats.Late++
+	c.stats.LateRequests++
 	c.mu.Unlock()
 	if !r.written {
 		return
 	}
-	if r.status == history.Broken && r.silent && kind != begun && !c.Front.wasKilled(k.place, began) {
-		r.status = history.Crossed // a client would send it once more elsewhere
+	if r.status == history.ConnectionBroken && r.silent && kind != begun && !c.Balancer.wasKilled(k.place, began) {
+		r.status = history.CloseRace // a client would send it once more elsewhere
 		if kind == unused {
 			c.mu.Lock()
-			c.stats.Crossed++
+			c.stats.CloseRaces++
 			c.mu.Unlock()
 		}
 	}
--- a/internal/lab/clip/pod.go
+++ b/internal/lab/clip/pod.go
@@ -22,9 +22,9 @@
 	return &Pod{Window: window, seen: map[string]time.Duration{}}
 }
 
-// First tells whether a key is met for the first time within the window, and
+// RecordKey tells whether a key is met for the first time within the window, and
 // remembers it from now on if so. An empty key is always new.
-func (p *Pod) First(now time.Duration, key string) bool {
+func (p *Pod) RecordKey(now time.Duration, key string) bool {
 	if key == "" {
 		return true
 	}
--- a/internal/lab/clip/server.go
+++ b/internal/lab/clip/server.go
@@ -13,10 +13,10 @@
 
 // The states.
 const (
-	Running State = iota
-	Hung          // takes requests and answers none; what ran goes on, unheard
-	Silent        // the machine is cut off: no reset, no answer
-	Down          // the process is dead, or has fallen over: connections are refused
+	Running  State = iota
+	Hung           // takes requests and answers none; what ran goes on, unheard
+	Isolated       // the machine is cut off: no reset, no answer
+	Down           // the process is dead, or has fallen over: connections are refused
 )
 
 // Job is one attempt or probe at a server.
@@ -28,24 +28,24 @@
 	Probe bool
 }
 
-// Done says that a job's answer is ready.
-type Done struct {
+// Completion says that a job's answer is ready.
+type Completion struct {
 	Job
-	Repeat bool // dropped as a repeat: the effect did not run
+	Duplicate bool // dropped as a repeat: the effect did not run
 }
 
-// Started says that a job was begun. Its effect ran, unless it is a repeat.
-type Started struct {
+// JobStart says that a job was begun. Its effect ran, unless it is a repeat.
+type JobStart struct {
 	Job
-	At     time.Duration
-	Repeat bool
+	At        time.Duration
+	Duplicate bool
 }
 
-// Load is the load report, in the fields of the protocol page.
-type Load struct {
+// LoadReport is the load report, in the fields of the protocol page.
+type LoadReport struct {
 	InFlight, Queue int
 	Utilisation     float64 // of the cores since the report before, 0 to 1
-	Rate            float64 // answers a second, the same
+	CompletionRate  float64 // answers a second, the same
 }
 
 // Server is the model of one clip server. It is not safe for concurrent use.
@@ -53,27 +53,27 @@
 // All jobs in work progress alike, so one number, the work that each of them
 // has had since the process began (done), tells when the next one ends.
 type Server struct {
-	Name    string
-	Machine Machine
-	Fall    Fall
-	pod     *Pod
-	state   State
-	since   time.Duration // start of the process
-	cold    bool          // it started cold at since
-	at      time.Duration // up to when done counts
-	done    float64       // s of work that each job in work has had
-	active  jobHeap
-	queue   []Job
-	conns   int
-	recent  []arrival // within Fall.Time, while cold
-	sum     time.Duration
-	load    Load
-	loadAt  time.Duration
-	busy    float64 // s of cores at work since the process began
-	answers float64
-	busyAt  float64 // these two at the last report
-	endedAt float64
-	Begun   func(Started) // told of every job that is begun; may be nil
+	Name          string
+	Machine       Machine
+	OverloadLimit OverloadLimit
+	pod           *Pod
+	state         State
+	since         time.Duration // start of the process
+	cold          bool          // it started cold at since
+	at            time.Duration // up to when done counts
+	done          float64       // s of work that each job in work has had
+	active        jobHeap
+	queue         []Job
+	conns         int
+	recent        []arrival // within Fall.Window, while cold
+	sum           time.Duration
+	load          LoadReport
+	loadAt        time.Duration
+	busy          float64 // s of cores at work since the process began
+	answers       float64
+	busyAt        float64 // these two at the last report
+	endedAt       float64
+	OnJobStart    func(JobStart) // told of every job that is begun; may be nil
 }
 
 type arrival struct{ at, work time.Duration }
@@ -85,18 +85,18 @@
 }
 
 // NewServer makes a warm, running server.
-func NewServer(name string, m Machine, f Fall, pod *Pod) *Server {
-	return &Server{Name: name, Machine: m, Fall: f, pod: pod, loadAt: -1 << 60}
+func NewServer(name string, m Machine, f OverloadLimit, pod *Pod) *Server {
+	return &Server{Name: name, Machine: m, OverloadLimit: f, pod: pod, loadAt: -1 << 60}
 }
 
 // State gives the state.
 func (s *Server) State() State { return s.state }
 
-// Held gives the requests in work and waiting, as they are now.
-func (s *Server) Held() (active, waiting int) { return len(s.active), len(s.queue) }
+// InFlight gives the requests in work and waiting, as they are now.
+func (s *Server) InFlight() (active, waiting int) { return len(s.active), len(s.queue) }
 
-// Conns gives the open connections.
-func (s *Server) Conns() int { return s.conns }
+// MaxConnections gives the open connections.
+func (s *Server) Connections() int { return s.conns }
 
 // SetState changes the state. A process that dies loses all it held.
 func (s *Server) SetState(now time.Duration, st State) {
@@ -112,30 +112,30 @@
 func (s *Server) Start(now time.Duration, cold bool) history.Event {
 	s.SetState(now, Down)
 	s.state, s.since, s.cold, s.at, s.done = Running, now, cold, now, 0
-	s.recent, s.sum, s.load, s.loadAt = nil, 0, Load{}, -1<<60
+	s.recent, s.sum, s.load, s.loadAt = nil, 0, LoadReport{}, -1<<60
 	s.busy, s.answers, s.busyAt, s.endedAt = 0, 0, 0, 0
-	e := history.Event{At: now, Kind: history.Start, Server: s.Name, Capacity: s.Machine.Capacity(), Cores: s.Machine.Cores}
+	e := history.Event{At: now, Kind: history.ServerStarted, Server: s.Name, Capacity: s.Machine.Capacity(), Cores: s.Machine.Cores}
 	if cold {
-		e.ColdFrom, e.ColdTime = s.Machine.ColdFrom, s.Machine.ColdTime
+		e.ColdFraction, e.WarmupTime = s.Machine.ColdFraction, s.Machine.WarmupTime
 	}
 	return e
 }
 
 // Cold tells whether the process is not warm yet.
-func (s *Server) Cold(now time.Duration) bool { return s.cold && now < s.since+s.Machine.ColdTime }
+func (s *Server) Cold(now time.Duration) bool { return s.cold && now < s.since+s.Machine.WarmupTime }
 
-// Part is the part of its capacity that the server has.
-func (s *Server) Part(now time.Duration) float64 {
+// WarmRatio is the part of its capacity that the server has.
+func (s *Server) WarmRatio(now time.Duration) float64 {
 	if !s.Cold(now) {
 		return 1
 	}
-	age := max(0, now-s.since).Seconds() / s.Machine.ColdTime.Seconds()
-	return s.Machine.ColdFrom + (1-s.Machine.ColdFrom)*age
+	age := max(0, now-s.since).Seconds() / s.Machine.WarmupTime.Seconds()
+	return s.Machine.ColdFraction + (1-s.Machine.ColdFraction)*age
 }
 
 // Connect takes one more connection, or tells that there are too many.
 func (s *Server) Connect() bool {
-	if s.conns >= s.Machine.Conns {
+	if s.conns >= s.Machine.MaxConnections {
 		return false
 	}
 	s.conns++
@@ -145,58 +145,58 @@
 // Disconnect gives one up.
 func (s *Server) Disconnect() { s.conns = max(0, s.conns-1) }
 
-// Offer brings a job whose last byte has come. It is taken, or turned away
+// Submit brings a job whose last byte has come. It is taken, or turned away
 // unseen; fell says that it was the one too many for a cold server, which is
 // down from now on.
-func (s *Server) Offer(now time.Duration, j Job) (v history.Verdict, fell bool) {
+func (s *Server) Submit(now time.Duration, j Job) (v history.Verdict, fell bool) {
 	s.progress(now)
 	if s.overdriven(now, j.Work) {
 		s.SetState(now, Down)
-		return history.Taken, true
+		return history.Accepted, true
 	}
 	switch {
 	case s.state == Hung:
-		return history.Taken, false // it is held for good
+		return history.Accepted, false // it is held for good
 	case len(s.active) < s.Machine.Slots:
 		s.begin(now, j)
-	case len(s.queue) < s.Machine.Waiting:
+	case len(s.queue) < s.Machine.MaxQueue:
 		s.queue = append(s.queue, j)
 	default:
-		return history.Turned, false
+		return history.Rejected, false
 	}
-	return history.Taken, false
+	return history.Accepted, false
 }
 
 // overdriven counts what a cold server is sent.
 func (s *Server) overdriven(now, work time.Duration) bool {
-	if !s.Cold(now) || s.Fall.Factor <= 0 {
+	if !s.Cold(now) || s.OverloadLimit.Factor <= 0 {
 		s.recent, s.sum = nil, 0
 		return false
 	}
 	// One request keeps one core busy: it counts for no more than that core can
 	// do within the window, however heavy it is.
-	work = min(work, time.Duration(float64(s.Fall.Time)*s.Machine.Speed))
+	work = min(work, time.Duration(float64(s.OverloadLimit.Window)*s.Machine.Speed))
 	s.recent, s.sum = append(s.recent, arrival{now, work}), s.sum+work
-	for s.recent[0].at <= now-s.Fall.Time {
+	for s.recent[0].at <= now-s.OverloadLimit.Window {
 		s.sum -= s.recent[0].work
 		s.recent = s.recent[1:]
 	}
-	from := now - s.Fall.Time // the part is straight from the start on, and what it was before
-	middle := (s.Part(max(from, s.since)) + s.Part(now)) / 2
-	can := middle * min(s.Fall.Time, now-s.since).Seconds()
-	can += s.Machine.ColdFrom * max(0, s.since-from).Seconds()
-	return s.sum.Seconds() > s.Fall.Factor*can*s.Machine.Capacity()+s.Fall.Spare.Seconds()
+	from := now - s.OverloadLimit.Window // the part is straight from the start on, and what it was before
+	middle := (s.WarmRatio(max(from, s.since)) + s.WarmRatio(now)) / 2
+	can := middle * min(s.OverloadLimit.Window, now-s.since).Seconds()
+	can += s.Machine.ColdFraction * max(0, s.since-from).Seconds()
+	return s.sum.Seconds() > s.OverloadLimit.Factor*can*s.Machine.Capacity()+s.OverloadLimit.Allowance.Seconds()
 }
 
 func (s *Server) begin(now time.Duration, j Job) {
-	repeat := !j.Probe && !s.pod.First(now, j.Key)
+	repeat := !j.Probe && !s.pod.RecordKey(now, j.Key)
 	r := running{Job: j, end: s.done + j.Work.Seconds(), repeat: repeat}
 	if repeat {
 		r.end = s.done // it knows the answer
 	}
 	heap.Push(&s.active, r)
-	if s.Begun != nil && !j.Probe {
-		s.Begun(Started{j, now, repeat})
+	if s.OnJobStart != nil && !j.Probe {
+		s.OnJobStart(JobStart{j, now, repeat})
 	}
 }
 
@@ -219,19 +219,19 @@
 
 // integral gives the seconds of full capacity that lie between two times.
 func (s *Server) integral(from, to time.Duration) float64 {
-	warm := s.since + s.Machine.ColdTime
+	warm := s.since + s.Machine.WarmupTime
 	if !s.cold || from >= warm {
 		return (to - from).Seconds()
 	}
 	cut := min(to, warm)
 	part := func(t time.Duration) float64 {
-		return s.Machine.ColdFrom + (1-s.Machine.ColdFrom)*max(0, t-s.since).Seconds()/s.Machine.ColdTime.Seconds()
+		return s.Machine.ColdFraction + (1-s.Machine.ColdFraction)*max(0, t-s.since).Seconds()/s.Machine.WarmupTime.Seconds()
 	}
 	return (cut-from).Seconds()*(part(from)+part(cut))/2 + (to - cut).Seconds()
 }
 
-// Next tells when the next job ends if nothing else happens.
-func (s *Server) Next() (time.Duration, bool) {
+// NextCompletion tells when the next job ends if nothing else happens.
+func (s *Server) NextCompletion() (time.Duration, bool) {
 	if len(s.active) == 0 || s.state == Down {
 		return 0, false
 	}
@@ -240,13 +240,13 @@
 		return s.at, true
 	}
 	t := s.at
-	if warm := s.since + s.Machine.ColdTime; s.cold && t < warm {
+	if warm := s.since + s.Machine.WarmupTime; s.cold && t < warm {
 		if all := s.integral(t, warm); all < left {
 			left -= all
 			t = warm
 		} else { // p*x + g*x*x/2 = left, with p the part now and g its growth a second
-			g := (1 - s.Machine.ColdFrom) / s.Machine.ColdTime.Seconds()
-			p := s.Machine.ColdFrom + g*max(0, t-s.since).Seconds()
+			g := (1 - s.Machine.ColdFraction) / s.Machine.WarmupTime.Seconds()
+			p := s.Machine.ColdFraction + g*max(0, t-s.since).Seconds()
 			x := left / p
 			if g > 0 {
 				x = (math.Sqrt(p*p+2*g*left) - p) / g
@@ -263,10 +263,10 @@
 // Advance lets the work go on until now and gives the jobs that ended. A
 // server that hangs or is cut off ends jobs too, but nobody is told: it gives
 // none.
-func (s *Server) Advance(now time.Duration) []Done {
-	var out []Done
+func (s *Server) Advance(now time.Duration) []Completion {
+	var out []Completion
 	for {
-		t, any := s.Next()
+		t, any := s.NextCompletion()
 		if !any || t > now {
 			break
 		}
@@ -274,7 +274,7 @@
 		r := heap.Pop(&s.active).(running)
 		s.answers++
 		if s.state == Running {
-			out = append(out, Done{r.Job, r.repeat})
+			out = append(out, Completion{r.Job, r.repeat})
 		}
 		if len(s.queue) > 0 && s.state != Hung {
 			j := s.queue[0]
@@ -297,7 +297,7 @@
 		}
 	}
 	for i, r := range s.active {
-		if r.ID == id && s.Machine.StopsRun {
+		if r.ID == id && s.Machine.CancelsRunning {
 			heap.Remove(&s.active, i)
 			if len(s.queue) > 0 && s.state != Hung {
 				j := s.queue[0]
@@ -309,13 +309,13 @@
 	}
 }
 
-// Report gives the load report, which is up to Machine.Report old.
-func (s *Server) Report(now time.Duration) Load {
-	if now-s.loadAt >= s.Machine.Report {
-		l := Load{InFlight: len(s.active) + len(s.queue), Queue: len(s.queue)}
+// ReportInterval gives the load report, which is up to Machine.ReportInterval old.
+func (s *Server) Report(now time.Duration) LoadReport {
+	if now-s.loadAt >= s.Machine.ReportInterval {
+		l := LoadReport{InFlight: len(s.active) + len(s.queue), Queue: len(s.queue)}
 		if d := (now - max(s.loadAt, s.since)).Seconds(); d > 0 {
 			l.Utilisation = (s.busy - s.busyAt) / (d * float64(s.Machine.Cores))
-			l.Rate = (s.answers - s.endedAt) / d
+			l.CompletionRate = (s.answers - s.endedAt) / d
 		}
 		s.load, s.loadAt, s.busyAt, s.endedAt = l, now, s.busy, s.answers
 	}
--- a/internal/lab/clip/server_test.go
+++ b/internal/lab/clip/server_test.go
@@ -10,25 +10,25 @@
 const ms = time.Millisecond
 
 func machine() Machine {
-	m, err := Of("std-6")
+	m, err := NewMachine("std-6")
 	if err != nil {
 		panic(err)
 	}
-	m.Cores, m.Slots, m.Waiting, m.Speed = 2, 2, 2, 1
+	m.Cores, m.Slots, m.MaxQueue, m.Speed = 2, 2, 2, 1
 	return m
 }
 
-func server(fall Fall) *Server {
+func server(fall OverloadLimit) *Server {
 	return NewServer("s", machine(), fall, NewPod(8*time.Second))
 }
 
-var none Fall // never falls
+var none OverloadLimit // never falls
 
 // drain lets the server work and gives when each job ended.
 func drain(s *Server) map[uint64]time.Duration {
 	ends := map[uint64]time.Duration{}
 	for {
-		t, any := s.Next()
+		t, any := s.NextCompletion()
 		if !any {
 			return ends
 		}
@@ -45,7 +45,7 @@
 	for _, speed := range []float64{0.5, 1, 2} {
 		s := server(none)
 		s.Machine.Speed = speed
-		s.Offer(time.Second, Job{ID: 1, Work: 100 * ms})
+		s.Submit(time.Second, Job{ID: 1, Work: 100 * ms})
 		if got, want := drain(s)[1], time.Second+time.Duration(float64(100*ms)/speed); !near(got, want) {
 			t.Errorf("speed %v: ended at %v, want %v", speed, got, want)
 		}
@@ -55,8 +55,8 @@
 func TestJobsBeyondTheSlotsWaitAndBeyondThatAreTurnedAway(t *testing.T) {
 	s := server(none)
 	for id := uint64(1); id <= 5; id++ {
-		v, _ := s.Offer(0, Job{ID: id, Work: 100 * ms})
-		if want := map[bool]history.Verdict{true: history.Taken, false: history.Turned}[id <= 4]; v != want {
+		v, _ := s.Submit(0, Job{ID: id, Work: 100 * ms})
+		if want := map[bool]history.Verdict{true: history.Accepted, false: history.Rejected}[id <= 4]; v != want {
 			t.Errorf("job %d: %s", id, v)
 		}
 	}
@@ -73,7 +73,7 @@
 	s := server(none)
 	s.Machine.Slots = 4
 	for id := uint64(1); id <= 4; id++ {
-		s.Offer(0, Job{ID: id, Work: 100 * ms})
+		s.Submit(0, Job{ID: id, Work: 100 * ms})
 	}
 	if ends := drain(s); !near(ends[4], 200*ms) {
 		t.Errorf("ended at %v", ends)
@@ -85,13 +85,13 @@
 	s := server(none)
 	s.Start(10*time.Second, true)
 	for at, want := range map[time.Duration]float64{10 * time.Second: 0.32, 14150 * ms: 0.66, 18300 * ms: 1, time.Minute: 1} {
-		if got := s.Part(at); got < want-0.001 || got > want+0.001 {
+		if got := s.WarmRatio(at); got < want-0.001 || got > want+0.001 {
 			t.Errorf("at %v it has %v of its capacity, want %v", at, got, want)
 		}
 	}
 	// Work that takes 8.3 s at the mean of the ramp ends when it is warm.
-	s.Offer(10*time.Second, Job{ID: 1, Work: time.Duration(0.66 * float64(8300*ms))})
-	s.Offer(10*time.Second, Job{ID: 2, Work: time.Duration(0.66*float64(8300*ms)) + time.Second})
+	s.Submit(10*time.Second, Job{ID: 1, Work: time.Duration(0.66 * float64(8300*ms))})
+	s.Submit(10*time.Second, Job{ID: 2, Work: time.Duration(0.66*float64(8300*ms)) + time.Second})
 	if ends := drain(s); !near(ends[1], 18300*ms) || !near(ends[2], 19300*ms) {
 		t.Errorf("ended at %v", ends)
 	}
@@ -102,21 +102,21 @@
 		work time.Duration // each 10 ms for a second
 		fell bool
 	}{{14 * ms, false}, {30 * ms, true}} { // it can do 0.32 x 2 cores: 6.4 ms each 10 ms, 16 at 2.5 times that
-		s := server(Fall{Factor: 2.5, Time: time.Second, Spare: 100 * ms})
-		s.Machine.Waiting = 1000
+		s := server(OverloadLimit{Factor: 2.5, Window: time.Second, Allowance: 100 * ms})
+		s.Machine.MaxQueue = 1000
 		s.Start(0, true)
 		fell := false
 		for i := range 100 {
-			_, f := s.Offer(time.Duration(i)*10*ms, Job{ID: uint64(i), Work: c.work})
+			_, f := s.Submit(time.Duration(i)*10*ms, Job{ID: uint64(i), Work: c.work})
 			fell = fell || f
 		}
 		if fell != c.fell || (s.State() == Down) != c.fell {
 			t.Errorf("%v each 10 ms: fell %v, state %v", c.work, fell, s.State())
 		}
 	}
-	warm := server(Fall{Factor: 2.5, Time: time.Second})
+	warm := server(OverloadLimit{Factor: 2.5, Window: time.Second})
 	for i := range 1000 {
-		if _, fell := warm.Offer(0, Job{ID: uint64(i), Work: time.Second}); fell {
+		if _, fell := warm.Submit(0, Job{ID: uint64(i), Work: time.Second}); fell {
 			t.Fatal("a warm server fell over")
 		}
 	}
@@ -125,17 +125,17 @@
 func TestAPodDropsRepeatsForItsWindow(t *testing.T) {
 	pod := NewPod(8 * time.Second)
 	a, b := NewServer("a", machine(), none, pod), NewServer("b", machine(), none, pod)
-	var begun []Started
-	a.Begun = func(s Started) { begun = append(begun, s) }
-	b.Begun = a.Begun
-	a.Offer(0, Job{ID: 1, Key: "k", Work: 50 * ms})
-	b.Offer(time.Second, Job{ID: 2, Key: "k", Work: 50 * ms})
-	b.Offer(9*time.Second, Job{ID: 3, Key: "k", Work: 50 * ms})
-	if len(begun) != 3 || begun[0].Repeat || !begun[1].Repeat || begun[2].Repeat {
+	var begun []JobStart
+	a.OnJobStart = func(s JobStart) { begun = append(begun, s) }
+	b.OnJobStart = a.OnJobStart
+	a.Submit(0, Job{ID: 1, Key: "k", Work: 50 * ms})
+	b.Submit(time.Second, Job{ID: 2, Key: "k", Work: 50 * ms})
+	b.Submit(9*time.Second, Job{ID: 3, Key: "k", Work: 50 * ms})
+	if len(begun) != 3 || begun[0].Duplicate || !begun[1].Duplicate || begun[2].Duplicate {
 		t.Errorf("begun %+v", begun)
 	}
 	for i := range 3 * maxKeys { // its memory is bounded
-		pod.First(time.Duration(i), string(rune(i))+"x")
+		pod.RecordKey(time.Duration(i), string(rune(i))+"x")
 	}
 	if len(pod.seen) > maxKeys+1 {
 		t.Errorf("it remembers %d keys", len(pod.seen))
@@ -145,9 +145,9 @@
 func TestACancelDropsWaitingWorkAndStopsRunningWorkOnlyWhereItMay(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		s := server(none)
-		s.Machine.StopsRun = stops
+		s.Machine.CancelsRunning = stops
 		for id := uint64(1); id <= 4; id++ {
-			s.Offer(0, Job{ID: id, Work: 100 * ms})
+			s.Submit(0, Job{ID: id, Work: 100 * ms})
 		}
 		s.Cancel(10*ms, 3) // waits
 		s.Cancel(10*ms, 1) // runs
@@ -163,9 +163,9 @@
 
 func TestAHungServerTakesAndAnswersNothing(t *testing.T) {
 	s := server(none)
-	s.Offer(0, Job{ID: 1, Work: 100 * ms})
+	s.Submit(0, Job{ID: 1, Work: 100 * ms})
 	s.SetState(50*ms, Hung)
-	if v, _ := s.Offer(60*ms, Job{ID: 2, Work: 100 * ms}); v != history.Taken {
+	if v, _ := s.Submit(60*ms, Job{ID: 2, Work: 100 * ms}); v != history.Accepted {
 		t.Errorf("it %s", v)
 	}
 	if done := s.Advance(time.Second); len(done) != 0 {
@@ -175,7 +175,7 @@
 
 func TestItHoldsSoManyConnections(t *testing.T) {
 	s := server(none)
-	s.Machine.Conns = 2
+	s.Machine.MaxConnections = 2
 	if !s.Connect() || !s.Connect() || s.Connect() {
 		t.Error("the cap of 2 is not kept")
 	}
@@ -187,7 +187,7 @@
 func TestTheLoadReportHasAnAge(t *testing.T) {
 	s := server(none)
 	s.Report(0)
-	s.Offer(10*ms, Job{ID: 1, Work: time.Second})
+	s.Submit(10*ms, Job{ID: 1, Work: time.Second})
 	if l := s.Report(150 * ms); l.InFlight != 0 {
 		t.Errorf("the report is fresh: %+v", l)
 	}
@@ -198,11 +198,11 @@
 
 func BenchmarkServer(b *testing.B) {
 	s := server(none)
-	s.Machine.Slots, s.Machine.Waiting = 6, 100
+	s.Machine.Slots, s.Machine.MaxQueue = 6, 100
 	now := time.Duration(0)
 	for i := 0; b.Loop(); i++ {
 		now += ms
-		s.Offer(now, Job{ID: uint64(i), Work: ms})
+		s.Submit(now, Job{ID: uint64(i), Work: ms})
 		s.Advance(now)
 	}
 }
--- a/internal/lab/clipserver/server.go
+++ b/internal/lab/clipserver/server.go
@@ -31,9 +31,9 @@
 	Model  *clip.Server // the server's alone from now on
 	Clock  func() time.Duration
 	Record func(history.Event)
-	// Entered tells when the first byte of a request came to a link in front,
+	// FirstByteAt tells when the first byte of a request came to a link in front,
 	// by the address that the server sees. It may be nil.
-	Entered func(node, remote string) (time.Duration, bool)
+	FirstByteAt func(node, remote string) (time.Duration, bool)
 }
 
 // Server is one clip server. Its methods may be called from several
@@ -56,9 +56,9 @@
 // door is the address for one node.
 type door struct {
 	node string
-	*socket.Place
-	listener *net.TCPListener // nil: no process listens
-	silence  *socket.Silence  // while the machine is cut off
+	*socket.ReservedAddr
+	listener *net.TCPListener  // nil: no process listens
+	silence  *socket.BlackHole // while the machine is cut off
 }
 
 // conn is one connection. Its goroutine reads; whoever ends its job writes.
@@ -88,10 +88,10 @@
 // watch records the effects that the model runs.
 func (s *Server) watch() {
 	name := s.Model.Name
-	s.Model.Begun = func(b clip.Started) {
-		kind := history.Run
-		if b.Repeat {
-			kind = history.Repeat
+	s.Model.OnJobStart = func(b clip.JobStart) {
+		kind := history.EffectRun
+		if b.Duplicate {
+			kind = history.DuplicateDropped
 		}
 		s.Record(history.Event{At: s.Clock(), Kind: kind, Try: b.Try, Server: name, Work: b.Work, Key: b.Key})
 	}
@@ -110,11 +110,11 @@
 
 // Listen opens an address for a node.
 func (s *Server) Listen(node string) (string, error) {
-	p, err := socket.NewPlace()
+	p, err := socket.ReserveAddr()
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", s.Model.Name, err)
 	}
-	d := &door{node: node, Place: p}
+	d := &door{node: node, ReservedAddr: p}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.doors = append(s.doors, d)
@@ -181,8 +181,8 @@
 		if n, err := io.Copy(io.Discard, req.Body); err != nil || n > maxBody {
 			return
 		}
-		if s.Entered != nil {
-			if t, known := s.Entered(c.door.node, c.RemoteAddr().String()); known {
+		if s.FirstByteAt != nil {
+			if t, known := s.FirstByteAt(c.door.node, c.RemoteAddr().String()); known {
 				first = t
 			}
 		}
@@ -208,7 +208,7 @@
 	j := clip.Job{ID: s.nextID + 1}
 	switch path := req.URL.Path; {
 	case path == "/alive" || path == "/metrics/load":
-		j.Probe, j.Work = true, s.Model.Machine.Probe
+		j.Probe, j.Work = true, s.Model.Machine.ProbeWork
 	default:
 		j.Try, j.Key = req.Header.Get("Request-Id"), req.Header.Get("Idempotency-Key")
 		work, err := strconv.ParseInt(req.URL.Query().Get("work"), 10, 64)
@@ -219,26 +219,26 @@
 	}
 	if c.fresh {
 		c.fresh = false
-		j.Work += s.Model.Machine.Handshake
+		j.Work += s.Model.Machine.HandshakeWork
 	}
 	s.nextID++
 	if j.Probe {
 		s.Record(history.Event{At: now, Kind: history.Probe, Node: c.door.node, Server: s.Model.Name, Work: j.Work})
 	}
-	verdict, fell := history.Turned, false
+	verdict, fell := history.Rejected, false
 	if !c.excess {
-		verdict, fell = s.Model.Offer(now, j)
+		verdict, fell = s.Model.Submit(now, j)
 	}
 	if !j.Probe {
 		s.Record(history.Event{At: now, Kind: history.Attempt, Try: j.Try, Node: c.door.node, Server: s.Model.Name,
-			Work: j.Work, First: first, Verdict: verdict})
+			Work: j.Work, FirstByteAt: first, Verdict: verdict})
 	}
 	switch {
 	case fell:
-		s.Record(history.Event{At: now, Kind: history.Fell, Server: s.Model.Name})
+		s.Record(history.Event{At: now, Kind: history.ServerOverloaded, Server: s.Model.Name})
 		s.die()
 		return false
-	case verdict == history.Turned:
+	case verdict == history.Rejected:
 		return c.reply(http.StatusServiceUnavailable, "Not-Started: 1\r\n", "") && !c.excess
 	}
 	c.job, c.try, c.method = j.ID, j.Try, req.Method
@@ -298,21 +298,21 @@
 			l := s.Model.Report(now)
 			c.reply(http.StatusOK, "", fmt.Sprintf("inflight=%d,queue=%d", l.InFlight, l.Queue))
 		case s.spoil != nil && s.spoil():
-			s.Record(history.Event{At: now, Kind: history.Spoilt, Try: d.Try, Server: s.Model.Name})
+			s.Record(history.Event{At: now, Kind: history.AnswerCorrupted, Try: d.Try, Server: s.Model.Name})
 			c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nnot all of i"))
 			c.Close()
 		default:
-			c.reply(http.StatusOK, "", Body(s.Model.Name, d.Try))
+			c.reply(http.StatusOK, "", AnswerBody(s.Model.Name, d.Try))
 		}
 	}
-	if t, any := s.Model.Next(); any {
+	if t, any := s.Model.NextCompletion(); any {
 		s.timer.Set(t - now)
 	}
 }
 
-// Body is the answer that a server makes for a try; a client knows by it that
+// AnswerBody is the answer that a server makes for a try; a client knows by it that
 // nobody else made it.
-func Body(server, try string) string { return "clip " + try + " by " + server + "\n" }
+func AnswerBody(server, try string) string { return "clip " + try + " by " + server + "\n" }
 
 // die ends the process: connections are reset and new ones refused. The caller
 // holds the lock.
@@ -326,7 +326,7 @@
 			d.listener = nil
 		}
 		if d.silence != nil {
-			d.silence.End()
+			d.silence.Close()
 			d.silence = nil
 		}
 	}
@@ -361,18 +361,18 @@
 	return nil
 }
 
-// Silence cuts the machine off: what is open stays open, nothing comes up, and
+// Isolate cuts the machine off: what is open stays open, nothing comes up, and
 // nothing is said. Start brings it back.
-func (s *Server) Silence() error {
+func (s *Server) Isolate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muted = true
-	s.Model.SetState(s.Clock(), clip.Silent)
+	s.Model.SetState(s.Clock(), clip.Isolated)
 	for _, d := range s.doors {
 		if d.listener == nil {
 			continue
 		}
-		silence, err := d.Silence(d.listener)
+		silence, err := d.BlackHole(d.listener)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Model.Name, err)
 		}
@@ -381,8 +381,8 @@
 	return nil
 }
 
-// Hang makes the process take requests and answer none, or go on.
-func (s *Server) Hang(on bool) {
+// SetHung makes the process take requests and answer none, or go on.
+func (s *Server) SetHung(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Clock()
@@ -400,7 +400,7 @@
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Record(history.Event{At: s.Clock(), Kind: history.IdleClosed, Server: s.Model.Name})
+	s.Record(history.Event{At: s.Clock(), Kind: history.IdleConnectionsClosed, Server: s.Model.Name})
 	for c := range s.conns {
 		if c.job == 0 {
 			c.Close()
@@ -408,19 +408,19 @@
 	}
 }
 
-// Spoil asks choose before each answer whether to spoil it; nil ends that.
-func (s *Server) Spoil(choose func() bool) {
+// CorruptAnswers asks choose before each answer whether to spoil it; nil ends that.
+func (s *Server) CorruptAnswers(choose func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spoil = choose
 }
 
-// Look gives the server's state for a screen.
-func (s *Server) Look() (st clip.State, active, waiting int, part float64) {
+// Status gives the server's state for a screen.
+func (s *Server) Status() (st clip.State, active, waiting int, part float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	active, waiting = s.Model.Held()
-	return s.Model.State(), active, waiting, s.Model.Part(s.Clock())
+	active, waiting = s.Model.InFlight()
+	return s.Model.State(), active, waiting, s.Model.WarmRatio(s.Clock())
 }
 
 // Close ends all and waits for it.
@@ -430,7 +430,7 @@
 	s.timer.Stop()
 	s.die()
 	for _, d := range s.doors {
-		d.Place.Close()
+		d.ReservedAddr.Close()
 	}
 	s.doors = nil
 	s.mu.Unlock()
--- a/internal/lab/clipserver/server_test.go
+++ b/internal/lab/clipserver/server_test.go
@@ -30,17 +30,17 @@
 
 func newRig(t *testing.T, change func(*clip.Machine)) *rig {
 	t.Helper()
-	m, err := clip.Of("std-6")
+	m, err := clip.NewMachine("std-6")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Handshake = 0
+	m.HandshakeWork = 0
 	if change != nil {
 		change(&m)
 	}
 	start := time.Now()
 	r := &rig{t: t}
-	r.Server = New(Config{Model: clip.NewServer("s", m, clip.Fall{Factor: 2.5, Time: time.Second}, clip.NewPod(8*time.Second)),
+	r.Server = New(Config{Model: clip.NewServer("s", m, clip.OverloadLimit{Factor: 2.5, Window: time.Second}, clip.NewPod(8*time.Second)),
 		Clock: func() time.Duration { return time.Since(start) },
 		Record: func(e history.Event) {
 			r.mu.Lock()
@@ -119,15 +119,15 @@
 	for i := range 3 { // on one connection
 		try := fmt.Sprint("t", i)
 		resp, body, err := c.ask(try, "", 10*time.Millisecond)
-		if err != nil || resp.StatusCode != 200 || body != Body("s", try) {
+		if err != nil || resp.StatusCode != 200 || body != AnswerBody("s", try) {
 			t.Fatalf("%v %q %v", resp, body, err)
 		}
 	}
 	a := r.want(history.Attempt, 3)[0]
-	if a.Node != "n0" || a.Verdict != history.Taken || a.Work != 10*time.Millisecond || a.First > a.At {
+	if a.Node != "n0" || a.Verdict != history.Accepted || a.Work != 10*time.Millisecond || a.FirstByteAt > a.At {
 		t.Errorf("recorded %+v", a)
 	}
-	if n := len(r.want(history.Run, 3)); n != 3 {
+	if n := len(r.want(history.EffectRun, 3)); n != 3 {
 		t.Errorf("%d effects ran", n)
 	}
 	fmt.Fprintf(c, "GET /metrics/load HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -144,7 +144,7 @@
 }
 
 func TestAFullServerSaysThatItNeverRan(t *testing.T) {
-	r := newRig(t, func(m *clip.Machine) { m.Slots, m.Waiting = 1, 0 })
+	r := newRig(t, func(m *clip.Machine) { m.Slots, m.MaxQueue = 1, 0 })
 	first, second := r.dial(), r.dial()
 	first.send("t1", "", time.Second)
 	r.want(history.Attempt, 1)
@@ -152,13 +152,13 @@
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("Not-Started") != "1" {
 		t.Errorf("%v %v", resp, err)
 	}
-	if a := r.want(history.Attempt, 2)[1]; a.Verdict != history.Turned {
+	if a := r.want(history.Attempt, 2)[1]; a.Verdict != history.Rejected {
 		t.Errorf("recorded %+v", a)
 	}
 }
 
 func TestConnectionsOverTheCapAreTurnedAway(t *testing.T) {
-	r := newRig(t, func(m *clip.Machine) { m.Conns = 1 })
+	r := newRig(t, func(m *clip.Machine) { m.MaxConnections = 1 })
 	r.dial()
 	r.want(history.Connect, 1)
 	resp, _, err := r.dial().ask("t", "", 0)
@@ -168,7 +168,7 @@
 }
 
 func TestAHandshakeCostsTheFirstRequest(t *testing.T) {
-	r := newRig(t, func(m *clip.Machine) { m.Handshake = 20 * time.Millisecond })
+	r := newRig(t, func(m *clip.Machine) { m.HandshakeWork = 20 * time.Millisecond })
 	c := r.dial()
 	c.ask("t1", "", 10*time.Millisecond)
 	c.ask("t2", "", 10*time.Millisecond)
@@ -185,7 +185,7 @@
 			t.Fatalf("%v %v", resp, err)
 		}
 	}
-	if len(r.want(history.Run, 1)) != 1 || len(r.want(history.Repeat, 1)) != 1 {
+	if len(r.want(history.EffectRun, 1)) != 1 || len(r.want(history.DuplicateDropped, 1)) != 1 {
 		t.Error("the key ran twice")
 	}
 }
@@ -203,7 +203,7 @@
 	if _, _, err := third.ask("t3", "", time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range r.want(history.Run, 2) {
+	for _, e := range r.want(history.EffectRun, 2) {
 		if e.Try == "t2" {
 			t.Error("what was cancelled while it waited ran")
 		}
@@ -225,10 +225,10 @@
 	if err := r.Start(true); err != nil {
 		t.Fatal(err)
 	}
-	if _, body, err := r.dial().ask("t2", "", time.Millisecond); err != nil || body != Body("s", "t2") {
+	if _, body, err := r.dial().ask("t2", "", time.Millisecond); err != nil || body != AnswerBody("s", "t2") {
 		t.Errorf("afterwards: %q %v", body, err)
 	}
-	if s := r.want(history.Start, 2)[1]; s.ColdFrom != 0.32 || s.ColdTime != 8300*time.Millisecond {
+	if s := r.want(history.ServerStarted, 2)[1]; s.ColdFraction != 0.32 || s.WarmupTime != 8300*time.Millisecond {
 		t.Errorf("started as %+v", s)
 	}
 }
@@ -237,7 +237,7 @@
 	r := newRig(t, nil)
 	c := r.dial()
 	r.want(history.Connect, 1)
-	if err := r.Silence(); err != nil {
+	if err := r.Isolate(); err != nil {
 		t.Fatal(err)
 	}
 	c.send("t1", "", time.Millisecond)
@@ -254,23 +254,23 @@
 	if _, _, err := c.read(patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the old connection: %v", err)
 	}
-	if _, body, err := r.dial().ask("t2", "", time.Millisecond); err != nil || body != Body("s", "t2") {
+	if _, body, err := r.dial().ask("t2", "", time.Millisecond); err != nil || body != AnswerBody("s", "t2") {
 		t.Errorf("afterwards: %q %v", body, err)
 	}
 }
 
 func TestAHungServerTakesAndAnswersNothing(t *testing.T) {
 	r := newRig(t, nil)
-	r.Hang(true)
+	r.SetHung(true)
 	c := r.dial()
 	c.send("t1", "", time.Millisecond)
 	if _, _, err := c.read(200 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	if a := r.want(history.Attempt, 1)[0]; a.Verdict != history.Taken {
+	if a := r.want(history.Attempt, 1)[0]; a.Verdict != history.Accepted {
 		t.Errorf("recorded %+v", a)
 	}
-	r.Hang(false)
+	r.SetHung(false)
 	if _, _, err := r.dial().ask("t2", "", time.Millisecond); err != nil {
 		t.Errorf("afterwards: %v", err)
 	}
@@ -278,11 +278,11 @@
 
 func TestASpoiltAnswerIsNoAnswer(t *testing.T) {
 	r := newRig(t, nil)
-	r.Spoil(func() bool { return true })
+	r.CorruptAnswers(func() bool { return true })
 	if _, _, err := r.dial().ask("t1", "", time.Millisecond); err == nil {
 		t.Error("it came whole")
 	}
-	r.want(history.Spoilt, 1)
+	r.want(history.AnswerCorrupted, 1)
 }
 
 func TestAColdServerThatIsPushedFallsOver(t *testing.T) {
@@ -297,7 +297,7 @@
 	for i, c := range all { // 0.32 of 6 cores, 2.5 times that: 4.8 s of work in a second
 		c.send(fmt.Sprint("t", i), "", time.Second)
 	}
-	r.want(history.Fell, 1)
+	r.want(history.ServerOverloaded, 1)
 	if _, err := net.DialTimeout("tcp", r.addr, patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("it still answers: %v", err)
 	}
@@ -305,15 +305,15 @@
 
 func TestAReplacementAnswersAtTheOldAddress(t *testing.T) {
 	r := newRig(t, nil)
-	m, _ := clip.Of("fast-6")
-	r.Replace(clip.NewServer("s-r1", m, clip.Fall{}, clip.NewPod(time.Second)))
+	m, _ := clip.NewMachine("fast-6")
+	r.Replace(clip.NewServer("s-r1", m, clip.OverloadLimit{}, clip.NewPod(time.Second)))
 	if _, err := net.DialTimeout("tcp", r.addr, patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("before its start: %v", err)
 	}
 	if err := r.Start(true); err != nil {
 		t.Fatal(err)
 	}
-	if _, body, err := r.dial().ask("t1", "", time.Millisecond); err != nil || body != Body("s-r1", "t1") {
+	if _, body, err := r.dial().ask("t1", "", time.Millisecond); err != nil || body != AnswerBody("s-r1", "t1") {
 		t.Errorf("%q %v", body, err)
 	}
 }
--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -52,7 +52,7 @@
 	rounds := f.Int("rounds", 3, "how `often` each is measured, in turn")
 	length := f.Duration("length", 4*time.Second, "how `long` each time")
 	work := f.Duration("work", 0, "what a server `takes` for an answer")
-	body := f.Int("body", perf.Small, "of an answer, in `bytes`")
+	body := f.Int("body", perf.SmallBody, "of an answer, in `bytes`")
 	program := f.String("node", "", "the node's `program`; empty: it is built from this source tree")
 	against := f.String("against", "", "another node's `program`, instead of the standard library's proxy: both run beside one another and are loaded in turn")
 	if !a.parse(f, args, nil) {
@@ -75,7 +75,7 @@
 	if *body < 0 || *body > 64<<20 {
 		return a.fail(ExitUsage, errors.New("want a body of 0 to 64 MiB"))
 	}
-	servers, stop, err := perf.Servers(4, *work, *body)
+	servers, stop, err := perf.StartServers(4, *work, *body)
 	if err != nil {
 		return a.fail(ExitFailed, err)
 	}
@@ -143,7 +143,7 @@
 					return a.fail(ExitFailed, ctx.Err())
 				}
 				before := nodes[i].CPUTime()
-				f, err := perf.Closed(perf.Load{Addr: nodes[i].Addr, Clients: clients, Length: length, Class: "viewer-clip", Size: body})
+				f, err := perf.RunClosedLoop(perf.ClientLoad{Addr: nodes[i].Addr, Clients: clients, Length: length, Class: "viewer-clip", BodySize: body})
 				if err != nil {
 					return a.fail(ExitFailed, err)
 				}
@@ -163,7 +163,7 @@
 }
 
 type measured struct {
-	perf.Figures
+	perf.Results
 	name string
 	cpu  float64 // us a request
 }
@@ -205,12 +205,12 @@
 	defer p.Kill()
 	// It learns how fast its servers are in a quiet time, as on a real day.
 	for _, warm := range []int{1, clients} {
-		if _, err = perf.Closed(perf.Load{Addr: p.Addr, Clients: warm, Length: length / 4, Class: "viewer-clip", Size: body}); err != nil {
+		if _, err = perf.RunClosedLoop(perf.ClientLoad{Addr: p.Addr, Clients: warm, Length: length / 4, Class: "viewer-clip", BodySize: body}); err != nil {
 			return m, err
 		}
 	}
 	before := p.CPUTime()
-	if m.Figures, err = perf.Closed(perf.Load{Addr: p.Addr, Clients: clients, Length: length, Class: "viewer-clip", Size: body}); err != nil {
+	if m.Results, err = perf.RunClosedLoop(perf.ClientLoad{Addr: p.Addr, Clients: clients, Length: length, Class: "viewer-clip", BodySize: body}); err != nil {
 		return m, err
 	}
 	m.cpu = float64((p.CPUTime() - before).Microseconds()) / float64(max(1, m.Requests))
--- a/internal/lab/command/ceiling.go
+++ b/internal/lab/command/ceiling.go
@@ -64,24 +64,24 @@
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 	var rec history.Recorder
-	front := caller.NewFront(s.Nodes())
+	front := caller.NewBalancer(s.Nodes())
 	for i, x := range s.Servers() { // each server stands where a node would
-		m, err := clip.Of(x.Kind)
+		m, err := clip.NewMachine(x.Kind)
 		if err != nil {
 			return 0, 0, 0, 0, err
 		}
-		m.Slots, m.Waiting, m.Conns, m.Handshake, m.Speed = 512, 512, 4096, 0, 1
+		m.Slots, m.MaxQueue, m.MaxConnections, m.HandshakeWork, m.Speed = 512, 512, 4096, 0, 1
 		m.Cores = m.Slots
-		server := clipserver.New(clipserver.Config{Model: clip.NewServer(x.Name, m, clip.Fall{}, clip.NewPod(load.Limits.KeyWindow)), Clock: clock, Record: rec.Add})
+		server := clipserver.New(clipserver.Config{Model: clip.NewServer(x.Name, m, clip.OverloadLimit{}, clip.NewPod(load.Limits.KeyWindow)), Clock: clock, Record: rec.Add})
 		defer server.Close()
 		node := s.Nodes()[i].Name
 		addr, err := server.Listen(node)
 		if err != nil {
 			return 0, 0, 0, 0, err
 		}
-		front.Up(caller.Place{Node: node, Addr: addr, Life: 1})
+		front.Add(caller.Target{Node: node, Addr: addr, Incarnation: 1})
 	}
-	clients := &caller.Clients{Scenario: s, Front: front, Clock: clock, Record: rec.Add, Slack: load.Limits.Slack}
+	clients := &caller.Clients{Scenario: s, Balancer: front, Clock: clock, Record: rec.Add, Slack: load.Limits.Slack}
 	defer clients.Close()
 	var wg sync.WaitGroup
 	var lates []time.Duration
@@ -97,11 +97,11 @@
 		lates = append(lates, clock()-due)
 		work[o.ID] = o.Work
 		o.At = due
-		wg.Go(func() { clients.Order(&o) })
+		wg.Go(func() { clients.Send(&o) })
 	}
 	wg.Wait()
 	took := clock() - begin
-	events, _ := rec.Take()
+	events, _ := rec.Snapshot()
 	sent := map[string]history.Event{}
 	var extra []time.Duration
 	for _, e := range events {
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -210,7 +210,7 @@
 		program = built
 	}
 	o.Program = program
-	live := show.NewLiveView(load.ClassesOf(s))
+	live := show.NewLiveView(load.ScenarioClasses(s))
 	o.ObserveEvents = live.Add
 	start := time.Now()
 	hall, err := real.New(ctx, s, o)
--- a/internal/lab/command/xdsdrain.go
+++ b/internal/lab/command/xdsdrain.go
@@ -30,7 +30,7 @@
 	}
 	jobs := make(chan xdsdrain.Fault)
 	var mu sync.Mutex
-	var all []xdsdrain.Drain
+	var all []xdsdrain.Measurement
 	var failed error
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -80,7 +80,7 @@
 	code := ExitPassed
 	for _, s := range xdsdrain.Summarise(all) {
 		ms := func(d time.Duration) string { return fmt.Sprintf("%.0f", float64(d)/1e6) }
-		fmt.Fprintf(a.out, "%-15s %7d %8s %8s %8s %9.1f%% %8d\n", s.Fault, s.Drains, ms(s.P50), ms(s.P99), ms(s.Max), 100*s.Dark, s.Streams)
+		fmt.Fprintf(a.out, "%-15s %7d %8s %8s %8s %9.1f%% %8d\n", s.Fault, s.Drains, ms(s.P50), ms(s.P99), ms(s.Max), 100*s.NoServerRatio, s.Streams)
 		if s.Max > drainLimit {
 			code = ExitFailed
 		}
--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -49,12 +49,12 @@
 // Cell is one day to play in one way.
 type Cell struct {
 	Policy policy.Name `json:"way"`
-	fleet.Day
+	fleet.Workload
 }
 
 // Key names a cell within a file: the same for the same figures.
 func (c Cell) Key() string {
-	return fmt.Sprintf("%s %dx%d/%d load %g %s%s %v retries %d seed %d", c.Policy, c.Servers, c.Proxies, c.Halls, c.Load, c.Fault, c.services(), c.Length, c.Retries, c.Seed)
+	return fmt.Sprintf("%s %dx%d/%d load %g %s%s %v retries %d seed %d", c.Policy, c.Servers, c.Proxies, c.Zones, c.Load, c.Fault, c.services(), c.Length, c.Retries, c.Seed)
 }
 
 // GroupKey names what all seeds of one combination share.
@@ -64,17 +64,17 @@
 
 func (c Cell) services() string {
 	text := ""
-	if c.Controls > 1 {
-		text += fmt.Sprintf(" controls %d", c.Controls)
+	if c.ControlServices > 1 {
+		text += fmt.Sprintf(" controls %d", c.ControlServices)
 	}
-	if c.Subset > 0 {
-		text += fmt.Sprintf(" subset %d", c.Subset)
+	if c.SubsetSize > 0 {
+		text += fmt.Sprintf(" subset %d", c.SubsetSize)
 	}
-	if c.Late > 0 {
-		text += fmt.Sprintf(" late %v", c.Late)
+	if c.ReportDelay > 0 {
+		text += fmt.Sprintf(" late %v", c.ReportDelay)
 	}
-	if c.Frozen > 0 {
-		text += fmt.Sprintf(" frozen %g", c.Frozen)
+	if c.FrozenFraction > 0 {
+		text += fmt.Sprintf(" frozen %g", c.FrozenFraction)
 	}
 	return text
 }
@@ -116,7 +116,7 @@
 		d.Halls = 3
 	}
 	if len(d.Faults) == 0 {
-		d.Faults = []string{string(fleet.Quiet)}
+		d.Faults = []string{string(fleet.NoFault)}
 	}
 	if len(d.Policies) == 0 {
 		for _, w := range policy.All {
@@ -169,14 +169,14 @@
 		return "", fmt.Sprintf("%d cells; want %d at most: take a sample, or fewer levels", len(cells), maxCells)
 	}
 	for _, f := range d.Faults { // what a size does not allow shows at the smallest one
-		x := cells[0].Day
+		x := cells[0].Workload
 		x.Fault = fleet.Fault(f)
 		if _, err := x.Scenario(); err != nil {
 			return "faults", err.Error()
 		}
 	}
 	for _, l := range d.Loads {
-		x := cells[0].Day
+		x := cells[0].Workload
 		x.Load = l
 		if _, err := x.Scenario(); err != nil {
 			return "loads", err.Error()
@@ -210,8 +210,8 @@
 				for _, way := range d.Policies {
 					for _, n := range controls {
 						for _, part := range subsets {
-							combos = append(combos, Cell{policy.Name(way), fleet.Day{Servers: servers, Proxies: proxies, Halls: d.Halls, Load: load,
-								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, Controls: n, Subset: part, Late: d.ReportDelay.Duration, Frozen: d.FrozenFraction}})
+							combos = append(combos, Cell{policy.Name(way), fleet.Workload{Servers: servers, Proxies: proxies, Zones: d.Halls, Load: load,
+								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, ControlServices: n, SubsetSize: part, ReportDelay: d.ReportDelay.Duration, FrozenFraction: d.FrozenFraction}})
 						}
 					}
 				}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -101,7 +101,7 @@
 func TestCompareTellsNoiseFromADifference(t *testing.T) {
 	rows := func(shift, noise float64, broken int) (out []Row) {
 		for i := range 12 {
-			c := Cell{policy.TwoChoices, fleet.Day{Servers: 12, Proxies: 3, Load: 0.5, Seed: int64(i + 1)}}
+			c := Cell{policy.TwoChoices, fleet.Workload{Servers: 12, Proxies: 3, Load: 0.5, Seed: int64(i + 1)}}
 			sign := float64(1 - 2*(i%2))
 			r := Row{Cell: c, Measure: 0.8 + 0.02*float64(i) + shift + noise*sign}
 			r.Breaches[4] = broken
@@ -161,7 +161,7 @@
 	for _, way := range []policy.Name{policy.TwoChoices, policy.Random} {
 		for _, load := range []float64{0.3, 0.6} {
 			for seed := range int64(3) {
-				c := Cell{way, fleet.Day{Servers: 12, Proxies: 3, Load: load, Fault: fleet.Quiet, Seed: seed}}
+				c := Cell{way, fleet.Workload{Servers: 12, Proxies: 3, Load: load, Fault: fleet.NoFault, Seed: seed}}
 				rows = append(rows, Row{Cell: c, Measure: load + 0.01*float64(seed), P99: map[string]float64{"broadcast-clip": 100}})
 			}
 		}
--- a/internal/lab/experiment/rows.go
+++ b/internal/lab/experiment/rows.go
@@ -34,7 +34,7 @@
 func rowOf(c Cell, r fleet.Result, commit string, took time.Duration) Row {
 	s := r.Service
 	row := Row{Cell: c, Commit: commit, Measure: s.Measure, OnTimeRatio: s.OnTimeRatio, WorstWindow: s.WorstWindow, WorstClass: s.WorstClass,
-		Refused: float64(s.Refused) / float64(max(1, s.Tries)), P99: map[string]float64{}, DispersionIndex: r.Swing, Orders: s.Orders, Events: r.Steps, Elapsed: took.Seconds()}
+		Refused: float64(s.Refused) / float64(max(1, s.Tries)), P99: map[string]float64{}, DispersionIndex: r.DispersionIndex, Orders: s.Orders, Events: r.Steps, Elapsed: took.Seconds()}
 	for _, k := range s.Classes {
 		row.P99[k.Class] = float64(k.P99.Microseconds()) / 1000
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -87,7 +87,7 @@
 				next++
 				mu.Unlock()
 				start := time.Now()
-				r, err := fleet.Play(c.Day, c.Policy)
+				r, err := fleet.Run(c.Workload, c.Policy)
 				row := rowOf(c, r, commit, time.Since(start))
 				mu.Lock()
 				if err == nil {
--- a/internal/lab/fleet/crowd_test.go
+++ b/internal/lab/fleet/crowd_test.go
@@ -8,10 +8,10 @@
 )
 
 // crowd plays a day of nodes, 7 servers to 12 nodes.
-func crowd(t *testing.T, nodes int, d Day) Result {
+func crowd(t *testing.T, nodes int, d Workload) Result {
 	t.Helper()
 	d.Servers, d.Proxies, d.Retries, d.Seed = nodes*7/12, nodes, 2, 7
-	r, err := Play(d, policy.Nodes)
+	r, err := Run(d, policy.Nodes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 func TestFleetsServeAlikeHoweverManyNodes(t *testing.T) {
 	last := 0.0
 	for _, nodes := range []int{24, 40, 60, 80, 100, 120, 200, 300} {
-		whole := crowd(t, nodes, Day{Load: 0.6, Length: 6 * time.Second}).Service.OnTimeRatio
+		whole := crowd(t, nodes, Workload{Load: 0.6, Length: 6 * time.Second}).Service.OnTimeRatio
 		if whole < 0.97 || last > 0 && (whole-last > 0.02 || last-whole > 0.02) {
 			t.Errorf("%d nodes serve %.3f of the worth, the number before %.3f", nodes, whole, last)
 		}
@@ -39,7 +39,7 @@
 // little and goes on serving. Guards against the collapse of hundreds of nodes in a burst.
 func TestAnOverloadedCrowdKeepsServing(t *testing.T) {
 	for _, nodes := range []int{60, 120, 300} {
-		r := crowd(t, nodes, Day{Load: 1.1, Fault: Heavy, Length: 8 * time.Second})
+		r := crowd(t, nodes, Workload{Load: 1.1, Fault: HeavyRequests, Length: 8 * time.Second})
 		dear := r.Service.Classes[0]
 		if part := float64(dear.OnTime) / float64(dear.Orders); dear.Class != "broadcast-clip" || part < 0.85 || r.Service.OnTimeRatio < 0.75 {
 			t.Errorf("%d nodes: %.3f of %s within the aim, %.3f of the worth", nodes, part, dear.Class, r.Service.OnTimeRatio)
@@ -49,8 +49,8 @@
 
 // A hall lost and back cold, and all servers of one replaced: rules are kept by hundreds of nodes together.
 func TestACrowdKeepsTheRulesThroughALostHall(t *testing.T) {
-	for _, f := range []Fault{Lost, Replace} {
-		if r := crowd(t, 120, Day{Load: 0.6, Fault: f, Length: 10 * time.Second}); r.Service.OnTimeRatio < 0.6 {
+	for _, f := range []Fault{ZoneLost, ZoneReplaced} {
+		if r := crowd(t, 120, Workload{Load: 0.6, Fault: f, Length: 10 * time.Second}); r.Service.OnTimeRatio < 0.6 {
 			t.Errorf("%s: %.3f of the worth", f, r.Service.OnTimeRatio)
 		}
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,36 +20,36 @@
 
 // The faults.
 const (
-	Quiet   Fault = "quiet"   // nothing
-	Silent  Fault = "silent"  // one server in twelve is cut off for a third of the day and comes back cold
-	Hang    Fault = "hang"    // one in twelve takes requests and answers none
-	Heavy   Fault = "heavy"   // one viewer clip in fifty costs twenty times its work
-	Lost    Fault = "lost"    // a whole hall is cut off and comes back cold
-	Replace Fault = "replace" // all servers of a hall are replaced, a quarter at a time
-	Return  Fault = "return"  // all halls but one are lost and come back one by one
+	NoFault         Fault = "quiet"   // nothing
+	ServersIsolated Fault = "silent"  // one server in twelve is cut off for a third of the day and comes back cold
+	ServersHung     Fault = "hang"    // one in twelve takes requests and answers none
+	HeavyRequests   Fault = "heavy"   // one viewer clip in fifty costs twenty times its work
+	ZoneLost        Fault = "lost"    // a whole hall is cut off and comes back cold
+	ZoneReplaced    Fault = "replace" // all servers of a hall are replaced, a quarter at a time
+	ZonesReturn     Fault = "return"  // all halls but one are lost and come back one by one
 )
 
 // Faults lists them all.
-var Faults = []Fault{Quiet, Silent, Hang, Heavy, Lost, Replace, Return}
+var Faults = []Fault{NoFault, ServersIsolated, ServersHung, HeavyRequests, ZoneLost, ZoneReplaced, ZonesReturn}
 
-// Day is one cell of an experiment.
-type Day struct {
+// Workload is one cell of an experiment.
+type Workload struct {
 	Servers int           `json:"servers"` // 3 to 10,000
 	Proxies int           `json:"proxies"` // 1 to 1,000
-	Halls   int           `json:"halls"`   // 1 to 26; 0: 3
+	Zones   int           `json:"halls"`   // 1 to 26; 0: 3
 	Load    float64       `json:"load"`    // of what warm servers can do, without a fault; 0.05 to 3
 	Fault   Fault         `json:"fault"`
 	Length  time.Duration `json:"length"` // of the load; 0: 24 s
 	Retries int           `json:"retries"`
-	// Controls is how many control services steered proxies are divided among;
+	// ControlServices is how many control services steered proxies are divided among;
 	// 0 and 1: one. The first of several is lost for a third of the day.
-	Controls int `json:"controls,omitempty"`
-	Subset   int `json:"subset,omitempty"` // servers of a hall that a steered proxy is told of, about; 0: all
-	// Late is how long the reports of steered proxies take, on average; Frozen is
+	ControlServices int `json:"controls,omitempty"`
+	SubsetSize      int `json:"subset,omitempty"` // servers of a hall that a steered proxy is told of, about; 0: all
+	// ReportDelay is how long the reports of steered proxies take, on average; Frozen is
 	// the part of the proxies that hears and says nothing from a third of the day on.
-	Late   time.Duration `json:"late,omitempty"`
-	Frozen float64       `json:"frozen,omitempty"`
-	Seed   int64         `json:"seed"`
+	ReportDelay    time.Duration `json:"late,omitempty"`
+	FrozenFraction float64       `json:"frozen,omitempty"`
+	Seed           int64         `json:"seed"`
 }
 
 // MeanWork is the mean work of a request by the brief's table, in seconds.
@@ -63,9 +63,9 @@
 
 // Scenario draws the day: the same one for the same figures. Machine kinds are
 // dealt out by the brief's parts.
-func (d Day) Scenario() (*scenario.Scenario, error) {
-	if d.Halls == 0 {
-		d.Halls = 3
+func (d Workload) Scenario() (*scenario.Scenario, error) {
+	if d.Zones == 0 {
+		d.Zones = 3
 	}
 	if d.Length == 0 {
 		d.Length = 24 * time.Second
@@ -75,8 +75,8 @@
 		return nil, fmt.Errorf("fleet: want 3 to 10,000 servers, have %d", d.Servers)
 	case d.Proxies < 1 || d.Proxies > 1_000:
 		return nil, fmt.Errorf("fleet: want 1 to 1,000 proxies, have %d", d.Proxies)
-	case d.Halls < 1 || d.Halls > 26 || d.Halls > d.Servers:
-		return nil, fmt.Errorf("fleet: want 1 to 26 halls with a server each, have %d", d.Halls)
+	case d.Zones < 1 || d.Zones > 26 || d.Zones > d.Servers:
+		return nil, fmt.Errorf("fleet: want 1 to 26 halls with a server each, have %d", d.Zones)
 	case !(d.Load >= 0.05 && d.Load <= 3):
 		return nil, fmt.Errorf("fleet: want a load of 0.05 to 3 of the capacity, have %v", d.Load)
 	}
@@ -85,9 +85,9 @@
 	s := &scenario.Scenario{Name: fmt.Sprintf("fleet-%d-%s", d.Servers, d.Fault), Seed: d.Seed, Length: span(d.Length),
 		Client: scenario.Client{Retries: d.Retries, RetryAfterFraction: 0.85}}
 	capacity := 0.0
-	for i := range d.Halls {
+	for i := range d.Zones {
 		h := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Servers: map[string]int{}, PodSize: 4}
-		for n := i; n < d.Servers; n += d.Halls {
+		for n := i; n < d.Servers; n += d.Zones {
 			kind := "slow-6"
 			if x := r.Float64(); x < 0.39 {
 				kind = "fast-6"
@@ -95,13 +95,13 @@
 				kind = "std-6"
 			}
 			h.Servers[kind]++
-			m, err := clip.Of(kind)
+			m, err := clip.NewMachine(kind)
 			if err != nil {
 				return nil, err
 			}
 			capacity += m.Capacity()
 		}
-		for n := i; n < d.Proxies; n += d.Halls {
+		for n := i; n < d.Proxies; n += d.Zones {
 			h.Nodes++
 		}
 		s.Zones = append(s.Zones, h)
@@ -114,7 +114,7 @@
 }
 
 // faults puts what goes wrong on the timeline.
-func (d Day) faults(s *scenario.Scenario, r *rand.Rand) error {
+func (d Workload) faults(s *scenario.Scenario, r *rand.Rand) error {
 	at := func(part float64) scenario.Span {
 		return scenario.Span{Duration: time.Duration(part * float64(d.Length)).Round(time.Millisecond)}
 	}
@@ -128,16 +128,16 @@
 	}
 	add := func(f scenario.Fault) { s.Faults = append(s.Faults, f) }
 	switch d.Fault {
-	case Quiet, "":
-	case Silent:
+	case NoFault, "":
+	case ServersIsolated:
 		add(scenario.Fault{Kind: scenario.FaultSilent, At: at(0.25), For: at(0.33), Targets: some(1.0 / 12)})
-	case Hang:
+	case ServersHung:
 		add(scenario.Fault{Kind: scenario.FaultHang, At: at(0.25), For: at(0.4), Targets: some(1.0 / 12)})
-	case Heavy:
+	case HeavyRequests:
 		add(scenario.Fault{Kind: scenario.FaultHeavy, At: at(0.2), For: at(0.6), Class: "viewer-clip", Fraction: 0.02, Factor: 20})
-	case Lost:
+	case ZoneLost:
 		add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.25), For: at(0.33), Targets: []string{s.Zones[len(s.Zones)-1].Name}})
-	case Replace:
+	case ZoneReplaced:
 		var own []string
 		for _, x := range s.Servers() {
 			if x.Zone == s.Zones[0].Name {
@@ -150,7 +150,7 @@
 				add(scenario.Fault{Kind: scenario.FaultReplace, At: at(0.15 + 0.17*float64(i)), For: at(0.04), Targets: own[from:to]})
 			}
 		}
-	case Return:
+	case ZonesReturn:
 		order := r.Perm(len(s.Zones) - 1)
 		for i, h := range order {
 			add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.2), For: at(0.2 + 0.1*float64(i)), Targets: []string{s.Zones[h+1].Name}})
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -23,7 +23,7 @@
 	sent          map[string][]int
 }
 
-func newSeconds(d Day) *seconds {
+func newSeconds(d Workload) *seconds {
 	n := int(d.Length/time.Second) + 20
 	return &seconds{asked: make([]float64, n), served: make([]float64, n), at: map[string]int{}, sent: map[string][]int{}}
 }
@@ -34,7 +34,7 @@
 		return
 	}
 	switch e.Kind {
-	case history.Ask:
+	case history.OrderIssued:
 		s.at[e.Order] = now
 		s.asked[now]++
 	case history.Answer:
@@ -59,7 +59,7 @@
 }
 
 // hard plays a day of nodes with further faults, and wants the rules kept.
-func hard(t *testing.T, d Day, change func(*scenario.Scenario), with memory.Options) *seconds {
+func hard(t *testing.T, d Workload, change func(*scenario.Scenario), with memory.Options) *seconds {
 	t.Helper()
 	s, err := d.Scenario()
 	if err != nil {
@@ -82,7 +82,7 @@
 // discovery turns every call away for 4 s. Service is back within 2 s of their return, and no server gets a flood from
 // nodes that know nothing.
 func TestSevenInTenNodesComeBackToACrowdedDiscovery(t *testing.T) {
-	d := Day{Servers: 47, Proxies: 80, Load: 0.85, Length: 12 * time.Second, Retries: 2, Seed: 8}
+	d := Workload{Servers: 47, Proxies: 80, Load: 0.85, Length: 12 * time.Second, Retries: 2, Seed: 8}
 	by := hard(t, d, func(s *scenario.Scenario) {
 		var who []string
 		for i, n := range s.Nodes() {
@@ -108,7 +108,7 @@
 // elsewhere. No cold server is pushed over by the sum of all.
 func TestALostHallComesBackToUnlikeNodes(t *testing.T) {
 	for _, lost := range []int{0, 1} {
-		d := Day{Servers: 45, Proxies: 64, Load: 0.75, Length: 14 * time.Second, Retries: 2, Seed: 8}
+		d := Workload{Servers: 45, Proxies: 64, Load: 0.75, Length: 14 * time.Second, Retries: 2, Seed: 8}
 		hard(t, d, func(s *scenario.Scenario) {
 			s.Zones[0].Nodes, s.Zones[1].Nodes, s.Zones[2].Nodes = 4, 30, 30
 			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultZoneLost, At: span(3 * time.Second), For: span(4 * time.Second),
@@ -123,7 +123,7 @@
 	bads, goods, found, kept, served := 0, 0, 0, 0, 0.0
 	const seeds = 3
 	for seed := range int64(seeds) {
-		d := Day{Servers: 40, Proxies: 70, Load: 0.7, Length: 16 * time.Second, Retries: 2, Seed: 3 + seed}
+		d := Workload{Servers: 40, Proxies: 70, Load: 0.7, Length: 16 * time.Second, Retries: 2, Seed: 3 + seed}
 		var bad []string
 		by := hard(t, d, func(s *scenario.Scenario) {
 			all := s.Servers()
@@ -187,7 +187,7 @@
 			const seeds = 2
 			quiet, during, after := 0.0, 0.0, 0.0
 			for seed := range int64(seeds) {
-				d := Day{Servers: max(12, nodes*7/12), Proxies: nodes, Load: load, Length: 18 * time.Second, Retries: 2, Seed: 8 + seed}
+				d := Workload{Servers: max(12, nodes*7/12), Proxies: nodes, Load: load, Length: 18 * time.Second, Retries: 2, Seed: 8 + seed}
 				quiet += hard(t, d, func(*scenario.Scenario) {}, memory.Options{}).part(13, 18) / seeds
 				by := hard(t, d, func(s *scenario.Scenario) { shock(s, 3*time.Second) }, memory.Options{})
 				during, after = during+by.part(3, 6)/seeds, after+by.part(13, 18)/seeds
@@ -203,7 +203,7 @@
 // A hall and its nodes are cut off from the others for 6 s, and lists come 2 s late. The rules hold on both sides, and
 // each side goes on by what its own servers can do: all of what little it asks for.
 func TestAHallCutOffServesItself(t *testing.T) {
-	d := Day{Servers: 48, Proxies: 84, Load: 0.6, Length: 14 * time.Second, Retries: 2, Seed: 8}
+	d := Workload{Servers: 48, Proxies: 84, Load: 0.6, Length: 14 * time.Second, Retries: 2, Seed: 8}
 	by := hard(t, d, func(s *scenario.Scenario) {
 		s.Discovery.NotificationDelay = span(2 * time.Second)
 		var here, there []string // servers of the hall and nodes of the others; and the other way round
@@ -237,7 +237,7 @@
 	const seeds = 2
 	mean := func(change func(*scenario.Scenario), o memory.Options) (sum float64) {
 		for seed := range int64(seeds) {
-			d := Day{Servers: 48, Proxies: 84, Load: 0.9, Length: 8 * time.Second, Retries: 2, Seed: 8 + seed}
+			d := Workload{Servers: 48, Proxies: 84, Load: 0.9, Length: 8 * time.Second, Retries: 2, Seed: 8 + seed}
 			sum += hard(t, d, change, o).part(2, 8) / seeds
 		}
 		return sum
@@ -297,7 +297,7 @@
 
 // Nodes are restarted a tenth at a time while half of the servers are replaced: rules kept, next to nothing lost.
 func TestNodesRestartInTenthsWhileServersAreReplaced(t *testing.T) {
-	d := Day{Servers: 40, Proxies: 70, Load: 0.6, Length: 16 * time.Second, Retries: 2, Seed: 8}
+	d := Workload{Servers: 40, Proxies: 70, Load: 0.6, Length: 16 * time.Second, Retries: 2, Seed: 8}
 	by := hard(t, d, func(s *scenario.Scenario) {
 		nodes, servers := s.Nodes(), s.Servers()
 		for part := range 10 {
@@ -328,7 +328,7 @@
 		load  float64
 		seed  int64
 	}{{24, 0.7, 105}, {24, 1.1, 102}, {39, 1.1, 108}, {60, 0.7, 107}, {80, 1.1, 1}} {
-		hard(t, Day{Servers: max(12, day.nodes*7/12), Proxies: day.nodes, Load: day.load, Fault: Return, Length: 14 * time.Second, Retries: 2, Seed: day.seed},
+		hard(t, Workload{Servers: max(12, day.nodes*7/12), Proxies: day.nodes, Load: day.load, Fault: ZonesReturn, Length: 14 * time.Second, Retries: 2, Seed: day.seed},
 			func(*scenario.Scenario) {}, memory.Options{})
 	}
 }
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -20,18 +20,18 @@
 // Result is what became of a day.
 type Result struct {
 	judge.Verdict
-	// Swing is by how much the requests that a server gets in a second vary from
+	// DispersionIndex is by how much the requests that a server gets in a second vary from
 	// second to second, over their mean (index of dispersion), over all servers
 	// and the middle of the day: 1 where they come by chance, far more where
 	// proxies go all for one server and then all for another.
-	Swing   float64
-	Steps   uint64        // what happened in the model
-	Virtual time.Duration // the day's length, with its end
+	DispersionIndex float64
+	Steps           uint64        // what happened in the model
+	SimulatedTime   time.Duration // the day's length, with its end
 }
 
-// Play plays a day in a way to choose servers. The same day and way give the
+// Run plays a day in a way to choose servers. The same day and way give the
 // same result.
-func Play(d Day, way policy.Name) (Result, error) {
+func Run(d Workload, way policy.Name) (Result, error) {
 	s, err := d.Scenario()
 	if err != nil {
 		return Result{}, err
@@ -41,9 +41,9 @@
 
 // play plays a day's scenario, which may have been changed, and tells of each
 // event. Of the options it takes the mutant.
-func play(d Day, s *scenario.Scenario, way policy.Name, with memory.Options, also func(*history.Event)) Result {
-	controls := policy.ControlPlane{Services: d.Controls, SubsetSize: d.Subset, ReportDelay: d.Late, FrozenFraction: d.Frozen, FrozenStart: s.Length.Duration / 3}
-	if d.Controls > 1 {
+func play(d Workload, s *scenario.Scenario, way policy.Name, with memory.Options, also func(*history.Event)) Result {
+	controls := policy.ControlPlane{Services: d.ControlServices, SubsetSize: d.SubsetSize, ReportDelay: d.ReportDelay, FrozenFraction: d.FrozenFraction, FrozenStart: s.Length.Duration / 3}
+	if d.ControlServices > 1 {
 		controls.OutageStart, controls.OutageEnd = s.Length.Duration*2/5, s.Length.Duration*3/4
 	}
 	o := policy.OptionsWithControls(way, d.Seed, controls)
@@ -64,7 +64,7 @@
 		}
 	}
 	h := memory.Run(s, o)
-	return Result{Verdict: live.Verdict(), Swing: sent.index(), Steps: h.Steps, Virtual: last}
+	return Result{Verdict: live.Verdict(), DispersionIndex: sent.index(), Steps: h.Steps, SimulatedTime: last}
 }
 
 // swing counts what servers are sent in each second.
--- a/internal/lab/fleet/subset_test.go
+++ b/internal/lab/fleet/subset_test.go
@@ -21,7 +21,7 @@
 // it sends itself does not stand for more of others' than there is. Before, 0.77 of the
 // requests were served.
 func TestOneNodeWithHalfOfTheTraffic(t *testing.T) {
-	d := Day{Servers: 24, Proxies: 42, Halls: 2, Load: 0.7, Length: 10 * time.Second, Retries: 2, Seed: 3}
+	d := Workload{Servers: 24, Proxies: 42, Zones: 2, Load: 0.7, Length: 10 * time.Second, Retries: 2, Seed: 3}
 	equal := hard(t, d, live, memory.Options{}).part(3, 10)
 	unlike := hard(t, d, func(s *scenario.Scenario) {
 		live(s)
@@ -35,7 +35,7 @@
 // 300 nodes and 4 servers, where nearly each request costs a new connection, and 4 nodes
 // and 300 servers.
 func TestFewServersAndFewNodes(t *testing.T) {
-	for _, d := range []Day{{Servers: 4, Proxies: 300}, {Servers: 300, Proxies: 4}} {
+	for _, d := range []Workload{{Servers: 4, Proxies: 300}, {Servers: 300, Proxies: 4}} {
 		d.Load, d.Length, d.Retries, d.Seed = 0.6, 4*time.Second, 2, 5
 		least := map[int]float64{4: 0.6, 300: 0.97}[d.Servers]
 		if part := hard(t, d, live, memory.Options{}).part(1, 4); part < least {
@@ -47,7 +47,7 @@
 // A hall's nodes hear nobody and no discovery for 6 s while a third of all servers are
 // replaced: the rules hold on both sides, and after the healing all is served.
 func TestAHallCutOffWhileServersAreReplaced(t *testing.T) {
-	d := Day{Servers: 30, Proxies: 36, Load: 0.6, Length: 20 * time.Second, Retries: 2, Seed: 6}
+	d := Workload{Servers: 30, Proxies: 36, Load: 0.6, Length: 20 * time.Second, Retries: 2, Seed: 6}
 	by := hard(t, d, func(s *scenario.Scenario) {
 		live(s)
 		var hall, servers []string
@@ -76,7 +76,7 @@
 // 40 nodes are restarted a tenth at a time: no server sees many more connections begin in
 // a second than usual.
 func TestRestartsBringNoWaveOfConnections(t *testing.T) {
-	d := Day{Servers: 24, Proxies: 40, Load: 0.6, Length: 22 * time.Second, Retries: 2, Seed: 9}
+	d := Workload{Servers: 24, Proxies: 40, Load: 0.6, Length: 22 * time.Second, Retries: 2, Seed: 9}
 	s, err := d.Scenario()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -32,7 +32,7 @@
 func TestARecorderSortsAndIsBounded(t *testing.T) {
 	var r Recorder
 	seen := 0
-	r.Watch(func(Event) { seen++ })
+	r.Observe(func(Event) { seen++ })
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
@@ -42,7 +42,7 @@
 		})
 	}
 	wg.Wait()
-	events, dropped := r.Take()
+	events, dropped := r.Snapshot()
 	if len(events) != 800 || seen != 800 || dropped != 0 {
 		t.Fatalf("%d events, %d seen, %d dropped", len(events), seen, dropped)
 	}
@@ -53,7 +53,7 @@
 	}
 	r.events = make([]Event, MaxEvents)
 	r.Add(Event{})
-	if _, dropped := r.Take(); dropped != 1 {
+	if _, dropped := r.Snapshot(); dropped != 1 {
 		t.Errorf("%d dropped past the bound", dropped)
 	}
 }
--- a/internal/lab/holds/holds.go
+++ b/internal/lab/holds/holds.go
@@ -160,18 +160,18 @@
 		}
 	}
 	coldStarts := func() string {
-		return atLeast(count(to-eventMargin, to+eventMargin, func(e *history.Event) bool { return onServers(history.Start)(e) && e.ColdTime > 0 }), len(servers), "cold starts at its end")
+		return atLeast(count(to-eventMargin, to+eventMargin, func(e *history.Event) bool { return onServers(history.ServerStarted)(e) && e.WarmupTime > 0 }), len(servers), "cold starts at its end")
 	}
 	switch f.Kind {
 	case scenario.FaultSilent, scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost:
-		all := []string{noneOf(count(from+eventMargin, to-eventMargin, onServers(history.Attempt, history.Run, history.Probe)), "attempts came while it was cut off"), coldStarts()}
+		all := []string{noneOf(count(from+eventMargin, to-eventMargin, onServers(history.Attempt, history.EffectRun, history.Probe)), "attempts came while it was cut off"), coldStarts()}
 		if f.Kind == scenario.FaultZoneAndNodesLost {
 			all = append(all, atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeKilled && isNode[e.Node] }), len(nodes), "nodes killed"))
 		}
 		return firstNonEmpty(all...)
 	case scenario.FaultHang:
 		return firstNonEmpty(atLeast(count(from, to, onServers(history.Attempt)), 1, "attempts taken"),
-			noneOf(count(from+eventMargin, to-eventMargin, onServers(history.Run)), "effects began while it hung"))
+			noneOf(count(from+eventMargin, to-eventMargin, onServers(history.EffectRun)), "effects began while it hung"))
 	case scenario.FaultKill:
 		missing := atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeKilled && isNode[e.Node] }), len(nodes), "nodes killed")
 		if len(servers) > 0 {
@@ -179,14 +179,16 @@
 		}
 		return missing
 	case scenario.FaultRestart:
-		return firstNonEmpty(atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeTerm && isNode[e.Node] }), len(nodes), "words to end"),
-			atLeast(count(from, to+2*time.Second, func(e *history.Event) bool { return e.Kind == history.NodeEnded && isNode[e.Node] }), len(nodes), "nodes that ended"))
+		return firstNonEmpty(atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeTerminating && isNode[e.Node] }), len(nodes), "words to end"),
+			atLeast(count(from, to+2*time.Second, func(e *history.Event) bool { return e.Kind == history.NodeExited && isNode[e.Node] }), len(nodes), "nodes that ended"))
 	case scenario.FaultDrain:
-		return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool { return onServers(history.Told)(e) && e.Lifecycle == hosts.Draining }), len(servers), "words of a drain")
+		return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool {
+			return onServers(history.NodeNotified)(e) && e.Lifecycle == hosts.Draining
+		}), len(servers), "words of a drain")
 	case scenario.FaultReplace:
 		return atLeast(count(from, to+eventMargin, func(e *history.Event) bool {
 			old, _, replaced := strings.Cut(e.Server, "-r")
-			return e.Kind == history.Start && replaced && isServer[old]
+			return e.Kind == history.ServerStarted && replaced && isServer[old]
 		}), len(servers), "starts under a new id")
 	case scenario.FaultLink:
 		if f.State != "" {
@@ -195,7 +197,7 @@
 			}), "attempts came over the link")
 		}
 		return atLeast(count(from, to, func(e *history.Event) bool {
-			return e.Kind == history.Attempt && e.At-e.First >= f.Delay.Duration*9/10
+			return e.Kind == history.Attempt && e.At-e.FirstByteAt >= f.Delay.Duration*9/10
 		}), 1, "attempts delayed")
 	case scenario.FaultHeavy:
 		class := map[string]string{}
@@ -204,7 +206,7 @@
 				class[e.Try] = e.Class
 			}
 		}
-		for _, c := range load.ClassesOf(s) {
+		for _, c := range load.ScenarioClasses(s) {
 			if c.Name == f.Class { // the work is exact, except for handshakes
 				work := time.Duration(f.Factor * float64((c.WorkLow+c.WorkHigh)/2))
 				return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool {
@@ -213,35 +215,37 @@
 			}
 		}
 	case scenario.FaultCorrupt:
-		return atLeast(count(from, to, onServers(history.Spoilt)), 1, "spoilt answers")
+		return atLeast(count(from, to, onServers(history.AnswerCorrupted)), 1, "spoilt answers")
 	case scenario.FaultSlowReader:
-		return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool { return e.Kind == history.Slow }), 1, "slow readers")
+		return atLeast(count(from, to+5*time.Second, func(e *history.Event) bool { return e.Kind == history.SlowRead }), 1, "slow readers")
 	case scenario.FaultDiscoveryOutage:
-		return noneOf(count(from+eventMargin, to-eventMargin, func(e *history.Event) bool { return e.Kind == history.Told }), "words were told while it was down")
+		return noneOf(count(from+eventMargin, to-eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeNotified }), "words were told while it was down")
 	case scenario.FaultPause:
 		stopped := func(kind history.Kind, at time.Duration) int {
 			return count(at, at+eventMargin, func(e *history.Event) bool { return e.Kind == kind && isNode[e.Node] })
 		}
-		return firstNonEmpty(atLeast(stopped(history.NodeStop, from), len(nodes), "nodes that stand still"), atLeast(stopped(history.NodeCont, to), len(nodes), "nodes that go on"),
-			noneOf(count(from+eventMargin, to-time.Millisecond, func(e *history.Event) bool { return e.Kind == history.Message && isNode[e.Node] }), "datagrams came while it stood still"))
+		return firstNonEmpty(atLeast(stopped(history.NodePaused, from), len(nodes), "nodes that stand still"), atLeast(stopped(history.NodeResumed, to), len(nodes), "nodes that go on"),
+			noneOf(count(from+eventMargin, to-time.Millisecond, func(e *history.Event) bool { return e.Kind == history.PeerMessage && isNode[e.Node] }), "datagrams came while it stood still"))
 	case scenario.FaultNoDescriptors:
-		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NoFiles && isNode[e.Node] }), len(nodes), "nodes without descriptors")
+		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.DescriptorsExhausted && isNode[e.Node] }), len(nodes), "nodes without descriptors")
 	case scenario.FaultSystemCalls:
-		return atLeast(count(to, to+eventMargin, func(e *history.Event) bool { return e.Kind == history.CallsFail && isNode[e.Node] }), 1, "nodes whose calls failed")
+		return atLeast(count(to, to+eventMargin, func(e *history.Event) bool { return e.Kind == history.SystemCallsFailed && isNode[e.Node] }), 1, "nodes whose calls failed")
 	case scenario.FaultDiscoveryCut:
-		asked := func(e *history.Event) bool { return e.Kind == history.Asked && isNode[e.Node] }
+		asked := func(e *history.Event) bool { return e.Kind == history.DiscoveryCalled && isNode[e.Node] }
 		return firstNonEmpty(atLeast(count(0, from, asked), len(nodes), "calls to discovery before it"), noneOf(count(from+eventMargin, to-eventMargin, asked), "calls came to discovery"))
 	case scenario.FaultPeerLinks, scenario.FaultPartition:
-		return atLeast(count(from, to, func(e *history.Event) bool { return e.Kind == history.Hindered }), 1, "datagrams hindered")
+		return atLeast(count(from, to, func(e *history.Event) bool { return e.Kind == history.DatagramFault }), 1, "datagrams hindered")
 	case scenario.FaultJoin:
-		return atLeast(count(from, from+5*time.Second, func(e *history.Event) bool { return e.Kind == history.NodeUp && isNode[e.Node] }), len(nodes), "nodes that started")
+		return atLeast(count(from, from+5*time.Second, func(e *history.Event) bool { return e.Kind == history.NodeReady && isNode[e.Node] }), len(nodes), "nodes that started")
 	case scenario.FaultLeave:
-		return firstNonEmpty(atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeTerm && isNode[e.Node] }), len(nodes), "words to end"),
-			noneOf(count(from, h.Setup.Length, func(e *history.Event) bool { return e.Kind == history.NodeUp && isNode[e.Node] }), "nodes came back"))
+		return firstNonEmpty(atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeTerminating && isNode[e.Node] }), len(nodes), "words to end"),
+			noneOf(count(from, h.Setup.Length, func(e *history.Event) bool { return e.Kind == history.NodeReady && isNode[e.Node] }), "nodes came back"))
 	case scenario.FaultDiscoveryRestart:
-		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.Forgot }), 1, "restarts")
+		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.DiscoveryReset }), 1, "restarts")
 	case scenario.FaultFlap:
-		return atLeast(count(from, to, func(e *history.Event) bool { return onServers(history.Change)(e) && e.Lifecycle == hosts.Removed }), 1, "words that it is gone")
+		return atLeast(count(from, to, func(e *history.Event) bool {
+			return onServers(history.DiscoveryChanged)(e) && e.Lifecycle == hosts.Removed
+		}), 1, "words that it is gone")
 	}
 	return ""
 }
--- a/internal/lab/holds/holds_test.go
+++ b/internal/lab/holds/holds_test.go
@@ -33,7 +33,7 @@
 				continue // leaves no events of its own
 			}
 			if f.Kind == scenario.FaultDiscoveryOutage { // one update shows that discovery was up
-				h.Events = append(h.Events, history.Event{At: f.At.Duration + f.For.Duration/2, Kind: history.Told})
+				h.Events = append(h.Events, history.Event{At: f.At.Duration + f.For.Duration/2, Kind: history.NodeNotified})
 			}
 			seen[f.Kind] = true
 			if MissingEvidence(s, f, h) == "" {
--- a/internal/lab/hosts/service.go
+++ b/internal/lab/hosts/service.go
@@ -96,7 +96,7 @@
 // publish records that changes are now visible. The caller holds the lock.
 func (s *Service) publish(changed []Entry) {
 	for _, e := range changed {
-		s.record(history.Event{At: s.clock(), Kind: history.Change, Server: e.InstanceID, Lifecycle: e.Lifecycle})
+		s.record(history.Event{At: s.clock(), Kind: history.DiscoveryChanged, Server: e.InstanceID, Lifecycle: e.Lifecycle})
 	}
 }
 
@@ -111,7 +111,7 @@
 		for c := range s.waitingCalls[n] {
 			c.hung = true
 		}
-		s.record(history.Event{At: s.clock(), Kind: history.Silenced, Node: n})
+		s.record(history.Event{At: s.clock(), Kind: history.WatchSilenced, Node: n})
 	}
 }
 
@@ -120,7 +120,7 @@
 	s.SetDown(true)
 	s.mu.Lock()
 	s.registry.Restart(generation)
-	s.record(history.Event{At: s.clock(), Kind: history.Forgot})
+	s.record(history.Event{At: s.clock(), Kind: history.DiscoveryReset})
 	s.mu.Unlock()
 	s.SetDown(false)
 }
@@ -212,7 +212,7 @@
 		return
 	}
 	s.openCalls++
-	s.record(history.Event{At: s.clock(), Kind: history.Asked, Node: node})
+	s.record(history.Event{At: s.clock(), Kind: history.DiscoveryCalled, Node: node})
 	defer func() { s.openCalls-- }()
 	waiting := &call{}
 	if s.waitingCalls[node] == nil {
@@ -270,7 +270,7 @@
 	included := map[string]bool{}
 	for _, e := range list.Instances {
 		included[e.InstanceID] = true
-		s.record(history.Event{At: now, Kind: history.Told, Node: node, Server: e.InstanceID, Lifecycle: e.Lifecycle})
+		s.record(history.Event{At: now, Kind: history.NodeNotified, Node: node, Server: e.InstanceID, Lifecycle: e.Lifecycle})
 		if notified[e.InstanceID] = true; e.Lifecycle == Removed {
 			delete(notified, e.InstanceID)
 		}
@@ -278,7 +278,7 @@
 	if list.Reset {
 		for id := range notified {
 			if !included[id] {
-				s.record(history.Event{At: now, Kind: history.Told, Node: node, Server: id, Lifecycle: Removed})
+				s.record(history.Event{At: now, Kind: history.NodeNotified, Node: node, Server: id, Lifecycle: Removed})
 				delete(notified, id)
 			}
 		}
--- a/internal/lab/hosts/service_test.go
+++ b/internal/lab/hosts/service_test.go
@@ -68,7 +68,7 @@
 	defer r.mu.Unlock()
 	text := ""
 	for _, e := range r.events {
-		if e.Kind == history.Told {
+		if e.Kind == history.NodeNotified {
 			text += e.Node + ":" + e.Server + "=" + e.Lifecycle + " "
 		}
 	}
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -111,7 +111,7 @@
 		checker.classes[setup.Classes[i].Name] = &setup.Classes[i]
 	}
 	for _, n := range setup.Nodes {
-		checker.zoneOf[n.Name] = n.Hall
+		checker.zoneOf[n.Name] = n.Zone
 	}
 	checker.tally.prepare(setup)
 	return checker
@@ -168,7 +168,7 @@
 	c.applyDueChanges(e.At)
 	c.tally.addEvent(c, e)
 	switch e.Kind {
-	case history.Ask:
+	case history.OrderIssued:
 		c.orderOf(e)
 	case history.Try:
 		t := c.tryOf(e.Try)
@@ -188,7 +188,7 @@
 				t.secondAnswerAt = e.At
 			}
 		}
-	case history.Extra:
+	case history.ExtraData:
 		if t := c.openTry(e); t != nil {
 			t.extraAt = append(t.extraAt, e.At)
 		}
@@ -198,11 +198,11 @@
 			if t.attempts == nil {
 				t.attempts = t.attemptBuffer[:0]
 			}
-			t.attempts = append(t.attempts, attempt{e.At, e.First, e.Node, e.Server, e.Verdict})
+			t.attempts = append(t.attempts, attempt{e.At, e.FirstByteAt, e.Node, e.Server, e.Verdict})
 		}
 	case history.Probe:
 		c.checkColdLoad(e)
-	case history.Run:
+	case history.EffectRun:
 		if t := c.openTry(e); t != nil {
 			if t.runs == nil {
 				t.runs = t.runBuffer[:0]
@@ -211,23 +211,23 @@
 		} else {
 			c.tally.addLateRun(e.Work)
 		}
-	case history.Start:
+	case history.ServerStarted:
 		c.recordStart(e)
-	case history.Fell:
+	case history.ServerOverloaded:
 		if s := c.coldStarts[e.Server]; s == nil || s.enforced(c.setup.Limits) {
 			c.breach(NoColdOverload, e.At, "%s fell over", e.Server)
 		}
-	case history.Told:
+	case history.NodeNotified:
 		c.markDrain(nodeServer{e.Node, e.Server}, e.At, e.Lifecycle == "up")
 		// Start times in lists are rounded to milliseconds.
-		if s := c.coldStarts[e.Server]; s != nil && e.Lifecycle == "up" && e.Started > s.At-time.Millisecond {
+		if s := c.coldStarts[e.Server]; s != nil && e.Lifecycle == "up" && e.StartedAt > s.At-time.Millisecond {
 			s.notifiedNodes[e.Node] = true
 		}
-	case history.Change:
+	case history.DiscoveryChanged:
 		c.recordChange(e)
-	case history.NodeKilled, history.NodeUp:
+	case history.NodeKilled, history.NodeReady:
 		c.nodeEvents[e.Node] = append(c.nodeEvents[e.Node], *e)
-		if e.Kind == history.NodeUp { // a new process has not been notified of any drain
+		if e.Kind == history.NodeReady { // a new process has not been notified of any drain
 			c.forgetDrains(e.Node, e.At)
 		}
 	}
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -31,23 +31,23 @@
 		if final.at > deadline+cmp.Or(c.setup.Limits.AnswerSlack, slack) {
 			c.breach(NoRequestLost, final.at, "%s was answered %v after its client's time", id, final.at-deadline)
 		}
-	case history.Wrong:
+	case history.WrongContent:
 		c.breach(NoRequestLost, final.at, "%s was served with what no server made for it", id)
-	case history.Broken:
+	case history.ConnectionBroken:
 		if !excused {
 			c.breach(NoRequestLost, final.at, "%s, taken by %s, was cut off with no whole answer", id, t.node)
 		}
-	case history.Crossed:
+	case history.CloseRace:
 		if len(t.attempts) > 0 && !excused {
 			c.breach(NoRequestLost, final.at, "%s, taken and sent on by %s, was cut off with no answer", id, t.node)
 		}
-	case history.GaveUp:
+	case history.TimedOut:
 		if !excused {
 			c.breach(NoRequestLost, final.at, "%s %s, taken by %s, had no answer in its client's time", t.className, id, t.node)
 		}
 	}
-	if final.status == history.Left {
-		slack = cmp.Or(c.setup.Limits.LeaveSlack, slack)
+	if final.status == history.Abandoned {
+		slack = cmp.Or(c.setup.Limits.AbandonSlack, slack)
 	}
 	for _, sent := range t.attempts {
 		if sent.first > final.at+slack {
@@ -57,7 +57,7 @@
 }
 
 // mayRun reports whether an attempt that reached a server may have run.
-func mayRun(a attempt) bool { return a.verdict != history.Turned }
+func mayRun(a attempt) bool { return a.verdict != history.Rejected }
 
 // checkEffects checks rule 2: no effect runs twice. Attempts that were lost on
 // the way have not run and are not recorded.
@@ -78,7 +78,7 @@
 				c.breach(NoDuplicateEffect, later.at, "unsafe %s went to %s although %s had taken it", id, later.server, earlier.server)
 			case !c.shareKeys(t.class.Scope, earlier.server, later.server):
 				c.breach(NoDuplicateEffect, later.at, "keyed %s left its pod: %s, then %s", id, earlier.server, later.server)
-			case gap > cmp.Or(t.class.Window, limits.KeyWindow)+limits.Slack:
+			case gap > cmp.Or(t.class.DedupWindow, limits.KeyWindow)+limits.Slack:
 				c.breach(NoDuplicateEffect, later.at, "keyed %s was sent again %v later", id, gap)
 			}
 		}
@@ -87,7 +87,7 @@
 		c.breach(NoDuplicateEffect, t.runs[1].at, "%s %s ran %d times", t.class.Effect, id, len(t.runs))
 	}
 	// All servers detect the key of a repeated try.
-	harmless := t.class.Effect == history.Keyed && t.class.Scope == history.All
+	harmless := t.class.Effect == history.Keyed && t.class.Scope == history.GlobalScope
 	if t.answerCount > 0 && t.firstAnswer.status == history.Refused && mayHaveRun > 0 && !harmless {
 		c.breach(NoDuplicateEffect, t.firstAnswer.at, "%s %s was refused although it may have run", t.class.Effect, id)
 	}
@@ -97,10 +97,10 @@
 func (c *Checker) shareKeys(scope history.Scope, one, other string) bool {
 	a, b := c.server(one), c.server(other)
 	switch scope {
-	case history.All:
+	case history.GlobalScope:
 		return true
-	case history.Halls:
-		return a.Hall == b.Hall
+	case history.ZoneScope:
+		return a.Zone == b.Zone
 	}
 	return a.Pod == b.Pod
 }
@@ -132,28 +132,28 @@
 	}
 }
 
-// recordChange records a change in discovery. After Limits.ToldLatest, drains and
+// recordChange records a change in discovery. After Limits.NotifyDeadline, drains and
 // removals apply also to nodes that have not fetched them, unless the server is up
 // again.
 func (c *Checker) recordChange(e *history.Event) {
 	if e.Lifecycle == "up" {
 		c.lastUp[e.Server] = e.At
 	}
-	if c.setup.Limits.ToldLatest > 0 && e.Lifecycle != "up" {
+	if c.setup.Limits.NotifyDeadline > 0 && e.Lifecycle != "up" {
 		c.pendingChanges = append(c.pendingChanges, *e)
 	}
 }
 
 // applyDueChanges applies the changes that are due to all nodes.
 func (c *Checker) applyDueChanges(now time.Duration) {
-	for len(c.pendingChanges) > 0 && c.pendingChanges[0].At+c.setup.Limits.ToldLatest <= now {
+	for len(c.pendingChanges) > 0 && c.pendingChanges[0].At+c.setup.Limits.NotifyDeadline <= now {
 		change := c.pendingChanges[0]
 		c.pendingChanges = c.pendingChanges[1:]
 		if up, ever := c.lastUp[change.Server]; ever && up >= change.At {
 			continue
 		}
 		for _, n := range c.setup.Nodes {
-			c.markDrain(nodeServer{n.Name, change.Server}, change.At+c.setup.Limits.ToldLatest, false)
+			c.markDrain(nodeServer{n.Name, change.Server}, change.At+c.setup.Limits.NotifyDeadline, false)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 
 // recordStart starts the tracking of a process that starts cold.
 func (c *Checker) recordStart(e *history.Event) {
-	if delete(c.coldStarts, e.Server); e.ColdTime > 0 && e.ColdFrom < 1 {
+	if delete(c.coldStarts, e.Server); e.WarmupTime > 0 && e.ColdFraction < 1 {
 		c.coldStarts[e.Server] = &coldStart{Event: *e, notifiedNodes: map[string]bool{}}
 	}
 }
@@ -205,24 +205,24 @@
 	if start == nil {
 		return
 	}
-	if e.At >= start.At+start.ColdTime {
+	if e.At >= start.At+start.WarmupTime {
 		delete(c.coldStarts, e.Server)
 		return
 	}
 	limits := c.setup.Limits
-	maxWork := time.Duration(limits.FallTime.Seconds() * start.Capacity / float64(max(1, start.Cores)) * 1e9)
+	maxWork := time.Duration(limits.OverloadWindow.Seconds() * start.Capacity / float64(max(1, start.Cores)) * 1e9)
 	send := coldSend{e.At, min(e.Work, maxWork), start.notifiedNodes[e.Node]}
 	start.recent = append(start.recent, send)
 	start.adjust(send, 1)
-	for start.recent[0].at <= send.at-limits.FallTime {
+	for start.recent[0].at <= send.at-limits.OverloadWindow {
 		start.adjust(start.recent[0], -1)
 		start.recent = start.recent[1:]
 	}
-	allowed := limits.FallFactor * capacity(start.Event, send.at-limits.FallTime, send.at)
-	if over := start.sum.Seconds() - limits.FallSpare.Seconds() - allowed; over > 0 && !start.reported && start.enforced(limits) {
+	allowed := limits.OverloadFactor * capacity(start.Event, send.at-limits.OverloadWindow, send.at)
+	if over := start.sum.Seconds() - limits.OverloadAllowance.Seconds() - allowed; over > 0 && !start.reported && start.enforced(limits) {
 		start.reported = true
 		c.breach(NoColdOverload, send.at, "%s, started at %v, was sent %v of work within %v and may have %.2fs",
-			start.Server, start.At, start.sum, limits.FallTime, allowed)
+			start.Server, start.At, start.sum, limits.OverloadWindow, allowed)
 	}
 }
 
@@ -235,20 +235,20 @@
 
 // enforced reports whether an overload counts as a breach, given which nodes knew of the start.
 func (s *coldStart) enforced(limits history.Limits) bool {
-	return !limits.FallTold || 3*s.notifiedSum >= 2*s.sum
+	return !limits.OverloadNotifiedOnly || 3*s.notifiedSum >= 2*s.sum
 }
 
 // capacity returns the work in seconds that a server can do between two times.
 // Before its start it has the capacity it has at its start.
 func capacity(start history.Event, from, to time.Duration) float64 {
 	fraction := func(t time.Duration) float64 {
-		age := min(max(t-start.At, 0), start.ColdTime).Seconds() / start.ColdTime.Seconds()
-		return start.ColdFrom + (1-start.ColdFrom)*age
+		age := min(max(t-start.At, 0), start.WarmupTime).Seconds() / start.WarmupTime.Seconds()
+		return start.ColdFraction + (1-start.ColdFraction)*age
 	}
 	work := 0.0
 	cut := min(max(start.At, from), to) // the warm-up ramp is linear from here to warm
-	work += (cut - from).Seconds() * start.ColdFrom
-	warm := min(max(start.At+start.ColdTime, cut), to)
+	work += (cut - from).Seconds() * start.ColdFraction
+	warm := min(max(start.At+start.WarmupTime, cut), to)
 	work += (warm - cut).Seconds() * (fraction(cut) + fraction(warm)) / 2
 	work += (to - warm).Seconds()
 	return work * start.Capacity
--- a/internal/lab/judge/service.go
+++ b/internal/lab/judge/service.go
@@ -122,14 +122,14 @@
 	case history.Disconnect:
 		y.openConnections--
 		y.connectionsByServer[e.Server]--
-	case history.Start: // the connections of the previous process are closed
+	case history.ServerStarted: // the connections of the previous process are closed
 		y.openConnections -= y.connectionsByServer[e.Server]
 		y.connectionsByServer[e.Server] = 0
 	case history.Attempt:
-		if checker.zoneOf[e.Node] != checker.server(e.Server).Hall {
+		if checker.zoneOf[e.Node] != checker.server(e.Server).Zone {
 			y.crossZoneAttempts++
 		}
-	case history.Message:
+	case history.PeerMessage:
 		y.messageBytes += float64(e.Bytes)
 	}
 }
@@ -200,13 +200,13 @@
 func (y *tally) closeOrder(o *order) {
 	y.Orders++
 	stats, step := y.byClass[o.class.Name], min(max(int(o.requestedAt/windowStep), 0), len(y.requestedByStep)-1)
-	value := o.class.Worth
+	value := o.class.Value
 	y.requestedValue, y.requestedByStep[step] = y.requestedValue+value, y.requestedByStep[step]+value
 	switch {
 	case o.servedAt > 0:
 		stats.Served++
 		y.latencies[stats.Class] = append(y.latencies[stats.Class], o.servedAt-o.requestedAt)
-	case o.endedAt-o.requestedAt > o.class.Aim:
+	case o.endedAt-o.requestedAt > o.class.TargetLatency:
 		y.lateValue += value
 	}
 	if o.onTime() {
@@ -233,7 +233,9 @@
 	return amount / total
 }
 
-func (o *order) onTime() bool { return o.servedAt > 0 && o.servedAt-o.requestedAt <= o.class.Aim }
+func (o *order) onTime() bool {
+	return o.servedAt > 0 && o.servedAt-o.requestedAt <= o.class.TargetLatency
+}
 
 // ratios returns the three components of the measure and completes the classes.
 func (y *tally) ratios(length time.Duration) (overall, worstWindow, worstClass float64) {
--- a/internal/lab/link/late_test.go
+++ b/internal/lab/link/late_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if entered, known := p.Entered(s.RemoteAddr().String()); !known || entered > written+lateArrival {
+	if entered, known := p.FirstByteAt(s.RemoteAddr().String()); !known || entered > written+lateArrival {
 		t.Errorf("written at %v, entered at %v, known %v", written, entered, known)
 	}
 }
@@ -72,7 +72,7 @@
 				if _, err := io.ReadFull(c, sent[:]); err != nil {
 					return
 				}
-				entered, known := p.Entered(c.RemoteAddr().String())
+				entered, known := p.FirstByteAt(c.RemoteAddr().String())
 				if !known {
 					entered = clock()
 				}
@@ -104,10 +104,10 @@
 			}()
 		}
 		time.Sleep(5 * time.Millisecond)
-		set(t, p, Shape{State: BlackHole})
+		set(t, p, Conditions{State: BlackHole})
 		close(stop)
 		time.Sleep(2 * lateArrival)
-		set(t, p, Shape{})
+		set(t, p, Conditions{})
 	}
 	time.Sleep(3500 * time.Millisecond) // the kernel repeats the answer to a SYN after 1 s and 3 s
 	for {
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -70,7 +70,7 @@
 	return time.Since(start), err
 }
 
-func set(t *testing.T, p *TCP, s Shape) {
+func set(t *testing.T, p *TCP, s Conditions) {
 	t.Helper()
 	if err := p.Set(s); err != nil {
 		t.Fatal(err)
@@ -83,15 +83,15 @@
 	if _, err := say(c, patience); err != nil {
 		t.Fatal(err)
 	}
-	set(t, p, Shape{Delay: 60 * time.Millisecond})
+	set(t, p, Conditions{Delay: 60 * time.Millisecond})
 	if took, err := say(c, patience); err != nil || took < 120*time.Millisecond {
 		t.Errorf("there and back took %v, %v", took, err)
 	}
-	set(t, p, Shape{Loss: 1})
+	set(t, p, Conditions{Loss: 1})
 	if took, err := say(c, patience); err != nil || took < 2*retransmit {
 		t.Errorf("with every segment lost once it took %v, %v", took, err)
 	}
-	set(t, p, Shape{Rate: 60})
+	set(t, p, Conditions{BytesPerSecond: 60})
 	if took, err := say(c, patience); err != nil || took < 180*time.Millisecond {
 		t.Errorf("6 bytes each way at 60 a second took %v, %v", took, err)
 	}
@@ -103,7 +103,7 @@
 	if _, err := say(c, patience); err != nil {
 		t.Fatal(err)
 	}
-	set(t, p, Shape{State: BlackHole})
+	set(t, p, Conditions{State: BlackHole})
 	if _, err := say(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("an open connection: %v", err)
 	}
@@ -111,7 +111,7 @@
 		n.Close()
 		t.Error("a new one came up")
 	}
-	set(t, p, Shape{})
+	set(t, p, Conditions{})
 	if _, err := say(c, patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("afterwards the old one: %v", err)
 	}
@@ -123,7 +123,7 @@
 func TestHalfOpenLosesWhatTheDiallerSends(t *testing.T) {
 	p := proxy(t)
 	c := dial(t, p)
-	set(t, p, Shape{State: HalfOpen})
+	set(t, p, Conditions{State: HalfOpen})
 	if _, err := say(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
@@ -138,7 +138,7 @@
 	if _, err := say(c, patience); err != nil {
 		t.Fatal(err)
 	}
-	set(t, p, Shape{State: Reset})
+	set(t, p, Conditions{State: Reset})
 	if _, err := say(c, patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("an open connection: %v", err)
 	}
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	set(t, p, Shape{Delay: 150 * time.Millisecond})
+	set(t, p, Conditions{Delay: 150 * time.Millisecond})
 	c := dial(t, p)
 	before := clock()
 	io.WriteString(c, "hello\n")
@@ -180,7 +180,7 @@
 	if _, err := bufio.NewReader(s).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	got, known := p.Entered(s.RemoteAddr().String())
+	got, known := p.FirstByteAt(s.RemoteAddr().String())
 	if !known || got < before || clock()-got < 150*time.Millisecond {
 		t.Errorf("entered at %v, %v; sent at %v, read at %v", got, known, before, clock())
 	}
@@ -199,8 +199,8 @@
 		t.Fatal(err)
 	}
 	defer through.Close()
-	var shape atomic.Pointer[Shape]
-	shape.Store(&Shape{Delay: 50 * time.Millisecond})
+	var shape atomic.Pointer[Conditions]
+	shape.Store(&Conditions{Delay: 50 * time.Millisecond})
 	relay, err := NewUDP(func(netip.AddrPort) []Hop { return []Hop{{through, receiver.LocalAddr(), *shape.Load()}} }, func(_ netip.AddrPort, bytes, receivers int) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -223,7 +223,7 @@
 	if err != nil || string(buf[:n]) != "one" || from.String() != through.LocalAddr().String() || time.Since(start) < 50*time.Millisecond {
 		t.Errorf("%q from %v after %v, %v", buf[:n], from, time.Since(start), err)
 	}
-	shape.Store(&Shape{Loss: 1})
+	shape.Store(&Conditions{Loss: 1})
 	io.WriteString(sender, "two")
 	for end := time.Now().Add(patience); relay.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -24,16 +24,16 @@
 	BlackHole State = "black-hole" // nothing passes either way, nobody is told
 )
 
-// Shape is how a link behaves.
-type Shape struct {
-	Delay time.Duration // one way
-	Loss  float64       // share of segments that cost a retransmission
-	Rate  int           // bytes a second each way; 0: no limit
-	State State
+// Conditions is how a link behaves.
+type Conditions struct {
+	Delay          time.Duration // one way
+	Loss           float64       // share of segments that cost a retransmission
+	BytesPerSecond int           // bytes a second each way; 0: no limit
+	State          State
 	// Of datagrams alone: up to so much on top of the delay, and the share that
 	// comes twice.
-	Jitter time.Duration
-	Double float64
+	Jitter            time.Duration
+	DuplicateFraction float64
 }
 
 const (
@@ -48,13 +48,13 @@
 // TCP is a proxy in front of one address. Its methods may be called from
 // several goroutines.
 type TCP struct {
-	place    *socket.Place
+	place    *socket.ReservedAddr
 	target   func() string
 	clock    func() time.Duration
 	mu       sync.Mutex
-	listener *net.TCPListener // nil while it is a black hole
-	silence  *socket.Silence  // while it is one
-	shape    Shape
+	listener *net.TCPListener  // nil while it is a black hole
+	silence  *socket.BlackHole // while it is one
+	shape    Conditions
 	changed  chan struct{} // closed when the shape changes
 	pairs    map[*pair]bool
 	byLocal  map[string]*pair // by the address that the target sees; also some that have ended
@@ -74,7 +74,7 @@
 // NewTCP listens on a loopback address of its own and passes connections on
 // to target, which is asked anew for each.
 func NewTCP(target func() string, clock func() time.Duration) (*TCP, error) {
-	place, err := socket.NewPlace()
+	place, err := socket.ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	if err := socket.StampArrivals(l); err != nil {
+	if err := socket.EnableReceiveTimestamps(l); err != nil {
 		l.Close()
 		return err
 	}
@@ -106,7 +106,7 @@
 
 // Set changes the link for what passes from now on. What stood on a link that
 // was reset, half-open or a black hole is reset when that begins or ends.
-func (p *TCP) Set(s Shape) error {
+func (p *TCP) Set(s Conditions) error {
 	p.mu.Lock()
 	old := p.shape
 	p.shape = s
@@ -131,7 +131,7 @@
 	case was == is || p.closed:
 		return nil
 	case is:
-		silence, err := p.place.Silence(p.listener)
+		silence, err := p.place.BlackHole(p.listener)
 		if err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 	}
 	err := p.listen()
 	if p.silence != nil {
-		p.silence.End()
+		p.silence.Close()
 		p.silence = nil
 	}
 	return err
@@ -158,9 +158,9 @@
 	return out
 }
 
-// Entered tells when the first byte of the latest burst of a connection came
+// FirstByteAt tells when the first byte of the latest burst of a connection came
 // to the proxy, by the address from which the target sees it.
-func (p *TCP) Entered(remote string) (time.Duration, bool) {
+func (p *TCP) FirstByteAt(remote string) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.byLocal[remote]
@@ -179,7 +179,7 @@
 		p.listener.Close()
 	}
 	if p.silence != nil {
-		p.silence.End()
+		p.silence.Close()
 	}
 	p.place.Close()
 	p.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-func (p *TCP) now() (Shape, <-chan struct{}) {
+func (p *TCP) now() (Conditions, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.shape, p.changed
@@ -330,8 +330,8 @@
 				if s.Loss > 0 && rand.Float64() < s.Loss {
 					due = due.Add(retransmit)
 				}
-				if s.Rate > 0 {
-					due = later(due, last).Add(time.Duration(float64(n) / float64(s.Rate) * 1e9))
+				if s.BytesPerSecond > 0 {
+					due = later(due, last).Add(time.Duration(float64(n) / float64(s.BytesPerSecond) * 1e9))
 				}
 				last = later(due, last)
 				way <- parcel{buf[:n], last}
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -26,9 +26,9 @@
 // Hop says through which socket a datagram goes on, to which address, and how the way
 // there is; any state but Open drops all.
 type Hop struct {
-	From  net.PacketConn
-	To    net.Addr
-	Shape Shape
+	From       net.PacketConn
+	To         net.Addr
+	Conditions Conditions
 }
 
 // NewUDP makes a relay on a loopback address of its own. For each datagram that comes,
@@ -67,13 +67,13 @@
 		}
 		data := append([]byte(nil), buf[:n]...)
 		for _, h := range hops {
-			s := h.Shape
+			s := h.Conditions
 			if s.State != Open || rand.Float64() < s.Loss || u.way.Load() >= maxDatagrams {
 				u.Dropped.Add(1)
 				continue
 			}
 			times := 1
-			if rand.Float64() < s.Double {
+			if rand.Float64() < s.DuplicateFraction {
 				times = 2
 			}
 			for range times {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -41,7 +41,7 @@
 	}
 	work, count := map[string]float64{}, map[string]float64{}
 	for _, o := range orders {
-		if o.Hall != "a" {
+		if o.Zone != "a" {
 			t.Fatal("a hall without a node sent an order")
 		}
 		if (o.Key != "") != (o.Class.Effect == history.Keyed) {
@@ -94,26 +94,26 @@
 		n      int
 		again  bool
 	}{
-		{0, history.Failed, 0, true}, {0, history.GaveUp, 1, true}, {0, history.Failed, 2, false}, {0, history.Served, 0, false},
-		{2, history.Refused, 0, true}, {2, history.Unreachable, 1, true}, {2, history.Failed, 0, false}, {2, history.Broken, 0, false},
-		{3, history.GaveUp, 0, false}, {3, history.Refused, 0, true}, {3, history.Left, 0, false},
+		{0, history.Failed, 0, true}, {0, history.TimedOut, 1, true}, {0, history.Failed, 2, false}, {0, history.Served, 0, false},
+		{2, history.Refused, 0, true}, {2, history.Unreachable, 1, true}, {2, history.Failed, 0, false}, {2, history.ConnectionBroken, 0, false},
+		{3, history.TimedOut, 0, false}, {3, history.Refused, 0, true}, {3, history.Abandoned, 0, false},
 	} {
-		o := &Order{Class: &Classes[c.class], Honour: true}
-		if _, again := Again(s, o, c.n, c.status, 0, 10*time.Millisecond); again != c.again {
+		o := &Order{Class: &Classes[c.class], HonoursRetryAfter: true}
+		if _, again := NextRetry(s, o, c.n, c.status, 0, 10*time.Millisecond); again != c.again {
 			t.Errorf("%s after %s, try %d: again %v", o.Class.Name, c.status, c.n, again)
 		}
 	}
-	o := &Order{Class: &Classes[2], Honour: true}
-	if wait, _ := Again(s, o, 0, history.Refused, 700*time.Millisecond, 0); wait < 700*time.Millisecond {
+	o := &Order{Class: &Classes[2], HonoursRetryAfter: true}
+	if wait, _ := NextRetry(s, o, 0, history.Refused, 700*time.Millisecond, 0); wait < 700*time.Millisecond {
 		t.Errorf("Retry-After is not followed: %v", wait)
 	}
-	if wait, _ := Again(s, o, 0, history.Refused, time.Hour, 0); wait > MaxRetryAfter {
+	if wait, _ := NextRetry(s, o, 0, history.Refused, time.Hour, 0); wait > MaxRetryAfter {
 		t.Errorf("a wait of %v", wait)
 	}
-	if _, again := Again(s, o, 0, history.Refused, 0, o.Class.Deadline); again {
+	if _, again := NextRetry(s, o, 0, history.Refused, 0, o.Class.Deadline); again {
 		t.Error("tried again past the deadline")
 	}
-	if p := Patience(s, o, o.Class.Deadline-time.Second); p != time.Second {
+	if p := TryTimeout(s, o, o.Class.Deadline-time.Second); p != time.Second {
 		t.Errorf("a late try waits %v", p)
 	}
 }
--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -13,18 +13,18 @@
 
 // Order is a client's request over all its tries.
 type Order struct {
-	ID     string
-	At     time.Duration // of the first try
-	Class  *history.Class
-	Hall   string
-	Key    string        // for keyed classes
-	Tenant string        // "": nobody's
-	Work   time.Duration // on a core of speed 1, at whatever server
-	Slow   bool          // its client reads slowly
-	Honour bool          // its client follows Retry-After
-	Retry  [2]float64    // draws for the waits before its own retries
-	Leaves time.Duration // its client goes away so long after each try was sent; 0: it stays
-	Pieces int           // its tries are written in so many pieces, with a pause between them; 0: at once
+	ID                string
+	At                time.Duration // of the first try
+	Class             *history.Class
+	Zone              string
+	Key               string        // for keyed classes
+	Tenant            string        // "": nobody's
+	Work              time.Duration // on a core of speed 1, at whatever server
+	SlowReader        bool          // its client reads slowly
+	HonoursRetryAfter bool          // its client follows Retry-After
+	RetryJitter       [2]float64    // draws for the waits before its own retries
+	AbandonAfter      time.Duration // its client goes away so long after each try was sent; 0: it stays
+	WritePieces       int           // its tries are written in so many pieces, with a pause between them; 0: at once
 }
 
 // Stream gives the orders of a scenario one by one, the same for the same
@@ -42,10 +42,12 @@
 }
 
 // NewStream begins a stream.
-func NewStream(s *scenario.Scenario, seed int64) *Stream { return NewStreamOf(s, Brief(s), seed) }
+func NewStream(s *scenario.Scenario, seed int64) *Stream {
+	return NewDeploymentStream(s, DefaultDeployment(s), seed)
+}
 
-// NewStreamOf begins a stream in another deployment than the brief's.
-func NewStreamOf(s *scenario.Scenario, d *Deployment, seed int64) *Stream {
+// NewDeploymentStream begins a stream in another deployment than the brief's.
+func NewDeploymentStream(s *scenario.Scenario, d *Deployment, seed int64) *Stream {
 	st := &Stream{s: s, classes: d.Classes, tenants: d.Tenants, rng: rand.New(rand.NewPCG(uint64(seed), 0x6c6f6164)),
 		habits: rand.New(rand.NewPCG(uint64(seed), 0x686162697473))}
 	for _, c := range st.classes {
@@ -59,8 +61,8 @@
 	return st
 }
 
-// ClassesOf gives the class table with a scenario's own shares and work.
-func ClassesOf(s *scenario.Scenario) []history.Class {
+// ScenarioClasses gives the class table with a scenario's own shares and work.
+func ScenarioClasses(s *scenario.Scenario) []history.Class {
 	out := append([]history.Class(nil), Classes...)
 	for i := range out {
 		if part, set := s.Load.Shares[out[i].Name]; set {
@@ -99,7 +101,7 @@
 		}
 		pick -= o.Class.Share
 	}
-	o.Hall = st.halls[st.rng.IntN(len(st.halls))]
+	o.Zone = st.halls[st.rng.IntN(len(st.halls))]
 	// Work is lognormal with a coefficient of variation of 1, as the brief gives
 	// a range of means only.
 	const sigma = 0.8326 // sqrt(ln(1 + cv*cv))
@@ -108,13 +110,13 @@
 	if o.Class.Effect == history.Keyed {
 		o.Key = fmt.Sprintf("k%016x", st.rng.Uint64())
 	}
-	o.Honour = st.rng.Float64() < st.s.Client.RetryAfterFraction
-	o.Retry = [2]float64{st.rng.Float64(), st.rng.Float64()}
+	o.HonoursRetryAfter = st.rng.Float64() < st.s.Client.RetryAfterFraction
+	o.RetryJitter = [2]float64{st.rng.Float64(), st.rng.Float64()}
 	if st.habits.Float64() < st.s.Client.AbandonFraction {
-		o.Leaves = time.Duration((0.01 + 0.9*st.habits.Float64()) * st.s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
+		o.AbandonAfter = time.Duration((0.01 + 0.9*st.habits.Float64()) * st.s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
 	}
 	if st.habits.Float64() < st.s.Client.SlowWriteFraction {
-		o.Pieces = 2 + st.habits.IntN(5)
+		o.WritePieces = 2 + st.habits.IntN(5)
 	}
 	hit := st.rng.Float64() // one draw whatever the faults, so that orders do not shift
 	for _, f := range st.s.Faults {
@@ -125,7 +127,7 @@
 		case f.Kind == scenario.FaultHeavy && f.Class == o.Class.Name:
 			o.Work = time.Duration(f.Factor * float64(mean))
 		case f.Kind == scenario.FaultSlowReader:
-			o.Slow = true
+			o.SlowReader = true
 		}
 	}
 	return o, true
@@ -144,23 +146,23 @@
 // MaxRetryAfter is the longest wait that clients follow.
 const MaxRetryAfter = 2 * time.Second
 
-// Patience is how long a client waits for a try that it sends now: a share of
+// TryTimeout is how long a client waits for a try that it sends now: a share of
 // the deadline, and no longer than what is left of that.
-func Patience(s *scenario.Scenario, o *Order, now time.Duration) time.Duration {
+func TryTimeout(s *scenario.Scenario, o *Order, now time.Duration) time.Duration {
 	try := time.Duration(s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
 	return min(try, o.At+o.Class.Deadline-now)
 }
 
-// Again tells whether a client tries again after try number n (0 first) and
+// NextRetry tells whether a client tries again after try number n (0 first) and
 // after what wait. Safe requests are retried after anything that is no answer
 // of worth; others only if the last try cannot have run.
-func Again(s *scenario.Scenario, o *Order, n int, st history.Status, retryAfter, now time.Duration) (wait time.Duration, ok bool) {
+func NextRetry(s *scenario.Scenario, o *Order, n int, st history.Status, retryAfter, now time.Duration) (wait time.Duration, ok bool) {
 	harmless := st == history.Refused || st == history.Unreachable
-	if n >= s.Client.Retries || st == history.Served || st == history.Left || !harmless && o.Class.Effect != history.Safe {
+	if n >= s.Client.Retries || st == history.Served || st == history.Abandoned || !harmless && o.Class.Effect != history.Safe {
 		return 0, false
 	}
-	wait = time.Duration((0.5 + o.Retry[n%len(o.Retry)]) * float64(s.Client.Backoff.Duration) * math.Pow(2, float64(n)))
-	if o.Honour && retryAfter > 0 {
+	wait = time.Duration((0.5 + o.RetryJitter[n%len(o.RetryJitter)]) * float64(s.Client.Backoff.Duration) * math.Pow(2, float64(n)))
+	if o.HonoursRetryAfter && retryAfter > 0 {
 		wait = max(wait, min(retryAfter, MaxRetryAfter))
 	}
 	return wait, now+wait < o.At+o.Class.Deadline
--- a/internal/lab/memory/audit_test.go
+++ b/internal/lab/memory/audit_test.go
@@ -71,14 +71,14 @@
 	}
 	record := func(server string, to time.Duration) {
 		for _, e := range sends[server] {
-			if e.First > drainedSince[server]+grace && e.First < min(to, end) {
+			if e.FirstByteAt > drainedSince[server]+grace && e.FirstByteAt < min(to, end) {
 				late[lateSend{e.Node, server}] = true
 			}
 		}
 		delete(drainedSince, server)
 	}
 	for _, e := range h.Events {
-		if e.Kind != history.Told {
+		if e.Kind != history.NodeNotified {
 			continue
 		}
 		_, closed := drainedSince[e.Server]
@@ -174,7 +174,7 @@
 func missedLatestChange(h *history.History, node string) (missed, known bool) {
 	var newest history.Event
 	for _, e := range h.Events {
-		if e.Kind == history.Change && e.At < h.Setup.Length-200*time.Millisecond {
+		if e.Kind == history.DiscoveryChanged && e.At < h.Setup.Length-200*time.Millisecond {
 			newest = e
 		}
 	}
@@ -182,11 +182,11 @@
 	cut, healed := false, false
 	for _, e := range h.Events {
 		switch {
-		case e.Kind == history.Asked && e.Node == node && e.At >= newest.At && e.At < h.Setup.Length:
+		case e.Kind == history.DiscoveryCalled && e.Node == node && e.At >= newest.At && e.At < h.Setup.Length:
 			return false, true // its answer contained all changes
-		case e.Kind == history.Fault && e.At < newest.At && cuts.MatchString(e.Note):
+		case e.Kind == history.FaultStarted && e.At < newest.At && cuts.MatchString(e.Note):
 			cut = true
-		case e.Kind == history.FaultEnd && e.At < newest.At && cuts.MatchString(e.Note):
+		case e.Kind == history.FaultEnded && e.At < newest.At && cuts.MatchString(e.Note):
 			cut, healed = false, true
 		}
 	}
--- a/internal/lab/memory/client.go
+++ b/internal/lab/memory/client.go
@@ -49,12 +49,12 @@
 		if n.incarnation == c.nodeIncarnation {
 			n.receive(c, c.deadline-c.world.now)
 		} else {
-			c.scheduleAnswer(0, history.Broken, "", 0)
+			c.scheduleAnswer(0, history.ConnectionBroken, "", 0)
 		}
 	case clientTimeout:
 		if !c.done {
 			c.connClosed = true
-			c.receiveAnswer(history.GaveUp, "", 0)
+			c.receiveAnswer(history.TimedOut, "", 0)
 			if n.incarnation == c.nodeIncarnation {
 				n.clientClosed(c)
 			}
@@ -112,11 +112,11 @@
 
 // sendTry sends one try. Its deadline counts from here.
 func (w *world) sendTry(order *load.Order, number int) {
-	c := &clientTry{world: w, order: order, number: number, id: order.ID + trySuffixes[number], node: w.pickNode(order.Hall)}
+	c := &clientTry{world: w, order: order, number: number, id: order.ID + trySuffixes[number], node: w.pickNode(order.Zone)}
 	if number == 0 {
-		w.record(history.Event{Kind: history.Ask, Order: order.ID, Class: order.Class.Name})
+		w.record(history.Event{Kind: history.OrderIssued, Order: order.ID, Class: order.Class.Name})
 	}
-	timeout := load.Patience(w.scenario, order, w.now)
+	timeout := load.TryTimeout(w.scenario, order, w.now)
 	if c.node == nil || !c.node.up {
 		c.retry(history.Unreachable, 0)
 		return
@@ -136,8 +136,8 @@
 	if c.connClosed {
 		return
 	}
-	if c.order.Slow && status == history.Served {
-		c.world.record(history.Event{Kind: history.Slow, Try: c.id})
+	if c.order.SlowReader && status == history.Served {
+		c.world.record(history.Event{Kind: history.SlowRead, Try: c.id})
 		delay += slowReadTime
 	}
 	if c.answer.inFlight { // a duplicate, recorded for the judge
@@ -151,10 +151,10 @@
 // receiveAnswer records a final answer at the client. Duplicates are recorded
 // too, so that the judge sees them.
 func (c *clientTry) receiveAnswer(status history.Status, server string, retryAfter time.Duration) {
-	if c.done && (status == history.GaveUp || c.gaveUp) {
+	if c.done && (status == history.TimedOut || c.gaveUp) {
 		return
 	}
-	c.gaveUp = c.gaveUp || status == history.GaveUp
+	c.gaveUp = c.gaveUp || status == history.TimedOut
 	c.world.record(history.Event{Kind: history.Answer, Try: c.id, Status: status, Server: server})
 	if !c.done {
 		c.done = true
@@ -163,7 +163,7 @@
 }
 
 func (c *clientTry) retry(status history.Status, retryAfter time.Duration) {
-	if wait, ok := load.Again(c.world.scenario, c.order, c.number, status, retryAfter, c.world.now); ok {
+	if wait, ok := load.NextRetry(c.world.scenario, c.order, c.number, status, retryAfter, c.world.now); ok {
 		c.world.schedule(c.world.now+wait, c, clientRetry, 0)
 	}
 }
--- a/internal/lab/memory/faults.go
+++ b/internal/lab/memory/faults.go
@@ -65,7 +65,7 @@
 		begin = func() {
 			each(func(c *machine) {
 				c.unreachable = true
-				c.model.SetState(w.now, clip.Silent)
+				c.model.SetState(w.now, clip.Isolated)
 				incarnation := c.incarnation
 				if fault.For.Duration > unreachableNotice {
 					w.after(unreachableNotice, func() {
@@ -133,13 +133,13 @@
 	case scenario.FaultPause:
 		begin = func() {
 			for _, x := range nodes {
-				w.record(history.Event{Kind: history.NodeStop, Node: x.Name})
+				w.record(history.Event{Kind: history.NodePaused, Node: x.Name})
 				w.nodes[x.Number].pausedUntil = w.now + fault.For.Duration
 			}
 		}
 		end = func() {
 			for _, x := range nodes {
-				w.record(history.Event{Kind: history.NodeCont, Node: x.Name})
+				w.record(history.Event{Kind: history.NodeResumed, Node: x.Name})
 			}
 		}
 	case scenario.FaultDiscoveryCut:
@@ -169,12 +169,12 @@
 		begin = func() {
 			w.setOutage(true)
 			w.registry.Restart(1)
-			w.record(history.Event{Kind: history.Forgot})
+			w.record(history.Event{Kind: history.DiscoveryReset})
 			w.setOutage(false)
 		}
 	}
 	w.at(fault.At.Duration, func() {
-		w.record(history.Event{Kind: history.Fault, Note: fault.String()})
+		w.record(history.Event{Kind: history.FaultStarted, Note: fault.String()})
 		if begin != nil { // package load makes heavy requests and slow readers
 			begin()
 		}
@@ -183,7 +183,7 @@
 		if end != nil {
 			end()
 		}
-		w.record(history.Event{Kind: history.FaultEnd, Note: fault.String()})
+		w.record(history.Event{Kind: history.FaultEnded, Note: fault.String()})
 	})
 }
 
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -231,7 +231,7 @@
 			w.after(discoveryCallTimeout, func() { n.watchFailed(incarnation, watchID) })
 		default:
 			if w.now >= n.pausedUntil {
-				w.record(history.Event{Kind: history.Asked, Node: n.Name})
+				w.record(history.Event{Kind: history.DiscoveryCalled, Node: n.Name})
 				n.applyUpdate(balance.ListChanges, hosts.List{Generation: n.listVersion})
 			}
 			n.renewWatch(incarnation, watchID)
--- a/internal/lab/memory/list.go
+++ b/internal/lab/memory/list.go
@@ -16,7 +16,7 @@
 		return
 	}
 	for _, e := range w.unpublished {
-		w.record(history.Event{Kind: history.Change, Server: e.InstanceID, Lifecycle: e.Lifecycle})
+		w.record(history.Event{Kind: history.DiscoveryChanged, Server: e.InstanceID, Lifecycle: e.Lifecycle})
 	}
 	w.unpublished = nil
 	for _, n := range w.nodes {
@@ -33,15 +33,15 @@
 	listed := map[string]bool{}
 	for _, e := range list.Instances {
 		listed[e.InstanceID] = true
-		w.record(history.Event{Kind: history.Told, Node: n.Name, Server: e.InstanceID, Lifecycle: e.Lifecycle,
-			Started: max(0, time.Duration(e.StartedAtMs)*time.Millisecond-Epoch)})
+		w.record(history.Event{Kind: history.NodeNotified, Node: n.Name, Server: e.InstanceID, Lifecycle: e.Lifecycle,
+			StartedAt: max(0, time.Duration(e.StartedAtMs)*time.Millisecond-Epoch)})
 	}
 	kind := balance.ListChanges
 	if list.Reset {
 		kind = balance.ListFull
 		for _, c := range w.machines {
 			if !listed[c.Name] {
-				w.record(history.Event{Kind: history.Told, Node: n.Name, Server: c.Name, Lifecycle: hosts.Removed})
+				w.record(history.Event{Kind: history.NodeNotified, Node: n.Name, Server: c.Name, Lifecycle: hosts.Removed})
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 		case w.outage || n.discoveryCut:
 			w.after(discoveryCallTimeout, func() { n.watchFailed(incarnation, watchID) })
 		default:
-			w.record(history.Event{Kind: history.Asked, Node: n.Name})
+			w.record(history.Event{Kind: history.DiscoveryCalled, Node: n.Name})
 			n.watching, n.sentVersion = true, n.listVersion
 			w.sendUpdate(n)
 			n.renewWatch(incarnation, watchID)
--- a/internal/lab/memory/machine.go
+++ b/internal/lab/memory/machine.go
@@ -36,14 +36,14 @@
 }
 
 func (w *world) newMachine(server scenario.Server) *machine {
-	hardware, err := clip.Of(server.Kind)
+	hardware, err := clip.NewMachine(server.Kind)
 	if err != nil {
 		panic(err) // scenario.Check accepts known kinds only
 	}
 	speeds := clip.SpeedRange[server.Kind]
 	hardware.Speed = speeds[0] + (speeds[1]-speeds[0])*w.rng.Float64()
 	pod, window := server.Pod, w.setup.Limits.KeyWindow
-	if common := w.deployment.Common(); common > 0 {
+	if common := w.deployment.SharedKeyWindow(); common > 0 {
 		pod, window = -1, common
 	}
 	if w.pods[pod] == nil {
@@ -51,17 +51,17 @@
 	}
 	limits := w.setup.Limits
 	c := &machine{Server: server, id: balance.ServerID(len(w.machines) + 1), world: w, inFlight: map[uint64]*attempt{},
-		model: clip.NewServer(server.Name, hardware, clip.Fall{Factor: limits.FallFactor, Time: limits.FallTime, Spare: limits.FallSpare}, w.pods[pod])}
-	c.model.Begun = func(b clip.Started) {
-		kind := history.Run
-		if b.Repeat {
-			kind = history.Repeat
+		model: clip.NewServer(server.Name, hardware, clip.OverloadLimit{Factor: limits.OverloadFactor, Window: limits.OverloadWindow, Allowance: limits.OverloadAllowance}, w.pods[pod])}
+	c.model.OnJobStart = func(b clip.JobStart) {
+		kind := history.EffectRun
+		if b.Duplicate {
+			kind = history.DuplicateDropped
 		}
 		w.record(history.Event{Kind: kind, Try: b.Try, Server: server.Name, Work: b.Work, Key: b.Key})
 	}
 	w.machines = append(w.machines, c)
 	w.byName[server.Name] = c
-	w.setup.Servers = append(w.setup.Servers, history.Server{Name: server.Name, Hall: server.Zone, Kind: server.Kind, Pod: server.Pod})
+	w.setup.Servers = append(w.setup.Servers, history.Server{Name: server.Name, Zone: server.Zone, Kind: server.Kind, Pod: server.Pod})
 	return c
 }
 
@@ -141,9 +141,9 @@
 		w.record(history.Event{Kind: history.Probe, Node: a.node.Name, Server: c.Name, Work: work})
 	}
 	c.completeJobs()
-	verdict, fell := c.model.Offer(w.now, clip.Job{ID: a.id, Try: a.tryID, Key: a.key, Work: work, Probe: a.probe})
+	verdict, fell := c.model.Submit(w.now, clip.Job{ID: a.id, Try: a.tryID, Key: a.key, Work: work, Probe: a.probe})
 	if !a.probe {
-		w.record(history.Event{Kind: history.Attempt, Try: a.tryID, Node: a.node.Name, Server: c.Name, Work: work, First: first, Verdict: verdict})
+		w.record(history.Event{Kind: history.Attempt, Try: a.tryID, Node: a.node.Name, Server: c.Name, Work: work, FirstByteAt: first, Verdict: verdict})
 	}
 	c.inFlight[a.id] = a
 	c.inFlightOrder = append(c.inFlightOrder, a.id)
@@ -158,10 +158,10 @@
 	}
 	switch {
 	case fell:
-		w.record(history.Event{Kind: history.Fell, Server: c.Name})
+		w.record(history.Event{Kind: history.ServerOverloaded, Server: c.Name})
 		c.crash()
 		w.publish(c, hosts.Removed, w.discoveryLag)
-	case verdict == history.Turned:
+	case verdict == history.Rejected:
 		delete(c.inFlight, a.id)
 		a.respond(balance.Full)
 	default:
@@ -180,16 +180,16 @@
 		if a.probe || c.world.loadReports {
 			load := c.model.Report(c.world.now)
 			a.report = &balance.Report{InFlight: float64(load.InFlight), Queue: float64(load.Queue), HasInFlight: true, HasQueue: true,
-				Utilisation: load.Utilisation, Rate: load.Rate}
+				Utilisation: load.Utilisation, Rate: load.CompletionRate}
 		}
 		if !a.probe && c.errorProbability > 0 && c.world.rng.Float64() < c.errorProbability {
-			c.world.record(history.Event{Kind: history.Spoilt, Try: a.tryID, Server: c.Name})
+			c.world.record(history.Event{Kind: history.AnswerCorrupted, Try: a.tryID, Server: c.Name})
 			a.respond(balance.ServerError)
 			continue
 		}
 		a.respond(balance.OK)
 	}
-	at, planned := c.model.Next()
+	at, planned := c.model.NextCompletion()
 	if !planned {
 		return
 	}
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -126,7 +126,7 @@
 	if n.latestList.Instances == nil {
 		n.latestList = n.world.registry.All()
 	}
-	n.world.record(history.Event{Kind: history.NodeUp, Node: n.Name})
+	n.world.record(history.Event{Kind: history.NodeReady, Node: n.Name})
 	n.setInRotation(true)
 	n.applyUpdate(balance.ListCached, n.latestList)
 	if n.listPushed { // the agent watches the list all the time
@@ -144,7 +144,7 @@
 	n.world.record(history.Event{Kind: history.NodeKilled, Node: n.Name})
 	n.stop()
 	for _, c := range n.waitingClients() {
-		c.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), history.Broken, "", 0)
+		c.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), history.ConnectionBroken, "", 0)
 	}
 	n.requests = nil
 	n.world.after(frontNoticeDelay, func() {
@@ -191,7 +191,7 @@
 // terminate shuts the node down: it answers the accepted requests and then ends.
 func (n *node) terminate(grace time.Duration, restart bool) {
 	w := n.world
-	w.record(history.Event{Kind: history.NodeTerm, Node: n.Name})
+	w.record(history.Event{Kind: history.NodeTerminating, Node: n.Name})
 	incarnation := n.incarnation
 	w.after(acceptAfterTerm, func() {
 		if n.incarnation == incarnation {
@@ -206,7 +206,7 @@
 			r := n.requests[balance.RequestID(c.id)]
 			n.answer(r, history.Failed, "", 0)
 		}
-		w.record(history.Event{Kind: history.NodeEnded, Node: n.Name})
+		w.record(history.Event{Kind: history.NodeExited, Node: n.Name})
 		if n.fleet != nil {
 			n.handleFleetEvent(member.Leaving{})
 		}
@@ -351,7 +351,7 @@
 	}
 	a := &attempt{node: n, nodeIncarnation: n.incarnation, server: server, probe: true, sentAt: n.world.now}
 	n.world.schedule(n.world.now+connectTimeout+probeTimeout, a, attemptTimeout, 0)
-	a.start(server.model.Machine.Probe)
+	a.start(server.model.Machine.ProbeWork)
 }
 
 // start takes an idle connection, or opens one, and writes the request.
@@ -391,7 +391,7 @@
 	default:
 		a.hasConn = true
 		w.record(history.Event{Kind: history.Connect, Node: n.Name, Server: a.target.Name})
-		a.write(a.oneWayDelay, a.work+a.target.model.Machine.Handshake)
+		a.write(a.oneWayDelay, a.work+a.target.model.Machine.HandshakeWork)
 	}
 }
 
@@ -578,10 +578,10 @@
 		return
 	}
 	peer := n.world.nodes[to]
-	n.world.record(history.Event{Kind: history.Message, Node: n.Name, Bytes: len(data)})
+	n.world.record(history.Event{Kind: history.PeerMessage, Node: n.Name, Bytes: len(data)})
 	effect, impaired := n.world.impairments[[2]int{n.Number, to}]
 	if impaired {
-		n.world.record(history.Event{Kind: history.Hindered, Node: n.Name})
+		n.world.record(history.Event{Kind: history.DatagramFault, Node: n.Name})
 	}
 	for range 1 + bernoulli(n.world, effect.duplicate) {
 		if n.world.rng.Float64() < max(effect.loss, n.world.scenario.Net.PeerLoss) {
--- a/internal/lab/memory/world.go
+++ b/internal/lab/memory/world.go
@@ -115,11 +115,11 @@
 		w.memberConfig = &m
 	}
 	if w.deployment = options.Deployment; w.deployment == nil {
-		w.deployment = load.Brief(s)
+		w.deployment = load.DefaultDeployment(s)
 	}
 	w.setup = history.Setup{Scenario: s.Name, Seed: options.Seed, Length: s.Length.Duration, Classes: w.deployment.Classes, Limits: w.deployment.Limits}
 	for _, x := range s.Nodes() {
-		w.setup.Nodes = append(w.setup.Nodes, history.Node{Name: x.Name, Hall: x.Zone})
+		w.setup.Nodes = append(w.setup.Nodes, history.Node{Name: x.Name, Zone: x.Zone})
 	}
 	if options.ObserveEvents != nil {
 		w.observe = options.ObserveEvents(&w.setup)
@@ -146,7 +146,7 @@
 	if options.ObserveRecords != nil {
 		w.observeRecords(options.ObserveRecords)
 	}
-	w.scheduleArrivals(load.NewStreamOf(s, w.deployment, options.Seed))
+	w.scheduleArrivals(load.NewDeploymentStream(s, w.deployment, options.Seed))
 	longest := time.Duration(0)
 	for _, c := range w.setup.Classes {
 		longest = max(longest, c.Deadline)
--- a/internal/lab/nodeconf/nodeconf.go
+++ b/internal/lab/nodeconf/nodeconf.go
@@ -39,11 +39,11 @@
 
 var effects = map[history.Effect]string{history.Safe: "retryable", history.Keyed: "dedup", history.Unsafe: "fragile"}
 
-var scopes = map[history.Scope]string{history.Pods: "cell", history.Halls: "zone", history.All: "all"}
+var scopes = map[history.Scope]string{history.PodScope: "cell", history.ZoneScope: "zone", history.GlobalScope: "all"}
 
-// Settings returns the settings of one node of a scenario in the default deployment, load.Brief.
+// Settings returns the settings of one node of a scenario in the default deployment, load.DefaultDeployment.
 func Settings(s *scenario.Scenario, number int) json.RawMessage {
-	return DeploymentSettings(s, number, load.Brief(s))
+	return DeploymentSettings(s, number, load.DefaultDeployment(s))
 }
 
 // DeploymentSettings returns the settings of one node of a scenario in a deployment.
@@ -51,10 +51,10 @@
 	type object = map[string]any
 	var classes []object
 	for _, c := range d.Classes {
-		o := object{"name": c.Name, "effect": effects[c.Effect], "aim_ns": c.Aim, "give_up_ns": c.Deadline,
-			"importance": c.Worth, "key_scope": "all"}
+		o := object{"name": c.Name, "effect": effects[c.Effect], "aim_ns": c.TargetLatency, "give_up_ns": c.Deadline,
+			"importance": c.Value, "key_scope": "all"}
 		if c.Effect == history.Keyed {
-			o["key_scope"], o["dedup_window_ns"] = scopes[c.Scope], cmp.Or(c.Window, d.Limits.KeyWindow)
+			o["key_scope"], o["dedup_window_ns"] = scopes[c.Scope], cmp.Or(c.DedupWindow, d.Limits.KeyWindow)
 		}
 		classes = append(classes, o)
 	}
@@ -62,7 +62,7 @@
 	for _, z := range s.Zones {
 		zones = append(zones, z.Name)
 	}
-	machine, _ := clip.Of("std-6")
+	machine, _ := clip.NewMachine("std-6")
 	nodes := s.Nodes()
 	balancers := len(nodes)
 	if number < s.InitialNodes() { // its settings predate the nodes that join later
@@ -70,7 +70,7 @@
 	}
 	accounts := []object{}
 	if s.TenantQuota > 0 {
-		accounts = append(accounts, object{"name": load.Tenant, "quota_per_s": s.TenantQuota})
+		accounts = append(accounts, object{"name": load.QuotaTenant, "quota_per_s": s.TenantQuota})
 	}
 	all := object{
 		"accounts":  accounts,
@@ -84,12 +84,12 @@
 		"classes": classes, "client_habits": object{"marks_retry": false},
 		"goal":            object{"whole": 0.6, "worst_window": 0.2, "worst_class": 0.2, "worst_tenant": 0},
 		"membership_mode": "on_request", "report": object{"how": "probe", "fields": []string{"inflight", "queue"}},
-		"invariants": object{"answer_slack_ns": 0, "ask_within_ns": 10e9, "cold_from": machine.ColdFrom, "cold_ns": machine.ColdTime,
-			"drain_grace_ns": d.Limits.DrainGrace, "overload_factor": d.Limits.FallFactor, "tip_after_ns": d.Limits.FallTime},
+		"invariants": object{"answer_slack_ns": 0, "ask_within_ns": 10e9, "cold_from": machine.ColdFraction, "cold_ns": machine.WarmupTime,
+			"drain_grace_ns": d.Limits.DrainGrace, "overload_factor": d.Limits.OverloadFactor, "tip_after_ns": d.Limits.OverloadWindow},
 		"over_share_worth": 0.05, "tick_ns": 5e6, "weight_kind": "nominal", "worth_by": "request",
 	}
-	if d.Settings != nil {
-		d.Settings(all)
+	if d.ChangeSettings != nil {
+		d.ChangeSettings(all)
 	}
 	raw, err := json.Marshal(all)
 	if err != nil {
--- a/internal/lab/perf/perf.go
+++ b/internal/lab/perf/perf.go
@@ -16,9 +16,9 @@
 	"ivylock/internal/lab/judge"
 )
 
-// Servers listens on so many loopback addresses; each answers every request
+// StartServers listens on so many loopback addresses; each answers every request
 // after work, with a body of so many bytes.
-func Servers(n int, work time.Duration, size int) (addrs []string, stop func(), err error) {
+func StartServers(n int, work time.Duration, size int) (addrs []string, stop func(), err error) {
 	var all []net.Listener
 	stop = func() {
 		for _, l := range all {
@@ -46,8 +46,8 @@
 	return addrs, stop, nil
 }
 
-// Small is the body that requests are measured with by default, in bytes.
-const Small = 5
+// SmallBody is the body that requests are measured with by default, in bytes.
+const SmallBody = 5
 
 func answer(c net.Conn, work time.Duration, size int) {
 	defer c.Close()
@@ -79,18 +79,18 @@
 	}
 }
 
-// Load says what the clients do.
-type Load struct {
-	Addr    string
-	Clients int           // each sends its next request when it has its answer
-	Length  time.Duration // or
-	Total   int           // so many requests in all, if above 0
-	Class   string        // of clip fetches: a GET
-	Size    int           // of the bodies that the servers send
+// ClientLoad says what the clients do.
+type ClientLoad struct {
+	Addr     string
+	Clients  int           // each sends its next request when it has its answer
+	Length   time.Duration // or
+	Total    int           // so many requests in all, if above 0
+	Class    string        // of clip fetches: a GET
+	BodySize int           // of the bodies that the servers send
 }
 
-// Figures are what clients saw.
-type Figures struct {
+// Results are what clients saw.
+type Results struct {
 	Requests, Served, Refused, Failed int
 	Rate                              float64       // answers of any kind a second
 	P50, P99                          time.Duration // of served ones
@@ -98,11 +98,11 @@
 
 const keep = 200_000 // latencies; later ones are not kept
 
-// Closed runs closed-loop clients.
-func Closed(l Load) (Figures, error) {
+// RunClosedLoop runs closed-loop clients.
+func RunClosedLoop(l ClientLoad) (Results, error) {
 	var (
 		mu    sync.Mutex
-		out   Figures
+		out   Results
 		took  []time.Duration
 		bad   error
 		wg    sync.WaitGroup
@@ -135,7 +135,7 @@
 }
 
 // client is one closed loop. Connections that end are opened anew.
-func client(l Load, number int, more func() bool) (f Figures, took []time.Duration, err error) {
+func client(l ClientLoad, number int, more func() bool) (f Results, took []time.Duration, err error) {
 	var c net.Conn
 	var r *bufio.Reader
 	defer func() {
@@ -167,7 +167,7 @@
 		}
 		f.Requests++
 		switch {
-		case resp.StatusCode == http.StatusOK && size == int64(l.Size):
+		case resp.StatusCode == http.StatusOK && size == int64(l.BodySize):
 			f.Served++
 			if len(took) < keep/max(1, l.Clients) {
 				took = append(took, time.Since(start))
--- a/internal/lab/perf/perf_test.go
+++ b/internal/lab/perf/perf_test.go
@@ -59,7 +59,7 @@
 
 func fleet(tb testing.TB) []string {
 	tb.Helper()
-	servers, stop, err := Servers(4, 0, Small)
+	servers, stop, err := StartServers(4, 0, SmallBody)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 func TestBothProxiesServe(t *testing.T) {
 	log.SetOutput(io.Discard)
 	for name, start := range map[string]func(testing.TB, []string) string{"node": inNode, "reverseproxy": inReverseProxy} {
-		f, err := Closed(Load{Addr: start(t, fleet(t)), Clients: 2, Total: 500, Class: "clip", Size: Small})
+		f, err := RunClosedLoop(ClientLoad{Addr: start(t, fleet(t)), Clients: 2, Total: 500, Class: "clip", BodySize: SmallBody})
 		if err != nil || f.Served != 500 || f.P99 <= 0 || f.P50 > f.P99 {
 			t.Errorf("%s: %+v, %v", name, f, err)
 		}
@@ -88,10 +88,10 @@
 		for name, start := range map[string]func(testing.TB, []string) string{"node": inNode, "reverseproxy": inReverseProxy} {
 			b.Run(fmt.Sprintf("%s/%d", name, clients), func(b *testing.B) {
 				addr := start(b, fleet(b))
-				Closed(Load{Addr: addr, Clients: 1, Total: 5000, Class: "clip", Size: Small}) // a quiet time: it learns
-				Closed(Load{Addr: addr, Clients: clients, Total: 5000, Class: "clip", Size: Small})
+				RunClosedLoop(ClientLoad{Addr: addr, Clients: 1, Total: 5000, Class: "clip", BodySize: SmallBody}) // a quiet time: it learns
+				RunClosedLoop(ClientLoad{Addr: addr, Clients: clients, Total: 5000, Class: "clip", BodySize: SmallBody})
 				b.ResetTimer()
-				f, err := Closed(Load{Addr: addr, Clients: clients, Total: b.N, Class: "clip", Size: Small})
+				f, err := RunClosedLoop(ClientLoad{Addr: addr, Clients: clients, Total: b.N, Class: "clip", BodySize: SmallBody})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/lab/perf/scale_test.go
+++ b/internal/lab/perf/scale_test.go
@@ -123,7 +123,7 @@
 			}
 		}
 	}()
-	f, err := Closed(Load{Addr: node.Addr, Clients: dayClients, Length: d.length, Class: "viewer-clip", Size: Small})
+	f, err := RunClosedLoop(ClientLoad{Addr: node.Addr, Clients: dayClients, Length: d.length, Class: "viewer-clip", BodySize: SmallBody})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 					return
 				}
 				made.Add(1)
-				go answer(c, dayWork, Small)
+				go answer(c, dayWork, SmallBody)
 			}
 		}()
 	}
--- a/internal/lab/real/calls.go
+++ b/internal/lab/real/calls.go
@@ -82,7 +82,7 @@
 	}, func() {
 		for _, x := range nodes {
 			if failed := b.nodes[x.Number].callFaults.remove(rule); failed > 0 {
-				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.CallsFail, Node: x.Name, Note: fmt.Sprintf("%s: %d", f.SystemCall, failed)})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.SystemCallsFailed, Node: x.Name, Note: fmt.Sprintf("%s: %d", f.SystemCall, failed)})
 			}
 		}
 	}}
--- a/internal/lab/real/deploy_test.go
+++ b/internal/lab/real/deploy_test.go
@@ -28,7 +28,7 @@
 				kept = append(kept, f)
 			}
 		}
-		s.Faults, d.Limits.FallTold = kept, false // overloads count whether or not nodes were notified
+		s.Faults, d.Limits.OverloadNotifiedOnly = kept, false // overloads count whether or not nodes were notified
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			defer reserveNodes(t, len(s.Nodes()))()
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -15,7 +15,7 @@
 	"ivylock/internal/lab/scenario"
 )
 
-var blackHole = link.Shape{State: link.BlackHole}
+var blackHole = link.Conditions{State: link.BlackHole}
 
 // action applies a fault and reverts it. Either function may be nil.
 type action struct{ begin, end func() }
@@ -26,7 +26,7 @@
 	if !sleep(ctx, f.At.Duration-b.Clock()) {
 		return
 	}
-	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Fault, Note: f.String()})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.FaultStarted, Note: f.String()})
 	if a.begin != nil {
 		a.begin()
 	}
@@ -34,7 +34,7 @@
 	if a.end != nil && over {
 		a.end()
 	}
-	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.FaultEnd, Note: f.String()})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.FaultEnded, Note: f.String()})
 }
 
 // forEachSlot returns a function that calls do concurrently for every slot that a fault names, and waits.
@@ -68,7 +68,7 @@
 		isolate := each(func(t *slot) { b.silenceServer(ctx, t, f.For.Duration) })
 		return action{func() { b.killNodes(nodes); isolate() }, func() { each(b.restartServer)(); b.restartNodes(nodes) }}
 	case scenario.FaultHang:
-		return action{each(func(t *slot) { t.server.Hang(true) }), each(func(t *slot) { t.server.Hang(false) })}
+		return action{each(func(t *slot) { t.server.SetHung(true) }), each(func(t *slot) { t.server.SetHung(false) })}
 	case scenario.FaultKill:
 		down := each(func(t *slot) {
 			t.server.Kill()
@@ -82,15 +82,15 @@
 	case scenario.FaultReplace:
 		return action{each(b.removeServer), each(b.startReplacement)}
 	case scenario.FaultLink:
-		return action{b.setLinks(f.Targets, link.Shape{Delay: f.Delay.Duration, Loss: f.Loss, State: link.State(f.State)}),
-			b.setLinks(f.Targets, link.Shape{})}
+		return action{b.setLinks(f.Targets, link.Conditions{Delay: f.Delay.Duration, Loss: f.Loss, State: link.State(f.State)}),
+			b.setLinks(f.Targets, link.Conditions{})}
 	case scenario.FaultCorrupt:
 		return action{each(func(t *slot) {
 			b.mu.Lock()
 			rng := rand.New(rand.NewPCG(b.rng.Uint64(), 1))
 			b.mu.Unlock()
-			t.server.Spoil(func() bool { return rng.Float64() < f.Fraction })
-		}), each(func(t *slot) { t.server.Spoil(nil) })}
+			t.server.CorruptAnswers(func() bool { return rng.Float64() < f.Fraction })
+		}), each(func(t *slot) { t.server.CorruptAnswers(nil) })}
 	case scenario.FaultDiscoveryOutage:
 		return action{func() { b.hosts.SetDown(true) }, func() { b.hosts.SetDown(false) }}
 	case scenario.FaultDiscoveryDelay:
@@ -114,14 +114,14 @@
 		set := func(state link.State) func() {
 			return func() {
 				for _, n := range nodes {
-					b.setError(b.discoveryLinks[n.Name].Set(link.Shape{State: state}))
+					b.setError(b.discoveryLinks[n.Name].Set(link.Conditions{State: state}))
 				}
 			}
 		}
 		return action{set(link.BlackHole), set(link.Open)}
 	case scenario.FaultPeerLinks:
 		usual := b.defaultShape()
-		bad := link.Shape{Delay: usual.Delay + f.Delay.Duration, Loss: max(usual.Loss, f.Loss), State: link.State(f.State), Jitter: f.Jitter.Duration, Double: f.DuplicateFraction}
+		bad := link.Conditions{Delay: usual.Delay + f.Delay.Duration, Loss: max(usual.Loss, f.Loss), State: link.State(f.State), Jitter: f.Jitter.Duration, DuplicateFraction: f.DuplicateFraction}
 		return action{func() { b.setImpairments(b.scenario.PeerPaths(f), &bad) }, func() { b.setImpairments(b.scenario.PeerPaths(f), nil) }}
 	case scenario.FaultPartition:
 		return action{func() { b.setImpairments(b.scenario.PeerPaths(f), &blackHole) }, func() { b.setImpairments(b.scenario.PeerPaths(f), nil) }}
@@ -156,13 +156,13 @@
 			if p := b.nodes[x.Number].latest.Load(); p != nil {
 				p.Pause()
 				paused[x.Name] = p
-				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeStop, Node: x.Name})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodePaused, Node: x.Name})
 			}
 		}
 	}, func() {
 		for name, p := range paused {
 			p.Resume()
-			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeCont, Node: name})
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeResumed, Node: name})
 		}
 	}}
 }
@@ -174,7 +174,7 @@
 		for _, x := range nodes {
 			if p := b.nodes[x.Number].latest.Load(); p != nil && p.SetDescriptorLimit(0) == nil {
 				limited = append(limited, p)
-				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NoFiles, Node: x.Name})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.DescriptorsExhausted, Node: x.Name})
 			}
 		}
 	}, func() {
@@ -195,7 +195,7 @@
 
 // silenceServer makes a server unreachable. Discovery removes it if that lasts for long.
 func (b *Testbed) silenceServer(ctx context.Context, t *slot, length time.Duration) {
-	b.setError(t.server.Silence())
+	b.setError(t.server.Isolate())
 	b.mu.Lock()
 	incarnation := t.incarnation
 	b.mu.Unlock()
@@ -264,7 +264,7 @@
 
 // setLinks returns a function that changes the links of all routes that a fault's names select. It
 // does so concurrently, as a change to a black hole takes a while.
-func (b *Testbed) setLinks(who []string, to link.Shape) func() {
+func (b *Testbed) setLinks(who []string, to link.Conditions) func() {
 	return func() {
 		var all sync.WaitGroup
 		for _, p := range b.routes(who) {
@@ -291,13 +291,13 @@
 		return
 	}
 	n.stopRequested = true
-	b.front.Killed(n.Name, n.incarnation)
+	b.front.MarkKilled(n.Name, n.incarnation)
 	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeKilled, Node: n.Name})
 	n.proc.Kill()
 	n.cpuTime += n.proc.FinalCPUTime()
 	n.proc = nil
 	incarnation := n.incarnation
-	time.AfterFunc(frontNoticeDelay, func() { b.front.Down(n.Name, incarnation) })
+	time.AfterFunc(frontNoticeDelay, func() { b.front.Remove(n.Name, incarnation) })
 }
 
 // terminateNodes sends SIGTERM to the processes of nodes, as for a planned restart. It kills a process
@@ -308,13 +308,13 @@
 		n.mu.Lock()
 		if p := n.proc; p != nil {
 			b.sendLateRequests(n)
-			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeTerm, Node: n.Name})
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeTerminating, Node: n.Name})
 			n.stopRequested = true
 			p.Terminate()
 			incarnation := n.incarnation
-			time.AfterFunc(acceptAfterTerm, func() { b.front.Down(n.Name, incarnation) })
+			time.AfterFunc(acceptAfterTerm, func() { b.front.Remove(n.Name, incarnation) })
 			kill := time.AfterFunc(b.shutdownTimeout(), func() {
-				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeOver, Node: n.Name})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeForceKilled, Node: n.Name})
 				p.Kill()
 			})
 			go func() {
@@ -332,14 +332,14 @@
 	if b.scenario.Client.LateConnections == 0 {
 		return
 	}
-	place := caller.Place{Node: n.Name, Addr: n.proc.Addr, Life: n.incarnation}
+	place := caller.Target{Node: n.Name, Addr: n.proc.Addr, Incarnation: n.incarnation}
 	b.mu.Lock()
 	seed := b.rng.Int64()
 	b.mu.Unlock()
 	b.pending.Add(1)
 	go func() {
 		defer b.pending.Done()
-		b.clients.Ending(place, b.options.Deployment.Classes, b.scenario.Client.LateConnections, b.shutdownTimeout(), seed)
+		b.clients.SendDuringShutdown(place, b.options.Deployment.Classes, b.scenario.Client.LateConnections, b.shutdownTimeout(), seed)
 	}()
 }
 
@@ -371,7 +371,7 @@
 				err = n.proc.Reload(b.dir, n.config)
 			}
 			b.setError(err)
-			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Reloaded, Node: n.Name})
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.ConfigReloaded, Node: n.Name})
 		}
 		n.mu.Unlock()
 	}
@@ -402,7 +402,7 @@
 		return
 	}
 	<-p.Ended()
-	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeEnded, Node: n.Name})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeExited, Node: n.Name})
 	n.cpuTime += p.FinalCPUTime()
 	n.proc = nil
 }
--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -179,7 +179,7 @@
 func drainSpans(h *history.History) map[string][]drainSpan {
 	spans := map[string][]drainSpan{}
 	for _, e := range h.Events {
-		if e.Kind != history.Told {
+		if e.Kind != history.NodeNotified {
 			continue
 		}
 		last := len(spans[e.Server]) - 1
@@ -203,12 +203,12 @@
 			continue
 		}
 		for _, span := range spans[e.Server] {
-			if e.First <= span.from || span.to != 0 && e.First >= span.to {
+			if e.FirstByteAt <= span.from || span.to != 0 && e.FirstByteAt >= span.to {
 				continue
 			}
-			s := lateSend{node: e.Node, server: e.Server, after: e.First - span.from}
+			s := lateSend{node: e.Node, server: e.Server, after: e.FirstByteAt - span.from}
 			if span.to != 0 {
-				s.left = span.to - e.First
+				s.left = span.to - e.FirstByteAt
 			}
 			all = append(all, s)
 		}
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -47,7 +47,7 @@
 	NoRecordFiles   bool                // nodes write no record files; records come from their consoles alone
 	ControlProgram  string              // path of the control service's program
 	ControlServices int                 // number of control services in the fleet; IDs start at member.FirstControlID
-	Deployment      *load.Deployment    // nil: load.Brief of the scenario
+	Deployment      *load.Deployment    // nil: load.DefaultDeployment of the scenario
 	ObserveEvents   func(history.Event) // receives each event, one at a time; may be nil
 }
 
@@ -65,12 +65,12 @@
 	slotsByID       map[string]*slot
 	nodes           []*node
 	hosts           *hosts.Service
-	front           *caller.Front // the clients' load balancer
+	front           *caller.Balancer // the clients' load balancer
 	clients         *caller.Clients
-	relays          []*link.UDP           // by process number: the address at which peers reach it
-	broadcast       *link.UDP             // relays to all nodes
-	senders         sync.Map              // process number by the netip.AddrPort from which it sends
-	impairments     map[[2]int]link.Shape // of datagrams, by numbers of sender and receiver; absent: defaultShape
+	relays          []*link.UDP                // by process number: the address at which peers reach it
+	broadcast       *link.UDP                  // relays to all nodes
+	senders         sync.Map                   // process number by the netip.AddrPort from which it sends
+	impairments     map[[2]int]link.Conditions // of datagrams, by numbers of sender and receiver; absent: defaultShape
 	controlServices []*process.Process
 	discoveryLinks  map[string]*link.TCP // by node; only where the timeline cuts it
 	sendDelays      []time.Duration      // between the planned and the actual start of each order
@@ -122,20 +122,20 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Testbed{scenario: s, options: o, dir: dir, slotsByID: map[string]*slot{}, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x7265616c)), front: caller.NewFront(s.Nodes())}
+	b := &Testbed{scenario: s, options: o, dir: dir, slotsByID: map[string]*slot{}, rng: rand.New(rand.NewPCG(uint64(o.Seed), 0x7265616c)), front: caller.NewBalancer(s.Nodes())}
 	if o.ObserveEvents != nil {
-		b.recorder.Watch(o.ObserveEvents)
+		b.recorder.Observe(o.ObserveEvents)
 	}
 	if b.options.Deployment == nil {
-		b.options.Deployment = load.Brief(s)
+		b.options.Deployment = load.DefaultDeployment(s)
 	}
 	b.setup = history.Setup{Scenario: s.Name, Seed: o.Seed, Length: s.Length.Duration, Classes: b.options.Deployment.Classes, Limits: b.options.Deployment.Limits}
-	b.clients = &caller.Clients{Scenario: s, Front: b.front, Clock: b.Clock, Record: b.recorder.Add, Slack: cmp.Or(b.options.Deployment.Limits.AnswerSlack, b.options.Deployment.Limits.Slack)}
+	b.clients = &caller.Clients{Scenario: s, Balancer: b.front, Clock: b.Clock, Record: b.recorder.Add, Slack: cmp.Or(b.options.Deployment.Limits.AnswerSlack, b.options.Deployment.Limits.Slack)}
 	b.discoveryLinks = map[string]*link.TCP{}
 	b.hosts = hosts.NewService(40, b.Clock, b.recorder.Add, b.serverAddr)
 	for _, x := range s.Nodes() {
 		b.nodes = append(b.nodes, &node{Node: x})
-		b.setup.Nodes = append(b.setup.Nodes, history.Node{Name: x.Name, Hall: x.Zone})
+		b.setup.Nodes = append(b.setup.Nodes, history.Node{Name: x.Name, Zone: x.Zone})
 	}
 	err = errors.Join(b.startServers(), b.startRelays())
 	if err == nil {
@@ -165,7 +165,7 @@
 	pods := map[int]*clip.Pod{}
 	for _, x := range b.scenario.Servers() {
 		pod, window := x.Pod, b.options.Deployment.Limits.KeyWindow
-		if common := b.options.Deployment.Common(); common > 0 {
+		if common := b.options.Deployment.SharedKeyWindow(); common > 0 {
 			pod, window = -1, common
 		}
 		if pods[pod] == nil {
@@ -178,7 +178,7 @@
 		if err != nil {
 			return err
 		}
-		t.server = clipserver.New(clipserver.Config{Model: model, Clock: b.Clock, Record: b.recorder.Add, Entered: t.entered})
+		t.server = clipserver.New(clipserver.Config{Model: model, Clock: b.Clock, Record: b.recorder.Add, FirstByteAt: t.entered})
 		for _, n := range b.nodes {
 			if t.addrs[n.Name], err = t.server.Listen(n.Name); err != nil {
 				return err
@@ -210,16 +210,16 @@
 
 // newModel creates the model of the server in a slot, under the slot's current ID.
 func (b *Testbed) newModel(t *slot) (*clip.Server, error) {
-	machine, err := clip.Of(t.Kind)
+	machine, err := clip.NewMachine(t.Kind)
 	if err != nil {
 		return nil, err
 	}
 	machine.Speed = t.speed
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.setup.Servers = append(b.setup.Servers, history.Server{Name: t.id, Hall: t.Zone, Kind: t.Kind, Pod: t.Pod})
+	b.setup.Servers = append(b.setup.Servers, history.Server{Name: t.id, Zone: t.Zone, Kind: t.Kind, Pod: t.Pod})
 	l := b.options.Deployment.Limits
-	return clip.NewServer(t.id, machine, clip.Fall{Factor: l.FallFactor, Time: l.FallTime, Spare: l.FallSpare}, t.pod), nil
+	return clip.NewServer(t.id, machine, clip.OverloadLimit{Factor: l.OverloadFactor, Window: l.OverloadWindow, Allowance: l.OverloadAllowance}, t.pod), nil
 }
 
 // route is the path from one node to one server.
@@ -256,7 +256,7 @@
 // the server, if the node has one.
 func (t *slot) entered(node, remote string) (time.Duration, bool) {
 	if l := t.links[node]; l != nil {
-		return l.Entered(remote)
+		return l.FirstByteAt(remote)
 	}
 	return 0, false
 }
@@ -288,7 +288,7 @@
 // startRelays opens the UDP relays between processes. A datagram sent to a process's relay is
 // forwarded to that process from the relay of its sender.
 func (b *Testbed) startRelays() error {
-	b.relays, b.impairments = make([]*link.UDP, len(b.nodes)+b.options.ControlServices), map[[2]int]link.Shape{}
+	b.relays, b.impairments = make([]*link.UDP, len(b.nodes)+b.options.ControlServices), map[[2]int]link.Conditions{}
 	sender := func(from netip.AddrPort) (int, bool) {
 		i, known := b.senders.Load(from)
 		if !known {
@@ -312,14 +312,14 @@
 		if !impaired {
 			shape = b.defaultShape()
 		} else {
-			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Hindered, Node: b.processName(i)})
+			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.DatagramFault, Node: b.processName(i)})
 		}
-		return []link.Hop{{From: relay.Conn(), To: to, Shape: shape}}
+		return []link.Hop{{From: relay.Conn(), To: to, Conditions: shape}}
 	}
 	record := func(from netip.AddrPort, bytes, receivers int) {
 		if i, known := sender(from); known {
 			for range receivers {
-				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.Message, Node: b.processName(i), Bytes: bytes})
+				b.recorder.Add(history.Event{At: b.Clock(), Kind: history.PeerMessage, Node: b.processName(i), Bytes: bytes})
 			}
 		}
 	}
@@ -362,12 +362,12 @@
 }
 
 // defaultShape is the delay and loss of datagrams that no fault impairs.
-func (b *Testbed) defaultShape() link.Shape {
-	return link.Shape{Delay: b.scenario.Net.PeerDelay.Duration, Loss: b.scenario.Net.PeerLoss}
+func (b *Testbed) defaultShape() link.Conditions {
+	return link.Conditions{Delay: b.scenario.Net.PeerDelay.Duration, Loss: b.scenario.Net.PeerLoss}
 }
 
 // setImpairments changes the delay and loss of datagrams; nil restores the default.
-func (b *Testbed) setImpairments(pairs [][2]int, to *link.Shape) {
+func (b *Testbed) setImpairments(pairs [][2]int, to *link.Conditions) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range pairs {
@@ -456,8 +456,8 @@
 		}
 		b.senders.Store(at, n.Number)
 	}
-	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeUp, Node: n.Name})
-	b.front.Up(caller.Place{Node: n.Name, Addr: proc.Addr, Life: n.incarnation})
+	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeReady, Node: n.Name})
+	b.front.Add(caller.Target{Node: n.Name, Addr: proc.Addr, Incarnation: n.incarnation})
 	return nil
 }
 
@@ -474,7 +474,7 @@
 	crashed = crashed && !b.stopping
 	if crashed {
 		b.setError(fmt.Errorf("%s crashed: %s", n.Name, strings.Join(p.Log(), "; ")))
-		b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeCrash, Node: n.Name, Note: strings.Join(p.Log(), "; ")})
+		b.recorder.Add(history.Event{At: b.Clock(), Kind: history.NodeCrashed, Node: n.Name, Note: strings.Join(p.Log(), "; ")})
 	}
 	for _, line := range p.ErrorLines() {
 		b.errorLines = append(b.errorLines, ErrorLine{Node: n.Name, Line: line})
--- a/internal/lab/real/real_test.go
+++ b/internal/lab/real/real_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("%s: %s", a.Node, a.Line)
 	}
 	for i := range got.Events {
-		if e := &got.Events[i]; e.Kind == history.NodeOver {
+		if e := &got.Events[i]; e.Kind == history.NodeForceKilled {
 			t.Errorf("%s still ran at its shutdown timeout, at %v", e.Node, e.At)
 		}
 	}
--- a/internal/lab/real/run.go
+++ b/internal/lab/real/run.go
@@ -24,13 +24,13 @@
 		f := &b.scenario.Faults[i]
 		faults.Go(func() { b.runFault(ctx, f) })
 	}
-	b.playLoad(ctx, load.NewStreamOf(b.scenario, b.options.Deployment, b.options.Seed))
+	b.playLoad(ctx, load.NewDeploymentStream(b.scenario, b.options.Deployment, b.options.Seed))
 	faults.Wait()
 	b.pending.Wait()
 	if ctx.Err() == nil {
 		sleep(ctx, b.scenario.End()-b.Clock()) // the last fault may end after the load
 	}
-	events, dropped := b.recorder.Take()
+	events, dropped := b.recorder.Snapshot()
 	b.mu.Lock()
 	out := &history.History{Setup: b.setup, Events: events}
 	b.mu.Unlock()
@@ -93,7 +93,7 @@
 		b.pending.Add(1)
 		go func() {
 			defer b.pending.Done()
-			b.clients.Order(&o)
+			b.clients.Send(&o)
 			<-open
 		}()
 	}
@@ -129,7 +129,7 @@
 // SIGTERM, and how many of these met an unused connection that the node was just closing.
 func (b *Testbed) LateRequests() (late, crossed int) {
 	st := b.clients.Stats()
-	return st.Late, st.Crossed
+	return st.LateRequests, st.CloseRaces
 }
 
 // ServerStatus is the state of a server for display.
@@ -145,12 +145,12 @@
 	defer b.mu.Unlock()
 	var out []ServerStatus
 	for _, t := range b.slots {
-		st, active, waiting, part := t.server.Look()
+		st, active, waiting, part := t.server.Status()
 		r := ServerStatus{Name: t.id, Zone: t.Zone, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: part}
 		switch {
 		case st == clip.Down:
 			r.State = "down"
-		case st == clip.Silent:
+		case st == clip.Isolated:
 			r.State = "silent"
 		case st == clip.Hung:
 			r.State = "hung"
--- a/internal/lab/real/words_test.go
+++ b/internal/lab/real/words_test.go
@@ -30,7 +30,7 @@
 		cut[name] = true
 	}
 	for _, e := range h.Events {
-		if e.Kind == history.Told && e.Lifecycle == "draining" && !cut[e.Node] && first == 0 {
+		if e.Kind == history.NodeNotified && e.Lifecycle == "draining" && !cut[e.Node] && first == 0 {
 			first = e.At
 		}
 	}
--- a/internal/lab/show/live.go
+++ b/internal/lab/show/live.go
@@ -54,7 +54,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch e.Kind {
-	case history.Ask, history.Try:
+	case history.OrderIssued, history.Try:
 		if len(l.tries) > maxKnown {
 			l.tries, l.orders = map[string]history.Event{}, map[string]history.Event{}
 		}
@@ -64,7 +64,7 @@
 		if _, known := l.orders[e.Order]; !known {
 			l.orders[e.Order] = e
 			if c := l.byName[e.Class]; c != nil {
-				l.worth[1] += c.Worth
+				l.worth[1] += c.Value
 			}
 		}
 	case history.Answer:
@@ -75,19 +75,19 @@
 		}
 		delete(l.tries, e.Try)
 		took := e.At - l.orders[t.Order].At
-		a := answered{e.At, took, t.Class, e.Status, e.Status == history.Served && took <= c.Aim}
+		a := answered{e.At, took, t.Class, e.Status, e.Status == history.Served && took <= c.TargetLatency}
 		if a.within {
-			l.worth[0] += c.Worth
+			l.worth[0] += c.Value
 		}
 		if e.Status == history.Refused {
 			l.refused++
 		}
 		l.answers = append(l.answers, a)
-	case history.Fault:
+	case history.FaultStarted:
 		l.faults[e.Note] = e.At
-	case history.FaultEnd:
+	case history.FaultEnded:
 		delete(l.faults, e.Note)
-	case history.Fell, history.NodeKilled, history.NodeTerm, history.NodeEnded, history.NodeUp:
+	case history.ServerOverloaded, history.NodeKilled, history.NodeTerminating, history.NodeExited, history.NodeReady:
 		l.notes = append(l.notes, fmt.Sprintf("%5.1fs %s %s%s", e.At.Seconds(), e.Kind, e.Node, e.Server))
 		l.notes = l.notes[max(0, len(l.notes)-3):]
 	}
--- a/internal/lab/show/report.go
+++ b/internal/lab/show/report.go
@@ -39,7 +39,7 @@
 	for _, hall := range hallsOf(h) {
 		var held, sent []line
 		for _, x := range h.Setup.Servers {
-			if x.Hall == hall {
+			if x.Zone == hall {
 				held = append(held, line{x.Name + " " + x.Kind, s.InFlight[x.Name]})
 				sent = append(sent, line{x.Name + " " + x.Kind, s.Sent[x.Name]})
 			}
@@ -54,9 +54,9 @@
 	var out []string
 	seen := map[string]bool{}
 	for _, x := range h.Setup.Servers {
-		if !seen[x.Hall] {
-			seen[x.Hall] = true
-			out = append(out, x.Hall)
+		if !seen[x.Zone] {
+			seen[x.Zone] = true
+			out = append(out, x.Zone)
 		}
 	}
 	return out
--- a/internal/lab/show/series.go
+++ b/internal/lab/show/series.go
@@ -29,7 +29,7 @@
 func NewSeries(h *history.History) Series {
 	end := h.Setup.Length
 	for _, e := range h.Events {
-		if e.Kind == history.FaultEnd {
+		if e.Kind == history.FaultEnded {
 			end = max(end, e.At)
 		}
 	}
@@ -53,18 +53,18 @@
 	begun := map[string]time.Duration{}
 	for _, e := range h.Events {
 		switch e.Kind {
-		case history.Ask, history.Try:
+		case history.OrderIssued, history.Try:
 			if e.Kind == history.Try {
 				tries[e.Try] = e.Order
 			}
 			if _, known := orders[e.Order]; !known && classes[e.Class] != nil {
 				orders[e.Order] = order{classes[e.Class], e.At}
-				asked[second(e.At)] += classes[e.Class].Worth
+				asked[second(e.At)] += classes[e.Class].Value
 			}
 		case history.Attempt:
 			if s.Sent[e.Server] != nil {
 				s.Sent[e.Server][second(e.At)]++
-				if e.Verdict == history.Taken {
+				if e.Verdict == history.Accepted {
 					open[e.Try] = append(open[e.Try], e)
 				}
 			}
@@ -83,13 +83,13 @@
 				s.Refused[second(e.At)]++
 			case e.Status == history.Served && known && !done[tries[e.Try]]:
 				done[tries[e.Try]] = true
-				if e.At-o.at <= o.class.Aim {
-					s.OnTimeValue[second(o.at)] += o.class.Worth
+				if e.At-o.at <= o.class.TargetLatency {
+					s.OnTimeValue[second(o.at)] += o.class.Value
 				}
 			}
-		case history.Fault:
+		case history.FaultStarted:
 			begun[e.Note] = e.At
-		case history.FaultEnd:
+		case history.FaultEnded:
 			s.Faults = append(s.Faults, FaultInterval{begun[e.Note], e.At, e.Note})
 		}
 	}
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -172,16 +172,16 @@
 // seconds.
 func (g *generator) newDeployment() (*load.Deployment, float64) {
 	out := &load.Deployment{Limits: load.Limits}
-	out.Limits.AnswerSlack, out.Limits.LeaveSlack, out.Limits.FallTold = answerSlack, leaveSlack, true
-	out.Limits.ToldLatest = notifiedWithin
+	out.Limits.AnswerSlack, out.Limits.AbandonSlack, out.Limits.OverloadNotifiedOnly = answerSlack, leaveSlack, true
+	out.Limits.NotifyDeadline = notifiedWithin
 	longest := g.randomDuration(300*time.Millisecond, 4*time.Second)
 	work, shares := 0.0, 0.0
 	for i, effect := range []history.Effect{history.Safe, history.Keyed, history.Unsafe, history.Safe, history.Keyed}[:3+g.IntN(3)] {
 		low := g.randomDuration(10*time.Millisecond, 60*time.Millisecond)
 		c := history.Class{Name: fmt.Sprintf("class-%d", i), Share: 0.2 + g.Float64(), WorkLow: low, WorkHigh: 2 * low,
-			Deadline: g.randomDuration(longest/2, longest+time.Millisecond*20), Worth: float64(1 + g.IntN(12)), Effect: effect,
-			Scope: []history.Scope{history.Pods, history.Halls, history.All}[g.IntN(3)], Window: g.randomDuration(500*time.Millisecond, 8*time.Second)}
-		c.Aim = time.Duration((0.3 + 0.7*g.Float64()) * float64(c.Deadline))
+			Deadline: g.randomDuration(longest/2, longest+time.Millisecond*20), Value: float64(1 + g.IntN(12)), Effect: effect,
+			Scope: []history.Scope{history.PodScope, history.ZoneScope, history.GlobalScope}[g.IntN(3)], DedupWindow: g.randomDuration(500*time.Millisecond, 8*time.Second)}
+		c.TargetLatency = time.Duration((0.3 + 0.7*g.Float64()) * float64(c.Deadline))
 		work, shares = work+c.Share*1.5*low.Seconds(), shares+c.Share
 		out.Classes = append(out.Classes, c)
 	}
@@ -189,7 +189,7 @@
 	caps := map[string]any{"cancel": g.IntN(3) > 0, "may_duplicate": g.IntN(2) == 0, "peers": g.IntN(4) > 0, "probes": g.IntN(2) == 0,
 		"retry_after": g.IntN(2) == 0, "max_attempts": 1 + g.IntN(5), "conn_idle_ns": g.randomDuration(2*time.Second, time.Minute),
 		"connect_timeout_ns": []time.Duration{g.randomDuration(100*time.Millisecond, 500*time.Millisecond), g.randomDuration(1200*time.Millisecond, 2500*time.Millisecond)}[g.IntN(2)]}
-	out.Settings = func(all map[string]any) {
+	out.ChangeSettings = func(all map[string]any) {
 		all["membership_mode"] = mode
 		for k, v := range caps {
 			all["caps"].(map[string]any)[k] = v
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -74,9 +74,9 @@
 	}
 	for i := range h.Events {
 		switch e := &h.Events[i]; e.Kind {
-		case history.NodeTerm:
+		case history.NodeTerminating:
 			r.Restarts++
-		case history.NodeOver:
+		case history.NodeForceKilled:
 			r.Overdue++
 			r.add("%s still ran when its time was up, at %v", e.Node, e.At)
 		}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -106,7 +106,7 @@
 // A process that outlives its shutdown timeout is a violation, although no rule of the judge covers it.
 func TestProcessThatOutlivesItsShutdownTimeoutIsAViolation(t *testing.T) {
 	r := &Result{}
-	r.judge(&history.History{Events: []history.Event{{Kind: history.NodeTerm, Node: "n0"}, {Kind: history.NodeOver, Node: "n0"}}})
+	r.judge(&history.History{Events: []history.Event{{Kind: history.NodeTerminating, Node: "n0"}, {Kind: history.NodeForceKilled, Node: "n0"}}})
 	if r.Passed() || r.Restarts != 1 || r.Overdue != 1 || !strings.Contains(r.Summary(), "still ran") {
 		t.Error(r.Summary())
 	}
--- a/internal/lab/socket/arrival.go
+++ b/internal/lab/socket/arrival.go
@@ -15,9 +15,9 @@
 // step.
 const maxAge = time.Minute
 
-// StampArrivals has the kernel note when bytes arrive at a connection, or at those that a listener will accept.
+// EnableReceiveTimestamps has the kernel note when bytes arrive at a connection, or at those that a listener will accept.
 // It begins with the next segments.
-func StampArrivals(c syscall.Conn) error {
+func EnableReceiveTimestamps(c syscall.Conn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
--- a/internal/lab/socket/arrival_test.go
+++ b/internal/lab/socket/arrival_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := StampArrivals(l.(*net.TCPListener)); err != nil {
+	if err := EnableReceiveTimestamps(l.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Dial(l.Addr().String(), patience)
--- a/internal/lab/socket/socket.go
+++ b/internal/lab/socket/socket.go
@@ -20,10 +20,10 @@
 	muteWait  = 30 * time.Millisecond // for a connection of our own to fill the backlog
 )
 
-// Place is a loopback address that stays its owner's also while no process
+// ReservedAddr is a loopback address that stays its owner's also while no process
 // listens there: a bound socket that does not listen keeps others from getting
 // the port, and the kernel refuses connections to it.
-type Place struct {
+type ReservedAddr struct {
 	holder int // descriptor
 	Addr   string
 }
@@ -37,8 +37,8 @@
 	return bad
 }
 
-// NewPlace takes a free address.
-func NewPlace() (*Place, error) {
+// ReserveAddr takes a free address.
+func ReserveAddr() (*ReservedAddr, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("place: %w", err)
@@ -55,12 +55,12 @@
 		return nil, fmt.Errorf("place: %w", err)
 	}
 	a := at.(*syscall.SockaddrInet4)
-	return &Place{fd, (&net.TCPAddr{IP: a.Addr[:], Port: a.Port}).String()}, nil
+	return &ReservedAddr{fd, (&net.TCPAddr{IP: a.Addr[:], Port: a.Port}).String()}, nil
 }
 
 // Listen begins to accept there. While an older listener of the place is open,
 // the kernel divides connections between the two.
-func (p *Place) Listen() (*net.TCPListener, error) {
+func (p *ReservedAddr) Listen() (*net.TCPListener, error) {
 	lc := net.ListenConfig{Control: reusePort}
 	l, err := lc.Listen(context.Background(), "tcp4", p.Addr)
 	if err != nil {
@@ -70,7 +70,7 @@
 }
 
 // Close gives the address up.
-func (p *Place) Close() { syscall.Close(p.holder) }
+func (p *ReservedAddr) Close() { syscall.Close(p.holder) }
 
 func setBacklog(l *net.TCPListener, n int) error {
 	raw, err := l.SyscallConn()
@@ -84,23 +84,23 @@
 	return bad
 }
 
-// Silence is a listener that answers nobody, as a machine that is cut off: its backlog is full, so the
+// BlackHole is a listener that answers nobody, as a machine that is cut off: its backlog is full, so the
 // kernel drops what asks for a connection. Nothing that was sent to it comes up later.
-type Silence struct {
+type BlackHole struct {
 	listener *net.TCPListener
 	fill     []net.Conn
 }
 
-// Silence takes the place over from its listener, which may be nil and is closed. What waits there
+// BlackHole takes the place over from its listener, which may be nil and is closed. What waits there
 // unaccepted is reset.
-func (p *Place) Silence(old *net.TCPListener) (*Silence, error) {
+func (p *ReservedAddr) BlackHole(old *net.TCPListener) (*BlackHole, error) {
 	l, err := p.Listen() // before the old one ends, so that nobody is refused between the two
 	if err != nil {
 		return nil, err
 	}
-	s := &Silence{listener: l}
+	s := &BlackHole{listener: l}
 	if err := setBacklog(l, 0); err != nil {
-		s.End()
+		s.Close()
 		return nil, err
 	}
 	if old != nil {
@@ -111,7 +111,7 @@
 }
 
 // fillBacklog connects until nothing more comes up.
-func (s *Silence) fillBacklog() {
+func (s *BlackHole) fillBacklog() {
 	// A backlog of 0 takes one, or a client's; handshakes under way may still take another.
 	// Two in a row must fail: one alone may only mean a busy machine.
 	for range muteTries {
@@ -130,8 +130,8 @@
 	}
 }
 
-// End closes it. All that waits there, also handshakes half done, is reset.
-func (s *Silence) End() {
+// Close closes it. All that waits there, also handshakes half done, is reset.
+func (s *BlackHole) Close() {
 	s.listener.Close()
 	for _, c := range s.fill {
 		Abort(c)
--- a/internal/lab/socket/socket_test.go
+++ b/internal/lab/socket/socket_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestAPlaceRefusesUntilSomebodyListensAndKeepsItsPort(t *testing.T) {
-	p, err := NewPlace()
+	p, err := ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 }
 
 func TestASilencedPlaceTakesNothingUntilItIsHeardAgain(t *testing.T) {
-	p, err := NewPlace()
+	p, err := ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	defer waits.Close()
-	silence, err := p.Silence(l)
+	silence, err := p.BlackHole(l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	silence.End()
+	silence.Close()
 	got := accept(l)
 	c, err := net.DialTimeout("tcp", p.Addr, patience)
 	if err != nil {
--- a/internal/lab/sweep/deploy.go
+++ b/internal/lab/sweep/deploy.go
@@ -52,19 +52,19 @@
 		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[x.Kind]
 	}
 	d := &load.Deployment{Limits: load.Limits}
-	d.Limits.FallTold = true // settings of any kind: a fall before anybody was told of a start is nobody's
+	d.Limits.OverloadNotifiedOnly = true // settings of any kind: a fall before anybody was told of a start is nobody's
 	d.Limits.DrainGrace = between(100*time.Millisecond, 2*time.Second)
 	work, shares := 0.0, 0.0
 	for i := range 1 + r.IntN(8) {
 		low := between(3*time.Millisecond, 150*time.Millisecond)
 		c := history.Class{Name: fmt.Sprintf("class-%d", i), Share: 0.1 + r.Float64(), WorkLow: low, WorkHigh: 2 * low,
-			Deadline: between(200*time.Millisecond, 6*time.Second), Worth: float64(r.IntN(13)),
+			Deadline: between(200*time.Millisecond, 6*time.Second), Value: float64(r.IntN(13)),
 			Effect: []history.Effect{history.Safe, history.Keyed, history.Unsafe}[r.IntN(3)],
-			Scope:  []history.Scope{history.Pods, history.Halls, history.All}[r.IntN(3)], Window: between(time.Second, 30*time.Second)}
+			Scope:  []history.Scope{history.PodScope, history.ZoneScope, history.GlobalScope}[r.IntN(3)], DedupWindow: between(time.Second, 30*time.Second)}
 		if r.IntN(8) == 0 {
 			c.Deadline = between(6*time.Second, 30*time.Second)
 		}
-		c.Aim = time.Duration((0.2 + 0.8*r.Float64()) * float64(c.Deadline))
+		c.TargetLatency = time.Duration((0.2 + 0.8*r.Float64()) * float64(c.Deadline))
 		work, shares = work+c.Share*1.5*low.Seconds(), shares+c.Share
 		d.Classes = append(d.Classes, c)
 	}
@@ -84,7 +84,7 @@
 	more := map[string]any{"membership_mode": mode, "accounts": accounts, "over_share_worth": r.Float64(), "tick_ns": between(0, 10*time.Millisecond),
 		"weight_kind": []string{"none", "nominal", "rough", "live"}[r.IntN(4)]}
 	stretch, late := r.Float64()*float64(r.IntN(2)), r.Float64()*float64(r.IntN(2))
-	d.Settings = func(all map[string]any) {
+	d.ChangeSettings = func(all map[string]any) {
 		for k, v := range more {
 			all[k] = v
 		}
--- a/internal/lab/xdsdrain/drain.go
+++ b/internal/lab/xdsdrain/drain.go
@@ -32,27 +32,27 @@
 
 // The faults.
 const (
-	Nothing   Fault = "nothing"        // the plain case
-	Loss      Fault = "loss"           // one segment in five is lost once, and 5 ms of delay
-	BlackHole Fault = "black hole"     // nothing passes, nobody is told
-	HalfOpen  Fault = "half-open"      // what proxies say is lost
-	Deaf      Fault = "stopped reader" // proxies stop reading their stream
-	Stopped   Fault = "stopped"        // SIGSTOP of the control service
-	Killed    Fault = "killed"         // SIGKILL, and a restart with the list kept before the drain
+	NoFault       Fault = "nothing"        // the plain case
+	PacketLoss    Fault = "loss"           // one segment in five is lost once, and 5 ms of delay
+	BlackHole     Fault = "black hole"     // nothing passes, nobody is told
+	HalfOpen      Fault = "half-open"      // what proxies say is lost
+	StoppedReader Fault = "stopped reader" // proxies stop reading their stream
+	ControlPaused Fault = "stopped"        // SIGSTOP of the control service
+	ControlKilled Fault = "killed"         // SIGKILL, and a restart with the list kept before the drain
 )
 
 // Faults lists them all.
-var Faults = []Fault{Nothing, Loss, BlackHole, HalfOpen, Deaf, Stopped, Killed}
+var Faults = []Fault{NoFault, PacketLoss, BlackHole, HalfOpen, StoppedReader, ControlPaused, ControlKilled}
 
-// Drain is one measured drain as one proxy kept it.
-type Drain struct {
-	Fault   Fault
-	Variant string        // sotw or delta
-	Last    time.Duration // from the drain to its last new request there; 0: none after it
-	Woken   time.Duration // of a stopped reader that went on: how long it still used what it had read and not looked at
-	Picks   int           // requests in the 1.2 s after the drain
-	Dark    int           // of these: without any server to go to
-	Streams int           // new discovery streams meanwhile
+// Measurement is one measured drain as one proxy kept it.
+type Measurement struct {
+	Fault            Fault
+	Variant          string        // sotw or delta
+	LastRequest      time.Duration // from the drain to its last new request there; 0: none after it
+	StaleAfterResume time.Duration // of a stopped reader that went on: how long it still used what it had read and not looked at
+	Requests         int           // requests in the 1.2 s after the drain
+	NoServer         int           // of these: without any server to go to
+	Streams          int           // new discovery streams meanwhile
 }
 
 const (
@@ -98,8 +98,8 @@
 	http     *http.Server
 }
 
-// Hall is one control service with its discovery, servers and proxies.
-type Hall struct {
+// Testbed is one control service with its discovery, servers and proxies.
+type Testbed struct {
 	clock   func() time.Duration
 	program string
 	dir     string
@@ -121,9 +121,9 @@
 }
 
 // New starts a hall with the control service's program.
-func New(program string, seed uint64) (*Hall, error) {
+func New(program string, seed uint64) (*Testbed, error) {
 	start := time.Now()
-	h := &Hall{clock: func() time.Duration { return time.Since(start) }, program: program, rnd: rand.New(rand.NewPCG(seed, 3)),
+	h := &Testbed{clock: func() time.Duration { return time.Since(start) }, program: program, rnd: rand.New(rand.NewPCG(seed, 3)),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	if err := h.start(); err != nil {
 		h.Close()
@@ -132,7 +132,7 @@
 	return h, nil
 }
 
-func (h *Hall) start() (err error) {
+func (h *Testbed) start() (err error) {
 	if h.dir, err = os.MkdirTemp("", "xdsdrain"); err != nil {
 		return err
 	}
@@ -165,8 +165,8 @@
 			return err
 		}
 		h.links = append(h.links, l)
-		p := xdsproxy.New(xdsproxy.Config{Controls: []string{l.Addr()}, Delta: v == "delta", Node: v, Zone: "a", Service: "clips",
-			Clock: h.clock, Check: "/healthz"})
+		p := xdsproxy.New(xdsproxy.Config{ControlServices: []string{l.Addr()}, Delta: v == "delta", NodeID: v, Zone: "a", Service: "clips",
+			Clock: h.clock, HealthCheckPath: "/healthz"})
 		h.proxies, h.names = append(h.proxies, p), append(h.names, v)
 	}
 	for i, p := range h.proxies {
@@ -177,7 +177,7 @@
 }
 
 // serve starts a stand-in server.
-func (h *Hall) serve(i int) error {
+func (h *Testbed) serve(i int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 }
 
 // run starts the control service. Its own log tells where it listens.
-func (h *Hall) run() error {
+func (h *Testbed) run() error {
 	path := filepath.Join(h.dir, "operator.toml")
 	text := fmt.Sprintf(file, "127.0.0.1:0", h.from, filepath.Join(h.dir, "list.json"))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -240,7 +240,7 @@
 	}
 }
 
-func (h *Hall) kill() {
+func (h *Testbed) kill() {
 	if h.control != nil {
 		h.control.Process.Kill()
 		h.control.Wait()
@@ -249,7 +249,7 @@
 }
 
 // load has a proxy send requests, each on its own.
-func (h *Hall) load(ctx context.Context, i int) {
+func (h *Testbed) load(ctx context.Context, i int) {
 	t := time.NewTicker(time.Second / rate)
 	defer t.Stop()
 	for {
@@ -278,12 +278,12 @@
 }
 
 // Close ends everything.
-func (h *Hall) Close() {
+func (h *Testbed) Close() {
 	if h.cancel != nil {
 		h.cancel()
 	}
 	for _, p := range h.proxies {
-		p.Pause(false)
+		p.SetReadPaused(false)
 	}
 	h.done.Wait()
 	h.kill()
@@ -300,7 +300,7 @@
 }
 
 // Log gives the last lines that the control service said.
-func (h *Hall) Log() string {
+func (h *Testbed) Log() string {
 	h.log.mu.Lock()
 	defer h.log.mu.Unlock()
 	return strings.Join(h.log.lines, "\n")
@@ -321,7 +321,7 @@
 }
 
 // all waits until every proxy uses every server.
-func (h *Hall) all() error {
+func (h *Testbed) all() error {
 	from := make([]map[string]int, len(h.servers))
 	for i, s := range h.servers {
 		from[i] = s.counts()
@@ -362,8 +362,8 @@
 	return out
 }
 
-// Drain drains a server while a fault is on and measures what comes after it.
-func (h *Hall) Drain(fault Fault) ([]Drain, error) {
+// Measurement drains a server while a fault is on and measures what comes after it.
+func (h *Testbed) Drain(fault Fault) ([]Measurement, error) {
 	if err := h.all(); err != nil {
 		return nil, err
 	}
@@ -382,16 +382,16 @@
 	e := s.entry
 	e.Lifecycle = hosts.Draining
 	h.list.SetNow(e)
-	if fault == Killed { // it has not heard of the drain, nor has the list that it kept
+	if fault == ControlKilled { // it has not heard of the drain, nor has the list that it kept
 		if err := h.run(); err != nil {
 			return nil, err
 		}
 	}
 	time.Sleep(watchFor)
-	out := make([]Drain, len(h.proxies))
+	out := make([]Measurement, len(h.proxies))
 	for i := range h.proxies {
-		out[i] = Drain{Fault: fault, Variant: h.names[i], Picks: int(h.picks[i].Load() - picks[i]),
-			Dark: int(h.dark[i].Load() - dark[i]), Streams: h.proxies[i].Streams() - streams[i]}
+		out[i] = Measurement{Fault: fault, Variant: h.names[i], Requests: int(h.picks[i].Load() - picks[i]),
+			NoServer: int(h.dark[i].Load() - dark[i]), Streams: h.proxies[i].Streams() - streams[i]}
 	}
 	before := s.lasts(h.names)
 	ended := h.clock()
@@ -402,9 +402,9 @@
 	time.Sleep(watchFor / 2)
 	after := s.lasts(h.names)
 	for i := range h.names {
-		out[i].Last = max(0, after[i]-at)
-		if fault == Deaf && after[i] > ended {
-			out[i].Last, out[i].Woken = max(0, before[i]-at), after[i]-ended
+		out[i].LastRequest = max(0, after[i]-at)
+		if fault == StoppedReader && after[i] > ended {
+			out[i].LastRequest, out[i].StaleAfterResume = max(0, before[i]-at), after[i]-ended
 		}
 	}
 	s.draining.Store(false)
@@ -412,40 +412,40 @@
 	return out, nil
 }
 
-func (h *Hall) begin(f Fault) error {
+func (h *Testbed) begin(f Fault) error {
 	for i, l := range h.links {
 		var err error
 		switch f {
-		case Loss:
-			err = l.Set(link.Shape{Delay: 5 * time.Millisecond, Loss: 0.2})
+		case PacketLoss:
+			err = l.Set(link.Conditions{Delay: 5 * time.Millisecond, Loss: 0.2})
 		case BlackHole:
-			err = l.Set(link.Shape{State: link.BlackHole})
+			err = l.Set(link.Conditions{State: link.BlackHole})
 		case HalfOpen:
-			err = l.Set(link.Shape{State: link.HalfOpen})
-		case Deaf:
-			h.proxies[i].Pause(true)
+			err = l.Set(link.Conditions{State: link.HalfOpen})
+		case StoppedReader:
+			h.proxies[i].SetReadPaused(true)
 		}
 		if err != nil {
 			return err
 		}
 	}
 	switch f {
-	case Stopped:
+	case ControlPaused:
 		return h.control.Process.Signal(syscall.SIGSTOP)
-	case Killed:
+	case ControlKilled:
 		h.kill()
 	}
 	return nil
 }
 
-func (h *Hall) end(f Fault) error {
+func (h *Testbed) end(f Fault) error {
 	for i, l := range h.links {
-		if err := l.Set(link.Shape{}); err != nil {
+		if err := l.Set(link.Conditions{}); err != nil {
 			return err
 		}
-		h.proxies[i].Pause(false)
+		h.proxies[i].SetReadPaused(false)
 	}
-	if f == Stopped {
+	if f == ControlPaused {
 		return h.control.Process.Signal(syscall.SIGCONT)
 	}
 	return nil
@@ -456,12 +456,12 @@
 	Fault         Fault
 	Drains        int
 	P50, P99, Max time.Duration
-	Dark          float64 // part of the requests in the 1.2 s after the drain that found no server
+	NoServerRatio float64 // part of the requests in the 1.2 s after the drain that found no server
 	Streams       int
 }
 
 // Summarise gives one line for each fault, and one over all.
-func Summarise(drains []Drain) []Summary {
+func Summarise(drains []Measurement) []Summary {
 	var out []Summary
 	for _, f := range append(slices.Clone(Faults), "all") {
 		var last []time.Duration
@@ -469,8 +469,8 @@
 		picks, dark := 0, 0
 		for _, d := range drains {
 			if f == "all" || d.Fault == f {
-				last = append(last, d.Last)
-				picks, dark, s.Streams = picks+d.Picks, dark+d.Dark, s.Streams+d.Streams
+				last = append(last, d.LastRequest)
+				picks, dark, s.Streams = picks+d.Requests, dark+d.NoServer, s.Streams+d.Streams
 			}
 		}
 		if len(last) == 0 {
@@ -478,7 +478,7 @@
 		}
 		slices.Sort(last)
 		s.Drains, s.P50, s.P99, s.Max = len(last), last[len(last)/2], last[(len(last)*99)/100], last[len(last)-1]
-		s.Dark = float64(dark) / float64(max(1, picks))
+		s.NoServerRatio = float64(dark) / float64(max(1, picks))
 		out = append(out, s)
 	}
 	return out
--- a/internal/lab/xdsdrain/drain_test.go
+++ b/internal/lab/xdsdrain/drain_test.go
@@ -42,14 +42,14 @@
 					t.Fatalf("%s: %v", f, err)
 				}
 				for _, d := range drains {
-					if d.Last > time.Second {
-						t.Errorf("%s, %s: a new request %v after the drain", f, d.Variant, d.Last)
+					if d.LastRequest > time.Second {
+						t.Errorf("%s, %s: a new request %v after the drain", f, d.Variant, d.LastRequest)
 					}
-					if d.Woken > 500*time.Millisecond { // a lease, and room for a busy machine
-						t.Errorf("%s, %s: it went on for %v with what it had read before the drain", f, d.Variant, d.Woken)
+					if d.StaleAfterResume > 500*time.Millisecond { // a lease, and room for a busy machine
+						t.Errorf("%s, %s: it went on for %v with what it had read before the drain", f, d.Variant, d.StaleAfterResume)
 					}
-					if d.Picks == 0 || d.Dark == d.Picks {
-						t.Errorf("%s, %s: of %d requests %d had no server: nothing was measured", f, d.Variant, d.Picks, d.Dark)
+					if d.Requests == 0 || d.NoServer == d.Requests {
+						t.Errorf("%s, %s: of %d requests %d had no server: nothing was measured", f, d.Variant, d.Requests, d.NoServer)
 					}
 				}
 			}
@@ -58,14 +58,14 @@
 }
 
 func TestSummaries(t *testing.T) {
-	var all []Drain
+	var all []Measurement
 	for i := range 100 {
-		all = append(all, Drain{Fault: Loss, Last: time.Duration(i+1) * time.Millisecond, Picks: 10, Dark: i % 2})
+		all = append(all, Measurement{Fault: PacketLoss, LastRequest: time.Duration(i+1) * time.Millisecond, Requests: 10, NoServer: i % 2})
 	}
-	all = append(all, Drain{Fault: Killed, Last: time.Second, Picks: 10, Streams: 3})
+	all = append(all, Measurement{Fault: ControlKilled, LastRequest: time.Second, Requests: 10, Streams: 3})
 	got := Summarise(all)
-	if len(got) != 3 || got[0].Fault != Loss || got[0].Max != 100*time.Millisecond || got[0].P50 != 51*time.Millisecond ||
-		got[0].Dark != 0.05 || got[1].Streams != 3 || got[2].Drains != 101 || got[2].Max != time.Second {
+	if len(got) != 3 || got[0].Fault != PacketLoss || got[0].Max != 100*time.Millisecond || got[0].P50 != 51*time.Millisecond ||
+		got[0].NoServerRatio != 0.05 || got[1].Streams != 3 || got[2].Drains != 101 || got[2].Max != time.Second {
 		t.Errorf("%+v", got)
 	}
 }
