--- a/internal/lab/xdsproxy/client.go
+++ b/internal/lab/xdsproxy/client.go
@@ -33,13 +33,13 @@
 
 // Config is what a proxy is told at its start.
 type Config struct {
-	Controls []string // control services, in order: the first that answers is used
-	Delta    bool     // the incremental variant
-	Node     string
-	Zone     string
-	Service  string // name of its routes
-	Clock    func() time.Duration
-	Check    string // path of the servers' health check
+	ControlServices []string // control services, in order: the first that answers is used
+	Delta           bool     // the incremental variant
+	NodeID          string
+	Zone            string
+	Service         string // name of its routes
+	Clock           func() time.Duration
+	HealthCheckPath string // path of the servers' health check
 }
 
 // Proxy is a running stand-in.
@@ -55,7 +55,7 @@
 
 // New makes a proxy that knows nothing.
 func New(cfg Config) *Proxy {
-	return &Proxy{cfg: cfg, table: newTable(), rnd: rand.New(rand.NewPCG(1, uint64(len(cfg.Node)))),
+	return &Proxy{cfg: cfg, table: newTable(), rnd: rand.New(rand.NewPCG(1, uint64(len(cfg.NodeID)))),
 		client: &http.Client{Timeout: checkTime, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
@@ -73,8 +73,8 @@
 	return p.stream
 }
 
-// Pause has it stop reading its stream, or go on; requests go on meanwhile.
-func (p *Proxy) Pause(on bool) {
+// SetReadPaused has it stop reading its stream, or go on; requests go on meanwhile.
+func (p *Proxy) SetReadPaused(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on && p.paused == nil {
@@ -90,7 +90,7 @@
 func (p *Proxy) Run(ctx context.Context) {
 	go p.check(ctx)
 	for n := 0; ctx.Err() == nil; n++ {
-		p.follow(ctx, p.cfg.Controls[n%len(p.cfg.Controls)])
+		p.follow(ctx, p.cfg.ControlServices[n%len(p.cfg.ControlServices)])
 		select {
 		case <-ctx.Done():
 		case <-time.After(retryEvery):
@@ -114,7 +114,7 @@
 		for _, addr := range ask {
 			go func() {
 				at := p.cfg.Clock() // what it says holds from before it was asked
-				r, err := p.client.Get("http://" + addr + p.cfg.Check)
+				r, err := p.client.Get("http://" + addr + p.cfg.HealthCheckPath)
 				if err != nil {
 					return
 				}
@@ -154,7 +154,7 @@
 		return
 	}
 	defer conn.Close()
-	node := &corev3.Node{Id: p.cfg.Node, Locality: &corev3.Locality{Zone: p.cfg.Zone},
+	node := &corev3.Node{Id: p.cfg.NodeID, Locality: &corev3.Locality{Zone: p.cfg.Zone},
 		ClientFeatures: []string{"xds.config.supports-resource-ttl"}}
 	api := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	var l link
--- a/internal/lab/xdsproxy/table_test.go
+++ b/internal/lab/xdsproxy/table_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := New(Config{Node: "p", Clock: func() time.Duration { return 0 }})
+	p := New(Config{NodeID: "p", Clock: func() time.Duration { return 0 }})
 	for _, ty := range []xds.Type{xds.Cluster, xds.Endpoint, xds.Route} {
 		for _, n := range snap.Names(ty) {
 			r := snap.Get(ty, n)
