--- a/balance/api.go
+++ b/balance/api.go
@@ -14,7 +14,7 @@
 	"ivylock/guard"
 )
 
-// Time is a reading of the caller's monotonic clock. Its zero has no meaning.
+// Time is a reading of the caller's monotonic clock, whose zero is arbitrary.
 type Time = time.Duration
 
 // ServerID names a server, RequestID one try of a client's request. Both are opaque.
@@ -103,7 +103,7 @@
 	StreamsPerConn     int      // concurrent attempts per connection
 	ConnIdleTimeout    time.Duration
 	MaxOpenRequests    int           // requests this node can have open
-	CPUPerSecond       time.Duration // CPU time this node may use for decisions
+	CPUPerSecond       time.Duration // CPU time per second that this node may use for decisions
 	CPUPerRequest      time.Duration // CPU time per request with its outcomes; 0: no limit
 	ScoreWeights       ScoreWeights
 	Penalties          Penalties
@@ -162,8 +162,8 @@
 type Server struct {
 	ID        ServerID
 	Zone      string
-	Kind      string
-	Cell      int
+	Kind      string // machine kind
+	Cell      int    // the smallest scope of idempotency keys
 	State     ServerState
 	Size      float64 // relative to other servers
 	StartedAt Time    // 0: long ago
@@ -247,7 +247,7 @@
 		Elapsed      time.Duration
 		Code         OutcomeCode
 		Report       *Report // nil if there is none
-		BodyConsumed bool    // the body was consumed and can not be sent again
+		BodyConsumed bool    // the body was consumed and cannot be sent again
 	}
 	// StreamStarted reports that a streamed answer has begun.
 	StreamStarted struct {
@@ -269,11 +269,11 @@
 	}
 	// MessageReceived is a datagram from another node.
 	MessageReceived struct {
-		From int
+		From int // node number
 		Data []byte
 	}
 	// ShareUpdate sets this node's share of the fleet-wide limits. TenantRates are the
-	// node's parts of the tenants' quotas, in requests per second; a tenant that is not
+	// node's portions of the tenants' quotas, in requests per second; a tenant that is not
 	// named keeps its rate. EffectiveNodes is the number of nodes there would be if each
 	// had a share as large as this node's; 0 leaves it unchanged.
 	ShareUpdate struct {
@@ -315,7 +315,7 @@
 	CauseRetryBudget
 	// CauseDeadline: the client's deadline has passed.
 	CauseDeadline
-	// CauseBodyConsumed: the body was consumed and can not be sent again.
+	// CauseBodyConsumed: the body was consumed and cannot be sent again.
 	CauseBodyConsumed
 	// CauseShutdown: the process shuts down.
 	CauseShutdown
@@ -365,7 +365,7 @@
 	Probe struct{ Server ServerID }
 	// SendMessage sends a datagram to one node or to all.
 	SendMessage struct {
-		To    int
+		To    int // node number, unless ToAll
 		ToAll bool
 		Data  []byte
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -16,11 +16,11 @@
 
 const (
 	tickInterval          = 25 * time.Millisecond  // interval of the periodic checks
-	modeValidity          = time.Second            // lifetime of an imposed mode (oc-validity in the paper)
-	shedInterval          = 500 * time.Millisecond // period of q
+	modeValidity          = time.Second            // lifetime of an imposed mode
+	shedInterval          = 500 * time.Millisecond // update period of q1 and q2
 	targetFraction        = 0.4                    // of a target latency, for the class's mean latency
 	queueFactor           = 3.0                    // multiple of the unloaded latency
-	baseLatencyNoise      = 0.15                   // noise of a class's mean latency
+	baseLatencyNoise      = 0.15                   // relative, of a class's mean latency
 	lowFraction           = 0.5                    // L / H
 	blockFactor           = 2.0                    // R / H
 	localQueueDelay       = 0.025                  // s, possible queueing delay within this node
@@ -32,7 +32,7 @@
 	minAnswersPerServer   = 2.0                    // per server, before measurements are used
 	warmupMinRate         = 4.0                    // 1/s, over all nodes
 	warmupGrowth          = 0.6                    // of the overload factor times the answer rate
-	fleetRateWeight       = 0.3                    // weight of the fleet's mean rate in H
+	fleetRateWeight       = 0.3                    // weight of the mean rate of all servers in H
 	peakDecayTime         = 600.0                  // s, for peak rates and unloaded latency
 	ejectionThreshold     = 3                      // failures in a row, or sends without an answer
 	maxRunProbability     = 1e-4                   // probability of a run of failures by chance
@@ -54,11 +54,12 @@
 	openGain              = 0.1  // weight of a period in the smoothed open requests
 	ownSampleNodes        = 10.0 // nodes per server up to which a node's own samples suffice
 	largeFleetIdleTimeout = 5 * time.Second
-	largeFleetDepth       = 3.2 // n of a server at targetFraction of a target latency
+	largeFleetDepth       = 3.2 // load n at targetFraction of a target latency
 	candidates            = 2   // servers compared for a non-priority request in a large fleet
 )
 
-// NextMode returns the mode that follows m at n requests, with the hysteresis of the paper.
+// NextMode returns the mode that follows m at n requests in flight. low, high and block are the
+// thresholds L, H and R, in requests; the mode changes with hysteresis.
 func NextMode(m Mode, n, low, high, block float64) Mode {
 	switch {
 	case m != Blocking && n > block-1:
@@ -72,7 +73,7 @@
 }
 
 // ShedSplit returns the drop probabilities of priority (q1) and other requests (q2) for an
-// overall drop probability q.
+// overall drop probability q, given the numbers of their arrivals, n1 and n2.
 func ShedSplit(q, n1, n2 float64) (q1, q2 float64) {
 	if n2 == 0 {
 		return q, 0
@@ -192,8 +193,8 @@
 }
 
 // highThreshold returns H: by Little's law, the requests this node may have in flight at a
-// server that answers within the target latencies. Part of the rate is the fleet's mean, so
-// that noise does not starve a server. The queue stays a small multiple of the service
+// server that answers within the target latencies. The rate includes the mean of all
+// servers, so that noise does not starve a server. The queue stays a small multiple of the service
 // time, because overloaded servers may become slower. H also keeps a server busy when all
 // servers are slow.
 func (m *Module) highThreshold(srv *server) float64 {
@@ -229,6 +230,7 @@
 	return srv.mode
 }
 
+// imposeMode sets a lower bound on a server's mode for modeValidity.
 func (m *Module) imposeMode(srv *server, mode Mode) {
 	srv.imposedMode, srv.imposedUntil = mode, m.now+modeValidity
 	if m.largeFleet { // prevents synchronized returns of rejected nodes
@@ -284,7 +286,7 @@
 
 // recordOutcome processes the outcome of an attempt. Failures also count as slow answers,
 // so that a server that fails fast attracts no load. A server that answers a trial request
-// may have restarted unannounced and is treated as warming up.
+// may have restarted without a list update and is treated as warming up.
 func (m *Module) recordOutcome(srv *server, req *request, event *AttemptEnded) {
 	switch event.Code {
 	case Cancelled, Moot:
@@ -332,8 +334,8 @@
 	m.notifyPeers(srv, 0, readings.NoReadingAge)
 }
 
-// reinstate ends an ejection. The server may have restarted unannounced, so the caller may
-// have it warm up.
+// reinstate ends an ejection. The server may have restarted without a list update, so the
+// caller may have it warm up.
 func (m *Module) reinstate(srv *server, warmup bool) {
 	srv.ejected, srv.failureScore, srv.unanswered = false, 0, 0
 	m.chooseSubset()
@@ -611,8 +613,8 @@
 	return req.class.valueLimit > 0 && waited > 0 && waited+after >= req.class.valueLimit.Seconds()
 }
 
-// retry makes a further attempt under the same rules as a first one, limited by the retry
-// budget.
+// retry makes a further attempt under the same rules as a first one. If limited, it takes a
+// token of the retry budget.
 func (m *Module) retry(req *request, limited bool) {
 	if m.tooLate(req, 0) {
 		m.finish(req, CauseTooLate)
@@ -651,7 +653,7 @@
 	open := m.open[:0]
 	for _, req := range m.open {
 		if !req.done && !req.streamStarted && m.now >= req.deadline {
-			m.finish(req, CauseDeadline) // covers outcomes that never arrive
+			m.finish(req, CauseDeadline) // also if an outcome never arrives
 		}
 		if !req.done {
 			open = append(open, req)
--- a/balance/behaviour_test.go
+++ b/balance/behaviour_test.go
@@ -15,22 +15,22 @@
 	t             *testing.T
 	module        *decider.Decider
 	now           time.Duration
-	delay         func(s balance.ServerID) (time.Duration, balance.OutcomeCode)
+	delay         func(server balance.ServerID) (time.Duration, balance.OutcomeCode)
 	pendingEvents []timedEvent
 	sent          map[balance.ServerID]int
 	finalAnswer   map[balance.RequestID]balance.Action
 	attempts      map[balance.RequestID]int
 	done          map[balance.RequestID]bool
-	retries       int           // by refused clients, after the retry-after
-	clientTimeout time.Duration // client timeout of a first try
-	work          func(balance.RequestID) time.Duration
-	retryAfters   []time.Duration // retry-after values of refusals
-	inTime        map[string]int
+	retries       int                                   // per refused request, after the retry-after
+	clientTimeout time.Duration                         // client timeout of a first try
+	work          func(balance.RequestID) time.Duration // added to the delay
+	retryAfters   []time.Duration                       // retry-after values of refusals
+	inTime        map[string]int                        // answers within 600 ms, by class
 	arrivedAt     map[balance.RequestID]time.Duration
 	refused, failed,
 	subscriptions, nextID, logLines int
 	tenant  string
-	onOther func(balance.Action) // handles actions that the harness ignores
+	onOther func(balance.Action) // handles actions that the harness does not
 }
 
 type timedEvent struct {
@@ -52,12 +52,12 @@
 				Effect: balance.Unsafe}}}
 }
 
-func newHarness(t *testing.T, s balance.Settings, servers int) *harness {
-	return newSeededHarness(t, s, servers, 0)
+func newHarness(t *testing.T, settings balance.Settings, servers int) *harness {
+	return newSeededHarness(t, settings, servers, 0)
 }
 
-func newSeededHarness(t *testing.T, s balance.Settings, servers int, seed int64) *harness {
-	h := &harness{t: t, module: decider.New(s, 1000*seed+int64(5+s.Self)), now: time.Hour,
+func newSeededHarness(t *testing.T, settings balance.Settings, servers int, seed int64) *harness {
+	h := &harness{t: t, module: decider.New(settings, 1000*seed+int64(5+settings.Self)), now: time.Hour,
 		sent: map[balance.ServerID]int{}, done: map[balance.RequestID]bool{},
 		finalAnswer: map[balance.RequestID]balance.Action{}, attempts: map[balance.RequestID]int{},
 		clientTimeout: 2 * time.Second, inTime: map[string]int{},
@@ -163,12 +163,13 @@
 
 func (h *harness) reset() { h.sent, h.refused, h.failed = map[balance.ServerID]int{}, 0, 0 }
 
-// A silent server must be ejected and its requests answered elsewhere, also while the list
-// is unavailable; on return it may be cold, so its load must grow slowly.
+// A server that does not answer must be ejected and its requests served elsewhere, also
+// while the list is unavailable; when it answers again it may be cold, so its load must grow
+// slowly.
 func TestSilentServerIsEjectedWhileListIsDown(t *testing.T) {
-	s := testSettings()
-	s.ListOnDemand = true
-	h := newHarness(t, s, 5)
+	settings := testSettings()
+	settings.ListOnDemand = true
+	h := newHarness(t, settings, 5)
 	h.run(5*time.Second, 100, "cheap")
 	normalDelay := h.delay
 	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
@@ -180,7 +181,7 @@
 	h.reset()
 	h.run(6*time.Second, 100, "cheap")
 	if h.sent[3] > 25 || h.failed > 0 || h.refused > 5 {
-		t.Errorf("silent server got %d requests, %d failed, %d refused", h.sent[3], h.failed, h.refused)
+		t.Errorf("unresponsive server got %d requests, %d failed, %d refused", h.sent[3], h.failed, h.refused)
 	}
 	if h.subscriptions < 3 {
 		t.Errorf("the list was requested only %d times", h.subscriptions)
@@ -193,11 +194,11 @@
 	h.reset()
 	h.run(5*time.Second, 100, "cheap")
 	if early > 50 || h.sent[3] < 60 {
-		t.Errorf("after the silence: %d sends in the first 3 s, %d in 5 s once warm", early, h.sent[3])
+		t.Errorf("after its recovery: %d sends in the first 3 s, %d in 5 s once warm", early, h.sent[3])
 	}
 }
 
-// An unsafe request at a silent server must fail at its deadline, without a retry or a
+// An unsafe request at a server that does not answer must fail at its deadline, without a retry or a
 // refusal.
 func TestUnsafeRequestFailsAfterTimeout(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
@@ -212,7 +213,7 @@
 // Whether a request is retried depends on its effect and on whether the outcome proves that
 // it never ran.
 func TestRetriesDependOnEffectAndOutcome(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class string
 		code  balance.OutcomeCode
 		again bool
@@ -227,14 +228,14 @@
 		h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 			if first {
 				first = false
-				return 10 * time.Millisecond, c.code
+				return 10 * time.Millisecond, test.code
 			}
 			return 50 * time.Millisecond, balance.OK
 		}
-		h.run(5*time.Millisecond, 200, c.class)
-		h.run(time.Second, 0, c.class)
-		if n := h.sent[1] + h.sent[2] + h.sent[3]; (n == 2) != c.again || (h.failed == 1) == c.again {
-			t.Errorf("%s after code %d: %d sends, %d failed", c.class, c.code, n, h.failed)
+		h.run(5*time.Millisecond, 200, test.class)
+		h.run(time.Second, 0, test.class)
+		if n := h.sent[1] + h.sent[2] + h.sent[3]; (n == 2) != test.again || (h.failed == 1) == test.again {
+			t.Errorf("%s after code %d: %d sends, %d failed", test.class, test.code, n, h.failed)
 		}
 	}
 }
@@ -280,11 +281,11 @@
 	const window, pause = 600 * time.Millisecond, 150 * time.Millisecond
 	for failsAfter, retried := range map[time.Duration]bool{400 * time.Millisecond: true,
 		500 * time.Millisecond: false} {
-		s := testSettings()
-		s.MaxProcessPause = pause
-		s.Classes = []balance.Class{{Name: "keyed", Value: 1, TargetLatency: 1500 * time.Millisecond,
+		settings := testSettings()
+		settings.MaxProcessPause = pause
+		settings.Classes = []balance.Class{{Name: "keyed", Value: 1, TargetLatency: 1500 * time.Millisecond,
 			Deadline: 2 * time.Second, Effect: balance.Keyed, KeyScope: balance.ScopeAll, DedupWindow: window}}
-		h := newHarness(t, s, 3)
+		h := newHarness(t, settings, 3)
 		first := true
 		h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 			if first {
@@ -303,9 +304,9 @@
 
 // Light traffic over many servers must not be refused.
 func TestLightTrafficIsServed(t *testing.T) {
-	s := testSettings()
-	s.Nodes = 6
-	h := newHarness(t, s, 15)
+	settings := testSettings()
+	settings.Nodes = 6
+	h := newHarness(t, settings, 15)
 	h.run(4*time.Second, 30, "cheap")
 	h.reset()
 	h.run(20*time.Second, 30, "cheap")
@@ -324,12 +325,12 @@
 	}
 	refused := map[string]int{}
 	for range 400 {
-		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
+		for _, class := range []string{"dear", "cheap", "cheap", "cheap"} {
 			before := h.refused
 			h.nextID++
-			h.handle(balance.RequestArrived{ID: balance.RequestID(fmt.Sprint(h.nextID)), Class: c,
+			h.handle(balance.RequestArrived{ID: balance.RequestID(fmt.Sprint(h.nextID)), Class: class,
 				ClientTimeout: time.Second})
-			refused[c] += h.refused - before
+			refused[class] += h.refused - before
 		}
 		h.run(15*time.Millisecond, 0, "")
 	}
@@ -341,8 +342,8 @@
 func TestNoUsableServerOrUnusualSettings(t *testing.T) {
 	drained := []balance.Server{{ID: 1, State: balance.Draining}}
 	for _, list := range [][]balance.Server{nil, drained} {
-		for _, s := range []balance.Settings{{}, testSettings()} {
-			h := newHarness(t, s, 0)
+		for _, settings := range []balance.Settings{{}, testSettings()} {
+			h := newHarness(t, settings, 0)
 			h.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
 			h.handle(balance.RequestArrived{ID: "a", Class: "unheard of", ClientTimeout: time.Second})
 			if _, ok := h.finalAnswer["a"].(balance.Refuse); !ok || len(h.sent) != 0 {
@@ -383,13 +384,13 @@
 	}
 }
 
-// A zone fails together with the nodes in it: its servers become silent, this node gets
+// A zone fails together with the nodes in it: its servers do not answer, this node gets
 // twice the traffic, the list update is late, and the servers return as new processes. The
 // other servers must not be overloaded and the returning ones must warm up.
 func TestZoneFailureAndColdRecovery(t *testing.T) {
-	s := testSettings()
-	s.Nodes = 2
-	h := newHarness(t, s, 8)
+	settings := testSettings()
+	settings.Nodes = 2
+	h := newHarness(t, settings, 8)
 	h.run(10*time.Second, 60, "cheap")
 	inLostZone := func(id balance.ServerID) bool { return id > 4 }
 	normalDelay := h.delay
@@ -452,7 +453,7 @@
 	for seed := range int64(expensiveSeeds) {
 		ejections += runExpensiveClass(t, seed)
 	}
-	if ejections > expensiveSeeds*6/36 { // three requests held up in a row look like silence
+	if ejections > expensiveSeeds*6/36 { // three delayed requests in a row look like an unresponsive server
 		t.Errorf("%d of %d servers ejected because of expensive requests", ejections, 6*expensiveSeeds)
 	}
 }
@@ -524,8 +525,8 @@
 		t.Errorf("longest queue of a server %v", longest)
 	}
 	seen := map[time.Duration]bool{}
-	for _, w := range h.retryAfters {
-		seen[w] = true
+	for _, retryAfter := range h.retryAfters {
+		seen[retryAfter] = true
 	}
 	if len(seen) < len(h.retryAfters)/4 {
 		t.Errorf("%d refusals with %d different retry-after values", len(h.retryAfters), len(seen))
@@ -536,9 +537,9 @@
 // only with the warmup time.
 func TestWarmupGrowsWithAnswers(t *testing.T) {
 	grown := func(factor float64) int {
-		s := testSettings()
-		s.OverloadFactor = factor
-		h := newHarness(t, s, 4)
+		settings := testSettings()
+		settings.OverloadFactor = factor
+		h := newHarness(t, settings, 4)
 		h.run(10*time.Second, 100, "cheap")
 		h.handle(balance.ListUpdate{Kind: balance.ListChanges,
 			Entries: []balance.Server{{ID: 2, Zone: "z", StartedAt: h.now}}})
@@ -556,10 +557,10 @@
 func TestLogRateIsLimited(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	h.run(3*time.Second, 100, "cheap")
-	n := 0
+	answers := 0
 	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		if id == 1 {
-			if n++; n%3 != 0 {
+			if answers++; answers%3 != 0 {
 				return time.Millisecond, balance.Reset
 			}
 		}
@@ -618,7 +619,7 @@
 	ended := &balance.AttemptEnded{ID: "r", RequestDone: true, Elapsed: time.Millisecond}
 	tick := &balance.TimerFired{}
 	now, sent := time.Duration(0), 0
-	one := func() {
+	step := func() {
 		now += 5 * time.Millisecond
 		for _, a := range m.Handle(now, arrived) {
 			if s, ok := a.(balance.Send); ok {
@@ -630,9 +631,9 @@
 		m.Handle(now, tick)
 	}
 	for range 1000 {
-		one()
+		step()
 	}
-	if n := testing.AllocsPerRun(1000, one); n > 0 {
+	if n := testing.AllocsPerRun(1000, step); n > 0 {
 		t.Errorf("%v allocations per request", n)
 	}
 	if sent < 2000 {
@@ -642,9 +643,9 @@
 
 // A long overload must not raise the unloaded latency, which would let queues grow.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
-	s := testSettings()
-	s.Classes[1].TargetLatency = 10 * time.Second // a distant target: only the unloaded latency bounds the queue
-	h := newHarness(t, s, 4)
+	settings := testSettings()
+	settings.Classes[1].TargetLatency = 10 * time.Second // a distant target: only the unloaded latency bounds the queue
+	h := newHarness(t, settings, 4)
 	free := map[balance.ServerID]time.Duration{}
 	var waits, answers time.Duration
 	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
--- a/balance/carry.go
+++ b/balance/carry.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// LearnedFleet is the measured state of all servers together.
+// LearnedFleet is the measured state of all servers together. Latencies are in s, rates in
+// answers per second of the mean server.
 type LearnedFleet struct {
 	Answers               float64        `json:"answers"`
 	MeanLatency           float64        `json:"mean"`
@@ -18,7 +19,7 @@
 	Classes               []LearnedClass `json:"classes"`
 }
 
-// LearnedClass is the measured state of one class.
+// LearnedClass is the measured state of one class. Latencies are in s.
 type LearnedClass struct {
 	Name            string        `json:"name"`
 	Count           float64       `json:"count"`
@@ -30,7 +31,8 @@
 	FirstTryVotes   int           `json:"votes"`
 }
 
-// LearnedServer is the measured state of one server.
+// LearnedServer is the measured state of one server. ExcessLatency is in s, Rate in answers
+// per second to this node.
 type LearnedServer struct {
 	StartedAt       Time          `json:"startedAt"`
 	FirstListedAt   Time          `json:"since"`
--- a/balance/chance_test.go
+++ b/balance/chance_test.go
@@ -13,7 +13,7 @@
 	attempts, dead := map[balance.ServerID]int{}, false
 	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		attempts[id]++
-		if dead && id == 1 || attempts[id]%20 < 2 { // two in a row, one in ten
+		if dead && id == 1 || attempts[id]%20 < 2 { // one attempt in ten fails, two in a row
 			return 20 * time.Millisecond, balance.Reset
 		}
 		return 50 * time.Millisecond, balance.OK
@@ -35,9 +35,9 @@
 
 // Low-value requests must not use up the open requests that are reserved for priority ones.
 func TestOnlyPriorityRequestsNearOpenLimit(t *testing.T) {
-	s := testSettings()
-	s.MaxOpenRequests = 20
-	h := newHarness(t, s, 30)
+	settings := testSettings()
+	settings.MaxOpenRequests = 20
+	h := newHarness(t, settings, 30)
 	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Hour, balance.TimedOut }
 	total := func() (n int) {
 		for _, sent := range h.sent {
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -9,9 +9,9 @@
 
 // largeFleetSettings returns the settings of one of a thousand nodes.
 func largeFleetSettings() balance.Settings {
-	s := testSettings()
-	s.Nodes, s.AnswerGrace = 1000, 20*time.Millisecond
-	return s
+	settings := testSettings()
+	settings.Nodes, settings.AnswerGrace = 1000, 20*time.Millisecond
+	return settings
 }
 
 // Idle servers must not count as overloaded. Guards against thresholds below one request.
@@ -57,9 +57,9 @@
 
 // A request rejected as Full must not be retried over and over in a large fleet.
 func TestFullServersGetNoRetryStorm(t *testing.T) {
-	s := largeFleetSettings()
-	s.Nodes = 100 // subsets are large enough that blocked servers do not limit the retries
-	h := newHarness(t, s, 60)
+	settings := largeFleetSettings()
+	settings.Nodes = 100 // subsets are large enough that blocked servers do not limit the retries
+	h := newHarness(t, settings, 60)
 	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Millisecond, balance.Full }
 	h.run(10*time.Second, 10, "cheap")
 	sent := 0
@@ -96,9 +96,9 @@
 // Idle servers whose service time is half of the target latency must not cause shedding.
 // Guards against thresholds that depend on the target latencies alone.
 func TestNoSheddingAtIdleServers(t *testing.T) {
-	s := largeFleetSettings()
-	s.Classes = s.Classes[1:2] // target latency 1.5 s
-	h := newHarness(t, s, 40)
+	settings := largeFleetSettings()
+	settings.Classes = settings.Classes[1:2] // target latency 1.5 s
+	h := newHarness(t, settings, 40)
 	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		return 800 * time.Millisecond, balance.OK
 	}
@@ -108,31 +108,31 @@
 	}
 }
 
-// A server holds fewer connections than nodes use it and starts rejecting all of them at
-// one moment. The nodes must back off, and their returns must not stay synchronized.
+// A server allows fewer connections than there are nodes that use it, and begins to reject
+// them all at one moment. The nodes must back off, and must not all return at the same time.
 func TestRejectedNodesReturnDesynchronized(t *testing.T) {
-	const slot, seconds = 100 * time.Millisecond, 10
+	const interval, seconds = 100 * time.Millisecond, 10
 	fleet := newTestFleet(t, 60, 12)
-	full, from := map[int]int{}, time.Duration(0)
+	rejected, from := map[int]int{}, time.Duration(0)
 	for _, node := range fleet.nodes {
 		node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 			if from == 0 || id != 5 {
 				return 50 * time.Millisecond, balance.OK
 			}
-			full[int((node.now-from)/slot)]++
+			rejected[int((node.now-from)/interval)]++
 			return time.Millisecond, balance.Full
 		}
 	}
 	fleet.run(5*time.Second, 60, "cheap")
 	from = fleet.nodes[0].now
 	fleet.run(seconds*time.Second, 60, "cheap")
-	all, most := 0, 0
-	for i := 5 * int(time.Second/slot); i < seconds*int(time.Second/slot); i++ {
-		all, most = all+full[i], max(most, full[i])
+	total, most := 0, 0
+	for i := 5 * int(time.Second/interval); i < seconds*int(time.Second/interval); i++ {
+		total, most = total+rejected[i], max(most, rejected[i])
 	}
-	mean := float64(all) / 5 / float64(time.Second/slot)
-	if all < 20 || mean*float64(time.Second/slot) > 20 || float64(most) > 4*mean+1 {
-		t.Errorf("mean of %.1f requests in %v, at most %d", mean, slot, most)
+	mean := float64(total) / 5 / float64(time.Second/interval)
+	if total < 20 || mean*float64(time.Second/interval) > 20 || float64(most) > 4*mean+1 {
+		t.Errorf("mean of %.1f rejected requests in %v, at most %d", mean, interval, most)
 	}
-	t.Log(mean, most, full)
+	t.Log(mean, most, rejected)
 }
--- a/balance/gone_test.go
+++ b/balance/gone_test.go
@@ -7,10 +7,10 @@
 )
 
 // An attempt ends at a server that was removed from the list, so that the server's index in
-// the assignment is no longer valid. Guards against a crash, and against messages about it to nodes
-// that use another server.
+// the assignment is no longer valid. Guards against a crash, and against messages about it
+// to nodes that use another server.
 func TestAttemptEndsAfterServerRemoval(t *testing.T) {
-	s := Settings{Nodes: 60, MaxAttempts: 3, MayMessage: true, MayProbe: true, ReportSource: ReportsFromProbes,
+	settings := Settings{Nodes: 60, MaxAttempts: 3, MayMessage: true, MayProbe: true, ReportSource: ReportsFromProbes,
 		Classes: []Class{
 			{Name: "clip", Value: 1, TargetLatency: time.Second, Deadline: 2 * time.Second, Effect: Safe}}}
 	list := func(n int) (update ListUpdate) {
@@ -21,9 +21,9 @@
 		return update
 	}
 	endedAttempts := 0
-	for self := range s.Nodes {
-		s.Self = self
-		m := New(s, int64(self))
+	for self := range settings.Nodes {
+		settings.Self = self
+		m := New(settings, int64(self))
 		now := time.Hour
 		m.Handle(now, list(12))
 		inFlight := map[RequestID]Send{}
@@ -52,18 +52,18 @@
 }
 
 // Hundreds of nodes in front of few servers all use a starting server. Only as many as
-// would use it in a larger pool may send to it at once. Guards against first requests that
+// would use it among more servers may send to it at once. Guards against first requests that
 // together overload it.
 func TestFewNodesSendToStartingServerAtOnce(t *testing.T) {
-	for _, c := range []struct{ nodes, servers, least, most int }{
+	for _, test := range []struct{ nodes, servers, least, most int }{
 		{300, 6, 1, 3 * nodesPerServer}, {300, 3, 1, 3 * nodesPerServer},
 		{300, 200, 1, nodesPerServer + extraPeers}} {
 		senders := 0
-		for self := range c.nodes {
-			m := New(Settings{Nodes: c.nodes, Self: self, MaxAttempts: 3, WarmupTime: 8 * time.Second,
+		for self := range test.nodes {
+			m := New(Settings{Nodes: test.nodes, Self: self, MaxAttempts: 3, WarmupTime: 8 * time.Second,
 				WarmupStartFraction: 0.3}, int64(self))
 			update := ListUpdate{Kind: ListFull}
-			for i := range c.servers {
+			for i := range test.servers {
 				update.Entries = append(update.Entries, Server{ID: ServerID(i + 1)})
 			}
 			m.Handle(time.Hour, update)
@@ -75,8 +75,8 @@
 				}
 			}
 		}
-		if senders < c.least || senders > c.most {
-			t.Errorf("%d nodes, %d servers: %d nodes may send at once", c.nodes, c.servers, senders)
+		if senders < test.least || senders > test.most {
+			t.Errorf("%d nodes, %d servers: %d nodes may send at once", test.nodes, test.servers, senders)
 		}
 	}
 }
--- a/balance/mode_test.go
+++ b/balance/mode_test.go
@@ -8,7 +8,7 @@
 
 func TestNextModeThresholds(t *testing.T) {
 	const low, high, block = 3, 5, 9
-	for _, c := range []struct {
+	for _, test := range []struct {
 		from Mode
 		n    float64
 		want Mode
@@ -19,26 +19,26 @@
 		{Overloaded, 8, Overloaded}, {Overloaded, 9, Blocking},
 		{Blocking, 6, Blocking}, {Blocking, 5, Overloaded}, // below H+1
 	} {
-		if got := NextMode(c.from, c.n, low, high, block); got != c.want {
-			t.Errorf("from %v at n=%v: %v, want %v", c.from, c.n, got, c.want)
+		if got := NextMode(test.from, test.n, low, high, block); got != test.want {
+			t.Errorf("from %v at n=%v: %v, want %v", test.from, test.n, got, test.want)
 		}
 	}
 }
 
 func TestShedSplit(t *testing.T) {
-	for _, c := range []struct{ q, n1, n2, q1, q2 float64 }{
-		{0.3, 50, 50, 0, 0.6},  // others suffice
-		{0.5, 50, 50, 0, 1},    // exactly all others
-		{0.75, 50, 50, 0.5, 1}, // priority requests too
+	for _, test := range []struct{ q, n1, n2, q1, q2 float64 }{
+		{0.3, 50, 50, 0, 0.6},  // shedding other requests suffices
+		{0.5, 50, 50, 0, 1},    // all other requests
+		{0.75, 50, 50, 0.5, 1}, // some priority requests too
 		{1, 50, 50, 1, 1},
-		{0.4, 50, 0, 0.4, 0}, // no others: q1 = q
+		{0.4, 50, 0, 0.4, 0}, // no other requests: q1 = q
 		{0.4, 0, 50, 0, 0.4}, // no priority requests: q1 = 0
 		{1, 0, 50, 0, 1},
 		{0, 10, 10, 0, 0},
 	} {
-		q1, q2 := ShedSplit(c.q, c.n1, c.n2)
-		if math.Abs(q1-c.q1) > 1e-9 || math.Abs(q2-c.q2) > 1e-9 {
-			t.Errorf("q=%v N1=%v N2=%v: q1=%v q2=%v, want %v %v", c.q, c.n1, c.n2, q1, q2, c.q1, c.q2)
+		q1, q2 := ShedSplit(test.q, test.n1, test.n2)
+		if math.Abs(q1-test.q1) > 1e-9 || math.Abs(q2-test.q2) > 1e-9 {
+			t.Errorf("q=%v N1=%v N2=%v: q1=%v q2=%v, want %v %v", test.q, test.n1, test.n2, q1, q2, test.q1, test.q2)
 		}
 	}
 }
@@ -56,12 +56,12 @@
 // times. Guards against a token bucket that never holds a whole token.
 func TestSmallTenantRateAllowsARequest(t *testing.T) {
 	limited := &tenant{rate: 0.5}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		at   time.Duration
 		want bool
 	}{{time.Second, false}, {3 * time.Second, true}, {4 * time.Second, true}, {5 * time.Second, false}} {
-		if got := limited.takeToken(c.at); got != c.want {
-			t.Errorf("at %v: within quota %v, want %v", c.at, got, c.want)
+		if got := limited.takeToken(test.at); got != test.want {
+			t.Errorf("at %v: within quota %v, want %v", test.at, got, test.want)
 		}
 	}
 }
--- a/balance/own_wait_test.go
+++ b/balance/own_wait_test.go
@@ -8,13 +8,14 @@
 	"ivylock/balance"
 )
 
-// Servers that answer at once can take whatever this node's single core can process. Guards
+// Servers that answer at once can serve all requests that this node's single core can
+// process. Guards
 // against refusals because the node counts its own queueing delay as server latency.
 func TestLocalQueueDelayIsNotServerLatency(t *testing.T) {
 	const exchangeTime = 50 * time.Microsecond // CPU time of an exchange
-	s := testSettings()
-	s.Classes[1].Effect = balance.Safe
-	m := balance.New(s, 1)
+	settings := testSettings()
+	settings.Classes[1].Effect = balance.Safe
+	m := balance.New(settings, 1)
 	now, next := time.Hour, 0
 	m.Handle(now, balance.ListUpdate{Kind: balance.ListCached,
 		Entries: []balance.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -74,13 +74,13 @@
 
 // meanOfOthers returns the mean number of sends to the servers other than id.
 func meanOfOthers(sent map[balance.ServerID]int, id balance.ServerID) float64 {
-	sum, n := 0.0, 0.0
-	for s, k := range sent {
-		if s != id {
-			sum, n = sum+float64(k), n+1
+	sum, servers := 0.0, 0.0
+	for server, sends := range sent {
+		if server != id {
+			sum, servers = sum+float64(sends), servers+1
 		}
 	}
-	return sum / max(1, n)
+	return sum / max(1, servers)
 }
 
 // A new server is six times slower than the others, without a visible queue. Each node
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -10,9 +10,9 @@
 // A server that is listed as restarted must not get requests at the rate of the former warm
 // process. Found by ivylab sweep, seed 429: a zone fails for 190 ms and returns cold.
 func TestRestartedServerDropsItsFormerRate(t *testing.T) {
-	s := testSettings()
-	s.WarmupStartFraction, s.OverloadFactor = 0.32, 2.5
-	h := newHarness(t, s, 4)
+	settings := testSettings()
+	settings.WarmupStartFraction, settings.OverloadFactor = 0.32, 2.5
+	h := newHarness(t, settings, 4)
 	h.run(10*time.Second, 200, "cheap")
 	h.reset()
 	h.run(time.Second, 200, "cheap")
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -60,131 +60,131 @@
 	}
 }
 
-// TestCheckerDetectsViolations breaks the module's actions in each way that the rules
-// forbid.
+// TestCheckerDetectsViolations changes the module's actions in each way that the rules
+// forbid, which the checker must detect.
 func TestCheckerDetectsViolations(t *testing.T) {
 	each := func(
 		change func(*simulation, balance.Action) []balance.Action,
 	) func(*simulation, []balance.Action) []balance.Action {
 		return func(sim *simulation, in []balance.Action) (out []balance.Action) {
-			for _, a := range in {
-				out = append(out, change(sim, a)...)
+			for _, action := range in {
+				out = append(out, change(sim, action)...)
 			}
 			return out
 		}
 	}
-	other := func(sim *simulation, s balance.Send) balance.Send {
+	other := func(sim *simulation, send balance.Send) balance.Send {
 		for _, id := range sim.ids {
-			if l := sim.servers[id]; id != s.Server && l.drainAnnounced == 0 {
-				s.Server = id
-				return s
+			if listed := sim.servers[id]; id != send.Server && listed.drainAnnounced == 0 {
+				send.Server = id
+				return send
 			}
 		}
-		return s
+		return send
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		want   string
-		change func(sim *simulation, a balance.Action) []balance.Action
+		change func(sim *simulation, action balance.Action) []balance.Action
 	}{
-		{"no answer in time", func(sim *simulation, a balance.Action) []balance.Action {
-			switch a.(type) {
+		{"no answer in time", func(sim *simulation, action balance.Action) []balance.Action {
+			switch action.(type) {
 			case balance.Fail, balance.Refuse:
 				return nil
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"second final answer", func(sim *simulation, a balance.Action) []balance.Action {
-			if f, ok := a.(balance.Fail); ok {
-				return []balance.Action{a, f}
+		{"second final answer", func(sim *simulation, action balance.Action) []balance.Action {
+			if fail, ok := action.(balance.Fail); ok {
+				return []balance.Action{action, fail}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"never listed", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
-				s.Server = 12345
-				return []balance.Action{s}
+		{"never listed", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
+				send.Server = 12345
+				return []balance.Action{send}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"draining or removed", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
+		{"draining or removed", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
 				for _, id := range sim.ids {
 					if sim.servers[id].drainAnnounced > 0 {
-						s.Server = id
+						send.Server = id
 					}
 				}
-				return []balance.Action{s}
+				return []balance.Action{send}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"unsafe request sent again", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
-				return []balance.Action{a, other(sim, s)}
+		{"unsafe request sent again", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
+				return []balance.Action{action, other(sim, send)}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"two attempts in flight", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
-				return []balance.Action{a, other(sim, s)}
+		{"two attempts in flight", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
+				return []balance.Action{action, other(sim, send)}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"outside its group or window", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
-				return []balance.Action{a, other(sim, s)}
+		{"outside its group or window", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
+				return []balance.Action{action, other(sim, send)}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"attempts", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
-				return []balance.Action{a, s, s, s, s, s}
+		{"attempts", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
+				return []balance.Action{action, send, send, send, send, send}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"for a request that is done", func(sim *simulation, a balance.Action) []balance.Action {
-			if r, ok := a.(balance.Refuse); ok {
-				return []balance.Action{a, balance.Send{Sending: &balance.Sending{ID: r.ID, Server: sim.ids[0]}}}
+		{"for a request that is done", func(sim *simulation, action balance.Action) []balance.Action {
+			if refuse, ok := action.(balance.Refuse); ok {
+				return []balance.Action{action, balance.Send{Sending: &balance.Sending{ID: refuse.ID, Server: sim.ids[0]}}}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"refused although", func(sim *simulation, a balance.Action) []balance.Action {
-			if f, ok := a.(balance.Fail); ok {
-				return []balance.Action{balance.Refuse{ID: f.ID}}
+		{"refused although", func(sim *simulation, action balance.Action) []balance.Action {
+			if fail, ok := action.(balance.Fail); ok {
+				return []balance.Action{balance.Refuse{ID: fail.ID}}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"its budget is", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
+		{"its budget is", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
 				for _, id := range sim.ids {
-					if l := sim.servers[id]; l.startAnnounced && l.drainAnnounced == 0 &&
-						sim.now-l.StartedAt < 2*time.Second {
-						s.Server = id
+					if listed := sim.servers[id]; listed.startAnnounced && listed.drainAnnounced == 0 &&
+						sim.now-listed.StartedAt < 2*time.Second {
+						send.Server = id
 					}
 				}
-				return []balance.Action{s}
+				return []balance.Action{send}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"cancel", func(sim *simulation, a balance.Action) []balance.Action {
-			if s, ok := a.(balance.Send); ok {
-				return []balance.Action{a, balance.CancelAttempt{ID: s.ID, Attempt: 9}}
+		{"cancel", func(sim *simulation, action balance.Action) []balance.Action {
+			if send, ok := action.(balance.Send); ok {
+				return []balance.Action{action, balance.CancelAttempt{ID: send.ID, Attempt: 9}}
 			}
-			return []balance.Action{a}
+			return []balance.Action{action}
 		}},
-		{"forbidden probe", func(sim *simulation, a balance.Action) []balance.Action {
-			return []balance.Action{a, balance.Probe{Server: sim.ids[0]}}
+		{"forbidden probe", func(sim *simulation, action balance.Action) []balance.Action {
+			return []balance.Action{action, balance.Probe{Server: sim.ids[0]}}
 		}},
-		{"forbidden message", func(sim *simulation, a balance.Action) []balance.Action {
-			return []balance.Action{a, balance.SendMessage{ToAll: true}}
+		{"forbidden message", func(sim *simulation, action balance.Action) []balance.Action {
+			return []balance.Action{action, balance.SendMessage{ToAll: true}}
 		}},
 	} {
 		found := false
 		for seed := int64(1); seed <= 25 && !found; seed++ {
-			sim := simulate(seed, 10*time.Second, each(c.change))
-			found = strings.Contains(fmt.Sprint(sim.violations), c.want)
+			sim := simulate(seed, 10*time.Second, each(test.change))
+			found = strings.Contains(fmt.Sprint(sim.violations), test.want)
 		}
 		if !found {
-			t.Errorf("violation %q was not detected", c.want)
+			t.Errorf("violation %q was not detected", test.want)
 		}
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -22,13 +22,13 @@
 	outlierCap       = 4.0  // multiple of the smoothed latency
 )
 
-// Mode is the overload state of a server as this node sees it: s = 0, 1, 2 in the paper.
+// Mode is the overload state of a server as this node sees it.
 type Mode int
 
 const (
 	// Normal servers are preferred.
 	Normal Mode = iota
-	// Overloaded servers are used if there is no Normal one; part of the load is shed.
+	// Overloaded servers are used if there is no Normal one; some requests are shed.
 	Overloaded
 	// Blocking servers get no requests.
 	Blocking
@@ -50,11 +50,11 @@
 	// second, smoothed.
 	excessLatency, rate float64
 	latencyAt, rateAt   Time
-	// First listed; last report.
+	// Times of the first listing and of the last report.
 	listedAt, reportAt Time
-	// Weighted failures since the last success; sends since the last answer.
+	// Weighted number of failures since the last success; sends since the last answer.
 	failureScore, unanswered int
-	failures                 int  // since the last success
+	failures                 int  // unweighted, since the last success
 	silentSince              Time // first of the unanswered sends
 	ejected, warmup          bool
 	nextTrialAt, warmupStart Time
@@ -101,7 +101,7 @@
 	outstanding       int
 	// done: the request has its final answer. streamStarted: its answer has begun.
 	priority, done, streamStarted, trial bool
-	// The body can not be sent again; the body is still arriving.
+	// The body cannot be sent again; the body is still arriving.
 	bodyConsumed, bodyPending bool
 }
 
@@ -163,7 +163,7 @@
 	// Own and total requests at probed servers, decaying sums.
 	ownInFlight, allInFlight float64
 	inFlightShare            float64 // this node's share of all requests at servers
-	// Priority and other arrivals of this period; drop probabilities.
+	// Priority (1) and other arrivals (2) of this period; their drop probabilities.
 	n1, n2, q1, q2 float64
 	// Sum of how far the fleet was above H over the ticks of this period, and the number of
 	// ticks.
@@ -332,6 +332,7 @@
 	}
 }
 
+// decay returns exp(-since/tau), with tau in s.
 func decay(since time.Duration, tau float64) float64 { return math.Exp(-since.Seconds() / tau) }
 
 // random returns a number in [0,1) (splitmix64).
@@ -346,6 +347,7 @@
 	return z ^ z>>31
 }
 
+// jitter draws uniformly from 0.5 to 1.5 times a duration.
 func (m *Module) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + m.random()))
 }
@@ -379,7 +381,7 @@
 	m.meanLatency += math.Max(gain, 1/m.answers) * (sample - m.meanLatency)
 	cls.latency += math.Max(classGain, 1/cls.count) * (seconds - cls.latency)
 	cls.fleetLatency += math.Max(classGain, 1/cls.count) * (m.meanLatency - cls.fleetLatency)
-	// Not by meanLatency, with which a rare class would keep an outdated cost.
+	// Relative to meanLatency at the same times: a rare class would keep an outdated cost.
 	cls.relativeCost = cls.latency / cls.fleetLatency
 	m.updateServerLatency(srv, cls, elapsed)
 }
@@ -442,7 +444,7 @@
 }
 
 // streamStarted counts the start of a streamed answer as the answer: the rest depends
-// on the client's pace and not on the server.
+// on how fast the client reads and not on the server.
 func (m *Module) streamStarted(event StreamStarted) {
 	req := m.requests[event.ID]
 	if req == nil || event.Attempt < 0 || event.Attempt >= len(req.attempts) || req.streamStarted ||
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -8,7 +8,7 @@
 )
 
 // oneRequest lets a module send one request and returns the Send.
-func oneRequest(t *testing.T, class string) (h *harness, s balance.Send) {
+func oneRequest(t *testing.T, class string) (h *harness, sent balance.Send) {
 	t.Helper()
 	h = newHarness(t, testSettings(), 4)
 	for _, a := range h.module.Handle(h.now, balance.RequestArrived{ID: "x", Class: class,
@@ -36,10 +36,10 @@
 	return
 }
 
-// A consumed body can not be sent again: a request that never ran must be refused, one that
+// A consumed body cannot be sent again: a request that never ran must be refused, one that
 // may have run must fail.
 func TestConsumedBodyIsNotResent(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class               string
 		code                balance.OutcomeCode
 		bodyConsumed        bool
@@ -51,11 +51,11 @@
 		{"once", balance.Reset, true, 0, 0, 1},
 		{"dear", balance.Reset, true, 0, 1, 0},
 	} {
-		h, s := oneRequest(t, c.class)
-		sends, refusals, failures := countActions(h, balance.AttemptEnded{ID: "x", Server: s.Server, Code: c.code,
-			BodyConsumed: c.bodyConsumed})
-		if sends != c.sends || refusals != c.refuse || failures != c.fail {
-			t.Errorf("%+v: %d sends, %d refusals, %d failures", c, sends, refusals, failures)
+		h, send := oneRequest(t, test.class)
+		sends, refusals, failures := countActions(h, balance.AttemptEnded{ID: "x", Server: send.Server, Code: test.code,
+			BodyConsumed: test.bodyConsumed})
+		if sends != test.sends || refusals != test.refuse || failures != test.fail {
+			t.Errorf("%+v: %d sends, %d refusals, %d failures", test, sends, refusals, failures)
 		}
 	}
 }
@@ -63,19 +63,19 @@
 // A started stream counts as the answer: its server is free for further requests however
 // slowly the client reads, and there is no retry if it breaks.
 func TestStartedStreamCountsAsAnswer(t *testing.T) {
-	h, s := oneRequest(t, "once")
-	countActions(h, balance.StreamStarted{ID: "x", Server: s.Server, Elapsed: 50 * time.Millisecond})
+	h, send := oneRequest(t, "once")
+	countActions(h, balance.StreamStarted{ID: "x", Server: send.Server, Elapsed: 50 * time.Millisecond})
 	fleet, servers := h.module.Learned()
-	if fleet.Answers != 1 || fleet.MeanLatency != 0.05 || servers[s.Server].Rate == 0 {
-		t.Errorf("learned %+v of the fleet, %+v of the server", fleet, servers[s.Server])
+	if fleet.Answers != 1 || fleet.MeanLatency != 0.05 || servers[send.Server].Rate == 0 {
+		t.Errorf("learned %+v of the fleet, %+v of the server", fleet, servers[send.Server])
 	}
 	// A second event changes nothing.
-	countActions(h, balance.StreamStarted{ID: "x", Server: s.Server, Elapsed: time.Second})
+	countActions(h, balance.StreamStarted{ID: "x", Server: send.Server, Elapsed: time.Second})
 	h.now += time.Hour
 	if a, b, c := countActions(h, balance.TimerFired{}); a+b+c != 0 {
 		t.Error("the request ended at its deadline")
 	}
-	if a, _, _ := countActions(h, balance.AttemptEnded{ID: "x", Server: s.Server, Code: balance.Reset,
+	if a, _, _ := countActions(h, balance.AttemptEnded{ID: "x", Server: send.Server, Code: balance.Reset,
 		RequestDone: true}); a != 0 {
 		t.Error("the request was sent again")
 	}
@@ -107,25 +107,25 @@
 	next := balance.New(testSettings(), 6)
 	next.Restore(h.now, fleet, servers)
 	next.Handle(h.now, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
-	got, after := next.Learned()
-	if got.MeanLatency != fleet.MeanLatency || got.MeanRate != fleet.MeanRate || len(after) != 4 ||
-		after[1].Rate != servers[1].Rate {
-		t.Errorf("learned  %+v\nrestored %+v", fleet, got)
+	restored, restoredServers := next.Learned()
+	if restored.MeanLatency != fleet.MeanLatency || restored.MeanRate != fleet.MeanRate || len(restoredServers) != 4 ||
+		restoredServers[1].Rate != servers[1].Rate {
+		t.Errorf("learned  %+v\nrestored %+v", fleet, restored)
 	}
-	if !after[4].WarmingUp || after[4].WarmupStartedAt != servers[4].WarmupStartedAt {
-		t.Errorf("warming server: %+v", after[4])
+	if !restoredServers[4].WarmingUp || restoredServers[4].WarmupStartedAt != servers[4].WarmupStartedAt {
+		t.Errorf("warming server: %+v", restoredServers[4])
 	}
-	to4 := 0
+	sent := 0
 	for i := range 40 {
 		for _, a := range next.Handle(h.now, balance.RequestArrived{ID: balance.RequestID(rune(i + 1)),
 			Class: "cheap", ClientTimeout: 2 * time.Second}) {
 			if s, is := a.(balance.Send); is && s.Server == 4 {
-				to4++
+				sent++
 			}
 		}
 	}
-	if to4 != 0 {
-		t.Errorf("%d requests went to the warming server at once", to4)
+	if sent != 0 {
+		t.Errorf("%d requests went to the warming server at once", sent)
 	}
 	invalid := balance.New(testSettings(), 6)
 	invalid.Restore(h.now, balance.LearnedFleet{Answers: 5, MeanLatency: -1}, nil) // invalid state from a file
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -9,8 +9,8 @@
 	"ivylock/readings"
 )
 
-// setOf returns the servers that a node uses.
-func setOf(nodes, self int, ids []ServerID) []ServerID {
+// serversUsedBy returns the servers that a node uses.
+func serversUsedBy(nodes, self int, ids []ServerID) []ServerID {
 	m := New(Settings{Nodes: nodes, Self: self, MaxAttempts: 3}, 1)
 	list := ListUpdate{Kind: ListFull}
 	for _, id := range ids {
@@ -28,22 +28,22 @@
 	for i := range servers {
 		ids = append(ids, ServerID(1000+7*i))
 	}
-	gone, rest := ids[40], slices.Delete(slices.Clone(ids), 40, 41)
+	removed, rest := ids[40], slices.Delete(slices.Clone(ids), 40, 41)
 	users, moved := map[ServerID]int{}, 0
 	for self := range nodes {
-		set := setOf(nodes, self, ids)
-		if len(set) < minSubsetSize || len(set) > 24 {
-			t.Errorf("node %d uses %d servers", self, len(set))
+		used := serversUsedBy(nodes, self, ids)
+		if len(used) < minSubsetSize || len(used) > 24 {
+			t.Errorf("node %d uses %d servers", self, len(used))
 		}
-		for _, id := range set {
+		for _, id := range used {
 			users[id]++
 		}
 		if self%4 > 0 {
 			continue
 		}
-		after := setOf(nodes, self, rest)
-		for _, id := range set {
-			if id != gone && !slices.Contains(after, id) {
+		after := serversUsedBy(nodes, self, rest)
+		for _, id := range used {
+			if id != removed && !slices.Contains(after, id) {
 				moved++
 			}
 		}
--- a/balance/waits.go
+++ b/balance/waits.go
@@ -15,11 +15,11 @@
 
 const (
 	serviceTimeGain      = 0.05 // weight of a sample in the service time of a mean request
-	maxServiceTimeChange = 2.0  // largest factor between it and a sample of a peer
+	maxServiceTimeChange = 2.0  // largest factor between the service time and a peer's sample
 	extraPeers           = 4    // notified nodes per server beyond those that use it
 	concurrencyGain      = 0.05 // weight of a reading in a server's concurrency
 	initialConcurrency   = 4.0  // requests, before a server has reported
-	minServiceFraction   = 0.2  // of the time an answer took: waits are estimates
+	minServiceFraction   = 0.2  // of the time an answer took, for the service time
 	peerSendsPerOwn      = 4.0  // requests a server gets since its reading per own send, at most
 	shareDecay           = 0.95 // factor on the weight of earlier probes in the in-flight share
 	slowThreshold        = 2.0  // multiple of the subset's mean slowdown
@@ -42,8 +42,8 @@
 	}
 	sum, weight, slowdown := 0.0, 1e-9, 0.0
 	for _, srv := range m.inUse {
-		weightOf := srv.reading.Weight(m.now)
-		sum, weight, slowdown = sum+weightOf*srv.reading.Wait, weight+weightOf,
+		readingWeight := srv.reading.Weight(m.now)
+		sum, weight, slowdown = sum+readingWeight*srv.reading.Wait, weight+readingWeight,
 			slowdown+srv.slowdown.Factor(m.now)/float64(len(m.inUse))
 	}
 	m.meanWait, m.slowdown = sum/weight, math.Max(slowdown, 1e-9)
@@ -139,7 +139,7 @@
 }
 
 // slowdownOf returns a server's service time relative to the mean of the servers in use.
-// Where all are equally slow, none stands out.
+// Where all are equally slow, it is 1 for each.
 func (m *Module) slowdownOf(srv *server) float64 { return srv.slowdown.Factor(m.now) / m.slowdown }
 
 // updateServiceTime records a sample of the service time of a mean request, in s.
--- a/balance/waits_test.go
+++ b/balance/waits_test.go
@@ -25,10 +25,10 @@
 }
 
 func newSeededProbingNode(t *testing.T, nodes, self, servers int, seed int64) *probingNode {
-	s := testSettings()
-	s.Nodes, s.Self, s.AnswerGrace = nodes, self, 20*time.Millisecond
-	s.MayProbe, s.MayMessage, s.ReportSource = true, true, balance.ReportsFromProbes
-	node := &probingNode{harness: newSeededHarness(t, s, servers, seed), messagesTo: map[int]int{}}
+	settings := testSettings()
+	settings.Nodes, settings.Self, settings.AnswerGrace = nodes, self, 20*time.Millisecond
+	settings.MayProbe, settings.MayMessage, settings.ReportSource = true, true, balance.ReportsFromProbes
+	node := &probingNode{harness: newSeededHarness(t, settings, servers, seed), messagesTo: map[int]int{}}
 	node.serverWait = func(balance.ServerID) time.Duration { return 0 }
 	node.onOther = func(action balance.Action) {
 		switch action := action.(type) {
@@ -78,14 +78,14 @@
 	node.run(10*time.Second, 10, "cheap")
 	node.reset()
 	node.run(60*time.Second, 10, "cheap")
-	there, all := 0, 0
+	toSlow, all := 0, 0
 	for id, n := range node.sent {
 		if all += n; slow(id) {
-			there += n
+			toSlow += n
 		}
 	}
-	if all < 550 || float64(there) > 0.42*float64(all) {
-		t.Errorf("%d of %d requests went to the slow half", there, all)
+	if all < 550 || float64(toSlow) > 0.42*float64(all) {
+		t.Errorf("%d of %d requests went to the slow half", toSlow, all)
 	}
 }
 
@@ -101,12 +101,12 @@
 			forward(a)
 		}
 	}
-	r := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	serve := func(length time.Duration) (dear, cheap int) {
 		receiver.refused = 0
 		for range int(length / (50 * time.Millisecond)) {
-			for range 22 { // messages of the other 299 nodes in that time
-				probe := balance.ProbeEnded{Server: balance.ServerID(1 + r.IntN(175)),
+			for range 22 { // stands for the probes of the other 299 nodes
+				probe := balance.ProbeEnded{Server: balance.ServerID(1 + random.IntN(175)),
 					Elapsed: 200 * time.Millisecond}
 				for _, a := range sender.module.Handle(sender.now, probe) {
 					if message, is := a.(balance.SendMessage); is && message.To == 8 {
@@ -163,14 +163,15 @@
 	node.run(10*time.Second, 40, "cheap")
 	node.reset()
 	node.run(30*time.Second, 40, "cheap")
-	most, n := 0, 0
+	total, servers := 0, 0
 	for id, sent := range node.sent {
 		if id != 3 {
-			most, n = most+sent, n+1
+			total, servers = total+sent, servers+1
 		}
 	}
-	if n == 0 || float64(node.sent[3]) > 0.8*float64(most)/float64(n) {
-		t.Errorf("the failing server got %d requests, the others a mean of %d", node.sent[3], most/max(1, n))
+	if servers == 0 || float64(node.sent[3]) > 0.8*float64(total)/float64(servers) {
+		t.Errorf("the failing server got %d requests, the others a mean of %d", node.sent[3],
+			total/max(1, servers))
 	}
 }
 
--- a/balance/world_test.go
+++ b/balance/world_test.go
@@ -25,20 +25,20 @@
 	deadline time.Duration
 	attempts []sentAttempt
 	answered bool
-	stream   bool
+	stream   bool // its streamed answer has begun
 }
 
 type listedServer struct {
 	balance.Server
-	drainAnnounced time.Duration // when the node learned that it drains or is removed; 0: it is ready
+	drainAnnounced time.Duration // when the node was notified that it drains or is removed; 0: it is ready
 	startAnnounced bool
 }
 
 type scheduledEvent struct {
-	at    time.Duration
-	order int
-	event balance.Event
-	id    balance.RequestID
+	at       time.Duration
+	sequence int // order of events at the same time
+	event    balance.Event
+	id       balance.RequestID
 }
 
 type simulation struct {
@@ -46,14 +46,14 @@
 	random     *rand.Rand
 	now        time.Duration
 	queue      []scheduledEvent
-	order      int
+	sequence   int
 	requests   map[balance.RequestID]*liveRequest
 	servers    map[balance.ServerID]*listedServer
-	ids        []balance.ServerID
+	ids        []balance.ServerID // of servers, in the order of their first listing
 	sends      map[balance.ServerID][]time.Duration
 	capacity   float64 // requests per second of a warm server for this node
 	module     *decider.Decider
-	mutate     func(sim *simulation, a []balance.Action) []balance.Action
+	mutate     func(sim *simulation, actions []balance.Action) []balance.Action
 	events     []balance.Event
 	times      []time.Duration
 	actions    []string
@@ -65,9 +65,9 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
-func (sim *simulation) schedule(d time.Duration, next scheduledEvent) {
-	sim.order++
-	next.at, next.order = sim.now+max(d, sim.settings.MinTick), sim.order
+func (sim *simulation) schedule(delay time.Duration, next scheduledEvent) {
+	sim.sequence++
+	next.at, next.sequence = sim.now+max(delay, sim.settings.MinTick), sim.sequence
 	sim.queue = append(sim.queue, next)
 }
 
@@ -96,14 +96,14 @@
 	return text
 }
 
-// sameGroup is the checker's own implementation of the scopes.
-func sameGroup(s balance.Scope, a, b *listedServer) bool {
-	return s == balance.ScopeAll || s == balance.ScopeZone && a.Zone == b.Zone ||
-		s == balance.ScopeCell && a.Cell == b.Cell
+// sameGroup is the checker's own implementation of the key scopes.
+func sameGroup(scope balance.Scope, a, b *listedServer) bool {
+	return scope == balance.ScopeAll || scope == balance.ScopeZone && a.Zone == b.Zone ||
+		scope == balance.ScopeCell && a.Cell == b.Cell
 }
 
-func neverRan(c balance.OutcomeCode) bool {
-	return c == balance.Full || c == balance.ConnectFailed || c == balance.Moot
+func neverRan(code balance.OutcomeCode) bool {
+	return code == balance.Full || code == balance.ConnectFailed || code == balance.Moot
 }
 
 func (sim *simulation) checkSend(req *liveRequest, send balance.Send) {
@@ -150,7 +150,7 @@
 		}
 		if limit := sim.settings.OverloadFactor * fraction * sim.capacity *
 			sim.settings.OverloadTime.Seconds(); float64(recent) > limit+3 {
-			sim.violation("warming server %d was sent %d, its budget is %.1f", send.Server, recent, limit)
+			sim.violation("warming server %d was sent %d requests, its budget is %.1f", send.Server, recent, limit)
 		}
 	}
 }
@@ -224,6 +224,7 @@
 	}
 }
 
+// answered records a final answer and returns its request.
 func (sim *simulation) answered(id balance.RequestID) *liveRequest {
 	req := sim.requests[id]
 	if req == nil {
@@ -247,7 +248,7 @@
 		balance.Full, balance.TimedOut, balance.ConnectFailed, balance.Reset, balance.Moot}
 	code, elapsed := codes[sim.random.Intn(len(codes))], time.Duration(1+sim.random.Intn(400))*time.Millisecond
 	if uint32(send.Server)%5 == uint32(sim.now.Seconds()/7)%5 && sim.random.Intn(2) == 0 {
-		code = balance.TimedOut // some servers are silent for a while
+		code = balance.TimedOut // some servers do not answer for a while
 	}
 	if code == balance.TimedOut || elapsed > limit {
 		code, elapsed = balance.TimedOut, limit
@@ -267,8 +268,8 @@
 			Code:    code, Report: report}})
 }
 
-// deliver passes an event to the module as the wire would: one outcome per attempt, none
-// after a restart of the node.
+// deliver passes an event to the module if a node would receive it: one outcome per attempt,
+// none after a restart of the node.
 func (sim *simulation) deliver(next scheduledEvent) {
 	switch ev := next.event.(type) {
 	case balance.AttemptEnded:
@@ -276,8 +277,8 @@
 		if req == nil || req.attempts[ev.Attempt].ended {
 			return
 		}
-		at := &req.attempts[ev.Attempt]
-		at.ended, at.code = true, ev.Code
+		att := &req.attempts[ev.Attempt]
+		att.ended, att.code = true, ev.Code
 		ev.RequestDone = req.answered || ev.Code == balance.OK
 		if ev.Code == balance.OK && !req.answered {
 			req.answered = true
@@ -300,7 +301,7 @@
 	sim.handle(next.event)
 }
 
-// arrive lets a random request arrive.
+// arrive passes a new random request to the module.
 func (sim *simulation) arrive() {
 	sim.nextID++
 	id := balance.RequestID(fmt.Sprintf("%036d", sim.nextID))
@@ -384,6 +385,7 @@
 	sim.publishList(balance.ListChanges, []balance.Server{server})
 }
 
+// start starts the node anew with the servers that are not removed, at least four.
 func (sim *simulation) start() {
 	sim.module = decider.New(sim.settings, sim.random.Int63())
 	sim.requests, sim.queue = map[balance.RequestID]*liveRequest{}, nil
@@ -400,13 +402,14 @@
 	sim.publishList(balance.ListCached, all)
 }
 
-// run advances the simulation; with restarts the node may restart in between.
+// run advances the simulation, with rate requests per second. With restarts, the node
+// restarts at random times.
 func (sim *simulation) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := sim.now + length; sim.now < end; sim.now += step {
 		sort.SliceStable(sim.queue, func(i, j int) bool {
 			return sim.queue[i].at < sim.queue[j].at ||
-				sim.queue[i].at == sim.queue[j].at && sim.queue[i].order < sim.queue[j].order
+				sim.queue[i].at == sim.queue[j].at && sim.queue[i].sequence < sim.queue[j].sequence
 		})
 		for len(sim.queue) > 0 && sim.queue[0].at <= sim.now {
 			next := sim.queue[0]
--- a/balance/worth_test.go
+++ b/balance/worth_test.go
@@ -11,23 +11,23 @@
 // answers have value, or the target depends on the unknown work of a request, that is not
 // before the deadline.
 func TestAttemptTimeoutFollowsAnswerValue(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		late, stretch float64
 		most          time.Duration
 	}{"no value after the target": {0, 0, time.Second}, "late answers have value": {0.5, 0, 4 * time.Second},
 		"the target depends on the work": {0, 3, 4 * time.Second}} {
-		s := largeFleetSettings()
-		s.Classes = []balance.Class{{Name: "x", Value: 1, TargetLatency: time.Second, Deadline: 4 * time.Second,
-			Effect: balance.Safe, LateValueFraction: c.late, TargetWorkFactor: c.stretch}}
-		m := balance.New(s, 1)
+		settings := largeFleetSettings()
+		settings.Classes = []balance.Class{{Name: "x", Value: 1, TargetLatency: time.Second, Deadline: 4 * time.Second,
+			Effect: balance.Safe, LateValueFraction: test.late, TargetWorkFactor: test.stretch}}
+		m := balance.New(settings, 1)
 		m.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull,
 			Entries: []balance.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5}}})
 		sends := 0
 		for _, a := range m.Handle(time.Hour, balance.RequestArrived{ID: "r", Class: "x",
 			ClientTimeout: 4 * time.Second}) {
 			if send, is := a.(balance.Send); is {
-				if sends++; send.Timeout != c.most {
-					t.Errorf("%s: timeout %v, want %v", name, send.Timeout, c.most)
+				if sends++; send.Timeout != test.most {
+					t.Errorf("%s: timeout %v, want %v", name, send.Timeout, test.most)
 				}
 			}
 		}
@@ -42,9 +42,9 @@
 func TestOverQuotaRequestsHaveReducedValue(t *testing.T) {
 	fraction := map[float64]float64{} // fraction of the answers that belong to the tenant over its quota
 	for _, factor := range []float64{0.05, 0.5, 1} {
-		s := testSettings()
-		s.OverQuotaValueFactor, s.Tenants = factor, []balance.Tenant{{Name: "club", Quota: 1}}
-		h := newHarness(t, s, 4)
+		settings := testSettings()
+		settings.OverQuotaValueFactor, settings.Tenants = factor, []balance.Tenant{{Name: "club", Quota: 1}}
+		h := newHarness(t, settings, 4)
 		free := map[balance.ServerID]time.Duration{}
 		// One request at a time, 20 ms each.
 		h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
@@ -55,7 +55,7 @@
 		for end := h.now + 20*time.Second; h.now < end; {
 			for _, h.tenant = range []string{"club", ""} {
 				before := h.refused + h.failed
-				h.run(10*time.Millisecond, 400, "dear") // of 200 that the servers can serve
+				h.run(10*time.Millisecond, 400, "dear") // the servers can serve 200 a second
 				answered[h.tenant] += 4 - float64(h.refused+h.failed-before)
 			}
 		}
@@ -76,9 +76,9 @@
 	fraction := map[float64]float64{}
 	for _, penalty := range []float64{0, 0.02, 0.1} {
 		for _, slow := range []bool{false, true} {
-			s := testSettings()
-			s.Zone, s.Penalties.CrossZone = "z", penalty
-			h := newHarness(t, s, 0)
+			settings := testSettings()
+			settings.Zone, settings.Penalties.CrossZone = "z", penalty
+			h := newHarness(t, settings, 0)
 			var list []balance.Server
 			for i := range 6 {
 				list = append(list, balance.Server{ID: balance.ServerID(i + 1), Zone: []string{"z", "y", "x"}[i%3]})
