--- a/guard/attempt.go
+++ b/guard/attempt.go
@@ -6,15 +6,15 @@
 // its write. Deduplication windows are kept despite such a pause.
 const MaxProcessPause = 150 * time.Millisecond
 
-// writeMargin is deducted from the time passed on to a server: the time between the last
-// clock reading and the write without a pause.
+// writeMargin is deducted from the time limit passed on to a server: it allows for the time
+// between the last clock reading and the write if the process is not paused.
 const writeMargin = 10 * time.Millisecond
 
 // WithholdReason is why a chosen attempt must not be written.
 type WithholdReason int
 
 const (
-	// Permitted: it may be written.
+	// Permitted: the attempt may be written.
 	Permitted WithholdReason = iota
 	// WithheldRequestDone: the request has its final answer, or the client has
 	// disconnected.
@@ -27,7 +27,7 @@
 	WithheldWindowExpired
 	// WithheldDeadlinePassed: the client's deadline has passed.
 	WithheldDeadlinePassed
-	// WithheldProcessPaused: the process was paused and must first check its state.
+	// WithheldProcessPaused: the process was paused and must first verify its state.
 	WithheldProcessPaused
 	// WithheldBodyConsumed: another attempt has read the request's body.
 	WithheldBodyConsumed
--- a/guard/connection.go
+++ b/guard/connection.go
@@ -14,9 +14,10 @@
 type CloseMode int
 
 const (
-	// KeepOpen: it must not be closed, for example because a request on it needs an answer.
+	// KeepOpen: the connection must not be closed, for example because a request on it needs
+	// an answer.
 	KeepOpen CloseMode = iota
-	// CloseNow: no request is pending; it may be closed without an answer.
+	// CloseNow: no request is pending; the connection may be closed without an answer.
 	CloseNow
 	// RejectThenClose: a request is arriving whose last byte may be under way. The
 	// connection may be closed after an answer that refuses the request.
--- a/guard/rules_test.go
+++ b/guard/rules_test.go
@@ -11,7 +11,7 @@
 	origin := Location{Zone: "a", Cell: 1}
 	sameCell, sameZone, elsewhere := origin, Location{Zone: "a", Cell: 2}, Location{Zone: "b", Cell: 3}
 	const window = 8 * time.Second
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		rules   RetryRules
 		to      Location
@@ -31,11 +31,11 @@
 		{"keyed, no window", RetryRules{Keyed, ScopeAll, 0}, origin, 0, false, true},
 	} {
 		sent := 5 * time.Second
-		if got := c.rules.MayRetry(origin, sent, c.to, sent+c.after); got != c.retry {
-			t.Errorf("%s: may retry: %v", c.name, got)
+		if got := test.rules.MayRetry(origin, sent, test.to, sent+test.after); got != test.retry {
+			t.Errorf("%s: may retry: %v", test.name, got)
 		}
-		if got := c.rules.MayRefuse(); got != c.refusal {
-			t.Errorf("%s: may refuse: %v", c.name, got)
+		if got := test.rules.MayRefuse(); got != test.refusal {
+			t.Errorf("%s: may refuse: %v", test.name, got)
 		}
 	}
 }
@@ -50,17 +50,17 @@
 		t.Fatalf("a permitted attempt: %v", got)
 	}
 	for want, invalidate := range map[WithholdReason]func(*Attempt){
-		WithheldRequestDone:    func(a *Attempt) { a.RequestDone = true },
-		WithheldCancelled:      func(a *Attempt) { a.Cancelled = true },
-		WithheldDraining:       func(a *Attempt) { a.ServerUnavailable = true },
-		WithheldWindowExpired:  func(a *Attempt) { a.DedupWindowEnd = now.Add(lastMoment) },
-		WithheldDeadlinePassed: func(a *Attempt) { a.Deadline = now },
-		WithheldProcessPaused:  func(a *Attempt) { a.ProcessPaused = true },
-		WithheldBodyConsumed:   func(a *Attempt) { a.BodyConsumed = true },
+		WithheldRequestDone:    func(attempt *Attempt) { attempt.RequestDone = true },
+		WithheldCancelled:      func(attempt *Attempt) { attempt.Cancelled = true },
+		WithheldDraining:       func(attempt *Attempt) { attempt.ServerUnavailable = true },
+		WithheldWindowExpired:  func(attempt *Attempt) { attempt.DedupWindowEnd = now.Add(lastMoment) },
+		WithheldDeadlinePassed: func(attempt *Attempt) { attempt.Deadline = now },
+		WithheldProcessPaused:  func(attempt *Attempt) { attempt.ProcessPaused = true },
+		WithheldBodyConsumed:   func(attempt *Attempt) { attempt.BodyConsumed = true },
 	} {
-		a := permitted()
-		invalidate(&a)
-		if got := a.CheckWrite(); got != want {
+		attempt := permitted()
+		invalidate(&attempt)
+		if got := attempt.CheckWrite(); got != want {
 			t.Errorf("got %v, want %v", got, want)
 		}
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-// After a process pause of MaxProcessPause the time passed on to a server must still be
+// After a process pause of MaxProcessPause, the time limit passed on to a server must still be
 // within the client's time plus the protocol's slack.
 func TestForwardedTimeoutAllowsForProcessPause(t *testing.T) {
 	const slack = 150 * time.Millisecond
@@ -96,21 +96,21 @@
 // read from it.
 func TestNoConnectionClosesWithOpenRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Connection{Closed: rapid.Bool().Draw(t, "ended"), RequestOpen: rapid.Bool().Draw(t, "open"),
+		conn := Connection{Closed: rapid.Bool().Draw(t, "closed"), RequestOpen: rapid.Bool().Draw(t, "open"),
 			ReceivingBody: rapid.Bool().Draw(t, "receiving"),
-			HeadPending:   rapid.Bool().Draw(t, "head"), PartialRequest: rapid.Bool().Draw(t, "part"),
+			HeadPending:   rapid.Bool().Draw(t, "head"), PartialRequest: rapid.Bool().Draw(t, "partial request"),
 			UnreadData: rapid.Bool().Draw(t, "unread")}
-		switch c.CloseMode() {
+		switch conn.CloseMode() {
 		case CloseNow:
-			if c.Closed || c.RequestOpen || c.HeadPending || c.PartialRequest || c.UnreadData {
-				t.Fatalf("%+v is closed at once", c)
+			if conn.Closed || conn.RequestOpen || conn.HeadPending || conn.PartialRequest || conn.UnreadData {
+				t.Fatalf("%+v is closed at once", conn)
 			}
 		case RejectThenClose:
-			if c.Closed || c.RequestOpen && !c.ReceivingBody || !c.RequestOpen && !c.PartialRequest {
-				t.Fatalf("%+v is rejected", c)
+			if conn.Closed || conn.RequestOpen && !conn.ReceivingBody || !conn.RequestOpen && !conn.PartialRequest {
+				t.Fatalf("%+v is rejected", conn)
 			}
 		case KeepOpen:
-			if c == (Connection{}) {
+			if conn == (Connection{}) {
 				t.Fatal("an unused connection is kept open")
 			}
 		}
--- a/guard/schedule_test.go
+++ b/guard/schedule_test.go
@@ -14,30 +14,31 @@
 	rapid.Check(t, func(t *rapid.T) {
 		deadline := time.Duration(rapid.Int64Range(50, 100_000).Draw(t, "deadline, ms")) * time.Millisecond
 		kill := KillMargin + min(deadline, MaxDeadline)
-		s := NewShutdownSchedule(deadline)
-		if s.AcceptUntil < 0 || s.AcceptUntil > s.ServeUntil || s.ServeUntil > s.AnswerBy || s.AnswerBy > s.ExitBy {
-			t.Fatalf("out of order: %+v", s)
+		schedule := NewShutdownSchedule(deadline)
+		if schedule.AcceptUntil < 0 || schedule.AcceptUntil > schedule.ServeUntil ||
+			schedule.ServeUntil > schedule.AnswerBy || schedule.AnswerBy > schedule.ExitBy {
+			t.Fatalf("out of order: %+v", schedule)
 		}
-		if last := s.AcceptUntil + s.BacklogTime(); s.BacklogTime() < 0 || last > s.AnswerBy ||
-			deadline >= 250*time.Millisecond && s.BacklogTime() < maxBacklogTime {
-			t.Fatalf("%+v: the listener's backlog is accepted until %v", s, last)
+		if last := schedule.AcceptUntil + schedule.BacklogTime(); schedule.BacklogTime() < 0 || last > schedule.AnswerBy ||
+			deadline >= 250*time.Millisecond && schedule.BacklogTime() < maxBacklogTime {
+			t.Fatalf("%+v: the listener's backlog is accepted until %v", schedule, last)
 		}
-		if s.AnswerBy+2*pause >= kill {
-			t.Fatalf("%+v: answered %v after the signal by a process that is paused twice, killed after %v", s,
-				s.AnswerBy+2*pause, kill)
+		if schedule.AnswerBy+2*pause >= kill {
+			t.Fatalf("%+v: a process that is paused twice answers %v after the signal, killed after %v", schedule,
+				schedule.AnswerBy+2*pause, kill)
 		}
-		if s.ExitBy > s.ForceExitAt || s.ForceExitAt >= kill {
-			t.Fatalf("%+v: the process ends after the kill at %v", s, kill)
+		if schedule.ExitBy > schedule.ForceExitAt || schedule.ForceExitAt >= kill {
+			t.Fatalf("%+v: the process ends after the kill at %v", schedule, kill)
 		}
-		if s.ServeUntil < trafficStopTime && deadline >= 250*time.Millisecond {
-			t.Fatalf("%+v: requests are refused while connections still arrive", s)
+		if schedule.ServeUntil < trafficStopTime && deadline >= 250*time.Millisecond {
+			t.Fatalf("%+v: requests are refused while connections still arrive", schedule)
 		}
 	})
 }
 
 func TestPhasesFollowSchedule(t *testing.T) {
-	s := NewShutdownSchedule(1250 * time.Millisecond)
-	for _, c := range []struct {
+	schedule := NewShutdownSchedule(1250 * time.Millisecond)
+	for _, test := range []struct {
 		since  time.Duration
 		want   Phase
 		serves bool
@@ -48,11 +49,11 @@
 		{1600 * time.Millisecond, Answering, false}, {1749 * time.Millisecond, Answering, false},
 		{1750 * time.Millisecond, Ended, false},
 	} {
-		if got := s.Phase(c.since); got != c.want {
-			t.Errorf("%v after the signal: %v, want %v", c.since, got, c.want)
+		if got := schedule.Phase(test.since); got != test.want {
+			t.Errorf("%v after the signal: %v, want %v", test.since, got, test.want)
 		}
-		if got := s.MayServe(c.since); got != c.serves {
-			t.Errorf("%v after the signal: may serve %v", c.since, got)
+		if got := schedule.MayServe(test.since); got != test.serves {
+			t.Errorf("%v after the signal: may serve %v", test.since, got)
 		}
 	}
 	if Phase(-1).String() != "serving" || Phase(99).String() != "ended" {
@@ -63,34 +64,34 @@
 // A process with delayed answers must exit once they are written and had time to arrive,
 // and before SIGKILL in any case.
 func TestProcessExitsAfterLastAnswer(t *testing.T) {
-	s := NewShutdownSchedule(time.Second)
+	schedule := NewShutdownSchedule(time.Second)
 	const ms = time.Millisecond
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name           string
 		since, settled time.Duration
 		pending, want  bool
 	}{
-		{"before ExitBy", s.ExitBy - 1, 0, false, false},
-		{"all written in time", s.ExitBy, s.AnswerBy, false, true},
-		{"an answer is pending", s.ExitBy, s.AnswerBy, true, false},
-		{"written just now", s.ExitBy + 10*ms, s.ExitBy + 10*ms, false, false},
-		{"written late and delivered", s.ForceExitAt - 1, s.ForceExitAt - flushTime - 1, false, true},
-		{"pending at ForceExitAt", s.ForceExitAt, s.ForceExitAt, true, true},
+		{"before ExitBy", schedule.ExitBy - 1, 0, false, false},
+		{"all written in time", schedule.ExitBy, schedule.AnswerBy, false, true},
+		{"an answer is pending", schedule.ExitBy, schedule.AnswerBy, true, false},
+		{"written just now", schedule.ExitBy + 10*ms, schedule.ExitBy + 10*ms, false, false},
+		{"written late and delivered", schedule.ForceExitAt - 1, schedule.ForceExitAt - flushTime - 1, false, true},
+		{"pending at ForceExitAt", schedule.ForceExitAt, schedule.ForceExitAt, true, true},
 	} {
-		if got := s.MayExit(c.since, c.settled, c.pending); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+		if got := schedule.MayExit(test.since, test.settled, test.pending); got != test.want {
+			t.Errorf("%s: %v", test.name, got)
 		}
 	}
 }
 
 func TestEffectiveDeadlineIsLongest(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		deadlines []time.Duration
 		want      time.Duration
 	}{{nil, 0}, {[]time.Duration{0, time.Second, 500}, time.Second},
 		{[]time.Duration{6 * time.Second}, MaxDeadline}} {
-		if got := EffectiveDeadline(c.deadlines...); got != c.want {
-			t.Errorf("of %v: %v", c.deadlines, got)
+		if got := EffectiveDeadline(test.deadlines...); got != test.want {
+			t.Errorf("of %v: %v", test.deadlines, got)
 		}
 	}
 }
