--- a/readings/readings.go
+++ b/readings/readings.go
@@ -5,9 +5,9 @@
 //
 // Each node probes so rarely that all nodes of a server together probe it once per
 // ProbeInterval; the result is sent to the others. There is no coordinator, so no failover
-// is needed when a node fails: the readings of the others merely get older until it
-// returns. A late or missing reading counts as an old one, and an old reading says only
-// that the server is like the others.
+// is needed when a node fails: the other nodes' readings merely get older until it returns.
+// A reading's weight decays with its age, and a server without a recent reading is assumed
+// to be like the others.
 package readings
 
 import (
@@ -77,8 +77,8 @@
 }
 
 const (
-	timeoutFactor  = 1.5                    // estimated wait per time until the server gave up a probe
-	minRefusalTime = 100 * time.Millisecond // refusals that arrive sooner say nothing of the wait
+	timeoutFactor  = 1.5                    // estimated wait as a multiple of the time of a probe that was given up
+	minRefusalTime = 100 * time.Millisecond // refusals that arrive sooner do not depend on the wait
 )
 
 // ProbeResult is the outcome of a probe.
@@ -127,7 +127,7 @@
 )
 
 // Slowdown estimates how slowly a server works from the attempts of all nodes: the time
-// they took beyond the wait, as a multiple of the service time. Only attempts that were not
+// they took beyond the wait, as a multiple of the service time of a mean request. Only attempts that were not
 // reported yet are sent to peers, so that each counts once everywhere.
 type Slowdown struct {
 	sum, weight               float64
@@ -154,7 +154,8 @@
 	s.sum, s.weight, s.updatedAt = s.sum*decay+ratio*count, s.weight*decay+count, now
 }
 
-// TakeUnreported returns the attempts not yet reported to peers and marks them as reported.
+// TakeUnreported returns the mean ratio and the number of the attempts not yet reported to
+// peers, and marks them as reported.
 func (s *Slowdown) TakeUnreported() (ratio, unreported float64) {
 	ratio, unreported = s.unreportedSum/max(1, s.unreported), s.unreported
 	s.unreportedSum, s.unreported = 0, 0
@@ -175,7 +176,7 @@
 
 // Due reports whether this node is to probe a server now. servers and nodes are the numbers
 // of servers and of nodes that probe equally often, random is a random number in [0,1). Due
-// must be called every few milliseconds; missed turns are not made up for.
+// must be called every few milliseconds; missed probes are not made up for.
 func (s *ProbeSchedule) Due(now Time, servers int, nodes, random float64) bool {
 	if now < s.next || servers <= 0 || s.inFlight >= MaxProbesInFlight {
 		return false
@@ -203,15 +204,16 @@
 	Ratio, Attempts float64
 }
 
-// PeerState is what a node remembers of a peer that sends readings.
+// PeerState is the state that a node keeps of a peer that sends readings.
 type PeerState struct {
-	stamp      uint16
-	receivedAt Time // last receipt; 0: never
+	stamp      uint16 // of the last accepted datagram: the sender's clock in ms, low two bytes
+	receivedAt Time   // time of the last accepted datagram; 0: never
 }
 
 // Accept reports whether a datagram is newer than all before it from the same sender.
 // Duplicate and reordered datagrams are rejected, because their attempts would count twice.
-// After a time of silence a sender's clock is accepted anew.
+// After SlowdownDecayTime without an accepted datagram any stamp is accepted, because the
+// sender may have restarted.
 func (p *PeerState) Accept(now Time, stamp uint16) bool {
 	if p.receivedAt != 0 && now-p.receivedAt < SlowdownDecayTime && int16(stamp-p.stamp) <= 0 {
 		return false
--- a/readings/readings_test.go
+++ b/readings/readings_test.go
@@ -17,20 +17,20 @@
 	known := make([]Reading, servers)
 	last := make([]Time, servers)
 	for now := Time(time.Second); now < time.Second+length; now += 5 * time.Millisecond {
-		for n := range schedules {
-			if !alive(n, now) || !schedules[n].Due(now, servers, float64(nodes), random.Float64()) {
+		for node := range schedules {
+			if !alive(node, now) || !schedules[node].Due(now, servers, float64(nodes), random.Float64()) {
 				continue
 			}
-			a, b := random.IntN(servers), random.IntN(servers)
-			if Staler(now, &known[a], &known[b]) == &known[b] {
-				a = b
+			chosen, other := random.IntN(servers), random.IntN(servers)
+			if Staler(now, &known[chosen], &known[other]) == &known[other] {
+				chosen = other
 			}
-			if last[a] > 0 {
-				gaps = append(gaps, (now - last[a]).Seconds())
+			if last[chosen] > 0 {
+				gaps = append(gaps, (now - last[chosen]).Seconds())
 			}
-			last[a] = now
-			known[a].Update(0.1, now)
-			schedules[n].Done()
+			last[chosen] = now
+			known[chosen].Update(0.1, now)
+			schedules[node].Done()
 		}
 	}
 	return gaps
@@ -89,13 +89,13 @@
 }
 
 func TestProbeResultWait(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		result ProbeResult
 		wait   float64
 		known  bool
 	}{
-		{"deep probe: it waited, and the queue is shorter now",
+		{"deep probe: the queue became shorter while it waited",
 			ProbeResult{Elapsed: 300 * time.Millisecond, OK: true, Queued: 2, WaitPerRequest: 0.05}, 0.2, true},
 		{"shallow probe: the report counts",
 			ProbeResult{Elapsed: 2 * time.Millisecond, OK: true, Queued: 8, WaitPerRequest: 0.05}, 0.4, true},
@@ -106,8 +106,8 @@
 		{"refused at once", ProbeResult{Elapsed: time.Millisecond, Refused: true}, 0, false},
 		{"no answer", ProbeResult{Elapsed: time.Second}, 0, false},
 	} {
-		if wait, known := c.result.Wait(); math.Abs(wait-c.wait) > 1e-9 || known != c.known {
-			t.Errorf("%s: %v, %v", c.name, wait, known)
+		if wait, known := test.result.Wait(); math.Abs(wait-test.wait) > 1e-9 || known != test.known {
+			t.Errorf("%s: %v, %v", test.name, wait, known)
 		}
 	}
 }
@@ -122,13 +122,13 @@
 		reading.Update(-1, 11*time.Second) || reading.Update(math.Inf(1), 11*time.Second) {
 		t.Error("an older or invalid reading was accepted")
 	}
-	last := math.Inf(1)
+	previous := math.Inf(1)
 	for age := time.Duration(0); age <= MaxAge; age += 100 * time.Millisecond {
 		estimate := reading.Estimate(10*time.Second+age, 0.3)
-		if estimate >= last || estimate < 0.3 {
-			t.Errorf("%v: %v after %v", age, estimate, last)
+		if estimate >= previous || estimate < 0.3 {
+			t.Errorf("at age %v: estimate %v after %v", age, estimate, previous)
 		}
-		last = estimate
+		previous = estimate
 	}
 	if estimate := reading.Estimate(10*time.Second+MaxAge+1, 0.3); estimate != 0.3 {
 		t.Errorf("a reading beyond MaxAge counts: %v", estimate)
@@ -143,11 +143,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) PeerReading {
 			return PeerReading{Server: rapid.Uint32().Draw(t, "server"),
-				Wait:     float64(rapid.IntRange(0, 65535).Draw(t, "ms")) / 1000,
-				Age:      time.Duration(rapid.IntRange(0, 65535).Draw(t, "age")) * time.Millisecond,
-				Attempts: float64(rapid.IntRange(0, 255).Draw(t, "count")),
+				Wait:     float64(rapid.IntRange(0, 65535).Draw(t, "wait, ms")) / 1000,
+				Age:      time.Duration(rapid.IntRange(0, 65535).Draw(t, "age, ms")) * time.Millisecond,
+				Attempts: float64(rapid.IntRange(0, 255).Draw(t, "attempts")),
 				Ratio:    float64(rapid.IntRange(0, 255).Draw(t, "ratio")) / ratioScale}
-		}), 1, MaxReadings).Draw(t, "said")
+		}), 1, MaxReadings).Draw(t, "readings")
 		data := Encode(nil, time.Hour, 0.1234, sent...)
 		if len(data) > 256 {
 			t.Fatalf("%d bytes", len(data))
@@ -176,16 +176,16 @@
 func TestSlowdownFollowsSamples(t *testing.T) {
 	var slowdown Slowdown
 	if factor := slowdown.Factor(time.Second); factor != 1 {
-		t.Errorf("%v without samples", factor)
+		t.Errorf("factor %v without samples", factor)
 	}
 	for i := range 30 {
 		slowdown.Record(time.Duration(10+i/10)*time.Second, 4)
 	}
 	if factor := slowdown.Factor(13 * time.Second); factor < 2.8 || factor > 4 {
-		t.Errorf("%v after thirty attempts at four times their service time", factor)
+		t.Errorf("factor %v after thirty attempts at four times their service time", factor)
 	}
 	if factor := slowdown.Factor(13*time.Second + 5*SlowdownDecayTime); factor > 1.2 {
-		t.Errorf("%v after the samples have decayed", factor)
+		t.Errorf("factor %v after the samples have decayed", factor)
 	}
 	if ratio, count := slowdown.TakeUnreported(); ratio != 4 || count != 30 {
 		t.Errorf("unreported %v, %v", ratio, count)
@@ -193,7 +193,7 @@
 	if _, count := slowdown.TakeUnreported(); count != 0 {
 		t.Errorf("%v attempts are reported twice", count)
 	}
-	// The effect of one peer report and of one heavy request must be bounded.
+	// The effect of one peer report and of one expensive request must be bounded.
 	var bounded Slowdown
 	bounded.Record(time.Second, 1000)
 	bounded.RecordPeer(time.Second, math.Inf(1), math.Inf(1))
@@ -201,7 +201,7 @@
 	bounded.RecordPeer(time.Second, 2, -3)
 	if factor := bounded.Factor(time.Second); !(factor <=
 		(priorAttempts+MaxRatio+maxPeerRatio*maxPeerAttempts)/(priorAttempts+1+maxPeerAttempts)) {
-		t.Errorf("%v", factor)
+		t.Errorf("factor %v is out of bounds", factor)
 	}
 }
 
@@ -213,7 +213,7 @@
 		_, err := Decode(Encode(nil, sent, 0.1, PeerReading{Server: 1}), now, &sender, func(PeerReading) {})
 		return err == nil
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		now, sent Time
 		want      bool
 	}{
@@ -226,8 +226,8 @@
 		{2*time.Second + SlowdownDecayTime + time.Second, 11 * time.Second, true},          // its next datagram
 		{2*time.Second + SlowdownDecayTime + time.Second, 10500 * time.Millisecond, false}, // late
 	} {
-		if got := accepted(c.now, c.sent); got != c.want {
-			t.Errorf("received at %v, sent at %v by the sender's clock: %v", c.now, c.sent, got)
+		if got := accepted(test.now, test.sent); got != test.want {
+			t.Errorf("received at %v, sent at %v by the sender's clock: %v", test.now, test.sent, got)
 		}
 	}
 }
