--- a/membership/caller.go
+++ b/membership/caller.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// Time is a time by the process clock, or Unix time where that is stated.
 type Time = time.Duration
 
 // Bounds set by the protocol. A node counts as notified of a change 6 s after discovery had it and
@@ -40,10 +41,10 @@
 	// ShortPollWait is the longest poll wait for which an unanswered call times out and is retried
 	// before a missed change counts as notified. Up to it, polls are not hedged.
 	ShortPollWait = 3 * time.Second
-	// Lower bound as a fraction of the poll wait: keeps nodes whose watches stall at the same time
-	// from calling at the same time.
+	// Lower bound of the random poll wait, as a fraction of the longest: keeps nodes whose watches
+	// stall at the same time from calling at the same time.
 	minPollWaitFraction = 0.6
-	pollPause           = 20 * time.Millisecond // discovery ends a watch after 200 ms without a call
+	pollPause           = 20 * time.Millisecond // less than the 200 ms without a call after which discovery ends a watch
 
 	localPollWait    = time.Second            // calls to a local agent are cheap
 	localHedgeDelay  = 150 * time.Millisecond // beyond the poll wait; the local agent normally answers at once
@@ -64,7 +65,7 @@
 	Stream bool
 	// PollWait is the longest time that a long poll may wait; 0: DefaultPollWait.
 	PollWait time.Duration
-	// ListPollInterval is the setting ask_within; 0: unknown.
+	// ListPollInterval is the longest permitted time between two polls; 0: unknown.
 	ListPollInterval time.Duration
 	// Nodes is the number of equal nodes that call the same discovery, at least 1.
 	Nodes float64
@@ -90,7 +91,7 @@
 
 // Events of a Poller.
 type (
-	// Ticked is due at Next.
+	// Ticked reports that the time returned by Next has come.
 	Ticked struct{}
 	// Answered reports a list returned by a call.
 	Answered struct {
@@ -134,9 +135,9 @@
 	}
 	// Cancel cancels a call; its result is ignored.
 	Cancel struct{ ID CallID }
-	// Accept says that an answer is valid: its content updates the list.
+	// Accept reports that an answer is valid: its content updates the list.
 	Accept struct{ Call CallID }
-	// WatchLost says that the watch failed or could not be established.
+	// WatchLost reports that the watch failed or could not be established.
 	WatchLost struct{ Reason FailureReason }
 )
 
@@ -162,12 +163,12 @@
 	calls       []*call // in progress, in the order in which they were made
 	lastID      CallID
 	generation  uint64
-	haveList    bool // there is a list to which changes can be applied
-	established bool // the watch has been answered since it began
-	nextAt      Time // time of the next call while none is in progress
-	delay       time.Duration
-	overloaded  bool // calls are being rejected, the first one immediately
-	slow        bool // the latest call connected but was not answered in time
+	haveList    bool          // a list exists to which changes can be applied
+	established bool          // the watch has been answered since it began
+	nextAt      Time          // time of the next call while none is in progress
+	delay       time.Duration // mean delay of the next retry
+	overloaded  bool          // calls are being rejected, the first one immediately
+	slow        bool          // the latest call connected but was not answered in time
 }
 
 // InitialState is what a Poller starts from.
@@ -201,24 +202,24 @@
 		return p.nextAt
 	}
 	nextAt := Time(math.MaxInt64)
-	for _, x := range p.calls {
-		nextAt = min(nextAt, x.startedAt+x.Timeout)
+	for _, inProgress := range p.calls {
+		nextAt = min(nextAt, inProgress.startedAt+inProgress.Timeout)
 	}
 	return min(nextAt, p.hedgeAt())
 }
 
 // Handle processes an event and returns the resulting actions in order. The slice is reused by the
 // next call.
-func (p *Poller) Handle(now Time, e Event) []Action {
+func (p *Poller) Handle(now Time, event Event) []Action {
 	p.now, p.actions = max(now, p.now), p.actions[:0]
-	switch e := e.(type) {
+	switch event := event.(type) {
 	case Ticked:
 		p.handleTick()
 	case Answered:
-		p.handleAnswer(e)
+		p.handleAnswer(event)
 	case Failed:
-		if i := p.indexOf(e.Call); i >= 0 {
-			p.handleFailure(i, e.Reason)
+		if i := p.indexOf(event.Call); i >= 0 {
+			p.handleFailure(i, event.Reason)
 		}
 	case RestartRequested:
 		p.cancelCalls()
@@ -230,7 +231,7 @@
 			p.call(0, false, true)
 		}
 	case NodesChanged:
-		p.settings.Nodes = max(1, e.Nodes)
+		p.settings.Nodes = max(1, event.Nodes)
 	}
 	return p.actions
 }
@@ -238,7 +239,7 @@
 func (p *Poller) emit(a Action) { p.actions = append(p.actions, a) }
 
 func (p *Poller) indexOf(id CallID) int {
-	return slices.IndexFunc(p.calls, func(x *call) bool { return x.ID == id })
+	return slices.IndexFunc(p.calls, func(inProgress *call) bool { return inProgress.ID == id })
 }
 
 // jitter draws uniformly from 0.5 to 1.5 times a duration.
@@ -248,8 +249,8 @@
 
 // cancelCalls cancels all calls in progress.
 func (p *Poller) cancelCalls() {
-	for _, x := range p.calls {
-		p.emit(Cancel{x.ID})
+	for _, inProgress := range p.calls {
+		p.emit(Cancel{inProgress.ID})
 	}
 	p.calls = p.calls[:0]
 }
@@ -263,9 +264,9 @@
 	case p.overloaded || p.slow:
 		timeout = pollWait + queuedCallTimeout
 	}
-	x := &call{Call: Call{ID: p.lastID, From: p.generation, Full: full || !p.haveList, PollWait: pollWait, Timeout: timeout}, startedAt: p.now, isHedge: isHedge}
-	p.calls = append(p.calls, x)
-	p.emit(x.Call)
+	started := &call{Call: Call{ID: p.lastID, From: p.generation, Full: full || !p.haveList, PollWait: pollWait, Timeout: timeout}, startedAt: p.now, isHedge: isHedge}
+	p.calls = append(p.calls, started)
+	p.emit(started.Call)
 }
 
 // hedgeAt returns when the next hedge is due.
@@ -286,9 +287,9 @@
 }
 
 func (p *Poller) handleTick() {
-	for _, x := range slices.Clone(p.calls) {
-		if i := p.indexOf(x.ID); i >= 0 && !p.settings.Stream && p.now >= x.startedAt+x.Timeout {
-			p.emit(Cancel{x.ID})
+	for _, inProgress := range slices.Clone(p.calls) {
+		if i := p.indexOf(inProgress.ID); i >= 0 && !p.settings.Stream && p.now >= inProgress.startedAt+inProgress.Timeout {
+			p.emit(Cancel{inProgress.ID})
 			p.handleFailure(i, Unanswered)
 		}
 	}
@@ -322,16 +323,16 @@
 	return time.Duration(float64(p.settings.PollWait) * (minPollWaitFraction + (1-minPollWaitFraction)*p.rng.Float64()))
 }
 
-func (p *Poller) handleAnswer(e Answered) {
-	i := p.indexOf(e.Call)
+func (p *Poller) handleAnswer(answer Answered) {
+	i := p.indexOf(answer.Call)
 	if i < 0 {
 		return // it was canceled: its answer may be older than the current list
 	}
-	switch x := p.calls[i]; {
-	case !e.Full && x.Full:
+	switch answered := p.calls[i]; {
+	case !answer.Full && answered.Full:
 		p.handleFailure(i, Unanswered)
 		return
-	case !e.Full && e.Generation < x.From && !p.settings.Stream:
+	case !answer.Full && answer.Generation < answered.From && !p.settings.Stream:
 		// Changes of an earlier generation come from a discovery that has restarted: applying them
 		// would keep removed servers in use. A full list costs discovery many times as much, so it
 		// is requested in no other case.
@@ -343,8 +344,8 @@
 		p.calls = slices.Delete(p.calls, i, i+1)
 		p.cancelCalls()
 	}
-	p.generation, p.haveList, p.established, p.overloaded, p.slow, p.delay, p.nextAt = e.Generation, true, true, false, false, initialBackoff, p.now+pollPause
-	p.emit(Accept{e.Call})
+	p.generation, p.haveList, p.established, p.overloaded, p.slow, p.delay, p.nextAt = answer.Generation, true, true, false, false, initialBackoff, p.now+pollPause
+	p.emit(Accept{answer.Call})
 }
 
 // handleFailure ends a call that failed. The failure of a hedge is ignored while another call is in
@@ -359,7 +360,7 @@
 		return
 	}
 	establishing := !p.established
-	if p.established = false; p.settings.Pushed { // calls are cheap, and what the agent has counts as notified
+	if p.established = false; p.settings.Pushed { // what the agent has counts as notified: retry soon
 		p.nextAt = max(p.now, ended.startedAt+localRetryDelay)
 	} else {
 		p.cancelCalls()
--- a/membership/caller_test.go
+++ b/membership/caller_test.go
@@ -15,9 +15,9 @@
 	now       Time
 	nodes     []*simulatedNode
 	scheduled []scheduledEvent // pending events, ordered by time
-	// reply returns the outcome of a call and its delay; nil: never answered.
-	reply func(n *simulatedNode, c Call) (time.Duration, Event)
-	took  func(n *simulatedNode, c CallID) // called for each accepted answer; may be nil
+	// reply returns the delay and the outcome of a call; a nil Event: never answered.
+	reply    func(node *simulatedNode, call Call) (time.Duration, Event)
+	onAccept func(node *simulatedNode, call CallID) // called for each accepted answer; may be nil
 }
 
 type simulatedNode struct {
@@ -44,79 +44,79 @@
 }
 
 func newSimulation(nodes int, settings Settings, from InitialState) *simulation {
-	r := &simulation{now: time.Hour}
+	sim := &simulation{now: time.Hour}
 	for i := range nodes {
 		s := settings
 		s.Seed += int64(i)
-		r.add(NewPoller(s, from, r.now), r.now)
+		sim.add(NewPoller(s, from, sim.now), sim.now)
 	}
-	return r
+	return sim
 }
 
-func (r *simulation) add(c *Poller, start Time) *simulatedNode {
-	n := &simulatedNode{Poller: c, index: len(r.nodes), start: start, open: map[CallID]bool{}, generations: map[CallID]uint64{}}
-	r.nodes = append(r.nodes, n)
-	return n
+func (sim *simulation) add(poller *Poller, start Time) *simulatedNode {
+	node := &simulatedNode{Poller: poller, index: len(sim.nodes), start: start, open: map[CallID]bool{}, generations: map[CallID]uint64{}}
+	sim.nodes = append(sim.nodes, node)
+	return node
 }
 
 // deliver passes an event to a node and carries out the resulting actions.
-func (r *simulation) deliver(n *simulatedNode, e Event) {
-	if a, is := e.(Answered); is {
-		n.generations[a.Call] = a.Generation
+func (sim *simulation) deliver(node *simulatedNode, event Event) {
+	if a, is := event.(Answered); is {
+		node.generations[a.Call] = a.Generation
 	}
-	for _, a := range slices.Clone(n.Handle(r.now, e)) {
+	for _, a := range slices.Clone(node.Handle(sim.now, event)) {
 		switch a := a.(type) {
 		case Call:
-			n.sent, n.open[a.ID] = append(n.sent, sentCall{a, r.now}), true
-			after, event := r.reply(n, a)
+			node.sent, node.open[a.ID] = append(node.sent, sentCall{a, sim.now}), true
+			after, event := sim.reply(node, a)
 			if event != nil {
-				r.scheduled = append(r.scheduled, scheduledEvent{r.now + after, n, event})
-				slices.SortStableFunc(r.scheduled, func(x, y scheduledEvent) int { return int(x.at - y.at) })
+				sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + after, node, event})
+				slices.SortStableFunc(sim.scheduled, func(x, y scheduledEvent) int { return int(x.at - y.at) })
 			}
 		case Cancel:
-			delete(n.open, a.ID)
+			delete(node.open, a.ID)
 		case Accept:
-			n.acceptedAt, n.lastGeneration = append(n.acceptedAt, r.now), n.generations[a.Call]
-			if delete(n.open, a.Call); r.took != nil {
-				r.took(n, a.Call)
+			node.acceptedAt, node.lastGeneration = append(node.acceptedAt, sim.now), node.generations[a.Call]
+			if delete(node.open, a.Call); sim.onAccept != nil {
+				sim.onAccept(node, a.Call)
 			}
 		case WatchLost:
-			n.watchesLost++
+			node.watchesLost++
 		}
 	}
 }
 
 // runUntil advances virtual time.
-func (r *simulation) runUntil(end Time) {
+func (sim *simulation) runUntil(end Time) {
 	for {
 		at, node := end, (*simulatedNode)(nil)
-		for _, n := range r.nodes {
-			if due := max(n.Next(), n.start, r.now); due < at || due == at && node == nil {
-				at, node = due, n
+		for _, candidate := range sim.nodes {
+			if due := max(candidate.Next(), candidate.start, sim.now); due < at || due == at && node == nil {
+				at, node = due, candidate
 			}
 		}
-		if len(r.scheduled) > 0 && r.scheduled[0].at <= at {
-			a := r.scheduled[0]
-			r.scheduled, r.now = r.scheduled[1:], max(r.now, a.at)
+		if len(sim.scheduled) > 0 && sim.scheduled[0].at <= at {
+			a := sim.scheduled[0]
+			sim.scheduled, sim.now = sim.scheduled[1:], max(sim.now, a.at)
 			switch e := a.event.(type) {
 			case Answered:
 				if a.node.open[e.Call] {
-					r.deliver(a.node, e)
+					sim.deliver(a.node, e)
 				}
 			case Failed:
 				if a.node.open[e.Call] {
 					delete(a.node.open, e.Call)
-					r.deliver(a.node, e)
+					sim.deliver(a.node, e)
 				}
 			}
 			continue
 		}
 		if node == nil || at >= end {
-			r.now = end
+			sim.now = end
 			return
 		}
-		r.now = at
-		r.deliver(node, Ticked{})
+		sim.now = at
+		sim.deliver(node, Ticked{})
 	}
 }
 
@@ -128,43 +128,43 @@
 
 // answer returns what a healthy service replies: at once if there is a newer generation, otherwise
 // after the poll wait.
-func (s *discoveryService) answer(now Time, c Call) (time.Duration, Event) {
-	event := Answered{c.ID, c.Full, s.generation}
-	if c.Full || c.PollWait == 0 || s.generation != c.From {
+func (s *discoveryService) answer(now Time, call Call) (time.Duration, Event) {
+	event := Answered{call.ID, call.Full, s.generation}
+	if call.Full || call.PollWait == 0 || s.generation != call.From {
 		return time.Millisecond, event
 	}
-	return c.PollWait, event
+	return call.PollWait, event
 }
 
-// Guards against a thundering herd: 48 nodes start within a second while discovery rejects nine of
-// ten calls for 20 s.
+// Guards against a burst of calls when 48 nodes start within a second while discovery rejects nine
+// of ten calls for 20 s.
 func TestCallRateOfManyNodesIsBounded(t *testing.T) {
 	const nodes, length, overloaded = 48, 30, 20 * time.Second
 	rng := rand.New(rand.NewPCG(1, 2))
-	r := &simulation{now: time.Hour}
+	sim := &simulation{now: time.Hour}
 	for i := range nodes {
-		r.add(NewPoller(Settings{Nodes: nodes, ListPollInterval: 10 * time.Second, Seed: int64(i)}, InitialState{HaveList: true, Stagger: true}, r.now), r.now+time.Duration(rng.Int64N(int64(time.Second))))
+		sim.add(NewPoller(Settings{Nodes: nodes, ListPollInterval: 10 * time.Second, Seed: int64(i)}, InitialState{HaveList: true, Stagger: true}, sim.now), sim.now+time.Duration(rng.Int64N(int64(time.Second))))
 	}
 	var calls [length]int
-	r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-		if c.PollWait == 0 {
-			calls[(r.now-time.Hour)/time.Second]++
+	sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+		if call.PollWait == 0 {
+			calls[(sim.now-time.Hour)/time.Second]++
 		}
-		if rng.IntN(10) == 0 || r.now > time.Hour+overloaded || c.PollWait > 0 {
-			return c.PollWait, Answered{c.ID, false, 1}
+		if rng.IntN(10) == 0 || sim.now > time.Hour+overloaded || call.PollWait > 0 {
+			return call.PollWait, Answered{call.ID, false, 1}
 		}
-		return 0, Failed{c.ID, Rejected}
+		return 0, Failed{call.ID, Rejected}
 	}
-	r.runUntil(time.Hour + length*time.Second)
+	sim.runUntil(time.Hour + length*time.Second)
 	t.Logf("calls in each second: %v", calls)
-	for i, n := range calls {
-		if n > 50 { // 40 a second plus random variation
-			t.Errorf("%d calls in second %d", n, i)
+	for i, count := range calls {
+		if count > 50 { // 40 a second plus random variation
+			t.Errorf("%d calls in second %d", count, i)
 		}
 	}
-	for _, n := range r.nodes {
-		if !n.WatchEstablished() {
-			t.Errorf("node %d has no watch", n.index)
+	for _, node := range sim.nodes {
+		if !node.WatchEstablished() {
+			t.Errorf("node %d has no watch", node.index)
 		}
 	}
 }
@@ -174,17 +174,17 @@
 func TestFailedCallIsRetriedWithinNotificationDeadline(t *testing.T) {
 	for _, nodes := range []int{1, 3, 30, 120, 300, 1000} {
 		for _, failAfter := range []time.Duration{0, time.Second, CallTimeout, -1} {
-			r := newSimulation(1, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second, Seed: int64(nodes)}, InitialState{HaveList: true, Stagger: true})
-			r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
+			sim := newSimulation(1, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second, Seed: int64(nodes)}, InitialState{HaveList: true, Stagger: true})
+			sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
 				if failAfter < 0 { // never answered: times out
 					return 0, nil
 				}
-				return failAfter, Failed{c.ID, Unanswered}
+				return failAfter, Failed{call.ID, Unanswered}
 			}
-			r.runUntil(time.Hour + 2*time.Minute)
+			sim.runUntil(time.Hour + 2*time.Minute)
 			longestGap := time.Duration(0)
-			for i, m := range r.nodes[0].sent[1:] {
-				longestGap = max(longestGap, m.at-r.nodes[0].sent[i].at)
+			for i, later := range sim.nodes[0].sent[1:] {
+				longestGap = max(longestGap, later.at-sim.nodes[0].sent[i].at)
 			}
 			// Worst case: discovery recovers just after a call that still fails.
 			if longestGap == 0 || longestGap+CallTimeout > NotifiedAfter {
@@ -207,37 +207,37 @@
 		{300, 25, 3 * time.Second, false}, {300, 80, 3 * time.Second, false}, {32, 4, 2 * time.Second, false}, {32, 4, 3 * time.Second, false}, {32, 4, 3500 * time.Millisecond, false},
 		{32, 4, 2 * time.Second, true}, {32, 4, 3 * time.Second, true}, {32, 4, 3500 * time.Millisecond, true}, {32, 8, 3500 * time.Millisecond, true}, {300, 25, 3 * time.Second, true}, {300, 80, 3 * time.Second, true}} {
 		nodes, rate, queueTimeout := test.nodes, test.rate, test.queueTimeout
-		r := newSimulation(nodes, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second}, InitialState{HaveList: true, Stagger: true})
+		sim := newSimulation(nodes, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second}, InitialState{HaveList: true, Stagger: true})
 		idleAt := time.Hour + recoverAfter // when the queue is empty
 		calls, rejected := 0, 0
-		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-			if c.PollWait > 0 {
-				return c.PollWait, Answered{c.ID, false, 2}
+		sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+			if call.PollWait > 0 {
+				return call.PollWait, Answered{call.ID, false, 2}
 			}
 			calls++
-			wait := max(idleAt, r.now) - r.now
+			wait := max(idleAt, sim.now) - sim.now
 			switch {
-			case r.now < time.Hour+recoverAfter: // discovery is down
-				return queueTimeout, Failed{c.ID, Rejected}
+			case sim.now < time.Hour+recoverAfter: // discovery is down
+				return queueTimeout, Failed{call.ID, Rejected}
 			case wait > queueTimeout+100*time.Millisecond && !test.queuesAll:
 				rejected++
-				return 5 * time.Millisecond, Failed{c.ID, Rejected}
+				return 5 * time.Millisecond, Failed{call.ID, Rejected}
 			}
 			if wait > queueTimeout && test.queuesAll { // drops the call without working on it
-				return queueTimeout, Failed{c.ID, Rejected}
+				return queueTimeout, Failed{call.ID, Rejected}
 			}
-			idleAt = r.now + wait + time.Second/time.Duration(rate)
+			idleAt = sim.now + wait + time.Second/time.Duration(rate)
 			if wait > queueTimeout {
-				return queueTimeout, Failed{c.ID, Rejected}
+				return queueTimeout, Failed{call.ID, Rejected}
 			}
-			return idleAt - r.now, Answered{c.ID, false, 2}
+			return idleAt - sim.now, Answered{call.ID, false, 2}
 		}
 		limit := 6*time.Second + 3*time.Duration(nodes)*time.Second/time.Duration(rate)
-		r.runUntil(time.Hour + recoverAfter + limit)
+		sim.runUntil(time.Hour + recoverAfter + limit)
 		var first []time.Duration
-		for _, n := range r.nodes {
-			if len(n.acceptedAt) > 0 {
-				first = append(first, n.acceptedAt[0]-time.Hour-recoverAfter)
+		for _, node := range sim.nodes {
+			if len(node.acceptedAt) > 0 {
+				first = append(first, node.acceptedAt[0]-time.Hour-recoverAfter)
 			}
 		}
 		slices.Sort(first)
@@ -251,10 +251,10 @@
 // A single rejection is no overload: the next call follows within 3 s, as after any failure.
 func TestRejectedCallIsRetriedSoon(t *testing.T) {
 	for seed := range int64(50) {
-		r := newSimulation(1, Settings{Nodes: 300, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true, Stagger: true})
-		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) { return 0, Failed{c.ID, Rejected} }
-		r.runUntil(time.Hour + 20*time.Second)
-		sent := r.nodes[0].sent
+		sim := newSimulation(1, Settings{Nodes: 300, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true, Stagger: true})
+		sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) { return 0, Failed{call.ID, Rejected} }
+		sim.runUntil(time.Hour + 20*time.Second)
+		sent := sim.nodes[0].sent
 		if len(sent) < 3 || sent[1].at-sent[0].at > 3*time.Second || sent[2].at-sent[1].at < 3*time.Second {
 			t.Errorf("seed %d: calls at %v", seed, sent)
 		}
@@ -265,10 +265,10 @@
 // within 3 s.
 func TestFirstCallToNewAddressIsImmediate(t *testing.T) {
 	for seed := range int64(50) {
-		r := newSimulation(1, Settings{Nodes: 300, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
-		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) { return 0, nil }
-		r.runUntil(time.Hour + time.Minute)
-		sent := r.nodes[0].sent
+		sim := newSimulation(1, Settings{Nodes: 300, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
+		sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) { return 0, nil }
+		sim.runUntil(time.Hour + time.Minute)
+		sent := sim.nodes[0].sent
 		if sent[0].at != time.Hour || sent[1].at-sent[0].at+CallTimeout > NotifiedAfter || sent[0].From != 0 || sent[0].Full {
 			t.Errorf("seed %d: calls at %v", seed, sent[:2])
 		}
@@ -280,23 +280,23 @@
 func TestSilentWatchIsHedged(t *testing.T) {
 	for _, pollWait := range []time.Duration{0, time.Second, ShortPollWait, 4 * time.Second} {
 		for seed := range int64(20) {
-			r := newSimulation(1, Settings{PollWait: pollWait, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
-			s := &discoveryService{generation: 1}
+			sim := newSimulation(1, Settings{PollWait: pollWait, ListPollInterval: 10 * time.Second, Seed: seed}, InitialState{HaveList: true})
+			service := &discoveryService{generation: 1}
 			silentAt := Time(0)
-			r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-				if c.PollWait > 0 && silentAt == 0 {
-					silentAt, s.generation = r.now+c.PollWait, 2 // a change that the watch does not deliver
+			sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+				if call.PollWait > 0 && silentAt == 0 {
+					silentAt, service.generation = sim.now+call.PollWait, 2 // a change that the watch does not deliver
 					return 0, nil
 				}
-				return s.answer(r.now, c)
+				return service.answer(sim.now, call)
 			}
-			r.runUntil(time.Hour + 30*time.Second)
-			n := r.nodes[0]
-			if n.lastGeneration != 2 || n.acceptedAt[1] > silentAt+CallTimeout+3*time.Second {
-				t.Errorf("poll wait %v: generation %d, accepted at %v, silent since %v", pollWait, n.lastGeneration, n.acceptedAt, silentAt)
+			sim.runUntil(time.Hour + 30*time.Second)
+			node := sim.nodes[0]
+			if node.lastGeneration != 2 || node.acceptedAt[1] > silentAt+CallTimeout+3*time.Second {
+				t.Errorf("poll wait %v: generation %d, accepted at %v, silent since %v", pollWait, node.lastGeneration, node.acceptedAt, silentAt)
 			}
-			if pollWait == 0 && n.acceptedAt[1] > silentAt+500*time.Millisecond {
-				t.Errorf("detected after %v", n.acceptedAt[1]-silentAt)
+			if pollWait == 0 && node.acceptedAt[1] > silentAt+500*time.Millisecond {
+				t.Errorf("detected after %v", node.acceptedAt[1]-silentAt)
 			}
 		}
 	}
@@ -306,31 +306,31 @@
 // an answer that is not one counts as a failure.
 func TestFullListIsRequestedAfterDiscoveryRestart(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		r := newSimulation(1, Settings{Pushed: pushed, ListPollInterval: 10 * time.Second}, InitialState{HaveList: true, Generation: 40})
-		s := &discoveryService{generation: 2}
+		sim := newSimulation(1, Settings{Pushed: pushed, ListPollInterval: 10 * time.Second}, InitialState{HaveList: true, Generation: 40})
+		service := &discoveryService{generation: 2}
 		partialAnswers := 2
-		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-			if c.Full && partialAnswers > 0 {
+		sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+			if call.Full && partialAnswers > 0 {
 				partialAnswers--
-				return 0, Answered{c.ID, false, 2}
+				return 0, Answered{call.ID, false, 2}
 			}
-			return s.answer(r.now, c)
+			return service.answer(sim.now, call)
 		}
-		r.runUntil(time.Hour + 10*time.Second)
-		n := r.nodes[0]
-		if n.lastGeneration != 2 || !slices.ContainsFunc(n.sent, func(m sentCall) bool { return m.Full }) || n.watchesLost == 0 {
-			t.Errorf("pushed %v: generation %d, %d lost, %v", pushed, n.lastGeneration, n.watchesLost, n.sent)
+		sim.runUntil(time.Hour + 10*time.Second)
+		node := sim.nodes[0]
+		if node.lastGeneration != 2 || !slices.ContainsFunc(node.sent, func(m sentCall) bool { return m.Full }) || node.watchesLost == 0 {
+			t.Errorf("pushed %v: generation %d, %d lost, %v", pushed, node.lastGeneration, node.watchesLost, node.sent)
 		}
 	}
 }
 
 // A poller without a cached list requests the full one; later calls request changes.
 func TestFullListIsRequestedWithoutCachedList(t *testing.T) {
-	r := newSimulation(1, Settings{}, InitialState{})
-	s := &discoveryService{generation: 7}
-	r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) { return s.answer(r.now, c) }
-	r.runUntil(time.Hour + time.Minute)
-	if sent := r.nodes[0].sent; !sent[0].Full || sent[1].Full || sent[1].From != 7 || sent[1].PollWait == 0 {
+	sim := newSimulation(1, Settings{}, InitialState{})
+	service := &discoveryService{generation: 7}
+	sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) { return service.answer(sim.now, call) }
+	sim.runUntil(time.Hour + time.Minute)
+	if sent := sim.nodes[0].sent; !sent[0].Full || sent[1].Full || sent[1].From != 7 || sent[1].PollWait == 0 {
 		t.Errorf("%v", sent[:2])
 	}
 }
@@ -341,35 +341,35 @@
 	const grace = 500 * time.Millisecond
 	for seed := range int64(50) {
 		for _, failure := range []string{"silent", "refuses"} {
-			r := newSimulation(1, Settings{Pushed: true, Nodes: 300, Seed: seed}, InitialState{HaveList: true, Generation: 3, Stagger: true})
-			s := &discoveryService{generation: 9}
+			sim := newSimulation(1, Settings{Pushed: true, Nodes: 300, Seed: seed}, InitialState{HaveList: true, Generation: 3, Stagger: true})
+			service := &discoveryService{generation: 9}
 			down, up := time.Hour+2*time.Second+time.Duration(seed)*37*time.Millisecond, time.Hour+12*time.Second+time.Duration(seed)*53*time.Millisecond
 			maxOpen := 0
-			r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-				if maxOpen = max(maxOpen, len(n.calls)); r.now < down && r.now+c.PollWait >= down || r.now >= down && r.now < up {
+			sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+				if maxOpen = max(maxOpen, len(node.calls)); sim.now < down && sim.now+call.PollWait >= down || sim.now >= down && sim.now < up {
 					if failure == "silent" {
 						return 0, nil
 					}
-					return max(0, down-r.now), Failed{c.ID, Unanswered}
+					return max(0, down-sim.now), Failed{call.ID, Unanswered}
 				}
-				return s.answer(r.now, c)
+				return service.answer(sim.now, call)
 			}
-			r.runUntil(down)
-			n := r.nodes[0]
-			if first := n.sent[0]; first.at != time.Hour || !first.Full || n.lastGeneration != 9 {
-				t.Fatalf("%s: first call %+v, generation %d", failure, first, n.lastGeneration)
+			sim.runUntil(down)
+			node := sim.nodes[0]
+			if first := node.sent[0]; first.at != time.Hour || !first.Full || node.lastGeneration != 9 {
+				t.Fatalf("%s: first call %+v, generation %d", failure, first, node.lastGeneration)
 			}
-			r.runUntil(up)
-			s.generation = 12
-			if r.runUntil(up + grace); n.lastGeneration != 12 {
-				t.Errorf("%s, seed %d: %v after its recovery the node has generation %d", failure, seed, grace, n.lastGeneration)
+			sim.runUntil(up)
+			service.generation = 12
+			if sim.runUntil(up + grace); node.lastGeneration != 12 {
+				t.Errorf("%s, seed %d: %v after its recovery the node has generation %d", failure, seed, grace, node.lastGeneration)
 			}
-			for i, m := range n.sent[1:] {
-				if gap := m.at - n.sent[i].at; gap > localPollWait+localHedgeDelay {
+			for i, later := range node.sent[1:] {
+				if gap := later.at - node.sent[i].at; gap > localPollWait+localHedgeDelay {
 					t.Errorf("%s: no call for %v", failure, gap)
 				}
 			}
-			if rate := float64(len(n.sent)) / (up - time.Hour).Seconds(); maxOpen > 6 || rate > 12 {
+			if rate := float64(len(node.sent)) / (up - time.Hour).Seconds(); maxOpen > 6 || rate > 12 {
 				t.Errorf("%s: %d calls in progress at once, %.1f a second", failure, maxOpen, rate)
 			}
 		}
@@ -380,66 +380,66 @@
 // are in progress, canceled ones change nothing, and a healthy discovery's changes arrive in time.
 func TestPollerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{Pushed: rapid.Bool().Draw(t, "pushed"), PollWait: rapid.SampledFrom([]time.Duration{0, time.Second, 4 * time.Second, 20 * time.Second}).Draw(t, "hold"),
+		settings := Settings{Pushed: rapid.Bool().Draw(t, "pushed"), PollWait: rapid.SampledFrom([]time.Duration{0, time.Second, 4 * time.Second, 20 * time.Second}).Draw(t, "poll wait"),
 			ListPollInterval: rapid.SampledFrom([]time.Duration{0, time.Second, 10 * time.Second, time.Minute}).Draw(t, "ask within"),
 			Nodes:            float64(rapid.SampledFrom([]int{0, 1, 3, 60, 300}).Draw(t, "nodes")), Seed: rapid.Int64().Draw(t, "seed")}
-		s := &discoveryService{generation: uint64(rapid.IntRange(0, 50).Draw(t, "generation"))}
-		r := newSimulation(1, settings, InitialState{Generation: uint64(rapid.IntRange(0, 60).Draw(t, "known generation")), HaveList: rapid.Bool().Draw(t, "known"), Stagger: rapid.Bool().Draw(t, "spread")})
-		n, healthy, incarnation, incarnationOf := r.nodes[0], false, 0, map[CallID]int{}
-		r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-			if len(n.calls) > 7 {
-				t.Fatalf("%d calls in progress", len(n.calls))
+		service := &discoveryService{generation: uint64(rapid.IntRange(0, 50).Draw(t, "generation"))}
+		sim := newSimulation(1, settings, InitialState{Generation: uint64(rapid.IntRange(0, 60).Draw(t, "known generation")), HaveList: rapid.Bool().Draw(t, "known"), Stagger: rapid.Bool().Draw(t, "stagger")})
+		node, healthy, incarnation, incarnationOf := sim.nodes[0], false, 0, map[CallID]int{}
+		sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+			if len(node.calls) > 7 {
+				t.Fatalf("%d calls in progress", len(node.calls))
 			}
-			incarnationOf[c.ID] = incarnation
+			incarnationOf[call.ID] = incarnation
 			if healthy {
-				return s.answer(r.now, c)
+				return service.answer(sim.now, call)
 			}
-			late := time.Duration(rapid.IntRange(0, 3000).Draw(t, "late")) * time.Millisecond
-			switch rapid.IntRange(0, 5).Draw(t, "what comes") {
+			late := time.Duration(rapid.IntRange(0, 3000).Draw(t, "delay, ms")) * time.Millisecond
+			switch rapid.IntRange(0, 5).Draw(t, "outcome") {
 			case 0:
 				return 0, nil
 			case 1:
-				return late, Failed{c.ID, Rejected}
+				return late, Failed{call.ID, Rejected}
 			case 2:
-				return late, Failed{c.ID, Unanswered}
+				return late, Failed{call.ID, Unanswered}
 			}
-			after, event := s.answer(r.now, c)
+			after, event := service.answer(sim.now, call)
 			return after + late, event
 		}
 		lastGeneration, lastIncarnation, maxNodes := uint64(0), 0, settings.Nodes
-		r.took = func(n *simulatedNode, c CallID) {
-			if incarnationOf[c] == lastIncarnation && n.lastGeneration < lastGeneration {
-				t.Fatalf("generation %d after %d", n.lastGeneration, lastGeneration)
+		sim.onAccept = func(node *simulatedNode, call CallID) {
+			if incarnationOf[call] == lastIncarnation && node.lastGeneration < lastGeneration {
+				t.Fatalf("generation %d after %d", node.lastGeneration, lastGeneration)
 			}
-			lastGeneration, lastIncarnation = n.lastGeneration, incarnationOf[c]
+			lastGeneration, lastIncarnation = node.lastGeneration, incarnationOf[call]
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				s.generation += uint64(rapid.IntRange(1, 3).Draw(t, "changes"))
+				service.generation += uint64(rapid.IntRange(1, 3).Draw(t, "changes"))
 			case 1:
-				s.generation, incarnation = uint64(rapid.IntRange(0, 3).Draw(t, "anew")), incarnation+1
+				service.generation, incarnation = uint64(rapid.IntRange(0, 3).Draw(t, "new generation")), incarnation+1
 			case 2:
-				r.deliver(n, RestartRequested{})
+				sim.deliver(node, RestartRequested{})
 			case 3:
-				nodes := float64(rapid.IntRange(0, 500).Draw(t, "shared"))
+				nodes := float64(rapid.IntRange(0, 500).Draw(t, "current nodes"))
 				maxNodes = max(maxNodes, nodes)
-				r.deliver(n, NodesChanged{nodes})
+				sim.deliver(node, NodesChanged{nodes})
 			}
-			r.runUntil(r.now + time.Duration(rapid.IntRange(1, 8000).Draw(t, "time"))*time.Millisecond)
+			sim.runUntil(sim.now + time.Duration(rapid.IntRange(1, 8000).Draw(t, "step, ms"))*time.Millisecond)
 		}
 		// From here on discovery is healthy, except for the call in progress.
 		healthy = true
-		s.generation += 7
+		service.generation += 7
 		bound := NotifiedAfter
-		if len(n.calls) > 0 && n.calls[0].PollWait > 0 { // it may stay unanswered until the end of its poll wait
-			bound = n.calls[0].startedAt + n.calls[0].PollWait + CallTimeout + 3*time.Second - r.now
+		if len(node.calls) > 0 && node.calls[0].PollWait > 0 { // it may stay unanswered until the end of its poll wait
+			bound = node.calls[0].startedAt + node.calls[0].PollWait + CallTimeout + 3*time.Second - sim.now
 		}
 		if maxNodes > 100 { // retries after repeated rejections are spread over the nodes
 			bound += time.Duration(1.5 * maxNodes * float64(perNodeDelay))
 		}
-		if r.runUntil(r.now + max(bound, NotifiedAfter)); n.lastGeneration != s.generation {
-			t.Fatalf("generation %d, but discovery has had %d for %v; calls %s", n.lastGeneration, s.generation, bound, fmt.Sprint(n.sent[max(0, len(n.sent)-4):]))
+		if sim.runUntil(sim.now + max(bound, NotifiedAfter)); node.lastGeneration != service.generation {
+			t.Fatalf("generation %d, but discovery has had %d for %v; calls %s", node.lastGeneration, service.generation, bound, fmt.Sprint(node.sent[max(0, len(node.sent)-4):]))
 		}
 	})
 }
@@ -456,36 +456,36 @@
 		for _, nodes := range sizes {
 			for _, failureRate := range []float64{0, 1. / 3} {
 				settings.Nodes = float64(nodes)
-				r := newSimulation(nodes, settings, InitialState{HaveList: true, Stagger: true})
+				sim := newSimulation(nodes, settings, InitialState{HaveList: true, Stagger: true})
 				rng := rand.New(rand.NewPCG(uint64(nodes), 5))
-				calls, changes := 0, []Time{0, r.now}
-				r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
+				calls, changes := 0, []Time{0, sim.now}
+				sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
 					if calls++; rng.Float64() < failureRate {
-						return time.Duration(rng.Int64N(int64(c.PollWait) + int64(20*time.Millisecond))), Failed{c.ID, Unanswered}
+						return time.Duration(rng.Int64N(int64(call.PollWait) + int64(20*time.Millisecond))), Failed{call.ID, Unanswered}
 					}
-					s := &discoveryService{generation: uint64(len(changes) - 1)}
-					after, event := s.answer(r.now, c)
-					if next := time.Hour + 3*time.Second*time.Duration(len(changes)-1); event.(Answered).Generation == c.From && c.PollWait > 0 && r.now+after > next {
+					service := &discoveryService{generation: uint64(len(changes) - 1)}
+					after, event := service.answer(sim.now, call)
+					if next := time.Hour + 3*time.Second*time.Duration(len(changes)-1); event.(Answered).Generation == call.From && call.PollWait > 0 && sim.now+after > next {
 						// A watch delivers at once.
-						return max(0, next-r.now) + time.Millisecond, Answered{c.ID, false, c.From + 1}
+						return max(0, next-sim.now) + time.Millisecond, Answered{call.ID, false, call.From + 1}
 					}
 					return after, event
 				}
 				var took []time.Duration
 				used := make([]uint64, nodes)
-				r.took = func(n *simulatedNode, _ CallID) {
-					for ; used[n.index] < n.lastGeneration; used[n.index]++ {
-						if g := used[n.index] + 1; int(g) < len(changes) && g > 1 {
-							took = append(took, max(0, r.now-changes[g]))
+				sim.onAccept = func(node *simulatedNode, _ CallID) {
+					for ; used[node.index] < node.lastGeneration; used[node.index]++ {
+						if g := used[node.index] + 1; int(g) < len(changes) && g > 1 {
+							took = append(took, max(0, sim.now-changes[g]))
 						}
 					}
 				}
-				for r.now < time.Hour+length {
-					r.runUntil(changes[len(changes)-1] + 3*time.Second)
-					changes = append(changes, r.now)
+				for sim.now < time.Hour+length {
+					sim.runUntil(changes[len(changes)-1] + 3*time.Second)
+					changes = append(changes, sim.now)
 				}
-				rate := float64(calls) / (r.now - time.Hour).Seconds()
-				r.runUntil(r.now + NotifiedAfter)
+				rate := float64(calls) / (sim.now - time.Hour).Seconds()
+				sim.runUntil(sim.now + NotifiedAfter)
 				slices.Sort(took)
 				percentile := func(p float64) time.Duration {
 					return took[int(p*float64(len(took)-1))].Round(time.Millisecond)
--- a/membership/changes.go
+++ b/membership/changes.go
@@ -17,7 +17,7 @@
 type changes []Change
 
 func (c *changes) record(latest Change) {
-	*c = slices.DeleteFunc(*c, func(x Change) bool { return x.Name == latest.Name })
+	*c = slices.DeleteFunc(*c, func(change Change) bool { return change.Name == latest.Name })
 	*c = append(*c, latest)
 	if over := len(*c) - maxKeptChanges; over > 0 {
 		*c = slices.Delete(*c, 0, over)
@@ -25,9 +25,9 @@
 }
 
 func (c changes) since(generation uint64) (later []Change) {
-	for _, x := range c {
-		if x.Generation > generation {
-			later = append(later, x)
+	for _, change := range c {
+		if change.Generation > generation {
+			later = append(later, change)
 		}
 	}
 	return later
--- a/membership/list.go
+++ b/membership/list.go
@@ -47,7 +47,7 @@
 	// limits the damage of a faulty peer.
 	minInUseFraction = 0.25
 	// confirmWithin is how long a reachable source may take to confirm a peer report before it is
-	// checked; after acceptPeersAfter the report is applied anyway.
+	// checked; after acceptPeersAfter the report is applied unconfirmed.
 	confirmWithin    = 500 * time.Millisecond
 	acceptPeersAfter = 1200 * time.Millisecond
 
@@ -63,8 +63,8 @@
 	receivedAt    Time // time of the last update from the node's own source; 0: none yet
 	sourceLost    bool // the node's own source is unreachable
 	announceUntil Time // until then peers are notified of departures
-	// Servers excluded by peer reports, and until when; never: until the node's own source is heard
-	// again.
+	// Servers excluded by peer reports, and until when; never: until the next update of the node's
+	// own source.
 	exclusions map[string]Time
 	peerStarts map[string]Time // later start times reported by peers, by their source's clock
 	changes    changes
@@ -153,7 +153,7 @@
 func (l *List[P]) ChangesSince(generation uint64) []Change { return l.changes.since(generation) }
 
 // ApplySiblingList applies a list received from another process of the same node;
-// handoff.IsNewerList tells whether it supersedes the current one.
+// handoff.IsNewerList reports whether it supersedes the current one.
 func (l *List[P]) ApplySiblingList(generation uint64, receivedAt Time, entries []Entry[P]) {
 	l.Apply(receivedAt, Cached, generation, entries)
 	l.receivedAt = receivedAt
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -31,25 +31,25 @@
 // Peer reports apply only while the own source is lost; after its recovery departures are announced
 // to peers for a while.
 func TestPeerDeparturesApplyWhileSourceIsLost(t *testing.T) {
-	l := NewList[int]()
-	l.Apply(0, Cached, 3, upEntries(serverNames(8)...))
-	if l.ApplyPeerDepartures(0, []string{"s1"}) || l.ExcludedByPeers("s1") {
+	list := NewList[int]()
+	list.Apply(0, Cached, 3, upEntries(serverNames(8)...))
+	if list.ApplyPeerDepartures(0, []string{"s1"}) || list.ExcludedByPeers("s1") {
 		t.Error("a peer report was applied while the own source was reachable")
 	}
-	l.MarkSourceLost()
-	if !l.ApplyPeerDepartures(0, []string{"s1", "s2", "odd"}) || !l.ExcludedByPeers("s1") || !l.ExcludedByPeers("s2") || l.ExcludedByPeers("odd") || l.ApplyPeerDepartures(0, []string{"s1"}) {
-		t.Errorf("%v", l.exclusions)
+	list.MarkSourceLost()
+	if !list.ApplyPeerDepartures(0, []string{"s1", "s2", "odd"}) || !list.ExcludedByPeers("s1") || !list.ExcludedByPeers("s2") || list.ExcludedByPeers("odd") || list.ApplyPeerDepartures(0, []string{"s1"}) {
+		t.Errorf("%v", list.exclusions)
 	}
-	departed := l.Apply(20*time.Second, Changes, 5, []Entry[int]{{Name: "s1", State: Draining}, {Name: "s3", State: Removed}})
+	departed := list.Apply(20*time.Second, Changes, 5, []Entry[int]{{Name: "s1", State: Draining}, {Name: "s3", State: Removed}})
 	slices.Sort(departed)
-	if l.PeerReports() != 0 || !slices.Equal(departed, []string{"s1", "s3"}) || l.Generation() != 5 || l.ReceivedAt() != 20*time.Second {
-		t.Errorf("exclusions %v, departed %v", l.exclusions, departed)
+	if list.PeerReports() != 0 || !slices.Equal(departed, []string{"s1", "s3"}) || list.Generation() != 5 || list.ReceivedAt() != 20*time.Second {
+		t.Errorf("exclusions %v, departed %v", list.exclusions, departed)
 	}
 	// s0 and s2 departed.
-	if departed = l.Apply(20*time.Second+announcePeriod-1, Full, 6, upEntries("s4", "s5", "s6", "s7")); len(departed) != 2 {
+	if departed = list.Apply(20*time.Second+announcePeriod-1, Full, 6, upEntries("s4", "s5", "s6", "s7")); len(departed) != 2 {
 		t.Errorf("departed %v", departed)
 	}
-	if departed = l.Apply(20*time.Second+announcePeriod, Full, 7, upEntries("s4")); departed != nil {
+	if departed = list.Apply(20*time.Second+announcePeriod, Full, 7, upEntries("s4")); departed != nil {
 		t.Errorf("peers are still notified of %v", departed)
 	}
 }
@@ -58,27 +58,27 @@
 // until the source's next update. Any update in between supersedes the report.
 func TestUnconfirmedPeerDeparture(t *testing.T) {
 	for _, updates := range []bool{false, true} {
-		l := NewList[int]()
-		l.Apply(0, Full, 3, upEntries(serverNames(8)...))
-		l.ApplyPeerDepartures(time.Second, []string{"s1"})
+		list := NewList[int]()
+		list.Apply(0, Full, 3, upEntries(serverNames(8)...))
+		list.ApplyPeerDepartures(time.Second, []string{"s1"})
 		checks := 0
 		for now := time.Second; now < 4*time.Second; now += 100 * time.Millisecond {
 			if updates && now == 1400*time.Millisecond {
-				l.Apply(now, Changes, 4, nil)
+				list.Apply(now, Changes, 4, nil)
 			}
-			check, changed := l.ReviewPeerReports(now)
+			check, changed := list.ReviewPeerReports(now)
 			if check {
 				checks++
 			}
-			if holds := !updates && now >= time.Second+acceptPeersAfter; l.ExcludedByPeers("s1") != holds || changed != (holds && now == time.Second+acceptPeersAfter) {
-				t.Fatalf("updates %v: excluded %v, changed %v at %v", updates, l.ExcludedByPeers("s1"), changed, now)
+			if holds := !updates && now >= time.Second+acceptPeersAfter; list.ExcludedByPeers("s1") != holds || changed != (holds && now == time.Second+acceptPeersAfter) {
+				t.Fatalf("updates %v: excluded %v, changed %v at %v", updates, list.ExcludedByPeers("s1"), changed, now)
 			}
 		}
 		if updates == (checks > 0) || checks > 1 {
 			t.Errorf("updates %v: %d checks", updates, checks)
 		}
-		if l.Apply(5*time.Second, Changes, 5, nil); l.PeerReports() > 0 {
-			t.Error("the peer report outlasts an update of the own source")
+		if list.Apply(5*time.Second, Changes, 5, nil); list.PeerReports() > 0 {
+			t.Error("the peer report still applies after an update of the own source")
 		}
 	}
 }
@@ -101,11 +101,11 @@
 	}
 	receiver := list()
 	if receiver.ApplyPeerRestarts(at, reported) {
-		t.Error("applied while the own source is reachable")
+		t.Error("peer restarts were applied while the own source is reachable")
 	}
 	receiver.MarkSourceLost()
 	if !receiver.ApplyPeerRestarts(at, reported) || receiver.ApplyPeerRestarts(at+time.Second, reported) {
-		t.Error("not applied exactly once")
+		t.Error("peer restarts were not applied exactly once")
 	}
 	for _, test := range []struct {
 		name     string
@@ -117,13 +117,13 @@
 		}
 	}
 	if _, changed := receiver.ReviewPeerReports(at + NotifiedAfter - 1); changed || !receiver.ExcludedByPeers("s0") {
-		t.Error("used before its return counts as notified")
+		t.Error("s0 is used before its return counts as notified")
 	}
 	if _, changed := receiver.ReviewPeerReports(at + NotifiedAfter); !changed || receiver.ExcludedByPeers("s0") || receiver.PeerReportedStart("s0") != later {
-		t.Error("not used again, or used as a warm server")
+		t.Error("s0 is not used again, or is used as a warm server")
 	}
 	if receiver.Apply(at+2*NotifiedAfter, Changes, 6, nil); receiver.PeerReports() > 0 || receiver.PeerReportedStart("s0") != 0 {
-		t.Error("a peer report outlasts an update of the own source")
+		t.Error("a peer report still applies after an update of the own source")
 	}
 }
 
@@ -131,59 +131,59 @@
 // bounded fraction of the servers that are up, and the source's next update clears them.
 func TestListInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, want, now := NewList[int](), map[string]State{}, Time(0)
+		list, want, now := NewList[int](), map[string]State{}, Time(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "time")) * time.Millisecond
+			now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "step, ms")) * time.Millisecond
 			switch step := rapid.IntRange(0, 4).Draw(t, "step"); step {
 			case 0, 1:
 				var entries []Entry[int]
-				for _, n := range rapid.SliceOfN(rapid.SampledFrom(serverNames(12)), 0, 12).Draw(t, "named") {
-					entries = append(entries, Entry[int]{Name: n, State: State(rapid.IntRange(0, 2).Draw(t, "state")), StartedAt: 1})
+				for _, name := range rapid.SliceOfN(rapid.SampledFrom(serverNames(12)), 0, 12).Draw(t, "entries") {
+					entries = append(entries, Entry[int]{Name: name, State: State(rapid.IntRange(0, 2).Draw(t, "state")), StartedAt: 1})
 				}
 				kind := UpdateKind(rapid.IntRange(0, 2).Draw(t, "kind"))
 				if kind != Changes {
 					clear(want)
 				}
 				previous := map[string]State{}
-				for n, s := range want {
-					previous[n] = s
+				for name, state := range want {
+					previous[name] = state
 				}
-				for _, e := range entries {
-					if want[e.Name] = e.State; e.State == Removed {
-						delete(want, e.Name)
+				for _, entry := range entries {
+					if want[entry.Name] = entry.State; entry.State == Removed {
+						delete(want, entry.Name)
 					}
 				}
-				departed := l.Apply(now, kind, 1, entries)
-				if l.PeerReports() > 0 || kind == Cached && departed != nil {
-					t.Fatalf("kind %v: departed %v, %d peer reports", kind, departed, l.PeerReports())
+				departed := list.Apply(now, kind, 1, entries)
+				if list.PeerReports() > 0 || kind == Cached && departed != nil {
+					t.Fatalf("kind %v: departed %v, %d peer reports", kind, departed, list.PeerReports())
 				}
-				for _, n := range departed {
-					if s, listed := want[n]; listed && s == Up {
-						t.Fatalf("%s is reported as departed but is up", n)
+				for _, name := range departed {
+					if state, listed := want[name]; listed && state == Up {
+						t.Fatalf("%s is reported as departed but is up", name)
 					}
 				}
 			case 2:
-				l.MarkSourceLost()
+				list.MarkSourceLost()
 			case 3:
-				l.ResetSource()
+				list.ResetSource()
 			case 4:
-				l.ApplyPeerDepartures(now, rapid.SliceOfN(rapid.SampledFrom(serverNames(12)), 1, 12).Draw(t, "words"))
-				l.ApplyPeerRestarts(now, []Change{{Name: rapid.SampledFrom(serverNames(12)).Draw(t, "restarted"), StartedAt: now}})
-				l.ReviewPeerReports(now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "check"))*time.Millisecond)
+				list.ApplyPeerDepartures(now, rapid.SliceOfN(rapid.SampledFrom(serverNames(12)), 1, 12).Draw(t, "departures"))
+				list.ApplyPeerRestarts(now, []Change{{Name: rapid.SampledFrom(serverNames(12)).Draw(t, "restarted"), StartedAt: now}})
+				list.ReviewPeerReports(now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "review after, ms"))*time.Millisecond)
 			}
 			inUse, excluded := 0, 0
-			for n, e := range l.Entries() {
-				if s, listed := want[n]; !listed || s != e.State {
-					t.Fatalf("%s is %v; the source says %v, listed %v", n, e.State, s, listed)
+			for name, entry := range list.Entries() {
+				if state, listed := want[name]; !listed || state != entry.State {
+					t.Fatalf("%s is %v; the source says %v, listed %v", name, entry.State, state, listed)
 				}
-				if e.State == Up {
-					if inUse++; l.ExcludedByPeers(n) {
+				if entry.State == Up {
+					if inUse++; list.ExcludedByPeers(name) {
 						excluded++
 					}
 				}
 			}
-			if len(l.Entries()) != len(want) || inUse > 0 && excluded == inUse {
-				t.Fatalf("%d servers of %d; %d of %d up are excluded by peers", len(l.Entries()), len(want), excluded, inUse)
+			if len(list.Entries()) != len(want) || inUse > 0 && excluded == inUse {
+				t.Fatalf("%d servers listed, want %d; %d of %d that are up are excluded by peers", len(list.Entries()), len(want), excluded, inUse)
 			}
 		}
 	})
@@ -236,13 +236,13 @@
 // takes to know.
 func notificationDelays(nodes, servers, usersPerServer, rate int, seed int64, recoverAfter, queueTimeout time.Duration, withPeers bool) (took []time.Duration) {
 	rng := rand.New(rand.NewPCG(uint64(seed), 9))
-	r := newSimulation(nodes, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second, Seed: 1000 * seed}, InitialState{HaveList: true, Stagger: true})
+	sim := newSimulation(nodes, Settings{Nodes: float64(nodes), ListPollInterval: 10 * time.Second, Seed: 1000 * seed}, InitialState{HaveList: true, Stagger: true})
 	drainedAt := time.Hour + recoverAfter + time.Second
 	users := make([][]int, servers/10)
 	var drained []Entry[int]
-	for s := range users {
-		users[s] = rng.Perm(nodes)[:usersPerServer]
-		drained = append(drained, Entry[int]{Name: fmt.Sprint("s", s), State: Draining})
+	for server := range users {
+		users[server] = rng.Perm(nodes)[:usersPerServer]
+		drained = append(drained, Entry[int]{Name: fmt.Sprint("s", server), State: Draining})
 	}
 	lists := make([]*List[int], nodes)
 	for i := range lists {
@@ -250,36 +250,36 @@
 		lists[i].Apply(0, Cached, 1, upEntries(serverNames(servers)...))
 	}
 	idleAt, answeredAt := time.Hour+recoverAfter, map[*simulatedNode]Time{}
-	r.reply = func(n *simulatedNode, c Call) (time.Duration, Event) {
-		if r.now < time.Hour+recoverAfter {
-			lists[n.index].MarkSourceLost()
-			return queueTimeout, Failed{c.ID, Rejected}
+	sim.reply = func(node *simulatedNode, call Call) (time.Duration, Event) {
+		if sim.now < time.Hour+recoverAfter {
+			lists[node.index].MarkSourceLost()
+			return queueTimeout, Failed{call.ID, Rejected}
 		}
-		if c.PollWait > 0 { // an established watch is notified at once
-			after := max(0, drainedAt-r.now)
-			if c.From >= 2 || after > c.PollWait {
-				after = c.PollWait
+		if call.PollWait > 0 { // an established watch is notified at once
+			after := max(0, drainedAt-sim.now)
+			if call.From >= 2 || after > call.PollWait {
+				after = call.PollWait
 			}
-			answeredAt[n] = r.now + after
+			answeredAt[node] = sim.now + after
 			generation := uint64(1)
-			if r.now+after >= drainedAt {
+			if sim.now+after >= drainedAt {
 				generation = 2
 			}
-			return after, Answered{c.ID, false, generation}
+			return after, Answered{call.ID, false, generation}
 		}
-		wait := max(idleAt, r.now) - r.now
+		wait := max(idleAt, sim.now) - sim.now
 		if wait > queueTimeout+100*time.Millisecond {
-			return 5 * time.Millisecond, Failed{c.ID, Rejected}
+			return 5 * time.Millisecond, Failed{call.ID, Rejected}
 		}
-		idleAt = r.now + wait + time.Second/time.Duration(rate)
+		idleAt = sim.now + wait + time.Second/time.Duration(rate)
 		if wait > queueTimeout {
-			return queueTimeout, Failed{c.ID, Rejected}
+			return queueTimeout, Failed{call.ID, Rejected}
 		}
 		generation := uint64(1)
 		if idleAt >= drainedAt {
 			generation = 2
 		}
-		return idleAt - r.now, Answered{c.ID, false, generation}
+		return idleAt - sim.now, Answered{call.ID, false, generation}
 	}
 	knownAt := make([]map[int]Time, nodes)
 	for i := range knownAt {
@@ -287,36 +287,36 @@
 	}
 	learn := func(node, server int) {
 		if knownAt[node][server] == 0 {
-			knownAt[node][server] = r.now
+			knownAt[node][server] = sim.now
 		}
 	}
-	r.took = func(n *simulatedNode, _ CallID) {
-		l := lists[n.index]
+	sim.onAccept = func(node *simulatedNode, _ CallID) {
+		list := lists[node.index]
 		var entries []Entry[int]
-		if n.lastGeneration >= 2 && l.Generation() < 2 {
+		if node.lastGeneration >= 2 && list.Generation() < 2 {
 			entries = drained
 		}
-		for _, name := range l.Apply(r.now, Changes, n.lastGeneration, entries) {
-			s := 0
-			fmt.Sscanf(name, "s%d", &s)
-			for _, to := range users[s] {
-				if withPeers && to != n.index && rng.Float64() > 0.3 && lists[to].ApplyPeerDepartures(r.now, []string{name}) {
-					learn(to, s)
+		for _, name := range list.Apply(sim.now, Changes, node.lastGeneration, entries) {
+			server := 0
+			fmt.Sscanf(name, "s%d", &server)
+			for _, to := range users[server] {
+				if withPeers && to != node.index && rng.Float64() > 0.3 && lists[to].ApplyPeerDepartures(sim.now, []string{name}) {
+					learn(to, server)
 				}
 			}
 		}
 		if len(entries) > 0 {
-			for s := range users {
-				learn(n.index, s)
+			for server := range users {
+				learn(node.index, server)
 			}
 		}
 	}
-	r.runUntil(drainedAt + time.Minute)
-	for s, all := range users {
+	sim.runUntil(drainedAt + time.Minute)
+	for server, all := range users {
 		for _, node := range all {
-			at := knownAt[node][s]
+			at := knownAt[node][server]
 			if at == 0 {
-				at = r.now
+				at = sim.now
 			}
 			took = append(took, at-drainedAt)
 		}
--- a/membership/starts_test.go
+++ b/membership/starts_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// A process whose clock was wrong before its start detects that by its source's clock.
+// A process that starts with a wrong clock detects that by its source's clock.
 func TestSourceClockCorrectsWrongLocalClock(t *testing.T) {
 	for _, wrong := range []time.Duration{time.Hour, -time.Hour} {
 		var s StartTimes
