--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -24,8 +24,8 @@
 	ID            string       `json:"id"`
 	InMaintenance bool         `json:"out"`               // currently
 	EnteredAt     balance.Time `json:"entered"`           // the last request that took it out of service
-	ExitedAt      balance.Time `json:"exited,omitempty"`  // the request that returned it to service; 0 while it is out
-	StartedAt     balance.Time `json:"started,omitempty"` // the start time on the list when it was taken out
+	ExitedAt      balance.Time `json:"exited,omitempty"`  // the request that returned it to service; 0 while in maintenance
+	StartedAt     balance.Time `json:"started,omitempty"` // the listed start time when it was taken out of service
 }
 
 // Table holds the maintenance records. It is not safe for concurrent use.
@@ -37,10 +37,10 @@
 // New returns a table with the records of an earlier process, if any.
 func New(records []Record) *Table {
 	t := &Table{records: map[string]*Record{}, known: map[string]bool{}}
-	for _, r := range records {
-		if len(t.records) < MaxTrackedIDs && r.ID != "" {
-			t.records[r.ID] = &r
-			t.known[r.ID] = false
+	for _, record := range records {
+		if len(t.records) < MaxTrackedIDs && record.ID != "" {
+			t.records[record.ID] = &record
+			t.known[record.ID] = false
 		}
 	}
 	return t
@@ -58,7 +58,7 @@
 // growth where servers are replaced for months.
 func (t *Table) evictOne() {
 	for id, listed := range t.known {
-		if r := t.records[id]; !listed && (r == nil || !r.InMaintenance) {
+		if record := t.records[id]; !listed && (record == nil || !record.InMaintenance) {
 			delete(t.known, id)
 			delete(t.records, id)
 			return
@@ -72,52 +72,53 @@
 	if _, known := t.known[id]; !known {
 		return ErrUnknown
 	}
-	if r := t.records[id]; r == nil || !r.InMaintenance {
+	if record := t.records[id]; record == nil || !record.InMaintenance {
 		t.records[id] = &Record{ID: id, InMaintenance: true, EnteredAt: now, StartedAt: startedAt}
 	}
 	return nil
 }
 
-// Exit returns a server to service, however often it was taken out.
+// Exit returns a server to service, even if Enter was called repeatedly. The error is ErrUnknown for
+// an id that no server has had.
 func (t *Table) Exit(id string, now balance.Time) error {
 	if _, known := t.known[id]; !known {
 		return ErrUnknown
 	}
-	if r := t.records[id]; r != nil && r.InMaintenance {
-		r.InMaintenance, r.ExitedAt = false, now
+	if record := t.records[id]; record != nil && record.InMaintenance {
+		record.InMaintenance, record.ExitedAt = false, now
 	}
 	return nil
 }
 
 // InMaintenance reports whether a server is in maintenance.
 func (t *Table) InMaintenance(id string) bool {
-	r := t.records[id]
-	return r != nil && r.InMaintenance
+	record := t.records[id]
+	return record != nil && record.InMaintenance
 }
 
 // Apply returns a list entry as the decision module is to see it. A server in maintenance is
 // draining, whatever the list says. One that returned counts as cold: it was restarted meanwhile,
 // and the list may report that late or never. Until the list reports a start after the beginning of
 // the maintenance, the end of the maintenance counts as the start.
-func (t *Table) Apply(id string, e balance.Server) balance.Server {
-	r := t.records[id]
+func (t *Table) Apply(id string, entry balance.Server) balance.Server {
+	record := t.records[id]
 	switch {
-	case r == nil:
-	case r.InMaintenance:
-		if e.State == balance.Ready {
-			e.State = balance.Draining
+	case record == nil:
+	case record.InMaintenance:
+		if entry.State == balance.Ready {
+			entry.State = balance.Draining
 		}
-	case e.StartedAt <= max(r.StartedAt, r.EnteredAt):
-		e.StartedAt = r.ExitedAt
+	case entry.StartedAt <= max(record.StartedAt, record.EnteredAt):
+		entry.StartedAt = record.ExitedAt
 	}
-	return e
+	return entry
 }
 
 // PruneRecords drops the records of servers that have been back in service for longer than they can
 // be cold.
 func (t *Table) PruneRecords(now, warmupTime balance.Time) {
-	for id, r := range t.records {
-		if !r.InMaintenance && now-r.ExitedAt > 2*warmupTime {
+	for id, record := range t.records {
+		if !record.InMaintenance && now-record.ExitedAt > 2*warmupTime {
 			delete(t.records, id)
 		}
 	}
@@ -126,8 +127,8 @@
 // Records returns the records for the next process, sorted by id.
 func (t *Table) Records() []Record {
 	sorted := make([]Record, 0, len(t.records))
-	for _, r := range t.records {
-		sorted = append(sorted, *r)
+	for _, record := range t.records {
+		sorted = append(sorted, *record)
 	}
 	slices.SortFunc(sorted, func(a, b Record) int {
 		switch {
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -25,8 +25,8 @@
 			t.Fatalf("enter: %v", err)
 		}
 	}
-	if r := table.Records(); len(r) != 1 || r[0].EnteredAt != second {
-		t.Errorf("the second enter changed the record: %+v", r)
+	if records := table.Records(); len(records) != 1 || records[0].EnteredAt != second {
+		t.Errorf("the second enter changed the record: %+v", records)
 	}
 	for range 2 {
 		if err := table.Exit("a", 3*second); err != nil || table.InMaintenance("a") {
@@ -103,9 +103,9 @@
 	table.Exit("kept", 2*second)
 	table.PruneRecords(2*second+time.Millisecond, second)
 	if len(table.Records()) != 1 {
-		t.Error("dropped while the server may be cold")
+		t.Error("record dropped while the server may be warming up")
 	}
 	if table.PruneRecords(5*second, second); len(table.Records()) != 0 {
-		t.Error("never dropped")
+		t.Error("record never dropped")
 	}
 }
