--- a/handoff/handoff.go
+++ b/handoff/handoff.go
@@ -43,7 +43,7 @@
 	balance.LearnedServer
 }
 
-// State is what a process hands to the one that takes over.
+// State is the state that a process leaves for the one that takes over.
 type State struct {
 	Version        int                  `json:"version"`
 	Epoch          uint64               `json:"epoch"` // counts owners: the highest one owns the node
@@ -56,7 +56,7 @@
 	Maintenance    []maintenance.Record `json:"maintenance"`
 	Fleet          balance.LearnedFleet `json:"fleet"`
 	Servers        []ServerMeasurements `json:"servers"`
-	// Record is the version record of the process; nil if it keeps none.
+	// Record is the version record of the process; nil: it keeps none.
 	Record *version.Record `json:"record,omitempty"`
 }
 
@@ -86,7 +86,7 @@
 	return Reclaim
 }
 
-// UsableParts returns which parts of a state a new process of a node may use: none of another
+// UsableParts reports which parts of a state a new process of a node may use: none of another
 // node's state or of an unknown format, and no measurements of an old state.
 func UsableParts(found *State, node string, now balance.Time) (records, measurements bool) {
 	if found == nil || found.Version != FormatVersion || found.Node != node {
@@ -129,14 +129,16 @@
 	return other.ListReceivedAt > own.ListReceivedAt && other.Generation > own.Generation
 }
 
-// ConnectionLimit returns how many of a node's connections a process may hold while the others hold
-// some. At least a quarter is always its own: a new process must be able to begin, and an ending
-// one releases that much by the time it is notified.
+// ConnectionLimit returns how many of a node's total connections a process may hold: all if it is
+// the only one, else those that the other processes do not hold. At least a quarter is reserved: a
+// new process must be able to begin, and an ending one releases that much by the time it is
+// notified.
 func ConnectionLimit(total, others int, alone bool) int {
 	if alone {
 		return total
 	}
-	return max(total/minPartDivisor, min(total-total/minPartDivisor, total-others))
+	return max(total/reservedDivisor, min(total-total/reservedDivisor, total-others))
 }
 
-const minPartDivisor = 4
+// reservedDivisor is the divisor of the total that gives the connections reserved for each process.
+const reservedDivisor = 4
--- a/handoff/handoff_test.go
+++ b/handoff/handoff_test.go
@@ -28,48 +28,48 @@
 }
 
 func TestUsableParts(t *testing.T) {
-	s := &State{Version: FormatVersion, Node: "n0", WrittenAt: 100 * time.Second}
+	state := &State{Version: FormatVersion, Node: "n0", WrittenAt: 100 * time.Second}
 	for _, test := range []struct {
 		name                  string
-		s                     *State
+		state                 *State
 		node                  string
 		now                   time.Duration
 		records, measurements bool
 	}{
-		{"fresh", s, "n0", 101 * time.Second, true, true},
-		{"clock set back by an hour", s, "n0", 100*time.Second - time.Hour, true, false},
-		{"clock slewed", s, "n0", 100*time.Second - clockTolerance/2, true, true},
-		{"old", s, "n0", 200 * time.Second, true, false},
-		{"of another node", s, "n1", 101 * time.Second, false, false},
+		{"fresh", state, "n0", 101 * time.Second, true, true},
+		{"clock set back by an hour", state, "n0", 100*time.Second - time.Hour, true, false},
+		{"clock slewed", state, "n0", 100*time.Second - clockTolerance/2, true, true},
+		{"old", state, "n0", 200 * time.Second, true, false},
+		{"of another node", state, "n1", 101 * time.Second, false, false},
 		{"of a later format", &State{Version: FormatVersion + 1, Node: "n0"}, "n0", 0, false, false},
 		{"none", nil, "n0", 0, false, false},
 	} {
-		if records, measurements := UsableParts(test.s, test.node, test.now); records != test.records || measurements != test.measurements {
+		if records, measurements := UsableParts(test.state, test.node, test.now); records != test.records || measurements != test.measurements {
 			t.Errorf("%s: %v, %v", test.name, records, measurements)
 		}
 	}
 }
 
 // A server that returned to service two seconds before the state was written counts as returned at
-// least two seconds ago, and no longer than is certain, whichever way the clock stepped before the
-// next process read the state.
+// least two seconds ago, and at most as long ago as is certain, in whichever direction the clock
+// stepped before the next process read the state.
 func TestMaintenanceRecordsKeepTheirAgeOverClockSteps(t *testing.T) {
 	const written = time.Hour * 1000
-	s := &State{WrittenAt: written, Maintenance: []maintenance.Record{
+	state := &State{WrittenAt: written, Maintenance: []maintenance.Record{
 		{ID: "back", EnteredAt: written - time.Minute, ExitedAt: written - 2*time.Second, StartedAt: written - time.Hour},
 		{ID: "out", InMaintenance: true, EnteredAt: written - time.Minute}}}
 	for now, age := range map[time.Duration]time.Duration{written + time.Second: 3 * time.Second, written: 2 * time.Second,
 		written + time.Hour: 2 * time.Second, written - time.Hour: 2 * time.Second, written + time.Minute: 2 * time.Second} {
-		records := MaintenanceRecords(s, now)
+		records := MaintenanceRecords(state, now)
 		if got := now - records[0].ExitedAt; got != age {
 			t.Errorf("read %v after it was written: in service for %v, want %v", now-written, got, age)
 		}
-		if records[0].EnteredAt >= records[0].ExitedAt || records[0].StartedAt != s.Maintenance[0].StartedAt || !records[1].InMaintenance || records[1].ExitedAt != 0 {
+		if records[0].EnteredAt >= records[0].ExitedAt || records[0].StartedAt != state.Maintenance[0].StartedAt || !records[1].InMaintenance || records[1].ExitedAt != 0 {
 			t.Errorf("read %v after it was written: %+v", now-written, records)
 		}
 	}
-	if s.Maintenance[0].ExitedAt != written-2*time.Second {
-		t.Error("the state itself was changed")
+	if state.Maintenance[0].ExitedAt != written-2*time.Second {
+		t.Error("the original state was modified")
 	}
 }
 
@@ -82,10 +82,10 @@
 		for held := 0; held <= total; held++ {
 			own := ConnectionLimit(total, held, false)
 			if own < total/4 {
-				t.Fatalf("%d of %d is too little for a new process", own, total)
+				t.Fatalf("limit %d of %d is too low for a new process", own, total)
 			}
 			if held <= ConnectionLimit(total, 0, false) && held+own > total {
-				t.Fatalf("%d held by another and %d here are over %d", held, own, total)
+				t.Fatalf("%d connections of another process and %d of this one exceed %d", held, own, total)
 			}
 		}
 	}
