--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -70,10 +70,11 @@
 // SetNodes sets the current number of equal nodes that call the same discovery.
 func (d *Client) SetNodes(nodes float64) { d.enqueue(membership.NodesChanged{Nodes: nodes}) }
 
-// enqueue never blocks: run may be waiting for the goroutine that calls it.
-func (d *Client) enqueue(e membership.Event) {
+// enqueue passes an event to run. It never blocks: run may be waiting for the goroutine that calls
+// it.
+func (d *Client) enqueue(event membership.Event) {
 	d.mu.Lock()
-	d.pending = append(slices.DeleteFunc(d.pending, func(x membership.Event) bool { return reflect.TypeOf(x) == reflect.TypeOf(e) }), e)
+	d.pending = append(slices.DeleteFunc(d.pending, func(queued membership.Event) bool { return reflect.TypeOf(queued) == reflect.TypeOf(event) }), event)
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
@@ -98,22 +99,22 @@
 			return
 		case <-timer.C:
 			d.handle(membership.Ticked{}, callResult{})
-		case a := <-d.callResult:
-			switch a.failure {
+		case result := <-d.callResult:
+			switch result.failure {
 			case NoFailure:
-				d.handle(membership.Answered{Call: a.id, Full: a.list.Full, Generation: a.list.Generation}, a)
+				d.handle(membership.Answered{Call: result.id, Full: result.list.Full, Generation: result.list.Generation}, result)
 			case Rejected:
-				d.handle(membership.Failed{Call: a.id, Reason: membership.Rejected}, a)
+				d.handle(membership.Failed{Call: result.id, Reason: membership.Rejected}, result)
 			default:
-				d.handle(membership.Failed{Call: a.id, Reason: membership.Unanswered}, a)
+				d.handle(membership.Failed{Call: result.id, Reason: membership.Unanswered}, result)
 			}
 		case <-d.wake:
 			d.mu.Lock()
 			pending := d.pending
 			d.pending = nil
 			d.mu.Unlock()
-			for _, e := range pending {
-				d.handle(e, callResult{})
+			for _, event := range pending {
+				d.handle(event, callResult{})
 			}
 		}
 	}
@@ -121,25 +122,25 @@
 
 // handle passes an event to the poller, with the result of a call if there is one, and carries out
 // the resulting actions.
-func (d *Client) handle(e membership.Event, result callResult) {
-	for _, a := range d.poller.Handle(time.Since(d.start), e) {
-		switch a := a.(type) {
+func (d *Client) handle(event membership.Event, result callResult) {
+	for _, action := range d.poller.Handle(time.Since(d.start), event) {
+		switch action := action.(type) {
 		case membership.Call:
-			ctx, cancel := context.WithTimeout(d.ctx, a.Timeout)
-			d.cancelCall[a.ID] = cancel
+			ctx, cancel := context.WithTimeout(d.ctx, action.Timeout)
+			d.cancelCall[action.ID] = cancel
 			go func() {
 				defer cancel()
-				list, failure := d.call(ctx, a)
+				list, failure := d.call(ctx, action)
 				select {
-				case d.callResult <- callResult{a.ID, list, failure}:
+				case d.callResult <- callResult{action.ID, list, failure}:
 				case <-d.ctx.Done():
 				}
 			}()
 		case membership.Cancel:
-			d.cancelCall[a.ID]()
-			delete(d.cancelCall, a.ID)
+			d.cancelCall[action.ID]()
+			delete(d.cancelCall, action.ID)
 		case membership.Accept:
-			delete(d.cancelCall, a.Call)
+			delete(d.cancelCall, action.Call)
 			kind := balance.ListChanges
 			if result.list.Full {
 				kind = balance.ListFull
@@ -147,7 +148,7 @@
 			d.publish(Update{Kind: kind, List: result.list, Source: d})
 		case membership.WatchLost:
 			failure := result.failure
-			switch e.(type) {
+			switch event.(type) {
 			case membership.Answered: // it was not the full list that was requested
 				failure = Unreadable
 			case membership.Ticked:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// Bounds connecting: a connection attempt begun while discovery was unreachable may complete
-	// only seconds after its return.
+	// dialTimeout bounds connecting: a connection attempt begun while discovery was unreachable may
+	// complete only seconds after its recovery.
 	dialTimeout  = time.Second
-	maxListBytes = 4 << 20
+	maxListBytes = 4 << 20 // longer answers are cut off
 )
 
 // Entry is a server in discovery's format.
@@ -31,9 +31,9 @@
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
 	Cell        int     `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"`
+	Lifecycle   string  `json:"lifecycle"` // a key of LifecycleStates
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"`
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time in ms; 0: unknown
 }
 
 // List is an answer of discovery: the full list (Full) or the changes.
@@ -67,15 +67,15 @@
 		// Guards against an empty object that would remove all servers.
 		return List{}, errors.New("generation or instances are missing")
 	}
-	l := List{Generation: *message.Generation, Full: message.Reset}
+	list := List{Generation: *message.Generation, Full: message.Reset}
 	for _, raw := range *message.Instances {
 		if e, ok := parseEntry(raw); ok {
-			l.Instances = append(l.Instances, e)
+			list.Instances = append(list.Instances, e)
 		} else {
-			l.Skipped++
+			list.Skipped++
 		}
 	}
-	return l, nil
+	return list, nil
 }
 
 // parseEntry decodes an entry. An entry of a server that is up must be complete; one of a draining
@@ -111,9 +111,11 @@
 	Truncated
 	// Unreadable: the answer was complete but is not a list.
 	Unreadable
+	// NumFailures is the number of values above, including NoFailure.
 	NumFailures
 )
 
+// call makes one call and returns its list or why there is none.
 func (d *Client) call(ctx context.Context, poll membership.Call) (List, Failure) {
 	query := ""
 	if !poll.Full {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,12 +23,12 @@
 }
 
 func TestParseListSkipsMalformedEntries(t *testing.T) {
-	l, err := ParseList([]byte(`{"generation":3,"reset":false,"instances":[7,{"instanceId":"a"},
+	list, err := ParseList([]byte(`{"generation":3,"reset":false,"instances":[7,{"instanceId":"a"},
 		{"instanceId":"b","hostPort":"127.0.0.1:1","lifecycle":"odd"},{"hostPort":"127.0.0.1:1","lifecycle":"up"},
 		{"instanceId":"c","hostPort":5,"lifecycle":"up"},{"instanceId":"d","lifecycle":"removed"},
 		{"instanceId":"e","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`))
-	if err != nil || len(l.Instances) != 2 || l.Skipped != 5 || l.Instances[0].InstanceID != "d" || l.Instances[1].InstanceID != "e" {
-		t.Errorf("got %+v, %v", l, err)
+	if err != nil || len(list.Instances) != 2 || list.Skipped != 5 || list.Instances[0].InstanceID != "d" || list.Instances[1].InstanceID != "e" {
+		t.Errorf("got %+v, %v", list, err)
 	}
 	for _, bad := range []string{"", "[]", "{}", `{"generation":1}`, `{"instances":[]}`, `{"generation":-1,"instances":[]}`} {
 		if _, err := ParseList([]byte(bad)); err == nil {
@@ -48,38 +48,38 @@
 		raw  string
 		want Failure
 	}{
-		"a list":           {response(200, len(list), list), NoFailure},
+		"valid list":       {response(200, len(list), list), NoFailure},
 		"truncated":        {response(200, len(list), list[:len(list)/2]), Truncated},
 		"truncated header": {"HTTP/1.1 200 Sa", Unanswered},
-		"chunks end":       {"HTTP/1.1 200 Said\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n" + list[:20], Truncated},
+		"truncated chunk":  {"HTTP/1.1 200 Said\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n" + list[:20], Truncated},
 		"no JSON":          {response(200, 4, "\x00\xff{]"), Unreadable},
 		"half a list":      {response(200, len(list)/2, list[:len(list)/2]), Unreadable},
 		"no fields":        {response(200, 2, "{}"), Unreadable},
 		"rejected":         {response(503, len(list), list), Rejected},
 		"no HTTP":          {"hello\r\n\r\n", Unanswered},
-		"nothing":          {"", Unanswered},
+		"no answer":        {"", Unanswered},
 	} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		go http.Serve(l, hijacker(test.raw))
+		go http.Serve(listener, hijacker(test.raw))
 		updates := make(chan Update, 4)
-		d := New(l.Addr().String(), membership.Settings{}, withCachedList(0), func(n Update) { updates <- n })
+		client := New(listener.Addr().String(), membership.Settings{}, withCachedList(0), func(update Update) { updates <- update })
 		select {
-		case n := <-updates:
-			if n.Failure != test.want || (n.Kind == balance.ListFailed) != (test.want != NoFailure) || (len(n.List.Instances) > 0) != (test.want == NoFailure) {
-				t.Errorf("%s: %+v", name, n)
+		case update := <-updates:
+			if update.Failure != test.want || (update.Kind == balance.ListFailed) != (test.want != NoFailure) || (len(update.List.Instances) > 0) != (test.want == NoFailure) {
+				t.Errorf("%s: %+v", name, update)
 			}
 		case <-time.After(20 * time.Second):
 			t.Errorf("%s: no update", name)
 		}
-		d.Close()
-		l.Close()
+		client.Close()
+		listener.Close()
 	}
 }
 
-// hijacker responds with these bytes and closes the connection.
+// hijacker is a handler that responds with the bytes of the string and closes the connection.
 type hijacker string
 
 func (h hijacker) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
@@ -95,14 +95,14 @@
 	var calls, overloaded atomic.Int64
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", func(w http.ResponseWriter, r *http.Request) {
-		n := calls.Add(1)
-		hold := r.URL.Query().Get("hold_ms")
+		number := calls.Add(1)
+		pollWait := r.URL.Query().Get("hold_ms")
 		switch {
 		case overloaded.Load() == 1:
 			http.Error(w, "crowded", http.StatusServiceUnavailable)
-		case n == 1:
+		case number == 1:
 			fmt.Fprint(w, `{"generation":3,"reset":true,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`)
-		case hold != "0": // never answered
+		case pollWait != "0": // never answered
 			<-r.Context().Done()
 		default:
 			fmt.Fprint(w, `{"generation":4,"reset":false,"instances":[{"instanceId":"a","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`)
@@ -111,56 +111,56 @@
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	updates := make(chan Update, 16)
-	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{PollWait: membership.ShortPollWait + 200*time.Millisecond}, withCachedList(0), func(n Update) { updates <- n })
-	defer d.Close()
-	if n := <-updates; n.List.Generation != 3 {
-		t.Fatalf("%+v", n)
+	client := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{PollWait: membership.ShortPollWait + 200*time.Millisecond}, withCachedList(0), func(update Update) { updates <- update })
+	defer client.Close()
+	if update := <-updates; update.List.Generation != 3 {
+		t.Fatalf("%+v", update)
 	}
 	began := time.Now()
-	n := <-updates
-	if took := time.Since(began); n.List.Generation != 4 || took < 1900*time.Millisecond || took > 5*time.Second {
-		t.Errorf("after %v: %+v", took, n)
+	update := <-updates
+	if took := time.Since(began); update.List.Generation != 4 || took < 1900*time.Millisecond || took > 5*time.Second {
+		t.Errorf("after %v: %+v", took, update)
 	}
 	overloaded.Store(1)
 	before := calls.Load()
-	for n.Kind != balance.ListFailed {
-		n = <-updates
+	for update.Kind != balance.ListFailed {
+		update = <-updates
 	}
-	if n.Failure != Rejected || calls.Load() > before+2 {
-		t.Errorf("%+v after %d calls", n, calls.Load()-before)
+	if update.Failure != Rejected || calls.Load() > before+2 {
+		t.Errorf("%+v after %d calls", update, calls.Load()-before)
 	}
 }
 
 // Connection attempts begun while discovery was unreachable do not delay later calls, although the
 // kernel still retries them at long intervals.
 func TestPendingConnectionsDoNotDelayLaterCalls(t *testing.T) {
-	held := nodetest.NewBlockedListener(t)
-	d := newClient(held.Addr().String(), membership.Settings{}, withCachedList(0), nil)
-	defer d.Close()
+	listener := nodetest.NewBlockedListener(t)
+	client := newClient(listener.Addr().String(), membership.Settings{}, withCachedList(0), nil)
+	defer client.Close()
 	poll := func() (List, Failure) {
-		ctx, cancel := context.WithTimeout(d.ctx, membership.CallTimeout)
+		ctx, cancel := context.WithTimeout(client.ctx, membership.CallTimeout)
 		defer cancel()
-		return d.call(ctx, membership.Call{Full: true})
+		return client.call(ctx, membership.Call{Full: true})
 	}
 	began := time.Now()
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() {
-			if l, failure := poll(); failure != Unanswered {
-				t.Errorf("%v, %+v", failure, l)
+			if list, failure := poll(); failure != Unanswered {
+				t.Errorf("%v, %+v", failure, list)
 			}
 		})
 	}
 	group.Wait()
 	// The kernel has retried the connections at 3 s and does not retry before 4 s.
 	time.Sleep(time.Until(began.Add(3200 * time.Millisecond)))
-	held.Release(t)
-	go http.Serve(held, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	listener.Release(t)
+	go http.Serve(listener, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"generation":3,"reset":true,"instances":[]}`)
 	}))
 	began = time.Now()
-	if l, failure := poll(); failure != NoFailure || l.Generation != 3 || time.Since(began) > 600*time.Millisecond {
-		t.Errorf("once discovery is reachable, after %v: %v, %+v", time.Since(began), failure, l)
+	if list, failure := poll(); failure != NoFailure || list.Generation != 3 || time.Since(began) > 600*time.Millisecond {
+		t.Errorf("once discovery is reachable, after %v: %v, %+v", time.Since(began), failure, list)
 	}
 }
 
@@ -184,13 +184,13 @@
 	}))
 	defer server.Close()
 	updates := make(chan Update, 16)
-	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(40), func(n Update) { updates <- n })
-	defer d.Close()
-	if n := <-updates; n.Kind != balance.ListFull || len(n.List.Instances) != 1 {
-		t.Errorf("%+v", n)
+	client := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(40), func(update Update) { updates <- update })
+	defer client.Close()
+	if update := <-updates; update.Kind != balance.ListFull || len(update.List.Instances) != 1 {
+		t.Errorf("%+v", update)
 	}
-	if n := <-updates; n.Kind != balance.ListFailed {
-		t.Errorf("%+v", n)
+	if update := <-updates; update.Kind != balance.ListFailed {
+		t.Errorf("%+v", update)
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -201,11 +201,11 @@
 
 // A draining server's entry is accepted whatever else is wrong with it.
 func TestDrainingIsReadFromMalformedEntries(t *testing.T) {
-	l, err := ParseList([]byte(`{"generation":3,"reset":false,"instances":[
+	list, err := ParseList([]byte(`{"generation":3,"reset":false,"instances":[
 		{"instanceId":"a","lifecycle":"draining","hostPort":7,"weight":"x"},{"instanceId":"b","lifecycle":"draining"},
 		{"instanceId":"c","lifecycle":"up","hostPort":"127.0.0.1"},{"instanceId":"d","lifecycle":"up","hostPort":"127.0.0.1:1","weight":"x"}]}`))
-	if err != nil || l.Skipped != 2 || len(l.Instances) != 2 || l.Instances[0].InstanceID != "a" || l.Instances[1].InstanceID != "b" {
-		t.Errorf("%+v, %v", l, err)
+	if err != nil || list.Skipped != 2 || len(list.Instances) != 2 || list.Instances[0].InstanceID != "a" || list.Instances[1].InstanceID != "b" {
+		t.Errorf("%+v, %v", list, err)
 	}
 }
 
@@ -231,21 +231,21 @@
 	}))
 	defer server.Close()
 	updates := make(chan Update, 16)
-	d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(7), func(n Update) { updates <- n })
+	client := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(7), func(update Update) { updates <- update })
 	<-first
-	d.RestartWatch()
-	if n := <-updates; n.List.Generation != 9 {
-		t.Errorf("%+v", n)
+	client.RestartWatch()
+	if update := <-updates; update.List.Generation != 9 {
+		t.Errorf("%+v", update)
 	}
 	close(release)
-	d.RestartWatch() // forces one more answer after the late one
-	if n := <-updates; n.List.Generation != 9 {
-		t.Errorf("%+v", n)
+	client.RestartWatch() // forces one more answer after the late one
+	if update := <-updates; update.List.Generation != 9 {
+		t.Errorf("%+v", update)
 	}
-	d.Close()
+	client.Close()
 	select {
-	case n := <-updates:
-		t.Errorf("%+v", n)
+	case update := <-updates:
+		t.Errorf("%+v", update)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
@@ -261,21 +261,21 @@
 			fmt.Fprint(w, `{"generation":9,"reset":true,"instances":[]}`)
 		}))
 		updates := make(chan Update, 100)
-		d := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(0), func(n Update) {
+		client := New(strings.TrimPrefix(server.URL, "http://"), membership.Settings{}, withCachedList(0), func(update Update) {
 			select {
-			case updates <- n:
+			case updates <- update:
 			default:
 			}
 		})
 		select {
-		case n := <-updates:
-			if n.Kind == balance.ListFailed || !n.List.Date.Equal(want) {
-				t.Errorf("%q: %+v", date, n)
+		case update := <-updates:
+			if update.Kind == balance.ListFailed || !update.List.Date.Equal(want) {
+				t.Errorf("%q: %+v", date, update)
 			}
 		case <-time.After(nodetest.WaitTimeout):
 			t.Errorf("%q: no update", date)
 		}
-		d.Close()
+		client.Close()
 		server.Close()
 	}
 }
