--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -25,7 +25,7 @@
 	lockName    = "ivylock.lock"
 	runPrefix   = "ivylock-" // followed by the process's id
 	runSuffix   = ".run"
-	maxRunFiles = 64 // limit of process files examined
+	maxRunFiles = 64 // process files examined at most
 
 	exchangeInterval = 50 * time.Millisecond
 
@@ -38,9 +38,9 @@
 var errLocked = errors.New("handover: another process holds the lock")
 
 // ErrTakenOver means that a newer process owns the node's state.
-var ErrTakenOver = errors.New("a newer process has taken over; its console knows")
+var ErrTakenOver = errors.New("a newer process has taken over; ask its console")
 
-// Usage is the number of connections that a process holds.
+// Usage is the number of connections that a process holds to clients and to backends.
 type Usage struct{ Clients, Backends int }
 
 // SharedDir is the directory shared by the processes of one node. It contains the state, a lock
@@ -48,7 +48,7 @@
 // alive and in which it reports its usage.
 type SharedDir struct {
 	dir, node string
-	id        int      // of this process, random: process numbers depend on the PID namespace
+	id        int      // of this process, random: PIDs may repeat in another PID namespace
 	runFile   *os.File // locked while this process is alive
 	mu        sync.Mutex
 	epoch     uint64                 // of this process's ownership; 0: never owned
@@ -129,9 +129,9 @@
 }
 
 // write replaces a state atomically: a reader sees the old one or the new one.
-func (d *SharedDir) write(name string, s *handoff.State) error {
-	s.Version, s.Epoch, s.Owner, s.Node = handoff.FormatVersion, d.epoch, d.id, d.node
-	raw, err := Encode(s)
+func (d *SharedDir) write(name string, state *handoff.State) error {
+	state.Version, state.Epoch, state.Owner, state.Node = handoff.FormatVersion, d.epoch, d.id, d.node
+	raw, err := Encode(state)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 
 // TakeOwnership makes this process the owner of the node's state and returns the state found, nil
 // if there is none. If the state could not be read or replaced, failure says why; without a
-// readable state the process starts from nothing.
+// readable state the process starts without any.
 func (d *SharedDir) TakeOwnership() (found *handoff.State, failure error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,7 +180,7 @@
 // PollNewer of that process, and newer is the state that it left, whose maintenance records are
 // authoritative. If that process is running, the error is ErrTakenOver; otherwise this process
 // becomes the owner again, and its next state is written.
-func (d *SharedDir) Store(s *handoff.State) (newer *handoff.State, err error) {
+func (d *SharedDir) Store(state *handoff.State) (newer *handoff.State, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	unlock, err := d.lock()
@@ -191,8 +191,8 @@
 	found, _ := d.read(stateName) // an unreadable state is replaced
 	switch handoff.DecideOwnership(found, d.epoch, found != nil && d.isRunning(found.Owner)) {
 	case handoff.Yield:
-		if handoff.IsNewerList(*found, *s) {
-			err = d.write(listName, &handoff.State{WrittenAt: s.WrittenAt, Generation: s.Generation, ListReceivedAt: s.ListReceivedAt, List: s.List})
+		if handoff.IsNewerList(*found, *state) {
+			err = d.write(listName, &handoff.State{WrittenAt: state.WrittenAt, Generation: state.Generation, ListReceivedAt: state.ListReceivedAt, List: state.List})
 		}
 		return found, errors.Join(ErrTakenOver, err)
 	case handoff.Reclaim:
@@ -200,7 +200,7 @@
 		d.updateReport(func(report *processReport) { report.epoch = d.epoch })
 		return found, nil
 	}
-	return nil, d.write(stateName, s)
+	return nil, d.write(stateName, state)
 }
 
 // PollNewer returns what another process of the node has written since the last call: the state of
@@ -215,9 +215,9 @@
 			continue // each write creates a new file
 		}
 		d.lastRead[name] = info
-		s, err := d.read(name)
-		if err == nil && s != nil && s.Owner != d.id && s.Node == d.node && (newest == nil || handoff.IsNewerList(*newest, *s)) {
-			newest = s
+		state, err := d.read(name)
+		if err == nil && state != nil && state.Owner != d.id && state.Node == d.node && (newest == nil || handoff.IsNewerList(*newest, *state)) {
+			newest = state
 		}
 	}
 	return newest
--- a/internal/handover/files_test.go
+++ b/internal/handover/files_test.go
@@ -34,14 +34,14 @@
 	}
 	for i := range raw {
 		if _, err := Decode(raw[:i]); err == nil {
-			t.Fatalf("truncated at byte %d it was accepted", i)
+			t.Fatalf("a state truncated at byte %d was accepted", i)
 		}
 		bad := append([]byte(nil), raw...)
 		if bad[i] ^= 1; bad[i]|0x20 == raw[i]|0x20 && i < len(raw) && bad[i] != raw[i] {
 			continue // differs only in the case of the checksum's hex digits
 		}
 		if got, err := Decode(bad); err == nil && !reflect.DeepEqual(got, exampleState()) {
-			t.Fatalf("modified at byte %d it was accepted as %+v", i, got)
+			t.Fatalf("a state modified at byte %d was accepted as %+v", i, got)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := Decode(raw); err == nil {
 			if _, err := Encode(s); err != nil {
-				t.Errorf("read, but can't be written: %v", err)
+				t.Errorf("a decoded state cannot be encoded: %v", err)
 			}
 		}
 	})
@@ -61,12 +61,12 @@
 
 func openProcess(t *testing.T, dir string) *SharedDir {
 	t.Helper()
-	f, err := Open(dir, "n0")
+	opened, err := Open(dir, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { f.runFile.Close() })
-	return f
+	t.Cleanup(func() { opened.runFile.Close() })
+	return opened
 }
 
 func TestNewestProcessOwnsState(t *testing.T) {
@@ -75,13 +75,13 @@
 	if found, err := old.TakeOwnership(); found != nil || err != nil {
 		t.Fatalf("the first process found %+v, %v", found, err)
 	}
-	s := exampleState()
-	if _, err := old.Store(s); err != nil {
+	state := exampleState()
+	if _, err := old.Store(state); err != nil {
 		t.Fatal(err)
 	}
 	next := openProcess(t, dir)
 	found, err := next.TakeOwnership()
-	if err != nil || found == nil || !reflect.DeepEqual(found.Maintenance, s.Maintenance) || found.Generation != 41 {
+	if err != nil || found == nil || !reflect.DeepEqual(found.Maintenance, state.Maintenance) || found.Generation != 41 {
 		t.Fatalf("the next process found %+v, %v", found, err)
 	}
 	if err := next.CheckOwner(); err != nil {
@@ -90,19 +90,19 @@
 	if err := old.CheckOwner(); !errors.Is(err, ErrTakenOver) {
 		t.Errorf("the old process: %v", err)
 	}
-	s.Maintenance = nil
-	if _, err := next.Store(s); err != nil {
+	state.Maintenance = nil
+	if _, err := next.Store(state); err != nil {
 		t.Fatal(err)
 	}
 	if newer, err := old.Store(exampleState()); !errors.Is(err, ErrTakenOver) || newer == nil || len(newer.Maintenance) != 0 {
 		t.Errorf("the old process stored: %+v, %v", newer, err)
 	}
-	next.runFile.Close() // dies without removing its file
+	next.runFile.Close() // exits without removing its file
 	newer, err := old.Store(exampleState())
 	if err != nil || newer == nil {
 		t.Fatalf("after the next process died: %+v, %v", newer, err)
 	}
-	if _, err := old.Store(s); err != nil || old.CheckOwner() != nil {
+	if _, err := old.Store(state); err != nil || old.CheckOwner() != nil {
 		t.Errorf("the old process does not own the state again: %v", err)
 	}
 	third := openProcess(t, dir)
@@ -118,20 +118,20 @@
 		if err := os.WriteFile(filepath.Join(dir, stateName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		torn := filepath.Join(dir, stateName+".123")
-		if err := os.WriteFile(torn, []byte("half"), 0o600); err != nil {
+		leftover := filepath.Join(dir, stateName+".123")
+		if err := os.WriteFile(leftover, []byte("half"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f := openProcess(t, dir)
-		found, err := f.TakeOwnership()
-		if _, gone := os.Stat(torn); gone == nil {
-			t.Errorf("%s: leftovers of a write are not removed", name)
+		process := openProcess(t, dir)
+		found, err := process.TakeOwnership()
+		if _, statErr := os.Stat(leftover); statErr == nil {
+			t.Errorf("%s: the temporary file of an interrupted write is not removed", name)
 		}
 		if found != nil || err == nil {
 			t.Errorf("%s: %+v, %v", name, found, err)
 		}
-		if _, err := f.Store(exampleState()); err != nil {
-			t.Errorf("%s: it can't be replaced: %v", name, err)
+		if _, err := process.Store(exampleState()); err != nil {
+			t.Errorf("%s: the state cannot be replaced: %v", name, err)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	dir := t.TempDir()
 	old, next := openProcess(t, dir), openProcess(t, dir)
 	if _, alone := old.ExchangeUsage(Usage{100, 40}); alone {
-		t.Error("the old process believes that it is alone")
+		t.Error("the old process does not detect the next one")
 	}
 	others, alone := next.ExchangeUsage(Usage{})
 	if alone || others != (Usage{100, 40}) {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Closing an inherited listener leaves the platform's socket open, with the connections waiting
-// there.
+// Closing an inherited listener leaves the platform's socket open, with the connections in its
+// backlog.
 func TestClosingInheritedListenerKeepsSocket(t *testing.T) {
 	platform, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -165,15 +165,15 @@
 	defer platform.Close()
 	inherit := func() net.Listener {
 		t.Helper()
-		f, err := platform.(*net.TCPListener).File()
+		file, err := platform.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, shared, err := Listen("", strconv.Itoa(int(f.Fd())))
+		listener, shared, err := Listen("", strconv.Itoa(int(file.Fd())))
 		if err != nil || !shared {
 			t.Fatalf("inherited %v: %v", shared, err)
 		}
-		return l
+		return listener
 	}
 	old, next := inherit(), inherit()
 	pending, err := net.Dial("tcp", platform.Addr().String())
@@ -217,7 +217,7 @@
 	dir := t.TempDir()
 	old := openProcess(t, dir)
 	old.TakeOwnership()
-	old.epoch = uint64(time.Now().Add(time.Hour).UnixMilli()) // as drawn by an earlier version
+	old.epoch = uint64(time.Now().Add(time.Hour).UnixMilli()) // earlier versions derived epochs from the clock
 	old.updateReport(func(s *processReport) { s.epoch = old.epoch })
 	if err := os.WriteFile(filepath.Join(dir, stateName), []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
@@ -229,8 +229,8 @@
 	}
 }
 
-// A process that is paused while it holds the lock does not block the next one, which starts
-// without a state within the lock timeout and becomes the owner once the other has died.
+// A process that is paused while it holds the lock does not block the next one: that one starts
+// without a state after the lock timeout, and becomes the owner once the other has exited.
 func TestPausedLockHolderDoesNotBlockOthers(t *testing.T) {
 	dir := t.TempDir()
 	old := openProcess(t, dir)
@@ -248,7 +248,7 @@
 	if next.CheckOwner() == nil {
 		t.Error("two processes own the state")
 	}
-	old.runFile.Close() // dies
+	old.runFile.Close() // exits
 	if _, err := next.Store(exampleState()); err != nil {
 		t.Error(err)
 	}
@@ -257,8 +257,8 @@
 	}
 }
 
-// A list received by an older process reaches the newer one and vice versa, each once, and none its
-// own.
+// A list received by an older process reaches the newer one and vice versa, each once. No process
+// receives its own list.
 func TestProcessesExchangeLists(t *testing.T) {
 	dir := t.TempDir()
 	old, next := openProcess(t, dir), openProcess(t, dir)
@@ -268,7 +268,7 @@
 	old.TakeOwnership()
 	old.Store(listState(1, 5))
 	if s := old.PollNewer(); s != nil {
-		t.Errorf("it received its own state: %+v", s)
+		t.Errorf("the older process received its own state: %+v", s)
 	}
 	next.TakeOwnership()
 	next.PollNewer()
@@ -279,7 +279,7 @@
 		t.Errorf("the newer process received %+v", s)
 	}
 	if s := next.PollNewer(); s != nil {
-		t.Errorf("it received it twice: %+v", s)
+		t.Errorf("the newer process received a state twice: %+v", s)
 	}
 	old.PollNewer()
 	if _, err := next.Store(listState(3, 7)); err != nil {
@@ -292,12 +292,12 @@
 		t.Fatal(err)
 	}
 	if s := next.PollNewer(); s != nil {
-		t.Errorf("it received an outdated list: %+v", s)
+		t.Errorf("the newer process received an outdated list: %+v", s)
 	}
 	if err := os.WriteFile(filepath.Join(dir, listName), []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if s := next.PollNewer(); s != nil {
-		t.Errorf("it accepted a corrupt file: %+v", s)
+		t.Errorf("the newer process accepted a corrupt file: %+v", s)
 	}
 }
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -14,7 +14,8 @@
 const InheritedFDEnv = "PROXY_INHERITED_FD"
 
 // Listen returns the listener for clients: the inherited one if fd is set, otherwise a new one at
-// addr. Closing it leaves the platform's socket open, with the connections waiting there.
+// addr. Closing an inherited one leaves the platform's socket open, with the connections in its
+// backlog.
 func Listen(addr, fd string) (l net.Listener, inherited bool, err error) {
 	if fd == "" {
 		l, err = net.Listen("tcp", addr)
