--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 // Error describes an error in the settings on one line.
 type Error struct {
 	Field string // path of the field in the object; empty: the object itself
-	Text  string // the error and how to fix it
+	Text  string // what is wrong and how to fix it
 }
 
 func (e *Error) Error() string {
@@ -30,6 +30,7 @@
 	return e.Field + ": " + e.Text
 }
 
+// newError returns an error with the formatted text on one line.
 func newError(field, format string, args ...any) *Error {
 	return &Error{Field: field, Text: strings.ReplaceAll(fmt.Sprintf(format, args...), "\n", " ")}
 }
@@ -153,7 +154,7 @@
 	knownWeightKinds = []string{"nominal", "rough", "live"}
 )
 
-// Decode decodes the object. Its errors are of type *Error.
+// Decode decodes the settings object. Its errors are of type *Error.
 func Decode(raw json.RawMessage) (balance.Settings, error) {
 	var obj rawSettings
 	if err := json.Unmarshal(raw, &obj); err != nil {
@@ -162,7 +163,7 @@
 	if e := findNegative(reflect.ValueOf(obj), ""); e != nil {
 		return balance.Settings{}, e
 	}
-	s := balance.Settings{Nodes: max(1, obj.Balancers.int(), obj.Slot.int()+1), Self: obj.Slot.int(), Zone: obj.Zone, Zones: obj.Domains, Kinds: obj.Kinds,
+	decoded := balance.Settings{Nodes: max(1, obj.Balancers.int(), obj.Slot.int()+1), Self: obj.Slot.int(), Zone: obj.Zone, Zones: obj.Domains, Kinds: obj.Kinds,
 		MaxAttempts: obj.Caps.MaxAttempts.int(), MayOverlap: obj.Caps.MayDuplicate, MayCancel: obj.Caps.Cancel,
 		MayProbe: obj.Caps.Probes, MayMessage: obj.Caps.Peers, RetryAfterSupported: obj.Caps.RetryAfter,
 		MaxRetryAfter: obj.Caps.MaxRetryAfter.time(), RetriesMarked: obj.Habits.MarksRetry,
@@ -193,47 +194,47 @@
 		if !ok && effect == balance.Keyed {
 			return balance.Settings{}, newError(path+".key_scope", "%q of class %q; write all, zone or cell", class.KeyScope, class.Name)
 		}
-		if slices.ContainsFunc(s.Classes, func(other balance.Class) bool { return other.Name == class.Name }) {
+		if slices.ContainsFunc(decoded.Classes, func(other balance.Class) bool { return other.Name == class.Name }) {
 			return balance.Settings{}, newError(path+".name", "%q is used twice; give each class its own name", class.Name)
 		}
-		s.Classes = append(s.Classes, balance.Class{Name: class.Name, Value: class.Importance, TargetLatency: class.Aim.time(),
+		decoded.Classes = append(decoded.Classes, balance.Class{Name: class.Name, Value: class.Importance, TargetLatency: class.Aim.time(),
 			TargetWorkFactor: class.AimStretch, Deadline: class.GiveUp.time(), LateValueFraction: class.LateWorth, Effect: effect,
 			KeyScope: scope, DedupWindow: class.Dedup.time(), Streamed: class.Streamed})
 	}
 	for _, account := range obj.Accounts {
-		s.Tenants = append(s.Tenants, balance.Tenant{Name: account.Name, Quota: account.Quota, Share: account.Fraction})
+		decoded.Tenants = append(decoded.Tenants, balance.Tenant{Name: account.Name, Quota: account.Quota, Share: account.Fraction})
 	}
-	return s, nil
+	return decoded, nil
 }
 
 // DecodeForNode decodes the object for a real node, which requires fields that the simulator may
 // omit. Its errors are of type *Error.
 func DecodeForNode(raw json.RawMessage) (balance.Settings, error) {
-	s, err := Decode(raw)
+	decoded, err := Decode(raw)
 	if err != nil {
-		return s, err
+		return decoded, err
 	}
-	for _, f := range []struct {
+	for _, required := range []struct {
 		field string
 		have  int64
-	}{{"classes", int64(len(s.Classes))}, {"caps.connect_timeout_ns", int64(s.ConnectTimeout)}, {"caps.conn_idle_ns", int64(s.ConnIdleTimeout)},
-		{"caps.max_attempts", int64(s.MaxAttempts)}, {"caps.most_held", int64(s.MaxOpenRequests)}} {
-		if f.have <= 0 {
-			return s, newError(f.field, "missing or not above 0; write a value above 0")
+	}{{"classes", int64(len(decoded.Classes))}, {"caps.connect_timeout_ns", int64(decoded.ConnectTimeout)}, {"caps.conn_idle_ns", int64(decoded.ConnIdleTimeout)},
+		{"caps.max_attempts", int64(decoded.MaxAttempts)}, {"caps.most_held", int64(decoded.MaxOpenRequests)}} {
+		if required.have <= 0 {
+			return decoded, newError(required.field, "missing or not above 0; write a value above 0")
 		}
 	}
 	var mode struct {
 		Membership string `json:"membership_mode"`
 	}
 	if err := json.Unmarshal(raw, &mode); err != nil {
-		return s, explainJSONError(raw, err)
+		return decoded, explainJSONError(raw, err)
 	}
-	// A wrong default would violate the drain rule.
+	// With a wrong default a draining server could receive requests for too long.
 	if _, known := membershipModes[mode.Membership]; !known {
-		return s, newError("membership_mode", "%q; write on_request or pushed", mode.Membership)
+		return decoded, newError("membership_mode", "%q; write on_request or pushed", mode.Membership)
 	}
-	s.MaxProcessPause = guard.MaxProcessPause // the simulator writes at the moment of the decision
-	return s, nil
+	decoded.MaxProcessPause = guard.MaxProcessPause // the simulator writes at the moment of the decision
+	return decoded, nil
 }
 
 // explainJSONError adds the location to an error of encoding/json.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// decoderPackages write the settings: reading a field there does not count as use.
+// decoderPackages write the settings: a read of a field there does not count as use.
 var decoderPackages = []string{"ivylock/internal/settings"}
 
 // Guards against a field that is decoded but read by nothing, unless the table says "not read" and
@@ -88,17 +88,17 @@
 	read, documentedFields := fieldsRead(t), documentedFields(t)
 	base := decodeMap(t, nil)
 	for _, field := range fieldPaths(reflect.TypeFor[rawSettings](), "") {
-		var to []string
+		var decodedTo []string
 		for _, v := range []any{1e9, 0.5, 0, true, false, "x", "work", "live", "answers", "pushed", "fragile", "zone", []any{"x"}, 3} {
-			to = append(to, differingFields(reflect.ValueOf(base), reflect.ValueOf(decodeMap(t, func(all map[string]any) { setPath(all, strings.Split(field, "."), v) })), "Settings")...)
+			decodedTo = append(decodedTo, differingFields(reflect.ValueOf(base), reflect.ValueOf(decodeMap(t, func(all map[string]any) { setPath(all, strings.Split(field, "."), v) })), "Settings")...)
 		}
-		if len(to) == 0 {
-			t.Errorf("%s decodes to nothing", field)
+		if len(decodedTo) == 0 {
+			t.Errorf("%s has no effect on the decoded settings", field)
 			continue
 		}
-		used := slices.ContainsFunc(to, func(x string) bool { return read[x] })
+		used := slices.ContainsFunc(decodedTo, func(x string) bool { return read[x] })
 		if documented := strings.Contains(documentedFields[field], "not read:"); used == documented {
-			t.Errorf("%s (%s): read by a decision or the node: %v; the table says \"not read\": %v", field, to, used, documented)
+			t.Errorf("%s (%s): read by a decision or the node: %v; the table says \"not read\": %v", field, decodedTo, used, documented)
 		}
 	}
 }
@@ -212,23 +212,23 @@
 }
 
 // ownerType returns the name of the type that declares a selected field.
-func ownerType(s *types.Selection) string {
-	at := s.Recv()
-	for _, i := range s.Index() {
-		if p, is := at.(*types.Pointer); is {
-			at = p.Elem()
+func ownerType(selection *types.Selection) string {
+	current := selection.Recv()
+	for _, i := range selection.Index() {
+		if pointer, is := current.(*types.Pointer); is {
+			current = pointer.Elem()
 		}
-		st, is := at.Underlying().(*types.Struct)
+		structType, is := current.Underlying().(*types.Struct)
 		if !is {
 			return ""
 		}
-		if f := st.Field(i); f == s.Obj() {
-			if n, is := at.(*types.Named); is {
-				return n.Obj().Name()
+		if field := structType.Field(i); field == selection.Obj() {
+			if named, is := current.(*types.Named); is {
+				return named.Obj().Name()
 			}
 			return ""
 		}
-		at = st.Field(i).Type()
+		current = structType.Field(i).Type()
 	}
 	return ""
 }
@@ -239,27 +239,27 @@
 		t.Fatal(err)
 	}
 	for name, test := range map[string]struct{ from, to, field string }{
-		"text for a number":   {`"balancers":3`, `"balancers":"3"`, "balancers"},
-		"array for an object": {`"caps":{`, `"caps":[1],"c":{`, "caps"},
-		"no time-out":         {`"connect_timeout_ns":250000000`, `"connect_timeout_ns":0`, "caps.connect_timeout_ns"},
-		"negative time":       {`"conn_idle_ns":5`, `"conn_idle_ns":-5`, "caps.conn_idle_ns"},
-		"negative aim":        {`"aim_ns":600000000`, `"aim_ns":-1`, "classes[0].aim_ns"},
-		"negative slot":       {`"slot_no":2`, `"slot_no":-2`, "slot_no"},
-		"negative quota":      {`"quota_per_s":5`, `"quota_per_s":-5`, "accounts[0].quota_per_s"},
-		"too large a number":  {`"balancers":3`, `"balancers":1e999`, "balancers"},
-		"unknown effect":      {`"dedup"`, `"odd"`, "classes[0].effect"},
-		"unknown scope":       {`"cell"`, `"galaxy"`, "classes[0].key_scope"},
-		"no scope":            {`"key_scope":"cell",`, ``, "classes[0].key_scope"},
-		"unknown mode":        {`"on_request"`, `"whispered"`, "membership_mode"},
-		"no mode":             {`"membership_mode":"on_request",`, ``, "membership_mode"},
-		"a class twice":       {`"classes":[`, `"classes":[{"name":"x","effect":"retryable"},`, "classes[1].name"},
-		"no classes":          {`"classes"`, `"c"`, "classes"},
-		"holds nothing":       {`"most_held":9`, `"most_held":0`, "caps.most_held"},
-		"no JSON":             {`"balancers":3`, `"balancers":`, ""},
+		"text for a number":       {`"balancers":3`, `"balancers":"3"`, "balancers"},
+		"array for an object":     {`"caps":{`, `"caps":[1],"c":{`, "caps"},
+		"no timeout":              {`"connect_timeout_ns":250000000`, `"connect_timeout_ns":0`, "caps.connect_timeout_ns"},
+		"negative time":           {`"conn_idle_ns":5`, `"conn_idle_ns":-5`, "caps.conn_idle_ns"},
+		"negative target latency": {`"aim_ns":600000000`, `"aim_ns":-1`, "classes[0].aim_ns"},
+		"negative slot":           {`"slot_no":2`, `"slot_no":-2`, "slot_no"},
+		"negative quota":          {`"quota_per_s":5`, `"quota_per_s":-5`, "accounts[0].quota_per_s"},
+		"too large a number":      {`"balancers":3`, `"balancers":1e999`, "balancers"},
+		"unknown effect":          {`"dedup"`, `"odd"`, "classes[0].effect"},
+		"unknown scope":           {`"cell"`, `"galaxy"`, "classes[0].key_scope"},
+		"no scope":                {`"key_scope":"cell",`, ``, "classes[0].key_scope"},
+		"unknown mode":            {`"on_request"`, `"whispered"`, "membership_mode"},
+		"no mode":                 {`"membership_mode":"on_request",`, ``, "membership_mode"},
+		"a class twice":           {`"classes":[`, `"classes":[{"name":"x","effect":"retryable"},`, "classes[1].name"},
+		"no classes":              {`"classes"`, `"c"`, "classes"},
+		"no open requests":        {`"most_held":9`, `"most_held":0`, "caps.most_held"},
+		"no JSON":                 {`"balancers":3`, `"balancers":`, ""},
 	} {
 		text := strings.Replace(validSettings, test.from, test.to, 1)
 		if text == validSettings {
-			t.Fatalf("%s: nothing was changed", name)
+			t.Fatalf("%s: the text to replace was not found", name)
 		}
 		_, err := DecodeForNode([]byte(text))
 		var e *Error
@@ -269,7 +269,7 @@
 	}
 }
 
-// Absent, zero and huge values, fractions and unknown words keep their documented meaning.
+// Zero and huge values, fractions, unknown values and unknown keys have their documented meaning.
 func TestEdgeCases(t *testing.T) {
 	for _, test := range []struct {
 		path string
