--- a/balance/balance.go
+++ b/balance/balance.go
@@ -58,18 +58,18 @@
 	candidates            = 2   // servers compared for a non-priority request in a large fleet
 )
 
-// NextMode returns the mode that follows m at n requests in flight. low, high and block are the
-// thresholds L, H and R, in requests; the mode changes with hysteresis.
-func NextMode(m Mode, n, low, high, block float64) Mode {
+// NextMode returns the mode that follows the given one at n requests in flight. low, high
+// and block are the thresholds L, H and R, in requests; the mode changes with hysteresis.
+func NextMode(mode Mode, n, low, high, block float64) Mode {
 	switch {
-	case m != Blocking && n > block-1:
+	case mode != Blocking && n > block-1:
 		return Blocking
-	case m == Normal && n > high-1, m == Blocking && n < high+1:
+	case mode == Normal && n > high-1, mode == Blocking && n < high+1:
 		return Overloaded
-	case m == Overloaded && n < low:
+	case mode == Overloaded && n < low:
 		return Normal
 	}
-	return m
+	return mode
 }
 
 // ShedSplit returns the drop probabilities of priority (q1) and other requests (q2) for an
@@ -256,17 +256,17 @@
 // updateShedding sets q1 and q2. They apply only where no server is in Normal mode: other
 // requests are dropped first, and more priority requests the closer the fleet is to R.
 func (m *Module) updateShedding() {
-	q, n := 0.0, m.n1+m.n2
-	if n > 0 {
-		q = (m.n2 + m.n1*m.overloadSum/m.ticks) / n
+	q, total := 0.0, m.n1+m.n2
+	if total > 0 {
+		q = (m.n2 + m.n1*m.overloadSum/m.ticks) / total
 	}
 	m.arrivals1, m.arrivals2 =
 		m.arrivals1+arrivalGain*(m.n1-m.arrivals1), m.arrivals2+arrivalGain*(m.n2-m.arrivals2)
 	// A large fleet has few arrivals per node and period: smooth them.
-	if m.q1, m.q2 = ShedSplit(q, m.n1, m.n2); m.largeFleet && n > 0 {
+	if m.q1, m.q2 = ShedSplit(q, m.n1, m.n2); m.largeFleet && total > 0 {
 		arrivals := m.arrivals1 + m.arrivals2
 		m.admitted = math.Max(minAdmitFraction*arrivals,
-			math.Min(1.5*arrivals, m.admitted)*(1.1-0.3*m.noNormal/n))
+			math.Min(1.5*arrivals, m.admitted)*(1.1-0.3*m.noNormal/total))
 		m.q1, m.q2 = ShedSplit(math.Max(0, 1-m.admitted/arrivals), m.arrivals1, m.arrivals2)
 	}
 	if m.hasWaitReadings() { // the wait shows the overload: drop non-priority requests only
--- a/balance/behaviour_test.go
+++ b/balance/behaviour_test.go
@@ -57,19 +57,19 @@
 }
 
 func newSeededHarness(t *testing.T, settings balance.Settings, servers int, seed int64) *harness {
-	h := &harness{t: t, module: decider.New(settings, 1000*seed+int64(5+settings.Self)), now: time.Hour,
+	node := &harness{t: t, module: decider.New(settings, 1000*seed+int64(5+settings.Self)), now: time.Hour,
 		sent: map[balance.ServerID]int{}, done: map[balance.RequestID]bool{},
 		finalAnswer: map[balance.RequestID]balance.Action{}, attempts: map[balance.RequestID]int{},
 		clientTimeout: 2 * time.Second, inTime: map[string]int{},
 		arrivedAt: map[balance.RequestID]time.Duration{}}
-	h.work = func(balance.RequestID) time.Duration { return 0 }
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return 50 * time.Millisecond, balance.OK }
+	node.work = func(balance.RequestID) time.Duration { return 0 }
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return 50 * time.Millisecond, balance.OK }
 	var list []balance.Server
 	for i := range servers {
 		list = append(list, balance.Server{ID: balance.ServerID(i + 1), Zone: "z"})
 	}
-	h.handle(balance.ListUpdate{Kind: balance.ListCached, Entries: list})
-	return h
+	node.handle(balance.ListUpdate{Kind: balance.ListCached, Entries: list})
+	return node
 }
 
 func (h *harness) handle(event balance.Event) {
@@ -169,44 +169,44 @@
 func TestSilentServerIsEjectedWhileListIsDown(t *testing.T) {
 	settings := testSettings()
 	settings.ListOnDemand = true
-	h := newHarness(t, settings, 5)
-	h.run(5*time.Second, 100, "cheap")
-	normalDelay := h.delay
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, settings, 5)
+	node.run(5*time.Second, 100, "cheap")
+	normalDelay := node.delay
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		if id == 3 {
 			return time.Hour, balance.TimedOut
 		}
 		return normalDelay(id)
 	}
-	h.reset()
-	h.run(6*time.Second, 100, "cheap")
-	if h.sent[3] > 25 || h.failed > 0 || h.refused > 5 {
-		t.Errorf("unresponsive server got %d requests, %d failed, %d refused", h.sent[3], h.failed, h.refused)
+	node.reset()
+	node.run(6*time.Second, 100, "cheap")
+	if node.sent[3] > 25 || node.failed > 0 || node.refused > 5 {
+		t.Errorf("unresponsive server got %d requests, %d failed, %d refused", node.sent[3], node.failed, node.refused)
 	}
-	if h.subscriptions < 3 {
-		t.Errorf("the list was requested only %d times", h.subscriptions)
+	if node.subscriptions < 3 {
+		t.Errorf("the list was requested only %d times", node.subscriptions)
 	}
-	h.delay = normalDelay
-	h.reset()
-	h.run(3*time.Second, 100, "cheap")
-	early := h.sent[3]
-	h.run(9*time.Second, 100, "cheap")
-	h.reset()
-	h.run(5*time.Second, 100, "cheap")
-	if early > 50 || h.sent[3] < 60 {
-		t.Errorf("after its recovery: %d sends in the first 3 s, %d in 5 s once warm", early, h.sent[3])
+	node.delay = normalDelay
+	node.reset()
+	node.run(3*time.Second, 100, "cheap")
+	early := node.sent[3]
+	node.run(9*time.Second, 100, "cheap")
+	node.reset()
+	node.run(5*time.Second, 100, "cheap")
+	if early > 50 || node.sent[3] < 60 {
+		t.Errorf("after its recovery: %d sends in the first 3 s, %d in 5 s once warm", early, node.sent[3])
 	}
 }
 
 // An unsafe request at a server that does not answer must fail at its deadline, without a retry or a
 // refusal.
 func TestUnsafeRequestFailsAfterTimeout(t *testing.T) {
-	h := newHarness(t, testSettings(), 3)
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Hour, balance.TimedOut }
-	h.run(5*time.Millisecond, 200, "once")
-	h.run(3*time.Second, 0, "once")
-	if n := h.sent[1] + h.sent[2] + h.sent[3]; n != 1 || h.failed != 1 || h.refused != 0 {
-		t.Errorf("%d sends, %d failed, %d refused; want 1, 1, 0", n, h.failed, h.refused)
+	node := newHarness(t, testSettings(), 3)
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Hour, balance.TimedOut }
+	node.run(5*time.Millisecond, 200, "once")
+	node.run(3*time.Second, 0, "once")
+	if n := node.sent[1] + node.sent[2] + node.sent[3]; n != 1 || node.failed != 1 || node.refused != 0 {
+		t.Errorf("%d sends, %d failed, %d refused; want 1, 1, 0", n, node.failed, node.refused)
 	}
 }
 
@@ -220,57 +220,58 @@
 	}{{"cheap", balance.ServerError, true}, {"cheap", balance.ConnectFailed, true},
 		{"once", balance.ServerError, false},
 		{"once", balance.Reset, false}, {"once", balance.ConnectFailed, true}, {"once", balance.Full, true}} {
-		h := newHarness(t, testSettings(), 3)
-		h.run(3*time.Second, 100, "cheap")
-		h.run(time.Second, 0, "cheap")
-		h.reset()
+		node := newHarness(t, testSettings(), 3)
+		node.run(3*time.Second, 100, "cheap")
+		node.run(time.Second, 0, "cheap")
+		node.reset()
 		first := true
-		h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
+		node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 			if first {
 				first = false
 				return 10 * time.Millisecond, test.code
 			}
 			return 50 * time.Millisecond, balance.OK
 		}
-		h.run(5*time.Millisecond, 200, test.class)
-		h.run(time.Second, 0, test.class)
-		if n := h.sent[1] + h.sent[2] + h.sent[3]; (n == 2) != test.again || (h.failed == 1) == test.again {
-			t.Errorf("%s after code %d: %d sends, %d failed", test.class, test.code, n, h.failed)
+		node.run(5*time.Millisecond, 200, test.class)
+		node.run(time.Second, 0, test.class)
+		if n := node.sent[1] + node.sent[2] + node.sent[3]; (n == 2) != test.again || (node.failed == 1) == test.again {
+			t.Errorf("%s after code %d: %d sends, %d failed", test.class, test.code, n, node.failed)
 		}
 	}
 }
 
 // A server that fails fast must not attract load.
 func TestFastFailingServerAttractsNoLoad(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, testSettings(), 4)
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		if id == 2 {
 			return time.Millisecond, balance.ServerError
 		}
 		return 50 * time.Millisecond, balance.OK
 	}
-	h.run(10*time.Second, 100, "cheap")
-	if h.sent[2] > 60 {
-		t.Errorf("%d of %d sends went to the failing server", h.sent[2], h.sent[1]+h.sent[2]+h.sent[3]+h.sent[4])
+	node.run(10*time.Second, 100, "cheap")
+	if node.sent[2] > 60 {
+		t.Errorf("%d of %d sends went to the failing server", node.sent[2],
+			node.sent[1]+node.sent[2]+node.sent[3]+node.sent[4])
 	}
 }
 
 // When all servers slow down at once, none may be ejected and each must keep as many
 // requests in flight as before.
 func TestNoEjectionWhenAllServersSlowDown(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	h.run(5*time.Second, 80, "cheap")
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, testSettings(), 4)
+	node.run(5*time.Second, 80, "cheap")
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		return 150 * time.Millisecond, balance.OK
 	}
-	h.reset()
-	h.run(5*time.Second, 80, "cheap")
-	if h.logLines > 0 {
-		t.Errorf("%d servers were ejected", h.logLines)
+	node.reset()
+	node.run(5*time.Second, 80, "cheap")
+	if node.logLines > 0 {
+		t.Errorf("%d servers were ejected", node.logLines)
 	}
 	for id := balance.ServerID(1); id <= 4; id++ {
-		if h.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
-			t.Errorf("server %d got only %d requests", id, h.sent[id])
+		if node.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
+			t.Errorf("server %d got only %d requests", id, node.sent[id])
 		}
 	}
 }
@@ -285,18 +286,18 @@
 		settings.MaxProcessPause = pause
 		settings.Classes = []balance.Class{{Name: "keyed", Value: 1, TargetLatency: 1500 * time.Millisecond,
 			Deadline: 2 * time.Second, Effect: balance.Keyed, KeyScope: balance.ScopeAll, DedupWindow: window}}
-		h := newHarness(t, settings, 3)
+		node := newHarness(t, settings, 3)
 		first := true
-		h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
+		node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 			if first {
 				first = false
 				return failsAfter, balance.Reset
 			}
 			return time.Millisecond, balance.OK
 		}
-		h.run(5*time.Millisecond, 200, "keyed")
-		h.run(time.Second, 0, "keyed")
-		if sends := h.sent[1] + h.sent[2] + h.sent[3]; sends > 1 != retried {
+		node.run(5*time.Millisecond, 200, "keyed")
+		node.run(time.Second, 0, "keyed")
+		if sends := node.sent[1] + node.sent[2] + node.sent[3]; sends > 1 != retried {
 			t.Errorf("failed %v after the send, window %v, pause %v: %d sends", failsAfter, window, pause, sends)
 		}
 	}
@@ -306,33 +307,33 @@
 func TestLightTrafficIsServed(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 6
-	h := newHarness(t, settings, 15)
-	h.run(4*time.Second, 30, "cheap")
-	h.reset()
-	h.run(20*time.Second, 30, "cheap")
-	if h.refused > 3 {
-		t.Errorf("%d of 600 refused in light traffic", h.refused)
+	node := newHarness(t, settings, 15)
+	node.run(4*time.Second, 30, "cheap")
+	node.reset()
+	node.run(20*time.Second, 30, "cheap")
+	if node.refused > 3 {
+		t.Errorf("%d of 600 refused in light traffic", node.refused)
 	}
 }
 
 // Overload must shed low-value requests first.
 func TestOverloadShedsByValue(t *testing.T) {
-	h := newHarness(t, testSettings(), 3)
+	node := newHarness(t, testSettings(), 3)
 	busy := map[balance.ServerID]time.Duration{}
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
-		busy[id] = max(busy[id], h.now) + 20*time.Millisecond
-		return busy[id] - h.now, balance.OK
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
+		busy[id] = max(busy[id], node.now) + 20*time.Millisecond
+		return busy[id] - node.now, balance.OK
 	}
 	refused := map[string]int{}
 	for range 400 {
 		for _, class := range []string{"dear", "cheap", "cheap", "cheap"} {
-			before := h.refused
-			h.nextID++
-			h.handle(balance.RequestArrived{ID: balance.RequestID(fmt.Sprint(h.nextID)), Class: class,
+			before := node.refused
+			node.nextID++
+			node.handle(balance.RequestArrived{ID: balance.RequestID(fmt.Sprint(node.nextID)), Class: class,
 				ClientTimeout: time.Second})
-			refused[class] += h.refused - before
+			refused[class] += node.refused - before
 		}
-		h.run(15*time.Millisecond, 0, "")
+		node.run(15*time.Millisecond, 0, "")
 	}
 	if refused["cheap"] < 200 || refused["dear"]*6 > refused["cheap"] {
 		t.Errorf("refused on arrival: %v", refused)
@@ -343,43 +344,43 @@
 	drained := []balance.Server{{ID: 1, State: balance.Draining}}
 	for _, list := range [][]balance.Server{nil, drained} {
 		for _, settings := range []balance.Settings{{}, testSettings()} {
-			h := newHarness(t, settings, 0)
-			h.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
-			h.handle(balance.RequestArrived{ID: "a", Class: "unheard of", ClientTimeout: time.Second})
-			if _, ok := h.finalAnswer["a"].(balance.Refuse); !ok || len(h.sent) != 0 {
-				t.Errorf("%v: answer %v, sends %v", list, h.finalAnswer["a"], h.sent)
+			node := newHarness(t, settings, 0)
+			node.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
+			node.handle(balance.RequestArrived{ID: "a", Class: "unheard of", ClientTimeout: time.Second})
+			if _, ok := node.finalAnswer["a"].(balance.Refuse); !ok || len(node.sent) != 0 {
+				t.Errorf("%v: answer %v, sends %v", list, node.finalAnswer["a"], node.sent)
 			}
 		}
 	}
-	h := newHarness(t, balance.Settings{}, 2) // no classes configured
-	h.handle(balance.RequestArrived{ID: "a", Class: "x", ClientTimeout: 0})
-	if _, ok := h.finalAnswer["a"].(balance.Refuse); !ok {
+	node := newHarness(t, balance.Settings{}, 2) // no classes configured
+	node.handle(balance.RequestArrived{ID: "a", Class: "x", ClientTimeout: 0})
+	if _, ok := node.finalAnswer["a"].(balance.Refuse); !ok {
 		t.Error("a request with zero client timeout was not refused")
 	}
-	h.handle(balance.RequestArrived{ID: "b", Class: "x", ClientTimeout: time.Second})
-	h.handle(balance.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: balance.OK, Report: &balance.Report{}})
-	h.handle(balance.RequestAbandoned{ID: "nobody"})
-	h.handle(balance.TimerFired{Token: 99})
-	h.run(2*time.Second, 50, "x")
-	if h.sent[1]+h.sent[2] == 0 {
+	node.handle(balance.RequestArrived{ID: "b", Class: "x", ClientTimeout: time.Second})
+	node.handle(balance.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: balance.OK, Report: &balance.Report{}})
+	node.handle(balance.RequestAbandoned{ID: "nobody"})
+	node.handle(balance.TimerFired{Token: 99})
+	node.run(2*time.Second, 50, "x")
+	if node.sent[1]+node.sent[2] == 0 {
 		t.Error("nothing was sent without classes")
 	}
 }
 
 // A Full answer blocks its server only for modeValidity.
 func TestBlockingAfterFullAnswerExpires(t *testing.T) {
-	h := newHarness(t, testSettings(), 1)
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Millisecond, balance.Full }
-	h.run(5*time.Millisecond, 200, "cheap")
-	h.run(100*time.Millisecond, 0, "cheap")
-	h.reset()
-	h.run(800*time.Millisecond, 20, "cheap")
-	if h.sent[1] != 0 {
-		t.Errorf("%d sends to a blocked server", h.sent[1])
-	}
-	h.run(200*time.Millisecond, 0, "cheap")
-	h.run(200*time.Millisecond, 20, "cheap")
-	if h.sent[1] == 0 {
+	node := newHarness(t, testSettings(), 1)
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Millisecond, balance.Full }
+	node.run(5*time.Millisecond, 200, "cheap")
+	node.run(100*time.Millisecond, 0, "cheap")
+	node.reset()
+	node.run(800*time.Millisecond, 20, "cheap")
+	if node.sent[1] != 0 {
+		t.Errorf("%d sends to a blocked server", node.sent[1])
+	}
+	node.run(200*time.Millisecond, 0, "cheap")
+	node.run(200*time.Millisecond, 20, "cheap")
+	if node.sent[1] == 0 {
 		t.Error("the server is still blocked")
 	}
 }
@@ -390,58 +391,58 @@
 func TestZoneFailureAndColdRecovery(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes = 2
-	h := newHarness(t, settings, 8)
-	h.run(10*time.Second, 60, "cheap")
+	node := newHarness(t, settings, 8)
+	node.run(10*time.Second, 60, "cheap")
 	inLostZone := func(id balance.ServerID) bool { return id > 4 }
-	normalDelay := h.delay
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	normalDelay := node.delay
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		if inLostZone(id) {
 			return time.Hour, balance.TimedOut
 		}
 		return normalDelay(id)
 	}
-	h.run(2*time.Second, 120, "cheap")
-	h.reset()
-	h.run(5*time.Second, 120, "cheap")
+	node.run(2*time.Second, 120, "cheap")
+	node.reset()
+	node.run(5*time.Second, 120, "cheap")
 	dead, alive := 0, 0
-	for id, n := range h.sent {
+	for id, n := range node.sent {
 		if inLostZone(id) {
 			dead += n
 		} else {
 			alive += n
 		}
 	}
-	if dead > 60 || alive < 300 || h.failed > 0 {
-		t.Errorf("failed zone: %d sends into it, %d to the rest, %d failed", dead, alive, h.failed)
+	if dead > 60 || alive < 300 || node.failed > 0 {
+		t.Errorf("failed zone: %d sends into it, %d to the rest, %d failed", dead, alive, node.failed)
 	}
 	var gone, returned []balance.Server
 	for id := balance.ServerID(5); id <= 8; id++ {
 		gone = append(gone, balance.Server{ID: id, Zone: "z", State: balance.Removed})
-		returned = append(returned, balance.Server{ID: id, Zone: "z", StartedAt: h.now + 2*time.Second})
+		returned = append(returned, balance.Server{ID: id, Zone: "z", StartedAt: node.now + 2*time.Second})
 	}
-	h.handle(balance.ListUpdate{Kind: balance.ListChanges, Entries: gone})
-	h.reset()
-	h.run(2*time.Second, 120, "cheap")
-	for id := range h.sent {
+	node.handle(balance.ListUpdate{Kind: balance.ListChanges, Entries: gone})
+	node.reset()
+	node.run(2*time.Second, 120, "cheap")
+	for id := range node.sent {
 		if inLostZone(id) {
 			t.Errorf("sent to %d, which is removed", id)
 		}
 	}
-	h.delay = normalDelay
-	h.handle(balance.ListUpdate{Kind: balance.ListChanges, Entries: returned})
-	h.reset()
-	h.run(time.Second, 120, "cheap")
-	for id, n := range h.sent {
+	node.delay = normalDelay
+	node.handle(balance.ListUpdate{Kind: balance.ListChanges, Entries: returned})
+	node.reset()
+	node.run(time.Second, 120, "cheap")
+	for id, n := range node.sent {
 		// Warm servers serve 30/s for this node; there are two nodes.
 		if budget := 2.5 * 0.3 * 30; inLostZone(id) && float64(n) > budget/2+2 {
 			t.Errorf("warming server %d got %d requests in its first second", id, n)
 		}
 	}
-	h.run(9*time.Second, 60, "cheap")
-	h.reset()
-	h.run(5*time.Second, 60, "cheap")
-	if n := h.sent[5] + h.sent[6] + h.sent[7] + h.sent[8]; n < 90 || h.refused > 0 {
-		t.Errorf("once warm: %d of 300 sends to the zone, %d refused", n, h.refused)
+	node.run(9*time.Second, 60, "cheap")
+	node.reset()
+	node.run(5*time.Second, 60, "cheap")
+	if n := node.sent[5] + node.sent[6] + node.sent[7] + node.sent[8]; n < 90 || node.refused > 0 {
+		t.Errorf("once warm: %d of 300 sends to the zone, %d refused", n, node.refused)
 	}
 }
 
@@ -461,75 +462,75 @@
 const expensiveSeeds = 24
 
 func runExpensiveClass(t *testing.T, seed int64) int {
-	h := newSeededHarness(t, testSettings(), 6, seed)
+	node := newSeededHarness(t, testSettings(), 6, seed)
 	mixed := func(length time.Duration) {
-		for end := h.now + length; h.now < end; {
-			h.run(50*time.Millisecond, 61, "cheap")
-			h.run(50*time.Millisecond, 21, "once")
+		for end := node.now + length; node.now < end; {
+			node.run(50*time.Millisecond, 61, "cheap")
+			node.run(50*time.Millisecond, 21, "once")
 		}
 	}
 	mixed(10 * time.Second)
-	h.work = func(id balance.RequestID) time.Duration {
+	node.work = func(id balance.RequestID) time.Duration {
 		if strings.HasPrefix(string(id), "once") {
 			return 500 * time.Millisecond
 		}
 		return 0
 	}
-	h.reset()
-	h.inTime = map[string]int{}
+	node.reset()
+	node.inTime = map[string]int{}
 	mixed(10 * time.Second)
-	if h.inTime["cheap"] < 190 {
+	if node.inTime["cheap"] < 190 {
 		t.Errorf("seed %d: %d of 300 requests of the other class served in time, %d refused", seed,
-			h.inTime["cheap"], h.refused)
+			node.inTime["cheap"], node.refused)
 	}
-	least, most := h.sent[1], h.sent[1]
-	for _, n := range h.sent {
+	least, most := node.sent[1], node.sent[1]
+	for _, n := range node.sent {
 		least, most = min(least, n), max(most, n)
 	}
-	if len(h.sent) < 6 || most > 2*least {
-		t.Errorf("seed %d: uneven load on equal servers: %v", seed, h.sent)
+	if len(node.sent) < 6 || most > 2*least {
+		t.Errorf("seed %d: uneven load on equal servers: %v", seed, node.sent)
 	}
-	return h.logLines
+	return node.logLines
 }
 
 // In an overload with client retries the high-value class must keep its service, queues
 // must stay short, and the retry-after values must differ.
 func TestOverloadWithClientRetries(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
-	h.retries, h.clientTimeout = 2, 1200*time.Millisecond
+	node := newHarness(t, testSettings(), 4)
+	node.retries, node.clientTimeout = 2, 1200*time.Millisecond
 	free := map[balance.ServerID]time.Duration{}
 	longest := time.Duration(0)
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
-		free[id] = max(free[id], h.now) + 20*time.Millisecond
-		longest = max(longest, free[id]-h.now)
-		return free[id] - h.now, balance.OK
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
+		free[id] = max(free[id], node.now) + 20*time.Millisecond
+		longest = max(longest, free[id]-node.now)
+		return free[id] - node.now, balance.OK
 	}
 	mixed := func(length time.Duration, rate float64) int {
-		start := h.nextID
-		for end := h.now + length; h.now < end; {
-			h.run(50*time.Millisecond, 40, "dear")
-			h.run(50*time.Millisecond, rate, "cheap")
+		start := node.nextID
+		for end := node.now + length; node.now < end; {
+			node.run(50*time.Millisecond, 40, "dear")
+			node.run(50*time.Millisecond, rate, "cheap")
 		}
-		return h.nextID - start
+		return node.nextID - start
 	}
 	mixed(10*time.Second, 60)
-	h.inTime, longest, h.retryAfters = map[string]int{}, 0, nil
+	node.inTime, longest, node.retryAfters = map[string]int{}, 0, nil
 	mixed(10*time.Second, 600) // 20 and 300 a second; the servers serve 200
-	if h.inTime["dear"] < 170 {
-		t.Errorf("%d of 200 dear requests in time", h.inTime["dear"])
+	if node.inTime["dear"] < 170 {
+		t.Errorf("%d of 200 dear requests in time", node.inTime["dear"])
 	}
-	if h.inTime["cheap"] < 1000 {
-		t.Errorf("%d cheap requests in time, of some 1800 within the capacity", h.inTime["cheap"])
+	if node.inTime["cheap"] < 1000 {
+		t.Errorf("%d cheap requests in time, of some 1800 within the capacity", node.inTime["cheap"])
 	}
 	if longest > 300*time.Millisecond {
 		t.Errorf("longest queue of a server %v", longest)
 	}
 	seen := map[time.Duration]bool{}
-	for _, retryAfter := range h.retryAfters {
+	for _, retryAfter := range node.retryAfters {
 		seen[retryAfter] = true
 	}
-	if len(seen) < len(h.retryAfters)/4 {
-		t.Errorf("%d refusals with %d different retry-after values", len(h.retryAfters), len(seen))
+	if len(seen) < len(node.retryAfters)/4 {
+		t.Errorf("%d refusals with %d different retry-after values", len(node.retryAfters), len(seen))
 	}
 }
 
@@ -539,14 +540,14 @@
 	grown := func(factor float64) int {
 		settings := testSettings()
 		settings.OverloadFactor = factor
-		h := newHarness(t, settings, 4)
-		h.run(10*time.Second, 100, "cheap")
-		h.handle(balance.ListUpdate{Kind: balance.ListChanges,
-			Entries: []balance.Server{{ID: 2, Zone: "z", StartedAt: h.now}}})
-		h.run(time.Second, 100, "cheap")
-		h.reset()
-		h.run(2*time.Second, 100, "cheap")
-		return h.sent[2]
+		node := newHarness(t, settings, 4)
+		node.run(10*time.Second, 100, "cheap")
+		node.handle(balance.ListUpdate{Kind: balance.ListChanges,
+			Entries: []balance.Server{{ID: 2, Zone: "z", StartedAt: node.now}}})
+		node.run(time.Second, 100, "cheap")
+		node.reset()
+		node.run(2*time.Second, 100, "cheap")
+		return node.sent[2]
 	}
 	if tight, wide := grown(1), grown(4); wide*2 < tight*3 {
 		t.Errorf("%d sends in 2 s with overload factor 1, %d with 4", tight, wide)
@@ -555,10 +556,10 @@
 
 // A server that fails and recovers repeatedly must not flood the log.
 func TestLogRateIsLimited(t *testing.T) {
-	h := newHarness(t, testSettings(), 3)
-	h.run(3*time.Second, 100, "cheap")
+	node := newHarness(t, testSettings(), 3)
+	node.run(3*time.Second, 100, "cheap")
 	answers := 0
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		if id == 1 {
 			if answers++; answers%3 != 0 {
 				return time.Millisecond, balance.Reset
@@ -566,26 +567,26 @@
 		}
 		return 50 * time.Millisecond, balance.OK
 	}
-	h.logLines = 0
-	h.run(60*time.Second, 100, "cheap")
-	if h.logLines == 0 || h.logLines > 13 {
-		t.Errorf("%d log lines in a minute about one server", h.logLines)
+	node.logLines = 0
+	node.run(60*time.Second, 100, "cheap")
+	if node.logLines == 0 || node.logLines > 13 {
+		t.Errorf("%d log lines in a minute about one server", node.logLines)
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
-	m := balance.New(testSettings(), 1)
+	module := balance.New(testSettings(), 1)
 	var list []balance.Server
 	for i := range 20 {
 		list = append(list, balance.Server{ID: balance.ServerID(i + 1)})
 	}
-	m.Handle(0, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
-	benchmarkRequests(b, m, time.Millisecond)
+	module.Handle(0, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
+	benchmarkRequests(b, module, time.Millisecond)
 }
 
 // benchmarkRequests sends one request per step, answered at once. Request IDs and events
 // are allocated in advance, as in the node.
-func benchmarkRequests(b *testing.B, m *balance.Module, step time.Duration) {
+func benchmarkRequests(b *testing.B, module *balance.Module, step time.Duration) {
 	ids := make([]balance.RequestID, 4096)
 	for i := range ids {
 		ids[i] = balance.RequestID(fmt.Sprint(i))
@@ -598,22 +599,22 @@
 	for i := range b.N {
 		now := time.Duration(i) * step
 		arrived.ID = ids[i%len(ids)]
-		for _, a := range m.Handle(now, arrived) {
+		for _, a := range module.Handle(now, arrived) {
 			if s, ok := a.(balance.Send); ok {
 				ended.ID, ended.Server = arrived.ID, s.Server
-				m.Handle(now, ended)
+				module.Handle(now, ended)
 			}
 		}
 		if i%25 == 0 {
-			m.Handle(now, tick)
+			module.Handle(now, tick)
 		}
 	}
 }
 
 // The request path must not allocate.
 func TestRequestPathDoesNotAllocate(t *testing.T) {
-	m := balance.New(testSettings(), 1)
-	m.Handle(0, balance.ListUpdate{Kind: balance.ListCached,
+	module := balance.New(testSettings(), 1)
+	module.Handle(0, balance.ListUpdate{Kind: balance.ListCached,
 		Entries: []balance.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
 	arrived := &balance.RequestArrived{ID: "r", Class: "cheap", ClientTimeout: time.Second}
 	ended := &balance.AttemptEnded{ID: "r", RequestDone: true, Elapsed: time.Millisecond}
@@ -621,14 +622,14 @@
 	now, sent := time.Duration(0), 0
 	step := func() {
 		now += 5 * time.Millisecond
-		for _, a := range m.Handle(now, arrived) {
+		for _, a := range module.Handle(now, arrived) {
 			if s, ok := a.(balance.Send); ok {
 				sent++
 				ended.Server = s.Server
-				m.Handle(now, ended)
+				module.Handle(now, ended)
 			}
 		}
-		m.Handle(now, tick)
+		module.Handle(now, tick)
 	}
 	for range 1000 {
 		step()
@@ -645,22 +646,22 @@
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].TargetLatency = 10 * time.Second // a distant target: only the unloaded latency bounds the queue
-	h := newHarness(t, settings, 4)
+	node := newHarness(t, settings, 4)
 	free := map[balance.ServerID]time.Duration{}
 	var waits, answers time.Duration
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
-		free[id] = max(free[id], h.now) + 20*time.Millisecond
-		waits, answers = waits+free[id]-h.now, answers+1
-		return free[id] - h.now, balance.OK
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) { // one request at a time, 20 ms each
+		free[id] = max(free[id], node.now) + 20*time.Millisecond
+		waits, answers = waits+free[id]-node.now, answers+1
+		return free[id] - node.now, balance.OK
 	}
-	h.run(10*time.Second, 100, "cheap")
-	h.run(10*time.Second, 400, "cheap")
+	node.run(10*time.Second, 100, "cheap")
+	node.run(10*time.Second, 400, "cheap")
 	waits, answers = 0, 0
-	h.run(5*time.Second, 400, "cheap")
+	node.run(5*time.Second, 400, "cheap")
 	early := waits / answers
-	h.run(60*time.Second, 400, "cheap")
+	node.run(60*time.Second, 400, "cheap")
 	waits, answers = 0, 0
-	h.run(5*time.Second, 400, "cheap")
+	node.run(5*time.Second, 400, "cheap")
 	if late := waits / answers; late > early*5/4 {
 		t.Errorf("mean wait %v after 10 s of overload, %v after 75 s", early, late)
 	} else {
--- a/balance/chance_test.go
+++ b/balance/chance_test.go
@@ -9,27 +9,27 @@
 
 // Servers that all fail at times must not be ejected; a server that always fails must be.
 func TestBackgroundFailuresDoNotEject(t *testing.T) {
-	h := newHarness(t, testSettings(), 6)
+	node := newHarness(t, testSettings(), 6)
 	attempts, dead := map[balance.ServerID]int{}, false
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		attempts[id]++
 		if dead && id == 1 || attempts[id]%20 < 2 { // one attempt in ten fails, two in a row
 			return 20 * time.Millisecond, balance.Reset
 		}
 		return 50 * time.Millisecond, balance.OK
 	}
-	h.run(10*time.Second, 100, "cheap")
-	h.logLines = 0
-	h.run(20*time.Second, 100, "cheap")
-	if h.logLines > 0 {
-		t.Errorf("%d log lines about ejections where all servers fail alike", h.logLines)
+	node.run(10*time.Second, 100, "cheap")
+	node.logLines = 0
+	node.run(20*time.Second, 100, "cheap")
+	if node.logLines > 0 {
+		t.Errorf("%d log lines about ejections where all servers fail alike", node.logLines)
 	}
 	dead = true
-	h.run(2*time.Second, 100, "cheap")
-	h.reset()
-	h.run(5*time.Second, 100, "cheap")
-	if h.sent[1] > 20 {
-		t.Errorf("%d of 500 sends to a server that always fails", h.sent[1])
+	node.run(2*time.Second, 100, "cheap")
+	node.reset()
+	node.run(5*time.Second, 100, "cheap")
+	if node.sent[1] > 20 {
+		t.Errorf("%d of 500 sends to a server that always fails", node.sent[1])
 	}
 }
 
@@ -37,20 +37,20 @@
 func TestOnlyPriorityRequestsNearOpenLimit(t *testing.T) {
 	settings := testSettings()
 	settings.MaxOpenRequests = 20
-	h := newHarness(t, settings, 30)
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Hour, balance.TimedOut }
+	node := newHarness(t, settings, 30)
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Hour, balance.TimedOut }
 	total := func() (n int) {
-		for _, sent := range h.sent {
+		for _, sent := range node.sent {
 			n += sent
 		}
 		return n
 	}
-	h.run(100*time.Millisecond, 300, "cheap")
+	node.run(100*time.Millisecond, 300, "cheap")
 	cheap := total()
 	if cheap < 14 || cheap > 16 {
 		t.Errorf("%d cheap requests open of 20 at most", cheap)
 	}
-	h.run(20*time.Millisecond, 200, "dear")
+	node.run(20*time.Millisecond, 200, "dear")
 	if dear := total() - cheap; dear != 4 {
 		t.Errorf("%d of 4 dear requests were sent", dear)
 	}
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -16,42 +16,42 @@
 
 // Idle servers must not count as overloaded. Guards against thresholds below one request.
 func TestNoRefusalsWithFewRequestsAndManyServers(t *testing.T) {
-	h := newHarness(t, largeFleetSettings(), 200)
-	h.run(60*time.Second, 2, "cheap")
-	if h.refused+h.failed > 0 {
-		t.Errorf("%d refused, %d failed of 120", h.refused, h.failed)
+	node := newHarness(t, largeFleetSettings(), 200)
+	node.run(60*time.Second, 2, "cheap")
+	if node.refused+node.failed > 0 {
+		t.Errorf("%d refused, %d failed of 120", node.refused, node.failed)
 	}
 }
 
 // A restarted node of a large fleet must shed after a few answers from servers that are too
 // slow.
 func TestRestartedNodeShedsAfterFewAnswers(t *testing.T) {
-	h := newHarness(t, largeFleetSettings(), 40)
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, largeFleetSettings(), 40)
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		return 1400 * time.Millisecond, balance.OK
 	}
-	h.run(4500*time.Millisecond, 10, "cheap")
-	if h.refused < 5 {
-		t.Errorf("%d of 45 refused while every answer takes 1.4 s, target latency 1.5 s", h.refused)
+	node.run(4500*time.Millisecond, 10, "cheap")
+	if node.refused < 5 {
+		t.Errorf("%d of 45 refused while every answer takes 1.4 s, target latency 1.5 s", node.refused)
 	}
 }
 
 // Servers at their connection limit reject new connections; requests must be served
 // elsewhere.
 func TestServersAtConnectionLimit(t *testing.T) {
-	h := newHarness(t, largeFleetSettings(), 60)
-	h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, largeFleetSettings(), 60)
+	node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		if id%3 == 0 {
 			return 100 * time.Millisecond, balance.ConnectFailed
 		}
 		return 50 * time.Millisecond, balance.OK
 	}
-	h.run(5*time.Second, 10, "cheap")
-	h.reset()
-	h.inTime = map[string]int{}
-	h.run(20*time.Second, 10, "cheap")
-	if h.inTime["cheap"] < 190 {
-		t.Errorf("%d of 200 served in time, %d refused, %d failed", h.inTime["cheap"], h.refused, h.failed)
+	node.run(5*time.Second, 10, "cheap")
+	node.reset()
+	node.inTime = map[string]int{}
+	node.run(20*time.Second, 10, "cheap")
+	if node.inTime["cheap"] < 190 {
+		t.Errorf("%d of 200 served in time, %d refused, %d failed", node.inTime["cheap"], node.refused, node.failed)
 	}
 }
 
@@ -59,11 +59,11 @@
 func TestFullServersGetNoRetryStorm(t *testing.T) {
 	settings := largeFleetSettings()
 	settings.Nodes = 100 // subsets are large enough that blocked servers do not limit the retries
-	h := newHarness(t, settings, 60)
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Millisecond, balance.Full }
-	h.run(10*time.Second, 10, "cheap")
+	node := newHarness(t, settings, 60)
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) { return time.Millisecond, balance.Full }
+	node.run(10*time.Second, 10, "cheap")
 	sent := 0
-	for _, n := range h.sent {
+	for _, n := range node.sent {
 		sent += n
 	}
 	if sent > 130 {
@@ -73,24 +73,24 @@
 
 // A large fleet that is slow as a whole must keep at least half of each subset.
 func TestLargeFleetEjectsAtMostHalf(t *testing.T) {
-	h := newHarness(t, largeFleetSettings(), 4) // with four servers the subset is all of them
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, largeFleetSettings(), 4) // with four servers the subset is all of them
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		return 10 * time.Millisecond, balance.ServerError
 	}
-	h.run(10*time.Second, 10, "once")
-	if h.logLines > 2 {
-		t.Errorf("%d of 4 servers ejected", h.logLines)
+	node.run(10*time.Second, 10, "once")
+	if node.logLines > 2 {
+		t.Errorf("%d of 4 servers ejected", node.logLines)
 	}
 }
 
 func BenchmarkLargeFleetRequest(b *testing.B) {
-	m := balance.New(largeFleetSettings(), 1)
+	module := balance.New(largeFleetSettings(), 1)
 	var list []balance.Server
 	for i := range 500 {
 		list = append(list, balance.Server{ID: balance.ServerID(i + 1)})
 	}
-	m.Handle(0, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
-	benchmarkRequests(b, m, 100*time.Millisecond)
+	module.Handle(0, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
+	benchmarkRequests(b, module, 100*time.Millisecond)
 }
 
 // Idle servers whose service time is half of the target latency must not cause shedding.
@@ -98,13 +98,13 @@
 func TestNoSheddingAtIdleServers(t *testing.T) {
 	settings := largeFleetSettings()
 	settings.Classes = settings.Classes[1:2] // target latency 1.5 s
-	h := newHarness(t, settings, 40)
-	h.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
+	node := newHarness(t, settings, 40)
+	node.delay = func(balance.ServerID) (time.Duration, balance.OutcomeCode) {
 		return 800 * time.Millisecond, balance.OK
 	}
-	h.run(60*time.Second, 5, "cheap")
-	if h.refused > 15 {
-		t.Errorf("%d of 300 refused at idle servers", h.refused)
+	node.run(60*time.Second, 5, "cheap")
+	if node.refused > 15 {
+		t.Errorf("%d of 300 refused at idle servers", node.refused)
 	}
 }
 
--- a/balance/gone_test.go
+++ b/balance/gone_test.go
@@ -23,22 +23,22 @@
 	endedAttempts := 0
 	for self := range settings.Nodes {
 		settings.Self = self
-		m := New(settings, int64(self))
+		module := New(settings, int64(self))
 		now := time.Hour
-		m.Handle(now, list(12))
+		module.Handle(now, list(12))
 		inFlight := map[RequestID]Send{}
 		for i := range 40 {
 			now += 10 * time.Millisecond
-			for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "clip",
+			for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "clip",
 				ClientTimeout: 2 * time.Second}) {
 				if send, is := a.(Send); is && send.Server > 4 {
 					inFlight[send.ID] = send
 				}
 			}
 		}
-		m.Handle(now, list(4))
+		module.Handle(now, list(4))
 		for id, send := range inFlight {
-			for _, a := range m.Handle(now, AttemptEnded{ID: id, Server: send.Server, Code: Reset}) {
+			for _, a := range module.Handle(now, AttemptEnded{ID: id, Server: send.Server, Code: Reset}) {
 				if message, is := a.(SendMessage); is {
 					t.Errorf("node %d notifies %d of a removed server", self, message.To)
 				}
@@ -60,16 +60,16 @@
 		{300, 200, 1, nodesPerServer + extraPeers}} {
 		senders := 0
 		for self := range test.nodes {
-			m := New(Settings{Nodes: test.nodes, Self: self, MaxAttempts: 3, WarmupTime: 8 * time.Second,
+			module := New(Settings{Nodes: test.nodes, Self: self, MaxAttempts: 3, WarmupTime: 8 * time.Second,
 				WarmupStartFraction: 0.3}, int64(self))
 			update := ListUpdate{Kind: ListFull}
 			for i := range test.servers {
 				update.Entries = append(update.Entries, Server{ID: ServerID(i + 1)})
 			}
-			m.Handle(time.Hour, update)
-			m.Handle(time.Hour+time.Second, ListUpdate{Kind: ListChanges,
+			module.Handle(time.Hour, update)
+			module.Handle(time.Hour+time.Second, ListUpdate{Kind: ListChanges,
 				Entries: []Server{{ID: 99, StartedAt: time.Hour}}})
-			for _, srv := range m.inUse {
+			for _, srv := range module.inUse {
 				if srv.ID == 99 && srv.tokens >= 1 {
 					senders++
 				}
@@ -87,19 +87,19 @@
 	const warmup = 8 * time.Second
 	for name, state := range map[string]ServerState{"drains": Draining, "leaves": Removed} {
 		for _, startedAt := range []Time{0, time.Hour} {
-			m := New(Settings{Nodes: 3, MaxAttempts: 3, WarmupTime: warmup, WarmupStartFraction: 0.3}, 1)
+			module := New(Settings{Nodes: 3, MaxAttempts: 3, WarmupTime: warmup, WarmupStartFraction: 0.3}, 1)
 			entry := Server{ID: 7, StartedAt: startedAt}
 			now := time.Hour + time.Second
-			m.Handle(now, ListUpdate{Kind: ListFull, Entries: []Server{{ID: 1}, {ID: 2}, entry}})
+			module.Handle(now, ListUpdate{Kind: ListFull, Entries: []Server{{ID: 1}, {ID: 2}, entry}})
 			for range 20 {
 				now += 500 * time.Millisecond
 				unavailable := entry
 				unavailable.State = state
-				m.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{unavailable}})
+				module.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{unavailable}})
 				now += 500 * time.Millisecond
-				m.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{entry}})
-				srv := m.known[7]
-				m.warmupLimited(srv)
+				module.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{entry}})
+				srv := module.known[7]
+				module.warmupLimited(srv)
 				if want := startedAt > 0 && now < startedAt+warmup; srv.warmup != want ||
 					srv.warmup && srv.warmupStart != startedAt {
 					t.Fatalf("%s, started at %v: warming up %v since %v at %v", name, startedAt, srv.warmup,
--- a/balance/mode_test.go
+++ b/balance/mode_test.go
@@ -69,15 +69,16 @@
 // Guards against a low H that limits its own rate after servers were slow. A warming server
 // gets a lower H.
 func TestHighThresholdFollowsPeakRates(t *testing.T) {
-	m := New(Settings{}, 1)
-	m.now, m.learned = 10*time.Minute, true
-	m.baseLatency, m.meanLatency, m.targetLatency, m.peakRate, m.meanRate = 0.08, 0.3, 0.25, 30, 10
-	srv := &server{rate: 10, rateAt: m.now}
-	if high, least := m.highThreshold(srv), busyFactor*m.baseLatency*m.peakRate; high < 0.9*least {
+	module := New(Settings{}, 1)
+	module.now, module.learned = 10*time.Minute, true
+	module.baseLatency, module.meanLatency, module.targetLatency, module.peakRate, module.meanRate =
+		0.08, 0.3, 0.25, 30, 10
+	srv := &server{rate: 10, rateAt: module.now}
+	if high, least := module.highThreshold(srv), busyFactor*module.baseLatency*module.peakRate; high < 0.9*least {
 		t.Errorf("H of a slow server is %.1f, peak rates require %.1f", high, least)
 	}
-	warm := m.highThreshold(srv)
-	if srv.warmup = true; m.highThreshold(srv) > 0.7*warm {
-		t.Errorf("H of a warming server is %.1f, of a warm one %.1f", m.highThreshold(srv), warm)
+	warm := module.highThreshold(srv)
+	if srv.warmup = true; module.highThreshold(srv) > 0.7*warm {
+		t.Errorf("H of a warming server is %.1f, of a warm one %.1f", module.highThreshold(srv), warm)
 	}
 }
--- a/balance/own_wait_test.go
+++ b/balance/own_wait_test.go
@@ -15,9 +15,9 @@
 	const exchangeTime = 50 * time.Microsecond // CPU time of an exchange
 	settings := testSettings()
 	settings.Classes[1].Effect = balance.Safe
-	m := balance.New(settings, 1)
+	module := balance.New(settings, 1)
 	now, next := time.Hour, 0
-	m.Handle(now, balance.ListUpdate{Kind: balance.ListCached,
+	module.Handle(now, balance.ListUpdate{Kind: balance.ListCached,
 		Entries: []balance.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
 	type sent struct {
 		id     balance.RequestID
@@ -29,13 +29,13 @@
 		idle, tick := clients-len(inFlight), now
 		for end := now + length; now < end; now += exchangeTime {
 			if now >= tick {
-				m.Handle(now, balance.TimerFired{})
+				module.Handle(now, balance.TimerFired{})
 				tick = now + 25*time.Millisecond
 			}
 			if len(inFlight) > 0 {
 				oldest := inFlight[0]
 				inFlight = inFlight[1:]
-				m.Handle(now, balance.AttemptEnded{ID: oldest.id, Server: oldest.server, RequestDone: true,
+				module.Handle(now, balance.AttemptEnded{ID: oldest.id, Server: oldest.server, RequestDone: true,
 					Elapsed: now - oldest.at})
 				idle++
 			}
@@ -43,7 +43,7 @@
 				next++
 				requests++
 				id := balance.RequestID(fmt.Sprint(next))
-				for _, a := range m.Handle(now, balance.RequestArrived{ID: id, Class: "cheap",
+				for _, a := range module.Handle(now, balance.RequestArrived{ID: id, Class: "cheap",
 					ClientTimeout: time.Second}) {
 					switch a := a.(type) {
 					case balance.Send:
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -12,16 +12,16 @@
 func TestRestartedServerDropsItsFormerRate(t *testing.T) {
 	settings := testSettings()
 	settings.WarmupStartFraction, settings.OverloadFactor = 0.32, 2.5
-	h := newHarness(t, settings, 4)
-	h.run(10*time.Second, 200, "cheap")
-	h.reset()
-	h.run(time.Second, 200, "cheap")
-	warm := h.sent[2]
-	h.handle(balance.ListUpdate{Kind: balance.ListChanges,
-		Entries: []balance.Server{{ID: 2, Zone: "z", StartedAt: h.now}}})
-	h.reset()
-	h.run(time.Second, 200, "cheap")
-	if cold := h.sent[2]; float64(cold) > 0.8*float64(warm) {
+	node := newHarness(t, settings, 4)
+	node.run(10*time.Second, 200, "cheap")
+	node.reset()
+	node.run(time.Second, 200, "cheap")
+	warm := node.sent[2]
+	node.handle(balance.ListUpdate{Kind: balance.ListChanges,
+		Entries: []balance.Server{{ID: 2, Zone: "z", StartedAt: node.now}}})
+	node.reset()
+	node.run(time.Second, 200, "cheap")
+	if cold := node.sent[2]; float64(cold) > 0.8*float64(warm) {
 		t.Errorf("%d sends in the first second after its start, %d in the last before it", cold, warm)
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -186,29 +186,29 @@
 
 // New returns the module of a node that has just started.
 func New(config Settings, seed int64) *Module {
-	m := &Module{settings: config, rngState: uint64(seed)*2 + 1, retryTokens: retryBurst, admitted: math.Inf(1),
+	module := &Module{settings: config, rngState: uint64(seed)*2 + 1, retryTokens: retryBurst, admitted: math.Inf(1),
 		minLatency: math.Inf(1), sampleScarcity: 1, concurrency: initialConcurrency, slowdown: 1,
 		classes: map[string]*class{}, tenants: map[string]*tenant{}, known: map[ServerID]*server{},
 		requests: map[RequestID]*request{},
 		peers:    map[uint32]*readings.PeerState{}, planner: subset.NewPlanner(subset.Settings{})}
-	m.settings.Nodes = max(1, config.Nodes)
-	nodes := make([]subset.Process, m.settings.Nodes)
+	module.settings.Nodes = max(1, config.Nodes)
+	nodes := make([]subset.Process, module.settings.Nodes)
 	for i := range nodes {
 		nodes[i].ID = uint32(i)
 	}
-	m.planner.SetFleet(nodes)
-	m.effectiveNodes = float64(m.settings.Nodes)
-	m.windowNodes = m.effectiveNodes
-	m.inFlightShare, m.ownInFlight, m.allInFlight = 1/m.effectiveNodes, 1, nodesPerServer
+	module.planner.SetFleet(nodes)
+	module.effectiveNodes = float64(module.settings.Nodes)
+	module.windowNodes = module.effectiveNodes
+	module.inFlightShare, module.ownInFlight, module.allInFlight = 1/module.effectiveNodes, 1, nodesPerServer
 	if !config.RetryAfterSupported {
-		m.settings.MaxRetryAfter = 0
+		module.settings.MaxRetryAfter = 0
 	}
 	maxValue := 0.0
 	for _, spec := range config.Classes {
 		maxValue = math.Max(maxValue, spec.Value)
 	}
 	for _, spec := range config.Classes {
-		state := m.classOf(spec.Name)
+		state := module.classOf(spec.Name)
 		state.Class, state.priority, state.overQuotaPriority = spec, priorityFraction(spec.Value, maxValue),
 			priorityFraction(spec.Value*config.OverQuotaValueFactor, maxValue)
 		// A target that depends on the work is unknown.
@@ -217,9 +217,9 @@
 		}
 	}
 	for _, quota := range config.Tenants {
-		m.tenants[quota.Name] = &tenant{rate: quota.Quota / float64(m.settings.Nodes)}
+		module.tenants[quota.Name] = &tenant{rate: quota.Quota / float64(module.settings.Nodes)}
 	}
-	return m
+	return module
 }
 
 // classOf returns the state of a class. A class missing in the settings is Unsafe and has
--- a/balance/stream_test.go
+++ b/balance/stream_test.go
@@ -8,22 +8,22 @@
 )
 
 // oneRequest lets a module send one request and returns the Send.
-func oneRequest(t *testing.T, class string) (h *harness, sent balance.Send) {
+func oneRequest(t *testing.T, class string) (node *harness, sent balance.Send) {
 	t.Helper()
-	h = newHarness(t, testSettings(), 4)
-	for _, a := range h.module.Handle(h.now, balance.RequestArrived{ID: "x", Class: class,
+	node = newHarness(t, testSettings(), 4)
+	for _, a := range node.module.Handle(node.now, balance.RequestArrived{ID: "x", Class: class,
 		ClientTimeout: 2 * time.Second}) {
 		if send, is := a.(balance.Send); is {
-			return h, balance.Send{Sending: &balance.Sending{ID: send.ID, Server: send.Server}}
+			return node, balance.Send{Sending: &balance.Sending{ID: send.ID, Server: send.Server}}
 		}
 	}
 	t.Fatal("nothing was sent")
 	return
 }
 
-func countActions(h *harness, event balance.Event) (sends, refusals, failures int) {
-	h.now += 10 * time.Millisecond
-	for _, a := range h.module.Handle(h.now, event) {
+func countActions(node *harness, event balance.Event) (sends, refusals, failures int) {
+	node.now += 10 * time.Millisecond
+	for _, a := range node.module.Handle(node.now, event) {
 		switch a.(type) {
 		case balance.Send:
 			sends++
@@ -51,8 +51,8 @@
 		{"once", balance.Reset, true, 0, 0, 1},
 		{"dear", balance.Reset, true, 0, 1, 0},
 	} {
-		h, send := oneRequest(t, test.class)
-		sends, refusals, failures := countActions(h, balance.AttemptEnded{ID: "x", Server: send.Server, Code: test.code,
+		node, send := oneRequest(t, test.class)
+		sends, refusals, failures := countActions(node, balance.AttemptEnded{ID: "x", Server: send.Server, Code: test.code,
 			BodyConsumed: test.bodyConsumed})
 		if sends != test.sends || refusals != test.refuse || failures != test.fail {
 			t.Errorf("%+v: %d sends, %d refusals, %d failures", test, sends, refusals, failures)
@@ -63,23 +63,23 @@
 // A started stream counts as the answer: its server is free for further requests however
 // slowly the client reads, and there is no retry if it breaks.
 func TestStartedStreamCountsAsAnswer(t *testing.T) {
-	h, send := oneRequest(t, "once")
-	countActions(h, balance.StreamStarted{ID: "x", Server: send.Server, Elapsed: 50 * time.Millisecond})
-	fleet, servers := h.module.Learned()
+	node, send := oneRequest(t, "once")
+	countActions(node, balance.StreamStarted{ID: "x", Server: send.Server, Elapsed: 50 * time.Millisecond})
+	fleet, servers := node.module.Learned()
 	if fleet.Answers != 1 || fleet.MeanLatency != 0.05 || servers[send.Server].Rate == 0 {
 		t.Errorf("learned %+v of the fleet, %+v of the server", fleet, servers[send.Server])
 	}
 	// A second event changes nothing.
-	countActions(h, balance.StreamStarted{ID: "x", Server: send.Server, Elapsed: time.Second})
-	h.now += time.Hour
-	if a, b, c := countActions(h, balance.TimerFired{}); a+b+c != 0 {
+	countActions(node, balance.StreamStarted{ID: "x", Server: send.Server, Elapsed: time.Second})
+	node.now += time.Hour
+	if a, b, c := countActions(node, balance.TimerFired{}); a+b+c != 0 {
 		t.Error("the request ended at its deadline")
 	}
-	if a, _, _ := countActions(h, balance.AttemptEnded{ID: "x", Server: send.Server, Code: balance.Reset,
+	if a, _, _ := countActions(node, balance.AttemptEnded{ID: "x", Server: send.Server, Code: balance.Reset,
 		RequestDone: true}); a != 0 {
 		t.Error("the request was sent again")
 	}
-	if fleet, _ := h.module.Learned(); fleet.Answers != 1 {
+	if fleet, _ := node.module.Learned(); fleet.Answers != 1 {
 		t.Errorf("%v answers recorded", fleet.Answers)
 	}
 }
@@ -87,26 +87,26 @@
 // A successor process must continue with the measured state, but a warming server starts
 // without tokens.
 func TestMeasurementsAreCarriedOver(t *testing.T) {
-	h := newHarness(t, testSettings(), 4)
+	node := newHarness(t, testSettings(), 4)
 	list := []balance.Server{{ID: 1, Zone: "z"}, {ID: 2, Zone: "z"}, {ID: 3, Zone: "z"},
-		{ID: 4, Zone: "z", StartedAt: h.now}}
-	h.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
+		{ID: 4, Zone: "z", StartedAt: node.now}}
+	node.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
 	for i := range 400 {
-		h.now += 10 * time.Millisecond
+		node.now += 10 * time.Millisecond
 		id := balance.RequestID(rune(i + 1))
-		for _, a := range h.module.Handle(h.now, balance.RequestArrived{ID: id, Class: "cheap",
+		for _, a := range node.module.Handle(node.now, balance.RequestArrived{ID: id, Class: "cheap",
 			ClientTimeout: 2 * time.Second}) {
 			if s, is := a.(balance.Send); is {
-				h.module.Handle(h.now+5*time.Millisecond,
+				node.module.Handle(node.now+5*time.Millisecond,
 					balance.AttemptEnded{ID: id, Server: s.Server, RequestDone: true, Elapsed: 5 * time.Millisecond})
 			}
 		}
-		h.module.Handle(h.now+6*time.Millisecond, balance.TimerFired{})
+		node.module.Handle(node.now+6*time.Millisecond, balance.TimerFired{})
 	}
-	fleet, servers := h.module.Learned()
+	fleet, servers := node.module.Learned()
 	next := balance.New(testSettings(), 6)
-	next.Restore(h.now, fleet, servers)
-	next.Handle(h.now, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
+	next.Restore(node.now, fleet, servers)
+	next.Handle(node.now, balance.ListUpdate{Kind: balance.ListCached, Entries: list})
 	restored, restoredServers := next.Learned()
 	if restored.MeanLatency != fleet.MeanLatency || restored.MeanRate != fleet.MeanRate || len(restoredServers) != 4 ||
 		restoredServers[1].Rate != servers[1].Rate {
@@ -117,7 +117,7 @@
 	}
 	sent := 0
 	for i := range 40 {
-		for _, a := range next.Handle(h.now, balance.RequestArrived{ID: balance.RequestID(rune(i + 1)),
+		for _, a := range next.Handle(node.now, balance.RequestArrived{ID: balance.RequestID(rune(i + 1)),
 			Class: "cheap", ClientTimeout: 2 * time.Second}) {
 			if s, is := a.(balance.Send); is && s.Server == 4 {
 				sent++
@@ -128,7 +128,7 @@
 		t.Errorf("%d requests went to the warming server at once", sent)
 	}
 	invalid := balance.New(testSettings(), 6)
-	invalid.Restore(h.now, balance.LearnedFleet{Answers: 5, MeanLatency: -1}, nil) // invalid state from a file
+	invalid.Restore(node.now, balance.LearnedFleet{Answers: 5, MeanLatency: -1}, nil) // invalid state from a file
 	if f, _ := invalid.Learned(); f.Answers != 0 {
 		t.Error("invalid state was restored")
 	}
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -11,13 +11,13 @@
 
 // serversUsedBy returns the servers that a node uses.
 func serversUsedBy(nodes, self int, ids []ServerID) []ServerID {
-	m := New(Settings{Nodes: nodes, Self: self, MaxAttempts: 3}, 1)
+	module := New(Settings{Nodes: nodes, Self: self, MaxAttempts: 3}, 1)
 	list := ListUpdate{Kind: ListFull}
 	for _, id := range ids {
 		list.Entries = append(list.Entries, Server{ID: id})
 	}
-	m.Handle(1, list)
-	return m.ServersInUse()
+	module.Handle(1, list)
+	return module.ServersInUse()
 }
 
 // Each server must be used by equally many nodes, except where nodes would have too few
@@ -62,21 +62,21 @@
 // counts, and each node keeps its mode. Nodes with different views of the fleet size must
 // agree once they exchange messages, without switching back and forth.
 func TestGrowingFleetAgreesOnLargeFleetMode(t *testing.T) {
-	m := New(Settings{Nodes: 24, MaxAttempts: 3, MayMessage: true}, 1)
+	module := New(Settings{Nodes: 24, MaxAttempts: 3, MayMessage: true}, 1)
 	list := ListUpdate{Kind: ListFull}
 	for i := range 12 {
 		list.Entries = append(list.Entries, Server{ID: ServerID(i + 1)})
 	}
 	now := Time(1)
-	m.Handle(now, list)
+	module.Handle(now, list)
 	after := func(d Time, want bool, situation string) {
 		t.Helper()
 		for until := now + d; now < until; {
 			now += tickInterval
-			m.Handle(now, TimerFired{})
+			module.Handle(now, TimerFired{})
 		}
-		if m.largeFleet != want {
-			t.Errorf("%s: large fleet: %v", situation, m.largeFleet)
+		if module.largeFleet != want {
+			t.Errorf("%s: large fleet: %v", situation, module.largeFleet)
 		}
 	}
 	fleet := func(n int) {
@@ -84,13 +84,13 @@
 		for i := range n {
 			event.Nodes = append(event.Nodes, subset.Process{ID: uint32(i)})
 		}
-		m.Handle(now, event)
+		module.Handle(now, event)
 	}
 	after(2*time.Second, false, "24 nodes without readings")
-	if len(m.inUse) != 12 {
-		t.Errorf("a small fleet uses %d servers", len(m.inUse))
+	if len(module.inUse) != 12 {
+		t.Errorf("a small fleet uses %d servers", len(module.inUse))
 	}
-	m.Handle(now, MessageReceived{From: 3, Data: readings.Encode(nil, now, 0.01,
+	module.Handle(now, MessageReceived{From: 3, Data: readings.Encode(nil, now, 0.01,
 		readings.PeerReading{Server: 2, Wait: 0.01})})
 	after(600*time.Millisecond, true, "24 nodes, one of which sends a reading")
 	after(5*time.Second, true, "without further readings")
@@ -104,7 +104,7 @@
 	after(time.Second, false, "21 nodes again, without readings")
 	fleet(largeFleetEnter)
 	after(time.Second, true, "28 nodes")
-	if len(m.inUse) > 11 {
-		t.Errorf("with 28 nodes each uses %d of 12 servers", len(m.inUse))
+	if len(module.inUse) > 11 {
+		t.Errorf("with 28 nodes each uses %d of 12 servers", len(module.inUse))
 	}
 }
--- a/balance/worth_test.go
+++ b/balance/worth_test.go
@@ -19,11 +19,11 @@
 		settings := largeFleetSettings()
 		settings.Classes = []balance.Class{{Name: "x", Value: 1, TargetLatency: time.Second, Deadline: 4 * time.Second,
 			Effect: balance.Safe, LateValueFraction: test.late, TargetWorkFactor: test.stretch}}
-		m := balance.New(settings, 1)
-		m.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull,
+		module := balance.New(settings, 1)
+		module.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull,
 			Entries: []balance.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5}}})
 		sends := 0
-		for _, a := range m.Handle(time.Hour, balance.RequestArrived{ID: "r", Class: "x",
+		for _, a := range module.Handle(time.Hour, balance.RequestArrived{ID: "r", Class: "x",
 			ClientTimeout: 4 * time.Second}) {
 			if send, is := a.(balance.Send); is {
 				if sends++; send.Timeout != test.most {
@@ -44,19 +44,19 @@
 	for _, factor := range []float64{0.05, 0.5, 1} {
 		settings := testSettings()
 		settings.OverQuotaValueFactor, settings.Tenants = factor, []balance.Tenant{{Name: "club", Quota: 1}}
-		h := newHarness(t, settings, 4)
+		node := newHarness(t, settings, 4)
 		free := map[balance.ServerID]time.Duration{}
 		// One request at a time, 20 ms each.
-		h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
-			free[id] = max(free[id], h.now) + 20*time.Millisecond
-			return free[id] - h.now, balance.OK
+		node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+			free[id] = max(free[id], node.now) + 20*time.Millisecond
+			return free[id] - node.now, balance.OK
 		}
 		answered := map[string]float64{}
-		for end := h.now + 20*time.Second; h.now < end; {
-			for _, h.tenant = range []string{"club", ""} {
-				before := h.refused + h.failed
-				h.run(10*time.Millisecond, 400, "dear") // the servers can serve 200 a second
-				answered[h.tenant] += 4 - float64(h.refused+h.failed-before)
+		for end := node.now + 20*time.Second; node.now < end; {
+			for _, node.tenant = range []string{"club", ""} {
+				before := node.refused + node.failed
+				node.run(10*time.Millisecond, 400, "dear") // the servers can serve 200 a second
+				answered[node.tenant] += 4 - float64(node.refused+node.failed-before)
 			}
 		}
 		fraction[factor] = answered["club"] / (answered["club"] + answered[""])
@@ -78,21 +78,21 @@
 		for _, slow := range []bool{false, true} {
 			settings := testSettings()
 			settings.Zone, settings.Penalties.CrossZone = "z", penalty
-			h := newHarness(t, settings, 0)
+			node := newHarness(t, settings, 0)
 			var list []balance.Server
 			for i := range 6 {
 				list = append(list, balance.Server{ID: balance.ServerID(i + 1), Zone: []string{"z", "y", "x"}[i%3]})
 			}
-			h.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
-			normalDelay := h.delay
-			h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+			node.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
+			normalDelay := node.delay
+			node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 				if slow && id%3 == 1 {
 					return 200 * time.Millisecond, balance.OK
 				}
 				return normalDelay(id)
 			}
-			h.run(20*time.Second, 100, "cheap")
-			ownZone := float64(h.sent[1]+h.sent[4]) / 2000
+			node.run(20*time.Second, 100, "cheap")
+			ownZone := float64(node.sent[1]+node.sent[4]) / 2000
 			if !slow {
 				fraction[penalty] = ownZone
 			} else if ownZone > 0.2 {
