--- a/membership/caller_test.go
+++ b/membership/caller_test.go
@@ -61,24 +61,24 @@
 
 // deliver passes an event to a node and carries out the resulting actions.
 func (sim *simulation) deliver(node *simulatedNode, event Event) {
-	if a, is := event.(Answered); is {
-		node.generations[a.Call] = a.Generation
+	if action, is := event.(Answered); is {
+		node.generations[action.Call] = action.Generation
 	}
-	for _, a := range slices.Clone(node.Handle(sim.now, event)) {
-		switch a := a.(type) {
+	for _, action := range slices.Clone(node.Handle(sim.now, event)) {
+		switch action := action.(type) {
 		case Call:
-			node.sent, node.open[a.ID] = append(node.sent, sentCall{a, sim.now}), true
-			after, event := sim.reply(node, a)
+			node.sent, node.open[action.ID] = append(node.sent, sentCall{action, sim.now}), true
+			after, event := sim.reply(node, action)
 			if event != nil {
 				sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + after, node, event})
 				slices.SortStableFunc(sim.scheduled, func(x, y scheduledEvent) int { return int(x.at - y.at) })
 			}
 		case Cancel:
-			delete(node.open, a.ID)
+			delete(node.open, action.ID)
 		case Accept:
-			node.acceptedAt, node.lastGeneration = append(node.acceptedAt, sim.now), node.generations[a.Call]
-			if delete(node.open, a.Call); sim.onAccept != nil {
-				sim.onAccept(node, a.Call)
+			node.acceptedAt, node.lastGeneration = append(node.acceptedAt, sim.now), node.generations[action.Call]
+			if delete(node.open, action.Call); sim.onAccept != nil {
+				sim.onAccept(node, action.Call)
 			}
 		case WatchLost:
 			node.watchesLost++
@@ -96,17 +96,17 @@
 			}
 		}
 		if len(sim.scheduled) > 0 && sim.scheduled[0].at <= at {
-			a := sim.scheduled[0]
-			sim.scheduled, sim.now = sim.scheduled[1:], max(sim.now, a.at)
-			switch e := a.event.(type) {
+			next := sim.scheduled[0]
+			sim.scheduled, sim.now = sim.scheduled[1:], max(sim.now, next.at)
+			switch event := next.event.(type) {
 			case Answered:
-				if a.node.open[e.Call] {
-					sim.deliver(a.node, e)
+				if next.node.open[event.Call] {
+					sim.deliver(next.node, event)
 				}
 			case Failed:
-				if a.node.open[e.Call] {
-					delete(a.node.open, e.Call)
-					sim.deliver(a.node, e)
+				if next.node.open[event.Call] {
+					delete(next.node.open, event.Call)
+					sim.deliver(next.node, event)
 				}
 			}
 			continue
--- a/membership/datagrams.go
+++ b/membership/datagrams.go
@@ -53,20 +53,20 @@
 }
 
 // Encode encodes a datagram. Entries beyond MaxDepartures or MaxRestarts are dropped.
-func Encode(d Datagram) []byte {
-	switch d := d.(type) {
+func Encode(datagram Datagram) []byte {
+	switch datagram := datagram.(type) {
 	case ChangesQuery:
-		return binary.BigEndian.AppendUint64([]byte{formatQuery}, d.Generation)
+		return binary.BigEndian.AppendUint64([]byte{formatQuery}, datagram.Generation)
 	case Restarts:
 		encoded := []byte{formatRestarts}
-		for _, r := range d[:min(len(d), MaxRestarts)] {
-			encoded = binary.BigEndian.AppendUint32(encoded, r.Key)
-			encoded = binary.BigEndian.AppendUint64(encoded, uint64(r.StartedAt/time.Millisecond))
+		for _, restart := range datagram[:min(len(datagram), MaxRestarts)] {
+			encoded = binary.BigEndian.AppendUint32(encoded, restart.Key)
+			encoded = binary.BigEndian.AppendUint64(encoded, uint64(restart.StartedAt/time.Millisecond))
 		}
 		return encoded
 	case Departures:
 		encoded := []byte{formatDepartures}
-		for _, key := range d[:min(len(d), MaxDepartures)] {
+		for _, key := range datagram[:min(len(datagram), MaxDepartures)] {
 			encoded = binary.BigEndian.AppendUint32(encoded, key)
 		}
 		return encoded
