--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -81,20 +81,20 @@
 // parseEntry decodes an entry. An entry of a server that is up must be complete; one of a draining
 // or removed server counts despite other errors: guards against sending requests to a server that
 // was announced as leaving.
-func parseEntry(raw []byte) (e Entry, ok bool) {
-	err := json.Unmarshal(raw, &e)
-	state, known := LifecycleStates[e.Lifecycle]
-	if e.InstanceID == "" || !known {
-		return e, false
+func parseEntry(raw []byte) (entry Entry, ok bool) {
+	err := json.Unmarshal(raw, &entry)
+	state, known := LifecycleStates[entry.Lifecycle]
+	if entry.InstanceID == "" || !known {
+		return entry, false
 	}
 	if state != balance.Ready {
-		return e, true
+		return entry, true
 	}
 	if err != nil {
-		return e, false
+		return entry, false
 	}
-	_, _, err = net.SplitHostPort(e.HostPort)
-	return e, err == nil
+	_, _, err = net.SplitHostPort(entry.HostPort)
+	return entry, err == nil
 }
 
 // Failure is why a call to discovery returned no list.
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -16,22 +16,22 @@
 // Listen returns the listener for clients: the inherited one if fd is set, otherwise a new one at
 // addr. Closing an inherited one leaves the platform's socket open, with the connections in its
 // backlog.
-func Listen(addr, fd string) (l net.Listener, inherited bool, err error) {
+func Listen(addr, fd string) (listener net.Listener, inherited bool, err error) {
 	if fd == "" {
-		l, err = net.Listen("tcp", addr)
-		return l, false, err
+		listener, err = net.Listen("tcp", addr)
+		return listener, false, err
 	}
-	n, err := strconv.ParseUint(fd, 10, 16)
+	number, err := strconv.ParseUint(fd, 10, 16)
 	if err != nil {
 		return nil, false, fmt.Errorf("%s: %q is not a file descriptor", InheritedFDEnv, fd)
 	}
-	f := os.NewFile(uintptr(n), "clients")
-	if f == nil {
-		return nil, false, fmt.Errorf("%s: %d is not a file descriptor", InheritedFDEnv, n)
+	file := os.NewFile(uintptr(number), "clients")
+	if file == nil {
+		return nil, false, fmt.Errorf("%s: %d is not a file descriptor", InheritedFDEnv, number)
 	}
-	defer f.Close() // FileListener duplicates the descriptor
-	if l, err = net.FileListener(f); err != nil {
-		return nil, false, fmt.Errorf("%s: descriptor %d: %w", InheritedFDEnv, n, err)
+	defer file.Close() // FileListener duplicates the descriptor
+	if listener, err = net.FileListener(file); err != nil {
+		return nil, false, fmt.Errorf("%s: descriptor %d: %w", InheritedFDEnv, number, err)
 	}
-	return l, true, nil
+	return listener, true, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -263,24 +263,24 @@
 }
 
 // findNegative returns an error for the first negative number: none is valid anywhere.
-func findNegative(v reflect.Value, path string) *Error {
-	switch v.Kind() {
+func findNegative(value reflect.Value, path string) *Error {
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			name := v.Type().Field(i).Tag.Get("json")
-			if e := findNegative(v.Field(i), strings.Trim(path+"."+name, ".")); e != nil {
+		for i := range value.NumField() {
+			name := value.Type().Field(i).Tag.Get("json")
+			if e := findNegative(value.Field(i), strings.Trim(path+"."+name, ".")); e != nil {
 				return e
 			}
 		}
 	case reflect.Slice:
-		for i := range v.Len() {
-			if e := findNegative(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); e != nil {
+		for i := range value.Len() {
+			if e := findNegative(value.Index(i), fmt.Sprintf("%s[%d]", path, i)); e != nil {
 				return e
 			}
 		}
 	case reflect.Float64:
-		if v.Float() < 0 {
-			return newError(path, "%v; write a number of at least 0", v.Float())
+		if value.Float() < 0 {
+			return newError(path, "%v; write a number of at least 0", value.Float())
 		}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -89,8 +89,8 @@
 	base := decodeMap(t, nil)
 	for _, field := range fieldPaths(reflect.TypeFor[rawSettings](), "") {
 		var decodedTo []string
-		for _, v := range []any{1e9, 0.5, 0, true, false, "x", "work", "live", "answers", "pushed", "fragile", "zone", []any{"x"}, 3} {
-			decodedTo = append(decodedTo, differingFields(reflect.ValueOf(base), reflect.ValueOf(decodeMap(t, func(all map[string]any) { setPath(all, strings.Split(field, "."), v) })), "Settings")...)
+		for _, value := range []any{1e9, 0.5, 0, true, false, "x", "work", "live", "answers", "pushed", "fragile", "zone", []any{"x"}, 3} {
+			decodedTo = append(decodedTo, differingFields(reflect.ValueOf(base), reflect.ValueOf(decodeMap(t, func(all map[string]any) { setPath(all, strings.Split(field, "."), value) })), "Settings")...)
 		}
 		if len(decodedTo) == 0 {
 			t.Errorf("%s has no effect on the decoded settings", field)
@@ -123,20 +123,20 @@
 	return s
 }
 
-func setPath(at map[string]any, path []string, v any) {
+func setPath(at map[string]any, path []string, value any) {
 	key, list := strings.CutSuffix(path[0], "[]")
 	if len(path) == 1 {
-		at[key] = v
+		at[key] = value
 		return
 	}
 	if list {
-		setPath(at[key].([]any)[0].(map[string]any), path[1:], v)
+		setPath(at[key].([]any)[0].(map[string]any), path[1:], value)
 		return
 	}
 	if _, is := at[key].(map[string]any); !is {
 		at[key] = map[string]any{}
 	}
-	setPath(at[key].(map[string]any), path[1:], v)
+	setPath(at[key].(map[string]any), path[1:], value)
 }
 
 // differingFields lists the fields in which two values differ, as Type.Field.
