--- a/balance/balance.go
+++ b/balance/balance.go
@@ -155,7 +155,7 @@
 	if m.largeFleet && m.now-m.lastAnswerAt > modeValidity {
 		m.meanLatency *= 1 - tickInterval.Seconds() // prevents blocking all servers on outdated latency
 	}
-	m.meanRate = rate / math.Max(1, count) // few samples in a large fleet: the mean stands for all servers
+	m.meanRate = rate / math.Max(1, count) // in a large fleet single servers have too few samples
 	m.learned = m.answers > 0 && m.answers >= minAnswersPerServer*float64(len(m.inUse))/m.sampleScarcity
 	if m.hasWaitReadings() {
 		m.applyReadings()
--- a/balance/waits.go
+++ b/balance/waits.go
@@ -68,8 +68,8 @@
 }
 
 // expectedWait returns the wait in s at a server: its reading, weighted by age, plus what
-// was sent since. This node's own sends stand for those of other nodes too, less so the
-// larger this node's share of all requests is.
+// was sent since. The sends of other nodes are estimated from this node's own: by a factor
+// that is smaller the larger this node's share of all requests is.
 func (m *Module) expectedWait(srv *server) float64 {
 	sendFactor := math.Min(peerSendsPerOwn,
 		peerSendsPerOwn/nodesPerServer*m.allInFlight/math.Max(m.ownInFlight, 1e-9))
@@ -219,7 +219,7 @@
 	switch {
 	case reading.Attempts == 0 || !m.largeFleet:
 	case reading.Ratio >= failureRatio && srv.ejected:
-		// One trial per fleet suffices; reports can not postpone trials indefinitely.
+		// One trial per fleet suffices; reports cannot postpone trials indefinitely.
 		srv.nextTrialAt = min(max(srv.nextTrialAt, m.now+m.jitter(srv.trialBackoff)),
 			srv.lastTrialAt+2*maxTrialBackoff)
 	case reading.Ratio >= failureRatio:
--- a/balance/waits_test.go
+++ b/balance/waits_test.go
@@ -105,7 +105,7 @@
 	serve := func(length time.Duration) (dear, cheap int) {
 		receiver.refused = 0
 		for range int(length / (50 * time.Millisecond)) {
-			for range 22 { // stands for the probes of the other 299 nodes
+			for range 22 { // the probes of the other 299 nodes
 				probe := balance.ProbeEnded{Server: balance.ServerID(1 + random.IntN(175)),
 					Elapsed: 200 * time.Millisecond}
 				for _, a := range sender.module.Handle(sender.now, probe) {
--- a/balance/world_test.go
+++ b/balance/world_test.go
@@ -385,7 +385,7 @@
 	sim.publishList(balance.ListChanges, []balance.Server{server})
 }
 
-// start starts the node anew with the servers that are not removed, at least four.
+// start starts or restarts the node with the servers that are not removed, at least four.
 func (sim *simulation) start() {
 	sim.module = decider.New(sim.settings, sim.random.Int63())
 	sim.requests, sim.queue = map[balance.RequestID]*liveRequest{}, nil
