--- a/readings/readings_test.go
+++ b/readings/readings_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// Duplicate and reordered datagrams must be rejected; a sender that returns after a silence
+// Duplicate and reordered datagrams must be rejected; a sender that returns after a pause
 // must be accepted with any clock, and the clock may wrap around.
 func TestOutdatedDatagramsAreRejected(t *testing.T) {
 	var sender PeerState
