--- a/membership/caller.go
+++ b/membership/caller.go
@@ -25,7 +25,7 @@
 	CallTimeout = 2200 * time.Millisecond
 	// queuedCallTimeout replaces CallTimeout where discovery is overloaded or did not answer the
 	// previous call in time. The call is probably queued there, and canceling it would lose its
-	// place while discovery still does the work for it. If discovery turns out to be silent, the
+	// place while discovery still does the work for it. If discovery does not answer at all, the
 	// next call still completes before a missed change counts as notified.
 	queuedCallTimeout = NotifiedAfter - CallTimeout
 
