--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -1,4 +1,4 @@
-// Package maintenance keeps track of servers that operators took out of service by hand, and
+// Package maintenance keeps track of servers that operators took out of service manually, and
 // decides from when a server that returns counts as cold. It does no I/O and reads no clock. Each
 // list entry passes through Apply on its way to the decision module (package balance), to which a
 // server in maintenance appears as draining.
