--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -24,7 +24,7 @@
 	ID            string       `json:"id"`
 	InMaintenance bool         `json:"out"`               // currently
 	EnteredAt     balance.Time `json:"entered"`           // the last request that took it out of service
-	ExitedAt      balance.Time `json:"exited,omitempty"`  // the request that returned it to service; 0 while in maintenance
+	ExitedAt      balance.Time `json:"exited,omitempty"`  // the request that ended it; 0 while in maintenance
 	StartedAt     balance.Time `json:"started,omitempty"` // the listed start time when it was taken out of service
 }
 
