--- a/balance/worth_test.go
+++ b/balance/worth_test.go
@@ -11,23 +11,23 @@
 // answers have value, or the target depends on the unknown work of a request, that is not
 // before the deadline.
 func TestAttemptTimeoutFollowsAnswerValue(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		late, stretch float64
 		most          time.Duration
 	}{"no value after the target": {0, 0, time.Second}, "late answers have value": {0.5, 0, 4 * time.Second},
 		"the target depends on the work": {0, 3, 4 * time.Second}} {
-		s := largeFleetSettings()
-		s.Classes = []balance.Class{{Name: "x", Value: 1, TargetLatency: time.Second, Deadline: 4 * time.Second,
-			Effect: balance.Safe, LateValueFraction: c.late, TargetWorkFactor: c.stretch}}
-		m := balance.New(s, 1)
-		m.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull,
+		settings := largeFleetSettings()
+		settings.Classes = []balance.Class{{Name: "x", Value: 1, TargetLatency: time.Second, Deadline: 4 * time.Second,
+			Effect: balance.Safe, LateValueFraction: test.late, TargetWorkFactor: test.stretch}}
+		module := balance.New(settings, 1)
+		module.Handle(time.Hour, balance.ListUpdate{Kind: balance.ListFull,
 			Entries: []balance.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5}}})
 		sends := 0
-		for _, a := range m.Handle(time.Hour, balance.RequestArrived{ID: "r", Class: "x",
+		for _, a := range module.Handle(time.Hour, balance.RequestArrived{ID: "r", Class: "x",
 			ClientTimeout: 4 * time.Second}) {
 			if send, is := a.(balance.Send); is {
-				if sends++; send.Timeout != c.most {
-					t.Errorf("%s: timeout %v, want %v", name, send.Timeout, c.most)
+				if sends++; send.Timeout != test.most {
+					t.Errorf("%s: timeout %v, want %v", name, send.Timeout, test.most)
 				}
 			}
 		}
@@ -42,21 +42,21 @@
 func TestOverQuotaRequestsHaveReducedValue(t *testing.T) {
 	fraction := map[float64]float64{} // fraction of the answers that belong to the tenant over its quota
 	for _, factor := range []float64{0.05, 0.5, 1} {
-		s := testSettings()
-		s.OverQuotaValueFactor, s.Tenants = factor, []balance.Tenant{{Name: "club", Quota: 1}}
-		h := newHarness(t, s, 4)
+		settings := testSettings()
+		settings.OverQuotaValueFactor, settings.Tenants = factor, []balance.Tenant{{Name: "club", Quota: 1}}
+		node := newHarness(t, settings, 4)
 		free := map[balance.ServerID]time.Duration{}
 		// One request at a time, 20 ms each.
-		h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
-			free[id] = max(free[id], h.now) + 20*time.Millisecond
-			return free[id] - h.now, balance.OK
+		node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+			free[id] = max(free[id], node.now) + 20*time.Millisecond
+			return free[id] - node.now, balance.OK
 		}
 		answered := map[string]float64{}
-		for end := h.now + 20*time.Second; h.now < end; {
-			for _, h.tenant = range []string{"club", ""} {
-				before := h.refused + h.failed
-				h.run(10*time.Millisecond, 400, "dear") // of 200 that the servers can serve
-				answered[h.tenant] += 4 - float64(h.refused+h.failed-before)
+		for end := node.now + 20*time.Second; node.now < end; {
+			for _, node.tenant = range []string{"club", ""} {
+				before := node.refused + node.failed
+				node.run(10*time.Millisecond, 400, "dear") // the servers can serve 200 a second
+				answered[node.tenant] += 4 - float64(node.refused+node.failed-before)
 			}
 		}
 		fraction[factor] = answered["club"] / (answered["club"] + answered[""])
@@ -76,23 +76,23 @@
 	fraction := map[float64]float64{}
 	for _, penalty := range []float64{0, 0.02, 0.1} {
 		for _, slow := range []bool{false, true} {
-			s := testSettings()
-			s.Zone, s.Penalties.CrossZone = "z", penalty
-			h := newHarness(t, s, 0)
+			settings := testSettings()
+			settings.Zone, settings.Penalties.CrossZone = "z", penalty
+			node := newHarness(t, settings, 0)
 			var list []balance.Server
 			for i := range 6 {
 				list = append(list, balance.Server{ID: balance.ServerID(i + 1), Zone: []string{"z", "y", "x"}[i%3]})
 			}
-			h.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
-			normalDelay := h.delay
-			h.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
+			node.handle(balance.ListUpdate{Kind: balance.ListFull, Entries: list})
+			normalDelay := node.delay
+			node.delay = func(id balance.ServerID) (time.Duration, balance.OutcomeCode) {
 				if slow && id%3 == 1 {
 					return 200 * time.Millisecond, balance.OK
 				}
 				return normalDelay(id)
 			}
-			h.run(20*time.Second, 100, "cheap")
-			ownZone := float64(h.sent[1]+h.sent[4]) / 2000
+			node.run(20*time.Second, 100, "cheap")
+			ownZone := float64(node.sent[1]+node.sent[4]) / 2000
 			if !slow {
 				fraction[penalty] = ownZone
 			} else if ownZone > 0.2 {
