--- a/internal/handover/files.go
+++ b/internal/handover/files.go
@@ -38,7 +38,7 @@
 var errLocked = errors.New("handover: another process holds the lock")
 
 // ErrTakenOver means that a newer process owns the node's state.
-var ErrTakenOver = errors.New("a newer process has taken over; ask its console")
+var ErrTakenOver = errors.New("a newer process has taken over; its console knows")
 
 // Usage is the number of connections that a process holds to clients and to backends.
 type Usage struct{ Clients, Backends int }
