--- a/internal/lab/scenario/decode.go
+++ b/internal/lab/scenario/decode.go
@@ -6,13 +6,13 @@
 	"ivylock/internal/strict"
 )
 
-// Errno is what is wrong with a file, on one line.
+// Error describes one fault in a file, on one line.
 type Error = strict.Error
 
-// Span is a time that is written with its unit.
+// Span is a duration that is written with its unit.
 type Span = strict.Span
 
-// Load reads and checks a file. What is wrong with its content is an *Error.
+// LoadFile reads and validates a file. Invalid content results in an *Error.
 func LoadFile(dir fs.FS, name string) (*Scenario, error) {
 	raw, err := fs.ReadFile(dir, name)
 	if err != nil {
@@ -21,14 +21,14 @@
 	return Parse(name, raw)
 }
 
-// Parse reads and checks the text of a file. Every error is an *Error.
+// Parse decodes and validates the text of a file. Every error is an *Error.
 func Parse(file string, raw []byte) (*Scenario, error) {
 	s := &Scenario{}
 	if err := strict.Decode(file, raw, s, "docs/lab.md"); err != nil {
 		return nil, err
 	}
 	s.defaults()
-	if key, text := s.check(onSockets); text != "" {
+	if key, text := s.check(processLimits); text != "" {
 		return nil, &Error{File: file, Line: strict.LineOf(raw, key), Text: text}
 	}
 	return s, nil
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario reads the files that say what a lab run consists of: halls,
-// servers, nodes, load, faults on a timeline, and what must hold. Decoding is
-// strict, and every message names the file, the line and the fix.
+// Package scenario reads the files that describe a lab run: zones, servers,
+// nodes, load, a timeline of faults, and the requirements on the result.
+// Decoding is strict, and every error names the file, the line and the fix.
 package scenario
 
 import (
@@ -10,127 +10,138 @@
 	"time"
 )
 
-// Scenario is one file.
+// Scenario is the content of one scenario file.
 type Scenario struct {
-	Name           string       `toml:"name"`
-	Description    string       `toml:"about,omitempty"`
-	Seed           int64        `toml:"seed"`
-	Length         Span         `toml:"length"` // of the load; 1 s to 10 min
-	Load           Load         `toml:"load"`
-	Client         Client       `toml:"clients"`
-	Discovery      Discovery    `toml:"discovery"`
-	Net            Net          `toml:"net"`
-	Zones          []Zone       `toml:"hall"`
-	Faults         []Fault      `toml:"fault"`
-	Requirements   Requirements `toml:"must"`
-	TenantQuota    float64      `toml:"quota,omitempty"`    // of the one tenant whose requests all are, a second; 0: there is no tenant
-	OperatorConfig string       `toml:"operator,omitempty"` // more lines of the operators' [fleet]; with fleet alone
-	Fleet          bool         `toml:"fleet,omitempty"`    // nodes tell one another what they act on, as the operator's [fleet] has them do
+	Name         string       `toml:"name"`
+	Description  string       `toml:"about,omitempty"`
+	Seed         int64        `toml:"seed"`
+	Length       Span         `toml:"length"` // duration of the load; 1 s to 10 min
+	Load         Load         `toml:"load"`
+	Client       Client       `toml:"clients"`
+	Discovery    Discovery    `toml:"discovery"`
+	Net          Net          `toml:"net"`
+	Zones        []Zone       `toml:"hall"`
+	Faults       []Fault      `toml:"fault"`
+	Requirements Requirements `toml:"must"`
+	// TenantQuota is in requests per second, of the only tenant; 0: no tenant.
+	TenantQuota float64 `toml:"quota,omitempty"`
+	// OperatorConfig holds further lines of the section [fleet] of the
+	// operator's file; it requires Fleet.
+	OperatorConfig string `toml:"operator,omitempty"`
+	// Fleet turns on the exchange of state between nodes that the operator's
+	// section [fleet] configures.
+	Fleet bool `toml:"fleet,omitempty"`
 }
 
-// Load is what clients ask for, by the brief's class table.
+// Load describes the requests of all clients; the class table supplies the rest.
 type Load struct {
-	Rate       float64            `toml:"rate"`              // first tries a second over all halls; 0.1 to 20,000
-	RampTo     float64            `toml:"ramp_to,omitempty"` // the rate at the end; 0: steady
-	Shares     map[string]float64 `toml:"shares,omitempty"`  // by class; those left out keep the brief's
-	WorkFactor float64            `toml:"work,omitempty"`    // scales all work; 0: 1
+	Rate       float64            `toml:"rate"`              // first tries per second over all zones; 0.1 to 20,000
+	RampTo     float64            `toml:"ramp_to,omitempty"` // rate at the end; 0: constant rate
+	Shares     map[string]float64 `toml:"shares,omitempty"`  // by class; others keep their default
+	WorkFactor float64            `toml:"work,omitempty"`    // multiplies the work of all requests; 0: 1
 }
 
-// ClientDelay is how clients behave.
+// Client describes the behaviour of the clients.
 type Client struct {
-	Retries            int     `toml:"retries,omitempty"`   // of their own, 0 to 2
-	TryTimeoutFraction float64 `toml:"try_share,omitempty"` // of the deadline, after which a try is given up: 0.5 to 0.8; 0: 0.65
-	Backoff            Span    `toml:"backoff,omitempty"`   // the first wait, which doubles
-	RetryAfterFraction float64 `toml:"honour,omitempty"`    // share of clients that follow Retry-After, 0 to 1
-	AbandonFraction    float64 `toml:"leaves,omitempty"`    // share of tries whose client goes away early, 0 to 1
-	SlowWriteFraction  float64 `toml:"pieces,omitempty"`    // share of tries that are written slowly, in pieces, 0 to 1
-	LateConnections    int     `toml:"late,omitempty"`      // connections of each kind to a node that is told to end, on which requests are sent until it is killed: 0 to 20
+	Retries            int     `toml:"retries,omitempty"`   // by the client, 0 to 2
+	TryTimeoutFraction float64 `toml:"try_share,omitempty"` // of the deadline; 0.5 to 0.8; 0: 0.65
+	Backoff            Span    `toml:"backoff,omitempty"`   // delay before the first retry, then doubled
+	RetryAfterFraction float64 `toml:"honour,omitempty"`    // of clients that follow Retry-After
+	AbandonFraction    float64 `toml:"leaves,omitempty"`    // of tries that the client cancels
+	SlowWriteFraction  float64 `toml:"pieces,omitempty"`    // of tries that are written slowly, in pieces
+	// LateConnections is the number of connections of each kind to a node that
+	// shuts down on which requests are sent until it is killed; 0 to 20.
+	LateConnections int `toml:"late,omitempty"`
 }
 
-// Discovery is how discovery behaves.
+// Discovery describes the behaviour of the discovery service.
 type Discovery struct {
-	NotificationDelay Span `toml:"lag,omitempty"` // until a change is told
+	NotificationDelay Span `toml:"lag,omitempty"` // from a change to its notification
 }
 
-// Net is the network between the stand-ins, one way.
+// Net holds the one-way delays and the loss of the simulated network.
 type Net struct {
 	SameZone    Span    `toml:"same_hall,omitempty"`
 	CrossZone   Span    `toml:"cross_hall,omitempty"`
 	ClientDelay Span    `toml:"client,omitempty"`
 	PeerDelay   Span    `toml:"messages,omitempty"`      // datagrams between nodes
-	PeerLoss    float64 `toml:"messages_lost,omitempty"` // share of them, 0 to 1
+	PeerLoss    float64 `toml:"messages_lost,omitempty"` // fraction of the datagrams lost, 0 to 1
 }
 
-// Zone is one hall with its nodes and servers.
+// Zone is one zone with its nodes and servers.
 type Zone struct {
-	Name         string         `toml:"name"`
-	Nodes        int            `toml:"nodes"`
-	JoiningNodes int            `toml:"joins,omitempty"` // nodes that do not run until a fault has them join; numbered after all others
-	Servers      map[string]int `toml:"servers"`         // by machine kind
+	Name  string `toml:"name"`
+	Nodes int    `toml:"nodes"`
+	// JoiningNodes do not run until a fault starts them; they are numbered after
+	// all other nodes.
+	JoiningNodes int            `toml:"joins,omitempty"`
+	Servers      map[string]int `toml:"servers"` // by machine kind
 	PodSize      int            `toml:"pod_size,omitempty"`
 }
 
-// Kind a fault does.
+// Kinds of faults.
 const (
-	FaultSilent           = "silent"            // a machine is cut off and comes back cold
-	FaultHang             = "hang"              // takes requests and answers none
-	FaultHeavy            = "heavy"             // a part of one class costs many times its work
-	FaultZoneLost         = "hall-lost"         // all servers of a hall are cut off and come back cold
-	FaultZoneAndNodesLost = "hall-lost-nodes"   // the same, and its nodes are killed
-	FaultKill             = "kill"              // a node or server process is killed; it starts again at the end
+	FaultSilent           = "silent"            // a server is cut off and comes back cold
+	FaultHang             = "hang"              // a server accepts requests and answers none
+	FaultHeavy            = "heavy"             // a fraction of one class takes a multiple of its work
+	FaultZoneLost         = "hall-lost"         // all servers of a zone are cut off and come back cold
+	FaultZoneAndNodesLost = "hall-lost-nodes"   // as hall-lost, and the zone's nodes are killed
+	FaultKill             = "kill"              // a node or server process is killed and started again at the end
 	FaultRestart          = "restart"           // a planned restart of a node: SIGTERM, then a new process
-	FaultDrain            = "drain"             // a server drains, and is up again at the end
-	FaultReplace          = "replace"           // a server's process is replaced under a new id at the old address
+	FaultDrain            = "drain"             // a server drains and is up again at the end
+	FaultReplace          = "replace"           // a server process is replaced under a new id at the same address
 	FaultLink             = "link"              // the links of a node or server change
-	FaultCorrupt          = "spoil"             // a part of a server's answers is spoilt
+	FaultCorrupt          = "spoil"             // a fraction of a server's answers is corrupted
 	FaultSlowReader       = "slow-reader"       // clients read their answers slowly
 	FaultDiscoveryOutage  = "discovery-outage"  // discovery is down
-	FaultDiscoveryDelay   = "discovery-lag"     // changes are told so much later
-	FaultDiscoveryRestart = "discovery-restart" // discovery starts again at a lower generation
-	FaultFlap             = "flap"              // a server goes up and down on the list while its process runs on
-	FaultPause            = "stop"              // a node's process stands still (SIGSTOP), and goes on at the end
-	FaultDiscoveryCut     = "cut-discovery"     // nothing passes between a node and discovery
-	FaultPeerLinks        = "peers"             // the ways of datagrams between nodes change
-	FaultPartition        = "split"             // no datagram passes between some nodes and the others
-	FaultJoin             = "join"              // nodes start that did not run, with newer settings; for good
-	FaultLeave            = "leave"             // nodes end in order, for good
-	FaultBriefPause       = "hold"              // a node's process stands still for 0.15 s at most, also while another fault acts on it
-	FaultReload           = "reload"            // a node gets a new configuration (SIGHUP), with another address of discovery
-	FaultWatchSilent      = "watch-silent"      // the open watches of nodes fall silent
+	FaultDiscoveryDelay   = "discovery-lag"     // change notifications are delayed further
+	FaultDiscoveryRestart = "discovery-restart" // discovery restarts with a lower generation
+	FaultFlap             = "flap"              // discovery lists a running server as up and down in turn
+	FaultPause            = "stop"              // a node's process is paused (SIGSTOP) and resumed at the end
+	FaultDiscoveryCut     = "cut-discovery"     // a node is cut off from discovery
+	FaultPeerLinks        = "peers"             // the network between nodes changes
+	FaultPartition        = "split"             // some nodes are partitioned from the others
+	FaultJoin             = "join"              // further nodes start, with newer settings; permanent
+	FaultLeave            = "leave"             // nodes shut down gracefully; permanent
+	FaultBriefPause       = "hold"              // as stop, for 0.15 s at most; may overlap other faults
+	FaultReload           = "reload"            // a node reloads (SIGHUP) with another discovery address
+	FaultWatchSilent      = "watch-silent"      // the open discovery watches of nodes go silent
 	FaultIdleClose        = "idle-close"        // servers close their idle connections
-	FaultClockStep        = "clock-step"        // the wall clock of nodes' machines steps, for good; wants nodes built with -tags faults
-	FaultNoDescriptors    = "no-descriptors"    // a node's process gets no further descriptor (EMFILE), for 0.15 s at most
-	FaultSystemCalls      = "system-calls"      // a part of a node's system calls of a kind fails
+	FaultClockStep        = "clock-step"        // the wall clock of nodes steps; permanent; needs -tags faults
+	FaultNoDescriptors    = "no-descriptors"    // a node gets no file descriptor (EMFILE), for 0.15 s at most
+	FaultSystemCalls      = "system-calls"      // a fraction of a node's system calls of one kind fails
 )
 
-// Fault is one thing that goes wrong, from At on for a time.
+// Fault is one fault on the timeline. The comments name the kinds that a field applies to.
 type Fault struct {
-	At                Span     `toml:"at"`
-	For               Span     `toml:"for,omitempty"`
-	Kind              string   `toml:"what"`
-	Targets           []string `toml:"who,omitempty"`    // servers (hall.1), nodes (n0) or halls
-	Class             string   `toml:"class,omitempty"`  // heavy: which
-	Fraction          float64  `toml:"part,omitempty"`   // heavy, spoil, slow-reader, system-calls: the share that is hit, 0 to 1
-	Factor            float64  `toml:"factor,omitempty"` // heavy: multiple of the usual work
-	Interval          Span     `toml:"every,omitempty"`  // flap: time between changes
-	Delay             Span     `toml:"delay,omitempty"`  // link: one way; discovery-lag: on top; clock-step: how far
-	Loss              float64  `toml:"loss,omitempty"`   // link: share of segments lost; each costs a retransmission
-	State             string   `toml:"state,omitempty"`  // link: "", half-open, reset or black-hole; peers: "" or black-hole; clock-step: "" (forward) or back
-	Peers             []string `toml:"to,omitempty"`     // peers: the other ends; all nodes if empty
-	Direction         string   `toml:"way,omitempty"`    // peers: "out" or "in", of who; both if empty
-	Jitter            Span     `toml:"jitter,omitempty"` // peers: up to so much on top, so that datagrams overtake one another
-	DuplicateFraction float64  `toml:"double,omitempty"` // peers: share of datagrams that come twice
-	SystemCall        string   `toml:"call,omitempty"`   // system-calls: which kind, as package sysfault names them
-	Errno             string   `toml:"error,omitempty"`  // system-calls: the error's name, such as ENOBUFS
+	At       Span     `toml:"at"`
+	For      Span     `toml:"for,omitempty"`
+	Kind     string   `toml:"what"`
+	Targets  []string `toml:"who,omitempty"`    // servers (hall.1), nodes (n0) or zones
+	Class    string   `toml:"class,omitempty"`  // heavy
+	Fraction float64  `toml:"part,omitempty"`   // heavy, spoil, slow-reader, system-calls: fraction affected, 0 to 1
+	Factor   float64  `toml:"factor,omitempty"` // heavy: multiple of the normal work
+	Interval Span     `toml:"every,omitempty"`  // flap: time between changes
+	Delay    Span     `toml:"delay,omitempty"`  // link: one way; discovery-lag: added; clock-step: size of the step
+	Loss     float64  `toml:"loss,omitempty"`   // link: fraction of segments lost, each causing a retransmission
+	// State: for link "", half-open, reset or black-hole; for peers "" or
+	// black-hole; for clock-step "" (forward) or back.
+	State             string   `toml:"state,omitempty"`
+	Peers             []string `toml:"to,omitempty"`     // peers: the other ends; empty: all nodes
+	Direction         string   `toml:"way,omitempty"`    // peers: "out" or "in", as seen by Targets; empty: both
+	Jitter            Span     `toml:"jitter,omitempty"` // peers: maximum random delay, which reorders datagrams
+	DuplicateFraction float64  `toml:"double,omitempty"` // peers: fraction of datagrams that are duplicated
+	SystemCall        string   `toml:"call,omitempty"`   // system-calls: kind of call, as package sysfault names it
+	Errno             string   `toml:"error,omitempty"`  // system-calls: name of the error, such as ENOBUFS
 }
 
-// Requirements is what must hold after the run. A rule that breaks always fails it.
+// Requirements must hold after the run. A broken rule always fails the run.
 type Requirements struct {
-	MinMeasure     float64 `toml:"measure,omitempty"`        // the service measure, at least; 0 to 1
-	MinServed      float64 `toml:"served,omitempty"`         // share of orders served at any time, at least
-	MaxRefused     float64 `toml:"refused_most,omitempty"`   // share of tries refused, at most; 0: any
-	AllowPauseLoss bool    `toml:"stops_may_lose,omitempty"` // a request whose time ends while its node stands still may be lost
-	RequireFaults  bool    `toml:"faults_happen,omitempty"`  // each fault must be seen to happen in the history
+	MinMeasure     float64 `toml:"measure,omitempty"`        // of the service measure, 0 to 1
+	MinServed      float64 `toml:"served,omitempty"`         // fraction of orders that are served at all
+	MaxRefused     float64 `toml:"refused_most,omitempty"`   // fraction of tries; 0: no limit
+	AllowPauseLoss bool    `toml:"stops_may_lose,omitempty"` // requests that expire during a process pause may be lost
+	RequireFaults  bool    `toml:"faults_happen,omitempty"`  // the history must show each fault
 }
 
 // Server is one clip server of a scenario.
@@ -145,20 +156,19 @@
 	Number     int
 }
 
-// Servers lists all servers, hall by hall, the machine kinds mixed as the file
-// names them in order of their names.
+// Servers lists all servers by zone, within a zone by machine kind.
 func (s *Scenario) Servers() []Server {
 	var out []Server
 	pod := 0
-	for _, h := range s.Zones {
-		size, n := h.PodSize, 0
+	for _, zone := range s.Zones {
+		size, n := zone.PodSize, 0
 		if size == 0 {
 			size = 4
 		}
-		for _, kind := range kindNames {
-			for range h.Servers[kind] {
+		for _, kind := range machineKinds {
+			for range zone.Servers[kind] {
 				n++
-				out = append(out, Server{Name: fmt.Sprintf("%s.%d", h.Name, n), Zone: h.Name, Kind: kind, Pod: pod + (n-1)/size})
+				out = append(out, Server{Name: fmt.Sprintf("%s.%d", zone.Name, n), Zone: zone.Name, Kind: kind, Pod: pod + (n-1)/size})
 			}
 		}
 		pod += (n + size - 1) / size
@@ -166,58 +176,58 @@
 	return out
 }
 
-var kindNames = []string{"fast-6", "std-6", "slow-6"}
+var machineKinds = []string{"fast-6", "std-6", "slow-6"}
 
-// Nodes lists all nodes, those that join later after the others.
+// Nodes lists all nodes; those that join later follow the others.
 func (s *Scenario) Nodes() []Node {
 	var out []Node
-	add := func(hall string, n int) {
-		for range n {
-			out = append(out, Node{Name: fmt.Sprintf("n%d", len(out)), Zone: hall, Number: len(out)})
+	add := func(name string, count int) {
+		for range count {
+			out = append(out, Node{Name: fmt.Sprintf("n%d", len(out)), Zone: name, Number: len(out)})
 		}
 	}
-	for _, h := range s.Zones {
-		add(h.Name, h.Nodes)
+	for _, zone := range s.Zones {
+		add(zone.Name, zone.Nodes)
 	}
-	for _, h := range s.Zones {
-		add(h.Name, h.JoiningNodes)
+	for _, zone := range s.Zones {
+		add(zone.Name, zone.JoiningNodes)
 	}
 	return out
 }
 
-// InitialNodes is how many nodes run from the beginning: all that their settings know of.
+// InitialNodes is the number of nodes that run from the start, which is what their settings are built for.
 func (s *Scenario) InitialNodes() int {
 	n := 0
-	for _, h := range s.Zones {
-		n += h.Nodes
+	for _, zone := range s.Zones {
+		n += zone.Nodes
 	}
 	return n
 }
 
-// Select gives the servers and nodes that a fault names, halls spelt out.
-func (s *Scenario) Select(who []string) (servers []Server, nodes []Node) {
-	in := func(name, hall string) bool {
-		for _, w := range who {
-			if w == name || w == hall {
+// Select returns the servers and nodes with the given names; a zone's name selects all of its members.
+func (s *Scenario) Select(names []string) (servers []Server, nodes []Node) {
+	selected := func(name, zone string) bool {
+		for _, wanted := range names {
+			if wanted == name || wanted == zone {
 				return true
 			}
 		}
 		return false
 	}
 	for _, x := range s.Servers() {
-		if in(x.Name, x.Zone) {
+		if selected(x.Name, x.Zone) {
 			servers = append(servers, x)
 		}
 	}
 	for _, x := range s.Nodes() {
-		if in(x.Name, x.Zone) {
+		if selected(x.Name, x.Zone) {
 			nodes = append(nodes, x)
 		}
 	}
 	return servers, nodes
 }
 
-// End is when the last fault is over, or the load, if that is later.
+// End returns the end of the load or of the last fault, whichever is later.
 func (s *Scenario) End() time.Duration {
 	end := s.Length.Duration
 	for _, f := range s.Faults {
@@ -240,20 +250,20 @@
 	return text
 }
 
-// PeerPaths lists the ways of datagrams that a fault of peers, or a split, changes: from
-// node to node, by number.
+// PeerPaths lists the directed paths between nodes that a fault of kind peers
+// or split affects, as pairs of node numbers.
 func (s *Scenario) PeerPaths(f *Fault) [][2]int {
-	_, who := s.Select(f.Targets)
-	_, to := s.Select(f.Peers)
+	_, targets := s.Select(f.Targets)
+	_, peers := s.Select(f.Peers)
 	if len(f.Peers) == 0 {
-		to = s.Nodes()
+		peers = s.Nodes()
 	}
 	if f.Kind == FaultPartition {
-		to = slices.DeleteFunc(s.Nodes(), func(n Node) bool { return slices.Contains(who, n) })
+		peers = slices.DeleteFunc(s.Nodes(), func(n Node) bool { return slices.Contains(targets, n) })
 	}
 	var out [][2]int
-	for _, a := range who {
-		for _, b := range to {
+	for _, a := range targets {
+		for _, b := range peers {
 			if a.Number == b.Number {
 				continue
 			}
