--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -1,8 +1,7 @@
-// Package policy has ways to choose a server that the lab's runs in memory
-// compare with our nodes: the field's usual ones, each after its public
-// description, and a proxy that package steer steers over xDS. All but the
-// nodes try again as the routes of internal/xds say, and refuse nothing of
-// their own.
+// Package policy implements load-balancing policies that the lab's simulated
+// runs compare with the nodes: common published policies, and proxies that
+// package steer controls over xDS. All but the nodes retry as the routes of
+// internal/xds prescribe and shed no load themselves.
 package policy
 
 import (
@@ -16,164 +15,168 @@
 	"ivylock/steer"
 )
 
-// Name is how a server is chosen.
+// Name identifies a policy.
 type Name string
 
-// The ways.
+// The policies.
 const (
-	Nodes          Name = "nodes"    // our nodes, with the decision module
-	XDS            Name = "xds"      // proxies steered by the control service
-	TwoChoices     Name = "least"    // the one with fewer requests of this proxy, of two by chance (Mitzenmacher)
-	LeastRequests  Name = "fewest"   // the one with the fewest requests of this proxy, of all
-	Random         Name = "chance"   // any
-	RoundRobin     Name = "turn"     // one after another
-	PeakEWMA       Name = "ewma"     // of two, by peak-sensitive latency times requests (Finagle, Linkerd)
-	WeightedRandom Name = "weighted" // by answers a second over utilisation, as servers report them (gRPC A58)
-	Prequal        Name = "prequal"  // by a pool of probes, hot or cold, then latency (Wydrowski and others, NSDI 2024)
-	Aperture       Name = "aperture" // of two within a part of the servers, the same for its life (Finagle)
+	Nodes          Name = "nodes"    // nodes with package balance
+	XDS            Name = "xds"      // proxies controlled by the control service
+	TwoChoices     Name = "least"    // power of two choices by this proxy's requests in flight (Mitzenmacher)
+	LeastRequests  Name = "fewest"   // least requests of this proxy in flight, of all servers
+	Random         Name = "chance"   // uniform
+	RoundRobin     Name = "turn"     // each server in turn
+	PeakEWMA       Name = "ewma"     // two choices by peak-sensitive latency times requests (Finagle, Linkerd)
+	WeightedRandom Name = "weighted" // by reported answers per second over utilisation (gRPC A58)
+	Prequal        Name = "prequal"  // pool of probes: hot or cold, then latency (Wydrowski et al., NSDI 2024)
+	Aperture       Name = "aperture" // two choices within a fixed subset of the servers (Finagle)
 )
 
-// Herd is none to compare with: in each second all go for the same server. It is
-// what a measure of herding must see.
+// Herd sends all requests of a second to the same server. It is not compared but
+// tests whether herding is measured.
 const Herd Name = "herd"
 
-// All lists them all; the first four are those of old.
+// All lists the policies that are compared.
 var All = []Name{Nodes, XDS, TwoChoices, Random, LeastRequests, RoundRobin, PeakEWMA, WeightedRandom, Prequal, Aperture}
 
-// Options gives the run's options for a way. They serve one run.
-func Options(way Name, seed int64) memory.Options {
-	return OptionsWithControls(way, seed, ControlPlane{})
+// Options returns the options for one run under a policy. They must not be reused.
+func Options(name Name, seed int64) memory.Options {
+	return OptionsWithControls(name, seed, ControlPlane{})
 }
 
-// OptionsWithControls is Options with several control services, for steered proxies.
-func OptionsWithControls(way Name, seed int64, c ControlPlane) memory.Options {
-	return memory.Options{Seed: seed, Decider: deciders(way, c), LoadReports: way == WeightedRandom}
+// OptionsWithControls is Options with a given control plane, which only XDS uses.
+func OptionsWithControls(name Name, seed int64, controls ControlPlane) memory.Options {
+	return memory.Options{Seed: seed, Decider: deciders(name, controls), LoadReports: name == WeightedRandom}
 }
 
-// deciders gives what Options.Decider wants, for one run. For Nodes it is nil.
-func deciders(way Name, with ControlPlane) func(scenario.Node, balance.Settings, int64) memory.Decider {
-	if way == Nodes {
+// deciders returns memory.Options.Decider for one run; nil for Nodes.
+func deciders(name Name, controls ControlPlane) func(scenario.Node, balance.Settings, int64) memory.Decider {
+	if name == Nodes {
 		return nil
 	}
-	services := newServices(with)
-	return func(n scenario.Node, s balance.Settings, seed int64) memory.Decider {
-		p := &proxy{id: steer.ProxyID(n.Name), hall: n.Zone, set: s, rnd: rand.New(rand.NewPCG(uint64(seed), 11)),
+	services := newServices(controls)
+	return func(node scenario.Node, s balance.Settings, seed int64) memory.Decider {
+		p := &proxy{id: steer.ProxyID(node.Name), zone: node.Zone, settings: s, rng: rand.New(rand.NewPCG(uint64(seed), 11)),
 			open: map[balance.RequestID]*request{}, classes: map[string]balance.Class{}}
-		for _, x := range s.Classes {
-			p.classes[x.Name] = x
+		for _, class := range s.Classes {
+			p.classes[class.Name] = class
 		}
-		switch way {
+		switch name {
 		case XDS:
-			for _, c := range services.all {
-				c.begin(s, with)
+			for _, service := range services.all {
+				service.configure(s, controls)
 			}
-			p.services, p.home = services, n.Number
-			p.turn(0)
-			p.chooser = &steered{proxy: p}
+			p.services, p.homeService = services, node.Number
+			p.selectService(0)
+			p.selector = &steered{proxy: p}
 		case TwoChoices:
-			p.chooser = &leastOfTwo{rnd: p.rnd}
+			p.selector = &twoChoices{rng: p.rng}
 		case LeastRequests:
-			p.chooser = &fewest{rnd: p.rnd}
+			p.selector = &leastRequests{rng: p.rng}
 		case RoundRobin:
-			p.chooser = &turn{at: p.rnd.IntN(1 << 20)}
+			p.selector = &roundRobin{next: p.rng.IntN(1 << 20)}
 		case PeakEWMA:
-			p.chooser = &ewma{rnd: p.rnd}
+			p.selector = &peakEWMA{rng: p.rng}
 		case WeightedRandom:
-			p.chooser = &weighted{rnd: p.rnd}
+			p.selector = &weightedRandom{rng: p.rng}
 		case Prequal:
-			p.chooser = &prequal{proxy: p}
+			p.selector = &prequal{proxy: p}
 		case Aperture:
-			p.chooser = &aperture{rnd: p.rnd, self: s.Self, proxies: s.Nodes}
+			p.selector = &aperture{rng: p.rng, self: s.Self, proxies: s.Nodes}
 		case Herd:
-			p.chooser = &herd{}
+			p.selector = &herd{}
 		default:
-			p.chooser = &chance{rnd: p.rnd}
+			p.selector = &random{rng: p.rng}
 		}
 		return p
 	}
 }
 
-// chooser is a way to choose.
-type chooser interface {
-	// listed takes the servers that may be used, in order of their ids, each
-	// time that they change.
-	listed(now balance.Time, ready []*server)
-	// choose picks one of some, of which there is at least one. all says that
-	// they are those that were listed; else some may not be used this time.
-	choose(now balance.Time, from []*server, all bool) *server
-	// sent and ended tell of attempts; s.out has been changed by then.
-	sent(now balance.Time, s *server)
-	ended(now balance.Time, s *server, e *balance.AttemptEnded)
+// selector is the algorithm of a policy.
+type selector interface {
+	// serversChanged receives the ready servers in order of their ids, whenever
+	// they change.
+	serversChanged(now balance.Time, ready []*server)
+	// pick selects one of at least one server. all reports that these are all
+	// ready servers, rather than the candidates of a retry.
+	pick(now balance.Time, from []*server, all bool) *server
+	// attemptSent and attemptFinished report attempts; s.inFlight already
+	// includes the change.
+	attemptSent(now balance.Time, s *server)
+	attemptFinished(now balance.Time, s *server, e *balance.AttemptEnded)
 }
 
-// quiet is for choosers that need not be told of attempts, or of the list.
-type quiet struct{}
+// noCallbacks is embedded in selectors that keep no state about attempts or servers.
+type noCallbacks struct{}
 
-func (quiet) listed(balance.Time, []*server)                     {}
-func (quiet) sent(balance.Time, *server)                         {}
-func (quiet) ended(balance.Time, *server, *balance.AttemptEnded) {}
+func (noCallbacks) serversChanged(balance.Time, []*server)                       {}
+func (noCallbacks) attemptSent(balance.Time, *server)                            {}
+func (noCallbacks) attemptFinished(balance.Time, *server, *balance.AttemptEnded) {}
 
-// server is one as a proxy knows it. Its last fields are the choosers'.
+// server is a proxy's state of one server. The last group of fields belongs to
+// the selectors.
 type server struct {
 	balance.Server
-	out  int // attempts of this proxy
-	load steer.Load
+	inFlight int // attempts of this proxy in flight
+	load     steer.Load
 
-	place   int // fewest: where it stands among those with as many
-	inRow   bool
-	cost    float64 // ewma: s
-	costAt  balance.Time
-	weight  float64 // weighted
-	toldAt  balance.Time
-	pass    float64
-	summary probe // prequal: the last probe, while it is in the pool
+	bucketIndex int // leastRequests: index in the bucket
+	inBucket    bool
+	latency     float64 // peakEWMA and prequal: smoothed latency in s
+	latencyAt   balance.Time
+	weight      float64 // weightedRandom
+	reportedAt  balance.Time
+	blackoutEnd float64
+	summary     probe // unused
 }
 
 type request struct {
-	id       balance.RequestID
-	class    balance.Class
-	rule     steer.RetryRule
-	began    balance.Time
-	attempts int
-	again    bool // the attempt that is out is a further one
-	pod      int
-	tried    []balance.ServerID
-	hazard   bool // an attempt may have run
+	id         balance.RequestID
+	class      balance.Class
+	rule       steer.RetryRule
+	start      balance.Time
+	attempts   int
+	isRetry    bool // whether the attempt in flight is a retry
+	pod        int
+	tried      []balance.ServerID
+	mayHaveRun bool // an attempt may have run
 }
 
-// proxy is a stand-in for one node's module.
+// proxy takes the place of one node's decision module.
 type proxy struct {
-	chooser
-	id       steer.ProxyID
-	hall     string
-	set      balance.Settings
-	rnd      *rand.Rand
-	services *services    // steered ones
-	home     int          // the place of its own service
-	control  *control     // that it follows
-	frozen   *steer.State // what it keeps to, if it is frozen
-	table    *table       // of that
-	servers  []*server    // by id
-	ready    []*server    // in order of their ids
-	fit      []*server    // kept from call to call
-	open     map[balance.RequestID]*request
-	classes  map[string]balance.Class
-	begun    bool
-	asked    balance.Time // when the list was last asked for; 0: it is there
-	reported balance.Time
-	in1, in2 uint64
-	active   int // attempts that are out
-	further  int // of them, those that are not a request's first
-	out      []balance.Action
+	selector
+	id           steer.ProxyID
+	zone         string
+	settings     balance.Settings
+	rng          *rand.Rand
+	services     *controlServices // XDS only
+	homeService  int              // index of its own control service
+	control      *controlService  // the service in use
+	frozenState  *steer.State     // the state kept by a frozen proxy
+	table        *table           // of the frozen state
+	servers      []*server        // by id
+	ready        []*server        // in order of their ids
+	candidates   []*server        // buffer, reused
+	open         map[balance.RequestID]*request
+	classes      map[string]balance.Class
+	started      bool
+	listFailedAt balance.Time // when the last list request failed; 0: no retry is pending
+	reportedAt   balance.Time
+
+	priorityArrivals, otherArrivals uint64 // since the last report
+
+	activeAttempts int // attempts in flight
+	activeRetries  int // of them, retries
+	actions        []balance.Action
 }
 
-// Handle does what a proxy would.
+// Handle implements memory.Decider.
 func (p *proxy) Handle(now balance.Time, e balance.Event) []balance.Action {
-	p.out = p.out[:0]
-	if !p.begun {
-		p.begun, p.reported = true, now
-		p.do(balance.Subscribe{On: true})
-		p.do(balance.SetTimer{After: steer.TickInterval})
+	p.actions = p.actions[:0]
+	if !p.started {
+		p.started, p.reportedAt = true, now
+		p.emit(balance.Subscribe{On: true})
+		p.emit(balance.SetTimer{After: steer.TickInterval})
 	}
 	switch e := e.(type) {
 	case balance.RequestArrived:
@@ -185,26 +188,26 @@
 	case *balance.AttemptEnded:
 		p.attemptEnded(now, e)
 	case balance.RequestAbandoned:
-		if r := p.open[e.ID]; r != nil && r.again {
-			p.further--
+		if r := p.open[e.ID]; r != nil && r.isRetry {
+			p.activeRetries--
 		}
 		delete(p.open, e.ID)
 	case balance.ListUpdate:
-		p.follow(now, e)
+		p.updateList(now, e)
 	case balance.ProbeEnded:
 		if s := p.serverOf(e.Server); s == nil {
 		} else if p.control != nil {
-			p.control.feed(now, steer.ProbeResult{Server: steerID(s.ID), OK: e.Code == balance.OK, Elapsed: e.Elapsed})
-		} else if c, is := p.chooser.(*prequal); is {
+			p.control.handle(now, steer.ProbeResult{Server: steerID(s.ID), OK: e.Code == balance.OK, Elapsed: e.Elapsed})
+		} else if c, is := p.selector.(*prequal); is {
 			c.probed(now, s, &e)
 		}
 	case balance.TimerFired, *balance.TimerFired:
 		p.tick(now)
 	}
-	return p.out
+	return p.actions
 }
 
-func (p *proxy) do(a balance.Action) { p.out = append(p.out, a) }
+func (p *proxy) emit(a balance.Action) { p.actions = append(p.actions, a) }
 
 func (p *proxy) serverOf(id balance.ServerID) *server {
 	if int(id) < len(p.servers) {
@@ -213,10 +216,10 @@
 	return nil
 }
 
-func (p *proxy) follow(now balance.Time, e balance.ListUpdate) {
+func (p *proxy) updateList(now balance.Time, e balance.ListUpdate) {
 	switch e.Kind {
 	case balance.ListFailed:
-		p.asked = now
+		p.listFailedAt = now
 		return
 	case balance.ListFull, balance.ListCached:
 		for _, s := range p.servers {
@@ -225,9 +228,9 @@
 			}
 		}
 	}
-	p.asked = 0
+	p.listFailedAt = 0
 	for _, x := range e.Entries {
-		for int(x.ID) >= len(p.servers) { // ids are small numbers in the lab
+		for int(x.ID) >= len(p.servers) { // the lab numbers servers from 0
 			p.servers = append(p.servers, nil)
 		}
 		if s := p.servers[x.ID]; s != nil {
@@ -242,95 +245,95 @@
 			p.ready = append(p.ready, s)
 		}
 	}
-	p.chooser.listed(now, p.ready)
+	p.selector.serversChanged(now, p.ready)
 	if p.services != nil {
-		p.services.listed(now, e.Kind == balance.ListCached, p.servers)
+		p.services.updateServers(now, e.Kind == balance.ListCached, p.servers)
 	}
 }
 
 func (p *proxy) tick(now balance.Time) {
-	p.do(balance.SetTimer{After: steer.TickInterval})
-	if p.asked != 0 && now-p.asked >= 200*time.Millisecond {
-		p.asked = 0
-		p.do(balance.Subscribe{On: true})
+	p.emit(balance.SetTimer{After: steer.TickInterval})
+	if p.listFailedAt != 0 && now-p.listFailedAt >= 200*time.Millisecond {
+		p.listFailedAt = 0
+		p.emit(balance.Subscribe{On: true})
 	}
 	if p.control != nil {
-		p.turn(now)
-		p.freeze(now)
+		p.selectService(now)
+		p.freezeIfDue(now)
 		p.control.tick(now, p)
 	}
 }
 
-// priority says which classes are refused last: those worth more than the mean.
-func (p *proxy) priority(c balance.Class) bool {
+// isPriority reports whether a class is shed last: its value is above the mean.
+func (p *proxy) isPriority(c balance.Class) bool {
 	sum := 0.0
-	for _, x := range p.set.Classes {
-		sum += x.Value
+	for _, class := range p.settings.Classes {
+		sum += class.Value
 	}
-	return c.Value > sum/float64(len(p.set.Classes))
+	return c.Value > sum/float64(len(p.settings.Classes))
 }
 
 func (p *proxy) arrive(now balance.Time, e *balance.RequestArrived) {
 	c := p.classes[e.Class]
-	r := &request{id: e.ID, class: c, rule: steer.RetryRuleFor(c), began: now, pod: -1}
-	if p.control != nil && p.control.refuses(now, p, p.priority(c)) {
-		p.do(balance.Refuse{ID: r.id})
+	r := &request{id: e.ID, class: c, rule: steer.RetryRuleFor(c), start: now, pod: -1}
+	if p.control != nil && p.control.shouldDrop(now, p, p.isPriority(c)) {
+		p.emit(balance.Refuse{ID: r.id})
 		return
 	}
 	p.open[e.ID] = r
-	if p.control != nil && p.active >= p.control.most(now, p) { // the circuit's limit
-		p.giveUp(r)
+	if p.control != nil && p.activeAttempts >= p.control.maxRequests(now, p) { // circuit breaker
+		p.finishUnserved(r)
 		return
 	}
-	p.attempt(now, r)
+	p.sendAttempt(now, r)
 }
 
-// attempt sends, or ends the request if there is nobody to send it to.
-func (p *proxy) attempt(now balance.Time, r *request) {
-	s := p.server(now, r)
+// sendAttempt sends a request, or finishes it if there is no server for it.
+func (p *proxy) sendAttempt(now balance.Time, r *request) {
+	s := p.pickServer(now, r)
 	if s == nil {
-		p.giveUp(r)
+		p.finishUnserved(r)
 		return
 	}
 	r.attempts++
-	p.active++
-	if r.again = r.attempts > 1; r.again {
-		p.further++
+	p.activeAttempts++
+	if r.isRetry = r.attempts > 1; r.isRetry {
+		p.activeRetries++
 	}
 	r.tried = append(r.tried, s.ID)
 	if r.rule.SamePod {
 		r.pod = s.Cell
 	}
-	s.out++
+	s.inFlight++
 	s.load.Issued++
-	p.chooser.sent(now, s)
-	p.do(balance.Send{Sending: &balance.Sending{ID: r.id, Server: s.ID, Timeout: r.rule.AttemptTimeout}})
+	p.selector.attemptSent(now, s)
+	p.emit(balance.Send{Sending: &balance.Sending{ID: r.id, Server: s.ID, Timeout: r.rule.AttemptTimeout}})
 }
 
-// server picks one, a server that was not tried if there is any.
-func (p *proxy) server(now balance.Time, r *request) *server {
+// pickServer prefers servers that the request has not tried.
+func (p *proxy) pickServer(now balance.Time, r *request) *server {
 	if r.attempts == 0 && len(p.ready) > 0 {
-		return p.chooser.choose(now, p.ready, true)
+		return p.selector.pick(now, p.ready, true)
 	}
-	for _, again := range []bool{false, true} {
-		p.fit = p.fit[:0]
+	for _, repeat := range []bool{false, true} {
+		p.candidates = p.candidates[:0]
 		for _, s := range p.ready {
-			if (r.pod < 0 || s.Cell == r.pod) && (again || !slices.Contains(r.tried, s.ID)) {
-				p.fit = append(p.fit, s)
+			if (r.pod < 0 || s.Cell == r.pod) && (repeat || !slices.Contains(r.tried, s.ID)) {
+				p.candidates = append(p.candidates, s)
 			}
 		}
-		if len(p.fit) > 0 {
-			return p.chooser.choose(now, p.fit, false)
+		if len(p.candidates) > 0 {
+			return p.selector.pick(now, p.candidates, false)
 		}
 	}
 	return nil
 }
 
-func (p *proxy) giveUp(r *request) {
-	if r.hazard {
-		p.do(balance.Fail{ID: r.id})
+func (p *proxy) finishUnserved(r *request) {
+	if r.mayHaveRun {
+		p.emit(balance.Fail{ID: r.id})
 	} else {
-		p.do(balance.Refuse{ID: r.id})
+		p.emit(balance.Refuse{ID: r.id})
 	}
 	delete(p.open, r.id)
 }
@@ -338,7 +341,7 @@
 func (p *proxy) attemptEnded(now balance.Time, e *balance.AttemptEnded) {
 	r := p.open[e.ID]
 	if s := p.serverOf(e.Server); s != nil {
-		s.out = max(0, s.out-1)
+		s.inFlight = max(0, s.inFlight-1)
 		switch e.Code {
 		case balance.OK:
 			s.load.OK++
@@ -346,28 +349,28 @@
 		default:
 			s.load.Errors++
 		}
-		p.chooser.ended(now, s, e)
+		p.selector.attemptFinished(now, s, e)
 	}
-	p.active = max(0, p.active-1)
+	p.activeAttempts = max(0, p.activeAttempts-1)
 	if r == nil {
 		return
 	}
-	if r.again {
-		p.further--
+	if r.isRetry {
+		p.activeRetries--
 	}
 	if e.RequestDone || e.Code == balance.OK {
 		delete(p.open, e.ID)
 		return
 	}
 	unseen := e.Code == balance.Full || e.Code == balance.ConnectFailed || e.Code == balance.Moot
-	r.hazard = r.hazard || !unseen
-	again := !r.hazard || r.rule.MayHaveRun && (r.rule.TotalTimeout == 0 || now-r.began < r.rule.TotalTimeout)
-	if p.control != nil && p.further >= max(steer.MinRetryConcurrency, steer.RetryBudgetPercent*p.active/100) {
-		again = false
+	r.mayHaveRun = r.mayHaveRun || !unseen
+	retry := !r.mayHaveRun || r.rule.MayHaveRun && (r.rule.TotalTimeout == 0 || now-r.start < r.rule.TotalTimeout)
+	if p.control != nil && p.activeRetries >= max(steer.MinRetryConcurrency, steer.RetryBudgetPercent*p.activeAttempts/100) {
+		retry = false
 	}
-	if !again || r.attempts >= steer.MaxAttempts {
-		p.giveUp(r)
+	if !retry || r.attempts >= steer.MaxAttempts {
+		p.finishUnserved(r)
 		return
 	}
-	p.attempt(now, r)
+	p.sendAttempt(now, r)
 }
--- a/internal/lab/policy/prequal.go
+++ b/internal/lab/policy/prequal.go
@@ -7,64 +7,64 @@
 	"ivylock/balance"
 )
 
-// prequal keeps a pool of what probed servers said: requests in flight and the
-// latency to expect. Servers with more in flight than most of the pool are
-// hot. The cold one with the least latency is taken; with none cold, the one
-// with the least in flight. The figures are those of the paper, but for one
-// probe a request instead of three, as a probe costs a clip server 3 per cent
-// of a request here.
+// prequal keeps a pool of probe results: requests in flight and expected latency.
+// Servers whose requests in flight exceed a quantile of the pool are hot. The cold
+// server with the lowest latency is picked, or, if all are hot, the one with the
+// fewest requests in flight. Parameters follow the paper except for one probe per
+// request instead of three, because a probe costs a clip server 3 per cent of a
+// request here.
 type prequal struct {
 	*proxy
-	pool  []probe // the oldest first
-	worst bool    // of the pool goes next, else the oldest
+	pool       []probe // oldest first
+	evictWorst bool    // evict the worst entry next, else the oldest
 }
 
 type probe struct {
-	server  *server
-	at      balance.Time
-	flight  float64
-	latency float64 // s
-	uses    int     // that are left
+	server   *server
+	at       balance.Time
+	inFlight float64
+	latency  float64 // s
+	usesLeft int
 }
 
 const (
-	poolMost   = 16
-	poolValid  = time.Second
-	poolUses   = 2    // of one probe: a small pool would be empty else
-	hotFrom    = 0.84 // quantile of requests in flight
-	poolLeast  = 2    // with fewer it takes any
-	probeBatch = 1
+	maxPoolSize      = 16
+	probeLifetime    = time.Second
+	probeUses        = 2    // per probe; with one use a small pool would run empty
+	hotQuantile      = 0.84 // quantile of the requests in flight
+	minPoolSize      = 2    // with fewer it picks at random
+	probesPerRequest = 1
 )
 
-func (c *prequal) listed(balance.Time, []*server) {
+func (c *prequal) serversChanged(balance.Time, []*server) {
 	c.pool = slices.DeleteFunc(c.pool, func(p probe) bool { return p.server.State != balance.Ready })
 }
 
-// sent probes others for the next requests, and counts what was just sent in.
-func (c *prequal) sent(now balance.Time, s *server) {
+// attemptSent counts the request in the pool and probes servers for the next ones.
+func (c *prequal) attemptSent(now balance.Time, s *server) {
 	for i := range c.pool {
 		if c.pool[i].server == s {
-			c.pool[i].flight++
+			c.pool[i].inFlight++
 		}
 	}
-	for range probeBatch {
-		c.do(balance.Probe{Server: c.ready[c.rnd.IntN(len(c.ready))].ID})
+	for range probesPerRequest {
+		c.emit(balance.Probe{Server: c.ready[c.rng.IntN(len(c.ready))].ID})
 	}
 }
 
-func (c *prequal) ended(now balance.Time, s *server, e *balance.AttemptEnded) {
+func (c *prequal) attemptFinished(now balance.Time, s *server, e *balance.AttemptEnded) {
 	if e.Code == balance.OK {
-		c.latency(s, e.Elapsed.Seconds())
+		c.observeLatency(s, e.Elapsed.Seconds())
 	}
 }
 
-// latency is smoothed here for each server, by its requests in flight at the
-// time: the paper has the server keep it.
-func (c *prequal) latency(s *server, took float64) {
-	if s.cost == 0 {
-		s.cost = took
+// observeLatency smooths the latency of a server. In the paper the server itself
+// estimates it by its requests in flight.
+func (c *prequal) observeLatency(s *server, elapsed float64) {
+	if s.latency == 0 {
+		s.latency = elapsed
 	}
-	s.cost += 0.1 * (took - s.cost)
+	s.latency += 0.1 * (elapsed - s.latency)
 }
 
 func (c *prequal) probed(now balance.Time, s *server, e *balance.ProbeEnded) {
@@ -72,51 +72,51 @@
 		return
 	}
 	c.pool = slices.DeleteFunc(c.pool, func(p probe) bool { return p.server == s })
-	if len(c.pool) >= poolMost {
+	if len(c.pool) >= maxPoolSize {
 		c.pool = c.pool[1:]
 	}
-	latency := s.cost
+	latency := s.latency
 	if latency == 0 {
 		latency = e.Elapsed.Seconds()
 	}
-	c.pool = append(c.pool, probe{s, now, e.Report.InFlight, latency, poolUses})
+	c.pool = append(c.pool, probe{s, now, e.Report.InFlight, latency, probeUses})
 }
 
-func (c *prequal) choose(now balance.Time, from []*server, all bool) *server {
-	c.pool = slices.DeleteFunc(c.pool, func(p probe) bool { return now-p.at > poolValid || p.uses <= 0 })
-	if !all || len(c.pool) < poolLeast {
-		return from[c.rnd.IntN(len(from))]
+func (c *prequal) pick(now balance.Time, from []*server, all bool) *server {
+	c.pool = slices.DeleteFunc(c.pool, func(p probe) bool { return now-p.at > probeLifetime || p.usesLeft <= 0 })
+	if !all || len(c.pool) < minPoolSize {
+		return from[c.rng.IntN(len(from))]
 	}
-	flights := make([]float64, 0, poolMost)
+	inFlight := make([]float64, 0, maxPoolSize)
 	for _, p := range c.pool {
-		flights = append(flights, p.flight)
+		inFlight = append(inFlight, p.inFlight)
 	}
-	slices.Sort(flights)
-	hot := flights[min(len(flights)-1, int(hotFrom*float64(len(flights))))]
+	slices.Sort(inFlight)
+	hot := inFlight[min(len(inFlight)-1, int(hotQuantile*float64(len(inFlight))))]
 	best, bestCold := -1, false
 	for i, p := range c.pool {
-		cold := p.flight < hot || hot == flights[0]
+		cold := p.inFlight < hot || hot == inFlight[0]
 		switch b := best; {
 		case b < 0, cold && !bestCold,
 			cold == bestCold && cold && p.latency < c.pool[b].latency,
-			cold == bestCold && !cold && p.flight < c.pool[b].flight:
+			cold == bestCold && !cold && p.inFlight < c.pool[b].inFlight:
 			best, bestCold = i, cold
 		}
 	}
 	s := c.pool[best].server
-	c.pool[best].uses--
-	// One goes with each request, the worst and the oldest in turn, so that the
-	// pool does not fill with those that nobody wants.
-	if c.worst = !c.worst; len(c.pool) > poolLeast {
-		out := 0
-		if c.worst {
+	c.pool[best].usesLeft--
+	// Each pick evicts one entry, the worst and the oldest in turn, so that the
+	// pool does not fill with servers that are never picked.
+	if c.evictWorst = !c.evictWorst; len(c.pool) > minPoolSize {
+		victim := 0
+		if c.evictWorst {
 			for i, p := range c.pool {
-				if p.flight > c.pool[out].flight {
-					out = i
+				if p.inFlight > c.pool[victim].inFlight {
+					victim = i
 				}
 			}
 		}
-		c.pool = slices.Delete(c.pool, out, out+1)
+		c.pool = slices.Delete(c.pool, victim, victim+1)
 	}
 	return s
 }
--- a/internal/lab/policy/simple.go
+++ b/internal/lab/policy/simple.go
@@ -7,126 +7,126 @@
 	"ivylock/balance"
 )
 
-// chance takes any.
-type chance struct {
-	quiet
-	rnd *rand.Rand
+// random picks uniformly.
+type random struct {
+	noCallbacks
+	rng *rand.Rand
 }
 
-func (c *chance) choose(_ balance.Time, from []*server, _ bool) *server {
-	return from[c.rnd.IntN(len(from))]
+func (c *random) pick(_ balance.Time, from []*server, _ bool) *server {
+	return from[c.rng.IntN(len(from))]
 }
 
-// turn takes one after another, from a place of its own.
-type turn struct {
-	quiet
-	at int
+// roundRobin picks each server in turn, starting at a random one.
+type roundRobin struct {
+	noCallbacks
+	next int
 }
 
-func (c *turn) choose(_ balance.Time, from []*server, _ bool) *server {
-	c.at++
-	return from[c.at%len(from)]
+func (c *roundRobin) pick(_ balance.Time, from []*server, _ bool) *server {
+	c.next++
+	return from[c.next%len(from)]
 }
 
-// two gives two different ones where there are as many.
-func two(rnd *rand.Rand, from []*server) (a, b *server) {
-	i := rnd.IntN(len(from))
+// twoDistinct draws two servers, different ones if there are at least two.
+func twoDistinct(rng *rand.Rand, from []*server) (a, b *server) {
+	i := rng.IntN(len(from))
 	if len(from) == 1 {
 		return from[0], from[0]
 	}
-	j := rnd.IntN(len(from) - 1)
+	j := rng.IntN(len(from) - 1)
 	if j >= i {
 		j++
 	}
 	return from[i], from[j]
 }
 
-// leastOfTwo takes the one with fewer requests of this proxy.
-type leastOfTwo struct {
-	quiet
-	rnd *rand.Rand
+// twoChoices picks the one of two random servers with fewer requests in flight.
+type twoChoices struct {
+	noCallbacks
+	rng *rand.Rand
 }
 
-func (c *leastOfTwo) choose(_ balance.Time, from []*server, _ bool) *server {
-	a, b := two(c.rnd, from)
-	if b.out < a.out {
+func (c *twoChoices) pick(_ balance.Time, from []*server, _ bool) *server {
+	a, b := twoDistinct(c.rng, from)
+	if b.inFlight < a.inFlight {
 		return b
 	}
 	return a
 }
 
-// fewest takes one of those with the fewest requests of this proxy, by chance.
-// Servers stand in rows by how many they have, so that a choice costs the same
-// however many there are.
-type fewest struct {
-	rnd  *rand.Rand
-	rows [][]*server
+// leastRequests picks a random one of the servers with the fewest requests in
+// flight. Servers are kept in buckets by that number, so that the cost of a pick
+// does not depend on the number of servers.
+type leastRequests struct {
+	rng     *rand.Rand
+	buckets [][]*server
 }
 
-func (c *fewest) listed(_ balance.Time, ready []*server) {
-	for _, row := range c.rows {
-		for _, s := range row {
-			s.inRow = false
+func (c *leastRequests) serversChanged(_ balance.Time, ready []*server) {
+	for _, bucket := range c.buckets {
+		for _, s := range bucket {
+			s.inBucket = false
 		}
 	}
-	c.rows = nil
+	c.buckets = nil
 	for _, s := range ready {
-		c.enter(s)
+		c.add(s)
 	}
 }
 
-func (c *fewest) enter(s *server) {
-	for s.out >= len(c.rows) {
-		c.rows = append(c.rows, nil)
+func (c *leastRequests) add(s *server) {
+	for s.inFlight >= len(c.buckets) {
+		c.buckets = append(c.buckets, nil)
 	}
-	s.place, s.inRow = len(c.rows[s.out]), true
-	c.rows[s.out] = append(c.rows[s.out], s)
+	s.bucketIndex, s.inBucket = len(c.buckets[s.inFlight]), true
+	c.buckets[s.inFlight] = append(c.buckets[s.inFlight], s)
 }
 
-func (c *fewest) leave(s *server, row int) {
-	r := c.rows[row]
-	last := r[len(r)-1]
-	r[s.place], last.place = last, s.place
-	c.rows[row] = r[:len(r)-1]
+func (c *leastRequests) remove(s *server, bucket int) {
+	members := c.buckets[bucket]
+	last := members[len(members)-1]
+	members[s.bucketIndex], last.bucketIndex = last, s.bucketIndex
+	c.buckets[bucket] = members[:len(members)-1]
 }
 
-func (c *fewest) sent(_ balance.Time, s *server) {
-	if s.inRow {
-		c.leave(s, s.out-1)
-		c.enter(s)
+func (c *leastRequests) attemptSent(_ balance.Time, s *server) {
+	if s.inBucket {
+		c.remove(s, s.inFlight-1)
+		c.add(s)
 	}
 }
 
-func (c *fewest) ended(_ balance.Time, s *server, _ *balance.AttemptEnded) {
-	if s.inRow {
-		c.leave(s, s.out+1)
-		c.enter(s)
+func (c *leastRequests) attemptFinished(_ balance.Time, s *server, _ *balance.AttemptEnded) {
+	if s.inBucket {
+		c.remove(s, s.inFlight+1)
+		c.add(s)
 	}
 }
 
-func (c *fewest) choose(_ balance.Time, from []*server, all bool) *server {
+func (c *leastRequests) pick(_ balance.Time, from []*server, all bool) *server {
 	if all {
-		for _, row := range c.rows {
-			if len(row) > 0 {
-				return row[c.rnd.IntN(len(row))]
+		for _, bucket := range c.buckets {
+			if len(bucket) > 0 {
+				return bucket[c.rng.IntN(len(bucket))]
 			}
 		}
 	}
-	best := from[c.rnd.IntN(len(from))]
+	best := from[c.rng.IntN(len(from))]
 	for _, s := range from {
-		if s.out < best.out {
+		if s.inFlight < best.inFlight {
 			best = s
 		}
 	}
 	return best
 }
 
-// ewma takes the cheaper of two: latency, which rises at once and falls with a
-// time constant, times the requests of this proxy. A server that has not
-// answered yet counts as cheap unless it has requests out.
-type ewma struct {
-	quiet
-	rnd *rand.Rand
+// peakEWMA picks the one of two random servers with the lower cost: latency, which
+// rises at once and decays exponentially, times the requests in flight. A server
+// without an answer so far costs nothing unless it has requests in flight.
+type peakEWMA struct {
+	noCallbacks
+	rng *rand.Rand
 }
 
 const (
@@ -134,40 +134,40 @@
 	ewmaPenalty = 1e3  // s, of a server that has requests and never answered
 )
 
-func (c *ewma) ended(now balance.Time, s *server, e *balance.AttemptEnded) {
+func (c *peakEWMA) attemptFinished(now balance.Time, s *server, e *balance.AttemptEnded) {
 	if e.Code == balance.Moot || e.Code == balance.Full || e.Code == balance.ConnectFailed {
-		return // they say nothing of how long it takes
+		return // no measure of latency
 	}
-	took := e.Elapsed.Seconds()
-	if w := math.Exp(-(now - s.costAt).Seconds() / ewmaTau); took > s.cost {
-		s.cost = took
+	elapsed := e.Elapsed.Seconds()
+	if w := math.Exp(-(now - s.latencyAt).Seconds() / ewmaTau); elapsed > s.latency {
+		s.latency = elapsed
 	} else {
-		s.cost = s.cost*w + took*(1-w)
+		s.latency = s.latency*w + elapsed*(1-w)
 	}
-	s.costAt = now
+	s.latencyAt = now
 }
 
-func (c *ewma) costOf(now balance.Time, s *server) float64 {
+func (c *peakEWMA) cost(now balance.Time, s *server) float64 {
 	switch {
-	case s.cost == 0 && s.out > 0:
-		return ewmaPenalty + float64(s.out)
-	case s.cost == 0:
+	case s.latency == 0 && s.inFlight > 0:
+		return ewmaPenalty + float64(s.inFlight)
+	case s.latency == 0:
 		return 0
 	}
-	return s.cost * math.Exp(-(now-s.costAt).Seconds()/ewmaTau) * float64(s.out+1)
+	return s.latency * math.Exp(-(now-s.latencyAt).Seconds()/ewmaTau) * float64(s.inFlight+1)
 }
 
-func (c *ewma) choose(now balance.Time, from []*server, _ bool) *server {
-	a, b := two(c.rnd, from)
-	if c.costOf(now, b) < c.costOf(now, a) {
+func (c *peakEWMA) pick(now balance.Time, from []*server, _ bool) *server {
+	a, b := twoDistinct(c.rng, from)
+	if c.cost(now, b) < c.cost(now, a) {
 		return b
 	}
 	return a
 }
 
-// herd takes the same one as all others, another in each second.
-type herd struct{ quiet }
+// herd picks the same server as all proxies, a different one each second.
+type herd struct{ noCallbacks }
 
-func (*herd) choose(now balance.Time, from []*server, _ bool) *server {
+func (*herd) pick(now balance.Time, from []*server, _ bool) *server {
 	return from[int(now.Seconds())%len(from)]
 }
--- a/internal/lab/policy/steered.go
+++ b/internal/lab/policy/steered.go
@@ -12,145 +12,146 @@
 )
 
 const (
-	newsDelay   = 5 * time.Millisecond // from the control service to a proxy
-	reportEvery = 500 * time.Millisecond
+	publishDelay   = 5 * time.Millisecond // from the control service to a proxy
+	reportInterval = 500 * time.Millisecond
 )
 
-// ControlPlane says how many control services there are and what happens to them.
-// Proxies are divided among them and each knows only what its own report. One
-// that is lost is missed by its proxies after a second; they go on with what it
-// told last until then, and go back when it has returned.
+// ControlPlane configures the control services and their faults. Proxies are
+// divided among the services, and a service knows only what its own proxies
+// report. Proxies detect the outage of their service after a second, use its last
+// state until then, and return to it when it is back.
 type ControlPlane struct {
 	Services    int           // 0: one
-	OutageStart time.Duration // the first one; 0: never
+	OutageStart time.Duration // of the first service; 0: no outage
 	OutageEnd   time.Duration
-	SubsetSize  int // steer.Settings.SubsetSize
+	SubsetSize  int // see steer.Settings.SubsetSize
 
-	// ReportDelay is how long load reports take, each from nothing to twice as long: so
-	// they come out of order. Frozen is the part of the proxies that from
-	// FrozenStart on neither report nor take news, and go on sending by what they
-	// were told last.
-	ReportDelay    time.Duration
+	// ReportDelay is the mean delay of load reports; delays are uniform from zero
+	// to twice the mean, so reports arrive out of order.
+	ReportDelay time.Duration
+	// FrozenFraction is the fraction of the proxies that from FrozenStart on
+	// neither report nor receive updates and keep using their last state.
 	FrozenFraction float64
 	FrozenStart    time.Duration
 }
 
-const missAfter = time.Second
+// failoverDelay is how long proxies take to detect an outage or a recovery.
+const failoverDelay = time.Second
 
 // services are the control services of a run.
-type services struct {
+type controlServices struct {
 	ControlPlane
-	all []*control
+	all []*controlService
 }
 
-func newServices(with ControlPlane) *services {
-	s := &services{ControlPlane: with}
-	for range max(1, with.Services) {
-		s.all = append(s.all, &control{})
+func newServices(config ControlPlane) *controlServices {
+	s := &controlServices{ControlPlane: config}
+	for range max(1, config.Services) {
+		s.all = append(s.all, &controlService{})
 	}
 	return s
 }
 
-// lost tells whether a service is lost at a time of the module's clock.
-func (s *services) lost(c *control, now balance.Time) bool {
+// unavailable reports whether a service is down at a time of the module's clock.
+func (s *controlServices) unavailable(c *controlService, now balance.Time) bool {
 	at := now - memory.Epoch
 	return c == s.all[0] && s.OutageStart > 0 && at >= s.OutageStart && at < s.OutageEnd
 }
 
-func (s *services) listed(now balance.Time, cached bool, servers []*server) {
+func (s *controlServices) updateServers(now balance.Time, cached bool, servers []*server) {
 	for _, c := range s.all {
-		if !s.lost(c, now) {
-			c.listed(now, cached, servers)
+		if !s.unavailable(c, now) {
+			c.updateServers(now, cached, servers)
 		}
 	}
 }
 
-// freeze has a proxy keep what it was told last, if it is one of those.
-func (p *proxy) freeze(now balance.Time) {
-	if with := p.services.ControlPlane; p.frozen == nil && with.FrozenFraction > 0 && now-memory.Epoch >= with.FrozenStart &&
-		float64(p.home%10) < 10*with.FrozenFraction {
-		p.frozen = p.control.state(now)
+// freezeIfDue makes a proxy keep its present state if it is one of the frozen ones.
+func (p *proxy) freezeIfDue(now balance.Time) {
+	if config := p.services.ControlPlane; p.frozenState == nil && config.FrozenFraction > 0 && now-memory.Epoch >= config.FrozenStart &&
+		float64(p.homeService%10) < 10*config.FrozenFraction {
+		p.frozenState = p.control.stateAt(now)
 	}
 }
 
-// state is what a proxy goes by.
-func (p *proxy) state(now balance.Time) *steer.State {
-	if p.frozen != nil {
-		return p.frozen
+// currentState returns the state that the proxy applies.
+func (p *proxy) currentState(now balance.Time) *steer.State {
+	if p.frozenState != nil {
+		return p.frozenState
 	}
-	return p.control.state(now)
+	return p.control.stateAt(now)
 }
 
-// turn has a proxy follow the service that it should: its own, or the next one
-// that is there.
-func (p *proxy) turn(now balance.Time) {
-	to := p.control
+// selectService connects the proxy to its own service, or else to the next one
+// that is available.
+func (p *proxy) selectService(now balance.Time) {
+	target := p.control
 	for i := range p.services.all {
-		c := p.services.all[(p.home+i)%len(p.services.all)]
-		if !p.services.lost(c, now) && !p.services.lost(c, now-missAfter) {
-			to = c
+		c := p.services.all[(p.homeService+i)%len(p.services.all)]
+		if !p.services.unavailable(c, now) && !p.services.unavailable(c, now-failoverDelay) {
+			target = c
 			break
 		}
 	}
-	if to == nil || to == p.control || p.control != nil && p.services.lost(p.control, now) && !p.services.lost(p.control, now-missAfter) {
+	if target == nil || target == p.control || p.control != nil && p.services.unavailable(p.control, now) && !p.services.unavailable(p.control, now-failoverDelay) {
 		return
 	}
-	if p.control != nil && !p.services.lost(p.control, now) {
-		p.control.feed(now, steer.ProxyLeft{Proxy: p.id})
+	if p.control != nil && !p.services.unavailable(p.control, now) {
+		p.control.handle(now, steer.ProxyLeft{Proxy: p.id})
 	}
-	p.control = to
-	to.feed(now, steer.ProxyJoined{Proxy: p.id, Zone: p.hall})
+	p.control = target
+	target.handle(now, steer.ProxyJoined{Proxy: p.id, Zone: p.zone})
 }
 
-// control is one control service of a run: one steer.Module, and its states
-// with the time from which proxies have them.
-type control struct {
-	module *steer.Module
-	clock  balance.Time
-	ticked balance.Time
-	states []stamped
-	probe  []steer.ServerID // that it wants probed
-	tables map[told]*table  // of the state that was asked for last
-	of     *steer.State
-	coming []report // that are late
+// controlService is one control service of a run: a steer.Module and its published
+// states with the times at which proxies receive them.
+type controlService struct {
+	module         *steer.Module
+	clock          balance.Time
+	lastTick       balance.Time
+	states         []timedState
+	pendingProbes  []steer.ServerID    // servers that the module asked to probe
+	tables         map[tableKey]*table // built from tablesState
+	tablesState    *steer.State
+	delayedReports []delayedReport // load reports in transit
 }
 
-// report is one on its way.
-type report struct {
+// delayedReport is a load report in transit.
+type delayedReport struct {
 	at balance.Time
 	steer.LoadReported
 }
 
-type stamped struct {
+type timedState struct {
 	at    balance.Time
 	state *steer.State
 }
 
-func (c *control) begin(s balance.Settings, with ControlPlane) {
+func (c *controlService) configure(s balance.Settings, config ControlPlane) {
 	if c.module != nil {
 		return
 	}
-	m, err := steer.New(steer.Settings{Classes: s.Classes, WarmupStartFraction: s.WarmupStartFraction, WarmupTime: s.WarmupTime, OverloadFactor: s.OverloadFactor, MaxServers: 1 << 16, SubsetSize: with.SubsetSize})
+	m, err := steer.New(steer.Settings{Classes: s.Classes, WarmupStartFraction: s.WarmupStartFraction, WarmupTime: s.WarmupTime, OverloadFactor: s.OverloadFactor, MaxServers: 1 << 16, SubsetSize: config.SubsetSize})
 	if err != nil {
-		panic(err) // the lab's settings are its own
+		panic(err) // invalid settings are a fault of the lab
 	}
 	c.module = m
 }
 
-func (c *control) feed(now balance.Time, e steer.Event) {
+func (c *controlService) handle(now balance.Time, e steer.Event) {
 	c.clock = max(c.clock, now)
 	for _, a := range c.module.Handle(c.clock, e) {
 		switch a := a.(type) {
 		case steer.Publish:
-			c.states = append(c.states, stamped{c.clock + newsDelay, a.State})
+			c.states = append(c.states, timedState{c.clock + publishDelay, a.State})
 		case steer.Probe:
-			c.probe = append(c.probe, a.Server)
+			c.pendingProbes = append(c.pendingProbes, a.Server)
 		}
 	}
 }
 
-// state gives what proxies have by now.
-func (c *control) state(now balance.Time) *steer.State {
+// stateAt returns the state that proxies have received by now.
+func (c *controlService) stateAt(now balance.Time) *steer.State {
 	for len(c.states) > 1 && c.states[1].at <= now {
 		c.states = c.states[1:]
 	}
@@ -160,18 +161,18 @@
 	return c.states[0].state
 }
 
-// steerID words the lab's number of a server, in its order.
+// steerID formats the lab's number of a server such that the order is kept.
 func steerID(id balance.ServerID) steer.ServerID { return steer.ServerID(fmt.Sprintf("%06d", id)) }
 
-// number is the lab's number of a server.
-func number(id steer.ServerID) (n int) {
+// serverNumber parses the lab's number of a server.
+func serverNumber(id steer.ServerID) (n int) {
 	for _, c := range []byte(id) {
 		n = 10*n + int(c-'0')
 	}
 	return n
 }
 
-func (c *control) listed(now balance.Time, cached bool, servers []*server) {
+func (c *controlService) updateServers(now balance.Time, cached bool, servers []*server) {
 	list := make([]steer.Server, 0, len(servers))
 	for _, s := range servers {
 		if s == nil || s.State == balance.Removed {
@@ -185,115 +186,115 @@
 	if cached {
 		kind = steer.ListCached
 	}
-	c.feed(now, steer.ListReceived{Kind: kind, Servers: list})
+	c.handle(now, steer.ListReceived{Kind: kind, Servers: list})
 }
 
-// tick has a proxy report, and the service go on by whichever comes first. One
-// that is lost does nothing.
-func (c *control) tick(now balance.Time, p *proxy) {
-	if p.services.lost(c, now) || p.frozen != nil {
+// tick sends the load report of a proxy when it is due, and advances the service
+// with the first proxy that ticks. A service that is down does nothing.
+func (c *controlService) tick(now balance.Time, p *proxy) {
+	if p.services.unavailable(c, now) || p.frozenState != nil {
 		return
 	}
-	if now-p.reported >= reportEvery {
-		l := steer.LoadReported{Proxy: p.id, Interval: now - p.reported, PriorityArrivals: p.in1, OtherArrivals: p.in2}
+	if now-p.reportedAt >= reportInterval {
+		report := steer.LoadReported{Proxy: p.id, Interval: now - p.reportedAt, PriorityArrivals: p.priorityArrivals, OtherArrivals: p.otherArrivals}
 		for _, s := range p.servers {
 			if s == nil || s.State == balance.Removed {
 				continue
 			}
-			s.load.Server, s.load.InFlight = steerID(s.ID), uint64(s.out)
-			l.Loads = append(l.Loads, s.load)
+			s.load.Server, s.load.InFlight = steerID(s.ID), uint64(s.inFlight)
+			report.Loads = append(report.Loads, s.load)
 			s.load = steer.Load{}
 		}
-		p.reported, p.in1, p.in2 = now, 0, 0
+		p.reportedAt, p.priorityArrivals, p.otherArrivals = now, 0, 0
 		if late := p.services.ReportDelay; late > 0 {
-			c.coming = append(c.coming, report{now + time.Duration(p.rnd.Int64N(int64(2*late))), l})
+			c.delayedReports = append(c.delayedReports, delayedReport{now + time.Duration(p.rng.Int64N(int64(2*late))), report})
 		} else {
-			c.feed(now, l)
+			c.handle(now, report)
 		}
 	}
-	if now-c.ticked >= steer.TickInterval {
-		c.ticked = now
-		kept := c.coming[:0]
-		for _, r := range c.coming {
-			if r.at <= now {
-				c.feed(now, r.LoadReported)
+	if now-c.lastTick >= steer.TickInterval {
+		c.lastTick = now
+		kept := c.delayedReports[:0]
+		for _, delayed := range c.delayedReports {
+			if delayed.at <= now {
+				c.handle(now, delayed.LoadReported)
 			} else {
-				kept = append(kept, r)
+				kept = append(kept, delayed)
 			}
 		}
-		c.coming = kept
-		c.feed(now, steer.Tick{})
+		c.delayedReports = kept
+		c.handle(now, steer.Tick{})
 	}
-	for _, id := range c.probe {
-		if s := p.serverOf(balance.ServerID(number(id))); s != nil && p.set.MayProbe {
-			p.do(balance.Probe{Server: s.ID})
+	for _, id := range c.pendingProbes {
+		if s := p.serverOf(balance.ServerID(serverNumber(id))); s != nil && p.settings.MayProbe {
+			p.emit(balance.Probe{Server: s.ID})
 		}
 	}
-	c.probe = c.probe[:0]
+	c.pendingProbes = c.pendingProbes[:0]
 }
 
-// refuses counts an arrival and tells whether it is to be dropped.
-func (c *control) refuses(now balance.Time, p *proxy, high bool) bool {
+// shouldDrop counts an arrival and reports whether it must be dropped.
+func (c *controlService) shouldDrop(now balance.Time, p *proxy, high bool) bool {
 	if high {
-		p.in1++
+		p.priorityArrivals++
 	} else {
-		p.in2++
+		p.otherArrivals++
 	}
-	st := p.state(now)
-	if st == nil {
+	state := p.currentState(now)
+	if state == nil {
 		return false
 	}
-	v := st.View(p.hall)
-	drop := v.DropOtherPPM
+	view := state.View(p.zone)
+	drop := view.DropOtherPPM
 	if high {
-		drop = v.DropPriorityPPM
+		drop = view.DropPriorityPPM
 	}
-	return p.rnd.Float64()*1e6 < float64(drop)
+	return p.rng.Float64()*1e6 < float64(drop)
 }
 
-// most is how many requests a proxy may have out.
-func (c *control) most(now balance.Time, p *proxy) int {
-	if st := p.state(now); st != nil {
-		return int(st.View(p.hall).MaxRequests)
+// maxRequests is how many attempts a proxy may have in flight.
+func (c *controlService) maxRequests(now balance.Time, p *proxy) int {
+	if state := p.currentState(now); state != nil {
+		return int(state.View(p.zone).MaxRequests)
 	}
 	return math.MaxInt
 }
 
-// told is what proxies are told alike.
-type told struct {
-	hall  string
+// tableKey identifies proxies that receive the same view.
+type tableKey struct {
+	zone  string
 	group int
 }
 
-// table holds the weights of a view, of the first priority that has
-// any, by the lab's numbers, and their sums for picks.
+// table holds the weights of a view's first priority that has any, indexed by the
+// lab's server numbers, and their cumulative sums for weighted picks.
 type table struct {
-	weight []float64
-	ids    []int
-	sums   []float64
-	next   []float64 // weights of the next priority, which further attempts go to
+	weight     []float64
+	ids        []int
+	cumulative []float64
+	fallback   []float64 // weights of the next priority, for retries
 }
 
-func (c *control) table(now balance.Time, p *proxy) *table {
-	st := p.state(now)
-	if st == nil {
+func (c *controlService) tableFor(now balance.Time, p *proxy) *table {
+	state := p.currentState(now)
+	if state == nil {
 		return &table{}
 	}
-	if c.of != st {
-		if p.frozen == nil { // an older one that is still in use does not push out the tables of the newest
-			c.of, c.tables = st, map[told]*table{}
+	if c.tablesState != state {
+		if p.frozenState == nil { // a frozen proxy's older state must not evict the tables of the newest
+			c.tablesState, c.tables = state, map[tableKey]*table{}
 		} else if p.table == nil {
-			p.table = newTable(st.View(p.hall).ForGroup(st.GroupOf(p.id)))
+			p.table = newTable(state.View(p.zone).ForGroup(state.GroupOf(p.id)))
 		}
 	}
 	if p.table != nil {
 		return p.table
 	}
-	k := told{p.hall, st.GroupOf(p.id)}
-	t := c.tables[k]
+	key := tableKey{p.zone, state.GroupOf(p.id)}
+	t := c.tables[key]
 	if t == nil {
-		t = newTable(st.View(k.hall).ForGroup(k.group))
-		c.tables[k] = t
+		t = newTable(state.View(key.zone).ForGroup(key.group))
+		c.tables[key] = t
 	}
 	return t
 }
@@ -315,7 +316,7 @@
 				if e.Health != steer.Healthy {
 					continue
 				}
-				n := number(e.ID)
+				n := serverNumber(e.ID)
 				for n >= len(t.weight) {
 					t.weight = append(t.weight, 0)
 				}
@@ -325,21 +326,21 @@
 		}
 		if len(t.ids) > 0 {
 			if level == 0 {
-				t.next = nextOf(v)
+				t.fallback = fallbackWeights(v)
 			}
 			break
 		}
 	}
-	all := 0.0
+	total := 0.0
 	for _, n := range t.ids {
-		all += t.weight[n]
-		t.sums = append(t.sums, all)
+		total += t.weight[n]
+		t.cumulative = append(t.cumulative, total)
 	}
 	return t
 }
 
-// nextOf gives the weights of the second priority.
-func nextOf(v *steer.View) (out []float64) {
+// fallbackWeights returns the weights of the second priority.
+func fallbackWeights(v *steer.View) (weights []float64) {
 	for _, l := range v.Localities {
 		sum := 0.0
 		for _, e := range l.Endpoints {
@@ -352,23 +353,23 @@
 		}
 		for _, e := range l.Endpoints {
 			if e.Health == steer.Healthy {
-				n := number(e.ID)
-				for n >= len(out) {
-					out = append(out, 0)
+				n := serverNumber(e.ID)
+				for n >= len(weights) {
+					weights = append(weights, 0)
 				}
-				out[n] = float64(l.Weight) * float64(e.Weight) / sum
+				weights[n] = float64(l.Weight) * float64(e.Weight) / sum
 			}
 		}
 	}
-	return out
+	return weights
 }
 
-// pick gives one by weight.
+// pick returns a server number by weight; r is uniform in [0, 1).
 func (t *table) pick(r float64) int {
-	at := r * t.sums[len(t.sums)-1]
-	lo, hi := 0, len(t.sums)-1
+	at := r * t.cumulative[len(t.cumulative)-1]
+	lo, hi := 0, len(t.cumulative)-1
 	for lo < hi {
-		if mid := (lo + hi) / 2; t.sums[mid] > at {
+		if mid := (lo + hi) / 2; t.cumulative[mid] > at {
 			hi = mid
 		} else {
 			lo = mid + 1
@@ -377,27 +378,29 @@
 	return t.ids[lo]
 }
 
-// steered takes the one with fewer requests for its weight, of two by weight.
+// steered picks the one of two servers, drawn by weight, with the lower ratio of
+// requests in flight to weight.
 type steered struct {
-	quiet
+	noCallbacks
 	*proxy
 }
 
-const strikes = 8 // picks of servers that may not be used, before all are looked at
+// maxPicks is how many picks may hit unusable servers before all are scanned.
+const maxPicks = 8
 
-func (c *steered) choose(now balance.Time, from []*server, all bool) *server {
-	t := c.control.table(now, c.proxy)
+func (c *steered) pick(now balance.Time, from []*server, all bool) *server {
+	t := c.control.tableFor(now, c.proxy)
 	if len(t.ids) == 0 {
 		return nil
 	}
 	weight := t.weight
-	if !all && slices.ContainsFunc(from, func(s *server) bool { return int(s.ID) < len(t.next) && t.next[s.ID] > 0 }) {
-		weight = t.next
+	if !all && slices.ContainsFunc(from, func(s *server) bool { return int(s.ID) < len(t.fallback) && t.fallback[s.ID] > 0 }) {
+		weight = t.fallback
 	}
-	one := func() *server {
+	draw := func() *server {
 		if all {
-			for range strikes {
-				if s := c.serverOf(balance.ServerID(t.pick(c.rnd.Float64()))); s != nil && s.State == balance.Ready {
+			for range maxPicks {
+				if s := c.serverOf(balance.ServerID(t.pick(c.rng.Float64()))); s != nil && s.State == balance.Ready {
 					return s
 				}
 			}
@@ -408,7 +411,7 @@
 				total += weight[s.ID]
 			}
 		}
-		at := c.rnd.Float64() * total
+		at := c.rng.Float64() * total
 		for _, s := range from {
 			if int(s.ID) < len(weight) && weight[s.ID] > 0 {
 				if at -= weight[s.ID]; at < 0 {
@@ -418,11 +421,11 @@
 		}
 		return nil
 	}
-	a, b := one(), one()
+	a, b := draw(), draw()
 	if a == nil || b == nil {
 		return a
 	}
-	load := func(s *server) float64 { return float64(s.out+1) / math.Max(1e-12, weight[s.ID]) }
+	load := func(s *server) float64 { return float64(s.inFlight+1) / math.Max(1e-12, weight[s.ID]) }
 	if load(b) < load(a) {
 		return b
 	}
--- a/internal/lab/policy/weighted.go
+++ b/internal/lab/policy/weighted.go
@@ -7,52 +7,52 @@
 	"ivylock/balance"
 )
 
-// weighted gives each server a part by its answers a second over its
-// utilisation, as it reports them with its answers: gRPC's client-side
-// weighted round robin (proposal A58). Picks are by chance; gRPC's are by
-// stride, which spreads one client's picks more evenly.
-type weighted struct {
-	quiet
-	rnd     *rand.Rand
-	ready   []*server
-	sums    []float64 // of weights up to and with each of ready
-	renewed balance.Time
+// weightedRandom weights each server by its answers per second over its
+// utilisation, which servers report with their answers: gRPC's client-side
+// weighted round robin (proposal A58). Picks are random, whereas gRPC's stride
+// scheduler spreads the picks of one client more evenly.
+type weightedRandom struct {
+	noCallbacks
+	rng        *rand.Rand
+	ready      []*server
+	cumulative []float64 // cumulative weights of ready
+	updatedAt  balance.Time
 }
 
 const (
-	weightEvery   = time.Second      // A58's weight_update_period
-	weightValid   = 3 * time.Minute  // weight_expiration_period
-	blackout      = 10 * time.Second // blackout_period, during which a server's weight is the mean
-	errorsPenalty = 1.0              // error_utilization_penalty
+	weightUpdatePeriod      = time.Second      // weight_update_period of A58
+	weightExpiration        = 3 * time.Minute  // weight_expiration_period
+	blackoutPeriod          = 10 * time.Second // blackout_period, in which a server gets the mean weight
+	errorUtilizationPenalty = 1.0              // error_utilization_penalty
 )
 
-func (c *weighted) listed(now balance.Time, ready []*server) {
+func (c *weightedRandom) serversChanged(now balance.Time, ready []*server) {
 	c.ready = ready
-	c.renew(now)
+	c.updateWeights(now)
 }
 
-func (c *weighted) ended(now balance.Time, s *server, e *balance.AttemptEnded) {
+func (c *weightedRandom) attemptFinished(now balance.Time, s *server, e *balance.AttemptEnded) {
 	r := e.Report
 	if r == nil || r.Rate <= 0 || r.Utilisation <= 0 {
 		return
 	}
-	if s.toldAt == 0 {
-		s.pass = now.Seconds() + blackout.Seconds() // until then it has no weight of its own
+	if s.reportedAt == 0 {
+		s.blackoutEnd = now.Seconds() + blackoutPeriod.Seconds() // until then it gets the mean weight
 	}
-	s.toldAt = now
-	s.weight = r.Rate / (r.Utilisation + errorsPenalty*r.ErrorRate/r.Rate)
+	s.reportedAt = now
+	s.weight = r.Rate / (r.Utilisation + errorUtilizationPenalty*r.ErrorRate/r.Rate)
 }
 
-// renew sums the weights. Those without one of their own have the mean of the
-// others.
-func (c *weighted) renew(now balance.Time) {
-	c.renewed = now
-	own := func(s *server) bool {
-		return s.toldAt > 0 && now-s.toldAt < weightValid && now.Seconds() >= s.pass
+// updateWeights sums the weights; servers without a valid weight get the mean of
+// the others.
+func (c *weightedRandom) updateWeights(now balance.Time) {
+	c.updatedAt = now
+	hasWeight := func(s *server) bool {
+		return s.reportedAt > 0 && now-s.reportedAt < weightExpiration && now.Seconds() >= s.blackoutEnd
 	}
 	sum, n := 0.0, 0.0
 	for _, s := range c.ready {
-		if own(s) {
+		if hasWeight(s) {
 			sum, n = sum+s.weight, n+1
 		}
 	}
@@ -60,29 +60,29 @@
 	if n > 0 {
 		mean = sum / n
 	}
-	c.sums = c.sums[:0]
-	all := 0.0
+	c.cumulative = c.cumulative[:0]
+	total := 0.0
 	for _, s := range c.ready {
-		if own(s) {
-			all += s.weight
+		if hasWeight(s) {
+			total += s.weight
 		} else {
-			all += mean
+			total += mean
 		}
-		c.sums = append(c.sums, all)
+		c.cumulative = append(c.cumulative, total)
 	}
 }
 
-func (c *weighted) choose(now balance.Time, from []*server, all bool) *server {
+func (c *weightedRandom) pick(now balance.Time, from []*server, all bool) *server {
 	if !all {
-		return from[c.rnd.IntN(len(from))]
+		return from[c.rng.IntN(len(from))]
 	}
-	if now-c.renewed >= weightEvery {
-		c.renew(now)
+	if now-c.updatedAt >= weightUpdatePeriod {
+		c.updateWeights(now)
 	}
-	at := c.rnd.Float64() * c.sums[len(c.sums)-1]
-	lo, hi := 0, len(c.sums)-1
+	at := c.rng.Float64() * c.cumulative[len(c.cumulative)-1]
+	lo, hi := 0, len(c.cumulative)-1
 	for lo < hi {
-		if mid := (lo + hi) / 2; c.sums[mid] > at {
+		if mid := (lo + hi) / 2; c.cumulative[mid] > at {
 			hi = mid
 		} else {
 			lo = mid + 1
@@ -91,36 +91,36 @@
 	return c.ready[lo]
 }
 
-// aperture uses a part of the servers, an arc of a ring on which proxies have
-// places at even distances, so that each server is in about as many arcs
-// (Finagle's deterministic aperture), and there the least of two.
+// aperture applies two choices to a subset of the servers, an arc of a ring on
+// which proxies are evenly spaced, so that each server is in about the same number
+// of arcs (Finagle's deterministic aperture).
 type aperture struct {
-	quiet
-	rnd           *rand.Rand
+	noCallbacks
+	rng           *rand.Rand
 	self, proxies int
-	part          []*server
+	subset        []*server
 }
 
-const leastAperture = 12
+const minAperture = 12
 
-func (c *aperture) listed(_ balance.Time, ready []*server) {
-	c.part = c.part[:0]
-	n := min(len(ready), max(leastAperture, (len(ready)+c.proxies-1)/max(1, c.proxies)))
+func (c *aperture) serversChanged(_ balance.Time, ready []*server) {
+	c.subset = c.subset[:0]
+	n := min(len(ready), max(minAperture, (len(ready)+c.proxies-1)/max(1, c.proxies)))
 	start := 0
 	if len(ready) > 0 {
 		start = c.self * len(ready) / max(1, c.proxies)
 	}
 	for i := range n {
-		c.part = append(c.part, ready[(start+i)%len(ready)])
+		c.subset = append(c.subset, ready[(start+i)%len(ready)])
 	}
 }
 
-func (c *aperture) choose(_ balance.Time, from []*server, all bool) *server {
+func (c *aperture) pick(_ balance.Time, from []*server, all bool) *server {
 	if all {
-		from = c.part
+		from = c.subset
 	}
-	a, b := two(c.rnd, from)
-	if b.out < a.out {
+	a, b := twoDistinct(c.rng, from)
+	if b.inFlight < a.inFlight {
 		return b
 	}
 	return a
