--- a/internal/lab/sweep/deploy_test.go
+++ b/internal/lab/sweep/deploy_test.go
@@ -8,7 +8,7 @@
 	"ivylock/internal/lab/nodeconf"
 )
 
-// RunDeployments that nobody has seen break no rule. IVYLAB_DEPLOYMENTS plays more of them.
+// IVYLAB_DEPLOYMENTS sets the number of deployments.
 func TestRandomDeploymentsBreakNoRule(t *testing.T) {
 	n := 50
 	if v, err := strconv.Atoi(os.Getenv("IVYLAB_DEPLOYMENTS")); err == nil {
@@ -24,66 +24,66 @@
 	t.Logf("%d tries in %d deployments", tries, n)
 }
 
-// Seeds of deployments that broke a rule before what they showed was mended.
-var mendedDeployments = map[int64]string{
-	439: "300 nodes share six servers: each sent the one that started a first request at once",
+// fixedDeployments maps seeds whose deployments used to break a rule to the cause.
+var fixedDeployments = map[int64]string{
+	439: "300 nodes share six servers, and all sent a request at once to a server that had just started",
 }
 
-func TestMendedDeploymentsStayMended(t *testing.T) {
-	for seed, what := range mendedDeployments {
+func TestFixedDeploymentsBreakNoRule(t *testing.T) {
+	for seed, cause := range fixedDeployments {
 		if v := RunDeployment(seed); !v.Passed() {
-			t.Errorf("seed %d (%s) is back: %v", seed, what, v.Breaches[0])
+			t.Errorf("seed %d (%s) breaks a rule again: %v", seed, cause, v.Breaches[0])
 		}
 	}
 }
 
-// What is drawn covers all that settings may hold, and decodes to it.
-func TestDeploymentsCoverTheSettings(t *testing.T) {
+// Guards against generated deployments that never exercise some values of settings.
+func TestGeneratedDeploymentsCoverSettings(t *testing.T) {
 	seen := map[string]int{}
-	note := func(what string, is bool) {
-		if is {
-			seen[what]++
+	record := func(feature string, present bool) {
+		if present {
+			seen[feature]++
 		}
 	}
 	for seed := range int64(200) {
 		s, d := GenerateDeployment(seed)
-		set := nodeconf.BalancerSettings(s, 0, d)
-		note("pushed", !set.ListOnDemand)
-		note("asked", set.ListOnDemand)
-		note("eight classes", len(set.Classes) == 8)
-		note("one class", len(set.Classes) == 1)
-		note("five halls", len(s.Zones) == 5)
-		note("one hall", len(s.Zones) == 1)
-		note("six tenants", len(set.Tenants) == 6)
-		note("no tenant", len(set.Tenants) == 0)
-		note("300 nodes", set.Nodes == 300)
-		note("one node", set.Nodes == 1)
-		note("no safe class", func() bool {
-			for _, c := range set.Classes {
+		settings := nodeconf.BalancerSettings(s, 0, d)
+		record("pushed", !settings.ListOnDemand)
+		record("requested", settings.ListOnDemand)
+		record("eight classes", len(settings.Classes) == 8)
+		record("one class", len(settings.Classes) == 1)
+		record("five zones", len(s.Zones) == 5)
+		record("one zone", len(s.Zones) == 1)
+		record("six tenants", len(settings.Tenants) == 6)
+		record("no tenant", len(settings.Tenants) == 0)
+		record("300 nodes", settings.Nodes == 300)
+		record("one node", settings.Nodes == 1)
+		record("no safe class", func() bool {
+			for _, c := range settings.Classes {
 				if c.Effect == 2 {
 					return false
 				}
 			}
 			return true
 		}())
-		for _, c := range set.Classes {
-			note("effect "+strconv.Itoa(int(c.Effect)), true)
-			note("scope "+strconv.Itoa(int(c.KeyScope)), true)
-			note("deadline under 0.5 s", c.Deadline.Seconds() < 0.5)
-			note("deadline over 10 s", c.Deadline.Seconds() > 10)
-			note("window under 3 s", c.DedupWindow > 0 && c.DedupWindow.Seconds() < 3)
-			note("stretch", c.TargetWorkFactor > 0)
-			note("late worth", c.LateValueFraction > 0)
+		for _, c := range settings.Classes {
+			record("effect "+strconv.Itoa(int(c.Effect)), true)
+			record("scope "+strconv.Itoa(int(c.KeyScope)), true)
+			record("deadline under 0.5 s", c.Deadline.Seconds() < 0.5)
+			record("deadline over 10 s", c.Deadline.Seconds() > 10)
+			record("window under 3 s", c.DedupWindow > 0 && c.DedupWindow.Seconds() < 3)
+			record("target work factor", c.TargetWorkFactor > 0)
+			record("late value", c.LateValueFraction > 0)
 		}
-		note("report "+strconv.Itoa(int(set.ReportSource)), true)
-		note("one attempt", set.MaxAttempts == 1)
-		note("live sizes", set.SizeLive)
+		record("report "+strconv.Itoa(int(settings.ReportSource)), true)
+		record("one attempt", settings.MaxAttempts == 1)
+		record("live sizes", settings.SizeLive)
 	}
-	for _, what := range []string{"pushed", "asked", "eight classes", "one class", "five halls", "one hall", "six tenants", "no tenant", "300 nodes", "one node", "no safe class",
-		"effect 0", "effect 1", "effect 2", "scope 0", "scope 1", "scope 2", "deadline under 0.5 s", "deadline over 10 s", "window under 3 s", "stretch", "late worth",
+	for _, feature := range []string{"pushed", "requested", "eight classes", "one class", "five zones", "one zone", "six tenants", "no tenant", "300 nodes", "one node", "no safe class",
+		"effect 0", "effect 1", "effect 2", "scope 0", "scope 1", "scope 2", "deadline under 0.5 s", "deadline over 10 s", "window under 3 s", "target work factor", "late value",
 		"report 0", "report 1", "report 2", "one attempt", "live sizes"} {
-		if seen[what] == 0 {
-			t.Errorf("none with %s among 200", what)
+		if seen[feature] == 0 {
+			t.Errorf("none of 200 deployments with %s", feature)
 		}
 	}
 }
--- a/internal/lab/sweep/draw.go
+++ b/internal/lab/sweep/draw.go
@@ -1,6 +1,5 @@
-// Package sweep plays random fault timelines in memory and shrinks those that
-// break a rule. A seed names its timeline for good: the same seed draws the
-// same scenario.
+// Package sweep simulates random fault timelines in memory and shrinks those that
+// break a rule. The same seed always generates the same scenario.
 package sweep
 
 import (
@@ -11,9 +10,9 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Generate gives the scenario of a seed: two or three halls, a load from a third
-// of what the servers can do to a little more than all of it, and one to five
-// faults that may overlap where that can be carried out.
+// Generate returns the scenario of a seed: two or three zones, a load between a
+// third and a little more than the capacity of the servers, and one to five faults
+// that may overlap where scenario.Check allows it.
 func Generate(seed int64) *scenario.Scenario {
 	r := rand.New(rand.NewPCG(uint64(seed), 0x7377656570))
 	span := func(lo, hi time.Duration) scenario.Span {
@@ -24,42 +23,42 @@
 		Discovery: scenario.Discovery{NotificationDelay: span(100*time.Millisecond, 2*time.Second)}}
 	capacity := 0.0
 	for i, name := range []string{"hall-nord", "hall-syd", "hall-vest"}[:2+r.IntN(2)] {
-		h := scenario.Zone{Name: name, Nodes: 1, PodSize: 3 + r.IntN(3), Servers: map[string]int{}}
+		zone := scenario.Zone{Name: name, Nodes: 1, PodSize: 3 + r.IntN(3), Servers: map[string]int{}}
 		if i == 0 {
-			h.Servers["std-6"] = 1 // every hall has one at least
+			zone.Servers["std-6"] = 1 // at least one in this zone
 		}
 		for range 2 + r.IntN(4) {
-			h.Servers[[]string{"fast-6", "std-6", "slow-6"}[r.IntN(3)]]++
+			zone.Servers[[]string{"fast-6", "std-6", "slow-6"}[r.IntN(3)]]++
 		}
-		s.Zones = append(s.Zones, h)
+		s.Zones = append(s.Zones, zone)
 	}
-	for _, x := range s.Servers() {
-		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[x.Kind]
+	for _, server := range s.Servers() {
+		capacity += 6 * map[string]float64{"fast-6": 1.3, "std-6": 0.97, "slow-6": 0.7}[server.Kind]
 	}
-	const meanWork = 0.127 // s, of the brief's mix
+	const meanWork = 0.127 // s, of the default mix of classes
 	s.Load.Rate = float64(int(capacity / meanWork * (0.3 + 0.8*r.Float64())))
 	for range 1 + r.IntN(5) {
-		f := drawFault(r, s, span)
+		f := generateFault(r, s, span)
 		s.Faults = append(s.Faults, f)
-		if scenario.Check(s) != nil { // it can't be carried out together with the others
+		if scenario.Check(s) != nil { // it conflicts with earlier faults
 			s.Faults = s.Faults[:len(s.Faults)-1]
 		}
 	}
 	if err := scenario.Check(s); err != nil {
-		panic(fmt.Sprintf("sweep: seed %d draws what can't be played: %v", seed, err))
+		panic(fmt.Sprintf("sweep: seed %d generates an invalid scenario: %v", seed, err))
 	}
 	return s
 }
 
-var kinds = []string{scenario.FaultSilent, scenario.FaultHang, scenario.FaultHeavy, scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost,
+var faultKinds = []string{scenario.FaultSilent, scenario.FaultHang, scenario.FaultHeavy, scenario.FaultZoneLost, scenario.FaultZoneAndNodesLost,
 	scenario.FaultKill, scenario.FaultRestart, scenario.FaultDrain, scenario.FaultReplace, scenario.FaultLink, scenario.FaultCorrupt,
 	scenario.FaultDiscoveryOutage, scenario.FaultDiscoveryDelay, scenario.FaultDiscoveryRestart, scenario.FaultFlap}
 
-func drawFault(r *rand.Rand, s *scenario.Scenario, span func(lo, hi time.Duration) scenario.Span) scenario.Fault {
-	f := scenario.Fault{Kind: kinds[r.IntN(len(kinds))], At: span(500*time.Millisecond, s.Length.Duration-time.Second),
+func generateFault(r *rand.Rand, s *scenario.Scenario, span func(lo, hi time.Duration) scenario.Span) scenario.Fault {
+	f := scenario.Fault{Kind: faultKinds[r.IntN(len(faultKinds))], At: span(500*time.Millisecond, s.Length.Duration-time.Second),
 		For: span(500*time.Millisecond, 8*time.Second)}
 	servers, nodes := s.Servers(), s.Nodes()
-	oneServer := func() []string { return []string{servers[r.IntN(len(servers))].Name} }
+	randomServer := func() []string { return []string{servers[r.IntN(len(servers))].Name} }
 	switch f.Kind {
 	case scenario.FaultHeavy:
 		f.Class = []string{"broadcast-clip", "viewer-clip", "cut-order", "tag-event"}[r.IntN(4)]
@@ -70,11 +69,11 @@
 		f.Targets = []string{nodes[r.IntN(len(nodes))].Name}
 		f.For = span(3200*time.Millisecond, 5*time.Second)
 	case scenario.FaultKill:
-		if f.Targets = oneServer(); r.IntN(2) == 0 {
+		if f.Targets = randomServer(); r.IntN(2) == 0 {
 			f.Targets = []string{nodes[r.IntN(len(nodes))].Name}
 		}
 	case scenario.FaultLink:
-		f.Targets = oneServer()
+		f.Targets = randomServer()
 		if r.IntN(2) == 0 {
 			f.Targets = append(f.Targets, nodes[r.IntN(len(nodes))].Name)
 		}
@@ -85,20 +84,20 @@
 			f.State = []string{"half-open", "reset", "black-hole"}[r.IntN(3)]
 		}
 	case scenario.FaultCorrupt:
-		f.Targets, f.Fraction = oneServer(), 0.05+0.5*r.Float64()
+		f.Targets, f.Fraction = randomServer(), 0.05+0.5*r.Float64()
 	case scenario.FaultDiscoveryDelay:
 		f.Delay = span(100*time.Millisecond, 4*time.Second)
 	case scenario.FaultFlap:
-		f.Targets, f.Interval = oneServer(), span(50*time.Millisecond, time.Second)
+		f.Targets, f.Interval = randomServer(), span(50*time.Millisecond, time.Second)
 	case scenario.FaultReplace:
-		f.Targets, f.For = oneServer(), span(200*time.Millisecond, 3*time.Second)
+		f.Targets, f.For = randomServer(), span(200*time.Millisecond, 3*time.Second)
 	case scenario.FaultDiscoveryRestart:
 		f.For = scenario.Span{}
 	case scenario.FaultDiscoveryOutage:
 	default:
-		f.Targets = oneServer()
+		f.Targets = randomServer()
 		if r.IntN(3) == 0 {
-			f.Targets = append(f.Targets, oneServer()...)
+			f.Targets = append(f.Targets, randomServer()...)
 		}
 	}
 	return f
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -12,17 +12,17 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Finding is a seed whose timeline breaks a rule, and the least timeline that
-// still breaks that rule.
+// Finding is a seed whose timeline breaks a rule, with the smallest timeline found
+// that still breaks that rule.
 type Finding struct {
 	Seed         int64
-	Breach       judge.Breach // the first of the timeline as drawn
+	Breach       judge.Breach // the first breach of the generated timeline
 	Shrunk       *scenario.Scenario
-	ShrunkBreach judge.Breach // the first of the shrunk one
-	Replays      int          // runs that the shrinking took
+	ShrunkBreach judge.Breach // the first breach of the same rule in Shrunk
+	Replays      int          // runs needed for shrinking
 }
 
-// TOML words the shrunk timeline as a scenario file.
+// TOML returns the shrunk timeline as a scenario file.
 func (f *Finding) TOML() string {
 	raw, err := toml.Marshal(f.Shrunk)
 	if err != nil {
@@ -31,24 +31,24 @@
 	return string(raw)
 }
 
-// Result is what a sweep found.
+// Result is the result of a sweep.
 type Result struct {
 	Findings      []Finding
 	Played        int
-	Tries         int           // tries, over all timelines
-	SimulatedTime time.Duration // time that was played
+	Tries         int           // over all timelines
+	SimulatedTime time.Duration // over all timelines
 }
 
-// Run plays the timelines of the seeds from first on, count of them, on all
-// cores. It is told of every finding at once, one at a time, and stops early
-// if told returns false.
-func Run(first int64, count int, mutant memory.Mutant, told func(Finding) bool) Result {
+// Run simulates the timelines of count seeds, starting with first, on all cores.
+// It calls onFinding for each finding, one at a time, and stops early if onFinding
+// returns false.
+func Run(first int64, count int, mutant memory.Mutant, onFinding func(Finding) bool) Result {
 	var (
-		mu   sync.Mutex
-		wg   sync.WaitGroup
-		next = first
-		res  Result
-		stop bool
+		mu     sync.Mutex
+		wg     sync.WaitGroup
+		next   = first
+		result Result
+		stop   bool
 	)
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
@@ -71,14 +71,14 @@
 					found = &f
 				}
 				mu.Lock()
-				res.Played++
-				res.Tries += v.Service.Tries
+				result.Played++
+				result.Tries += v.Service.Tries
 				if n := len(h.Events); n > 0 {
-					res.SimulatedTime += h.Events[n-1].At
+					result.SimulatedTime += h.Events[n-1].At
 				}
 				if found != nil {
-					res.Findings = append(res.Findings, *found)
-					if told != nil && !told(*found) {
+					result.Findings = append(result.Findings, *found)
+					if onFinding != nil && !onFinding(*found) {
 						stop = true
 					}
 				}
@@ -87,5 +87,5 @@
 		})
 	}
 	wg.Wait()
-	return res
+	return result
 }
