--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -12,40 +12,40 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Mean is a mean with its 95% interval over seeds.
+// Mean is a mean over seeds with its 95% confidence interval.
 type Mean struct {
 	N               int
-	Mean, HalfWidth float64 // half the interval's width; 0 with one value
+	Mean, HalfWidth float64 // HalfWidth is that of the interval; 0 for one value
 }
 
-// MeanOf gives the mean of some values, with Student's interval.
-func MeanOf(x []float64) Mean {
-	m := Mean{N: len(x), Mean: stat.Mean(x, nil)}
-	if len(x) > 1 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-		m.HalfWidth = t * stat.StdErr(stat.StdDev(x, nil), float64(len(x)))
+// MeanOf returns the mean of values with the interval of Student's t-distribution.
+func MeanOf(values []float64) Mean {
+	m := Mean{N: len(values), Mean: stat.Mean(values, nil)}
+	if len(values) > 1 {
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(values) - 1)}.Quantile(0.975)
+		m.HalfWidth = t * stat.StdErr(stat.StdDev(values, nil), float64(len(values)))
 	}
 	return m
 }
 
-// GroupKey is all seeds of one combination.
+// Group holds the rows of one combination of factors over all seeds.
 type Group struct {
-	Cell        // its seed means nothing
+	Cell        // without a meaningful seed
 	Rows        []Row
 	Measure     Mean
 	WorstWindow Mean
 	Breaches    [5]int
 }
 
-// Groups puts rows together, in the order in which their combinations come.
+// Groups groups rows by combination, in order of first occurrence.
 func Groups(rows []Row) []Group {
-	at := map[string]int{}
+	index := map[string]int{}
 	var out []Group
 	for _, r := range rows {
-		i, known := at[r.GroupKey()]
+		i, known := index[r.GroupKey()]
 		if !known {
 			i = len(out)
-			at[r.GroupKey()] = i
+			index[r.GroupKey()] = i
 			out = append(out, Group{Cell: r.Cell})
 		}
 		out[i].Rows = append(out[i].Rows, r)
@@ -69,23 +69,23 @@
 	return out
 }
 
-// Difference is what one combination gained or lost between two files.
+// Difference compares one combination between two files.
 type Difference struct {
 	Group         string
-	N             int     // days that are in both
-	Mean          float64 // of the measure, the second less the first
-	Low, High     float64 // 95% by bootstrap over the pairs
-	Breaches      int     // more in the second
-	Worse, Better bool    // beyond noise
+	N             int     // cells in both files
+	Mean          float64 // of the measure, second file minus first
+	Low, High     float64 // 95% interval by bootstrap over the pairs
+	Breaches      int     // second file minus first
+	Worse, Better bool    // significantly
 }
 
 const resamples = 4000
 
-// Compare pairs the rows of two files by their cells and tells what differs
-// beyond noise: where the whole interval lies on one side of 0 and the mean is
-// further from it than least, or where a rule is broken more often. It errs if
-// nothing is in both.
-func Compare(a, b []Row, least float64) ([]Difference, error) {
+// Compare pairs the rows of two files by their cells. A difference is significant
+// if the whole interval lies on one side of 0 and the mean differs from 0 by more
+// than minDifference; more broken rules are always worse. It fails if the files
+// have no cell in common.
+func Compare(a, b []Row, minDifference float64) ([]Difference, error) {
 	first := map[string]Row{}
 	for _, r := range a {
 		first[r.Key()] = r
@@ -94,81 +94,81 @@
 		diffs    []float64
 		breaches int
 	}
-	by := map[string]*pairs{}
+	groups := map[string]*pairs{}
 	var order []string
 	for _, r := range b {
-		x, both := first[r.Key()]
-		if !both {
+		old, found := first[r.Key()]
+		if !found {
 			continue
 		}
-		p := by[r.GroupKey()]
-		if p == nil {
-			p = &pairs{}
-			by[r.GroupKey()] = p
+		pair := groups[r.GroupKey()]
+		if pair == nil {
+			pair = &pairs{}
+			groups[r.GroupKey()] = pair
 			order = append(order, r.GroupKey())
 		}
-		p.diffs = append(p.diffs, r.Measure-x.Measure)
+		pair.diffs = append(pair.diffs, r.Measure-old.Measure)
 		for rule := range r.Breaches {
-			p.breaches += r.Breaches[rule] - x.Breaches[rule]
+			pair.breaches += r.Breaches[rule] - old.Breaches[rule]
 		}
 	}
 	if len(order) == 0 {
 		return nil, errors.New("the two files have no cell in common")
 	}
 	var out []Difference
-	rng := rand.New(rand.NewPCG(1, 2)) // the same verdict each time
-	for _, g := range order {
-		p := by[g]
-		d := Difference{Group: g, N: len(p.diffs), Mean: stat.Mean(p.diffs, nil), Breaches: p.breaches}
-		d.Low, d.High = bootstrap(rng, p.diffs)
-		d.Worse = d.High < 0 && d.Mean < -least || p.breaches > 0
-		d.Better = d.Low > 0 && d.Mean > least
+	rng := rand.New(rand.NewPCG(1, 2)) // fixed seed, for reproducible results
+	for _, group := range order {
+		pair := groups[group]
+		d := Difference{Group: group, N: len(pair.diffs), Mean: stat.Mean(pair.diffs, nil), Breaches: pair.breaches}
+		d.Low, d.High = bootstrap(rng, pair.diffs)
+		d.Worse = d.High < 0 && d.Mean < -minDifference || pair.breaches > 0
+		d.Better = d.Low > 0 && d.Mean > minDifference
 		out = append(out, d)
 	}
 	return out, nil
 }
 
-// bootstrap gives the 95% interval of the mean by drawing the values anew.
-func bootstrap(rng *rand.Rand, x []float64) (low, high float64) {
-	if len(x) < 2 {
-		return math.Inf(-1), math.Inf(1) // one pair tells nothing of noise
+// bootstrap returns the 95% interval of the mean by resampling.
+func bootstrap(rng *rand.Rand, values []float64) (low, high float64) {
+	if len(values) < 2 {
+		return math.Inf(-1), math.Inf(1) // one pair has no variance
 	}
 	means := make([]float64, resamples)
 	for i := range means {
-		for range x {
-			means[i] += x[rng.IntN(len(x))] / float64(len(x))
+		for range values {
+			means[i] += values[rng.IntN(len(values))] / float64(len(values))
 		}
 	}
 	slices.Sort(means)
 	return stat.Quantile(0.025, stat.Empirical, means, nil), stat.Quantile(0.975, stat.Empirical, means, nil)
 }
 
-// Table words groups as a table: a line for each day's combination, a column
-// for each way, with intervals and, in brackets, breaches.
+// Table formats groups as a Markdown table with a row for each workload and a
+// column for each policy: mean, interval and, in brackets, the number of breaches.
 func Table(groups []Group) string {
-	var ways, days []string
+	var policies, workloads []string
 	cells := map[string]Group{}
 	for _, g := range groups {
-		way, day, _ := strings.Cut(g.GroupKey(), " ")
-		if !slices.Contains(ways, way) {
-			ways = append(ways, way)
+		policy, workload, _ := strings.Cut(g.GroupKey(), " ")
+		if !slices.Contains(policies, policy) {
+			policies = append(policies, policy)
 		}
-		if !slices.Contains(days, day) {
-			days = append(days, day)
+		if !slices.Contains(workloads, workload) {
+			workloads = append(workloads, workload)
 		}
 		cells[g.GroupKey()] = g
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "| day |")
-	for _, w := range ways {
-		fmt.Fprintf(&b, " %s |", w)
+	for _, policy := range policies {
+		fmt.Fprintf(&b, " %s |", policy)
 	}
-	fmt.Fprintf(&b, "\n| --- |%s\n", strings.Repeat(" --- |", len(ways)))
-	for _, d := range days {
-		fmt.Fprintf(&b, "| %s |", d)
-		for _, w := range ways {
-			g, there := cells[w+" "+d]
-			if !there {
+	fmt.Fprintf(&b, "\n| --- |%s\n", strings.Repeat(" --- |", len(policies)))
+	for _, workload := range workloads {
+		fmt.Fprintf(&b, "| %s |", workload)
+		for _, policy := range policies {
+			g, found := cells[policy+" "+workload]
+			if !found {
 				b.WriteString(" |")
 				continue
 			}
--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -1,7 +1,7 @@
-// Package experiment plays designs of many model days: factors with their
-// levels, every combination or a sample of them, some seeds each, on all cores.
-// Finished cells are rows of one file, so that a run that was killed goes on
-// where it was, and two files can be compared.
+// Package experiment runs factorial experiments in simulation: all combinations of
+// the factors' levels or a sample of them, with several seeds each, on all cores.
+// Finished cells are rows of one file, so that an interrupted run can be resumed
+// and two files can be compared.
 package experiment
 
 import (
@@ -25,70 +25,74 @@
 	maxSeeds = 10_000
 )
 
-// Design is one file.
+// Design is the content of one design file.
 type Design struct {
 	Name        string      `toml:"name"`
 	Description string      `toml:"about"`
-	Policies    []string    `toml:"ways"`    // of choosing; empty: all
-	Sizes       []string    `toml:"sizes"`   // servers x proxies, such as "100x10"
-	Loads       []float64   `toml:"loads"`   // of what warm servers can do
-	Faults      []string    `toml:"faults"`  // empty: quiet
-	Seeds       int         `toml:"seeds"`   // of each combination; 0: 3
-	FirstSeed   int64       `toml:"from"`    // the first seed; 0: 1
-	SampleSize  int         `toml:"sample"`  // so many combinations by chance; 0: all
-	Length      strict.Span `toml:"length"`  // of a day; 0: 24 s
+	Policies    []string    `toml:"ways"`    // empty: all
+	Sizes       []string    `toml:"sizes"`   // servers x proxies, as in "100x10"
+	Loads       []float64   `toml:"loads"`   // fraction of the capacity of warm servers
+	Faults      []string    `toml:"faults"`  // empty: none
+	Seeds       int         `toml:"seeds"`   // per combination; 0: 3
+	FirstSeed   int64       `toml:"from"`    // 0: 1
+	SampleSize  int         `toml:"sample"`  // number of random combinations; 0: all
+	Length      strict.Span `toml:"length"`  // of the load; 0: 24 s
 	Halls       int         `toml:"halls"`   // 0: 3
-	Retries     int         `toml:"retries"` // clients' own
-	// ControlServices are numbers of control services, a level each; empty: one.
+	Retries     int         `toml:"retries"` // by clients
+	// ControlServices are levels of the number of control services; empty: one.
 	ControlServices []int       `toml:"controls"`
-	ReportDelay     strict.Span `toml:"late"`    // that steered proxies' reports take, on average
-	FrozenFraction  float64     `toml:"frozen"`  // part of the proxies that hears and says nothing from a third of the day on
-	SubsetSizes     []int       `toml:"subsets"` // servers of a hall that a steered proxy is told of, a level each; 0: all
+	ReportDelay     strict.Span `toml:"late"` // mean delay of load reports under xds
+	// FrozenFraction of the proxies neither sends reports nor receives updates
+	// after the first third of the run.
+	FrozenFraction float64 `toml:"frozen"`
+	// SubsetSizes are levels of the number of servers per zone that a proxy under
+	// xds is assigned; 0: all.
+	SubsetSizes []int `toml:"subsets"`
 }
 
-// Cell is one day to play in one way.
+// Cell is one workload with one policy and seed.
 type Cell struct {
 	Policy policy.Name `json:"way"`
 	fleet.Workload
 }
 
-// Key names a cell within a file: the same for the same figures.
+// Key identifies a cell within a file.
 func (c Cell) Key() string {
-	return fmt.Sprintf("%s %dx%d/%d load %g %s%s %v retries %d seed %d", c.Policy, c.Servers, c.Proxies, c.Zones, c.Load, c.Fault, c.services(), c.Length, c.Retries, c.Seed)
+	return fmt.Sprintf("%s %dx%d/%d load %g %s%s %v retries %d seed %d", c.Policy, c.Servers, c.Proxies, c.Zones, c.Load, c.Fault, c.controlLabel(), c.Length, c.Retries, c.Seed)
 }
 
-// GroupKey names what all seeds of one combination share.
+// GroupKey identifies the combination of factors, without the seed.
 func (c Cell) GroupKey() string {
-	return fmt.Sprintf("%s %dx%d load %g %s%s", c.Policy, c.Servers, c.Proxies, c.Load, c.Fault, c.services())
+	return fmt.Sprintf("%s %dx%d load %g %s%s", c.Policy, c.Servers, c.Proxies, c.Load, c.Fault, c.controlLabel())
 }
 
-func (c Cell) services() string {
-	text := ""
+func (c Cell) controlLabel() string {
+	label := ""
 	if c.ControlServices > 1 {
-		text += fmt.Sprintf(" controls %d", c.ControlServices)
+		label += fmt.Sprintf(" controls %d", c.ControlServices)
 	}
 	if c.SubsetSize > 0 {
-		text += fmt.Sprintf(" subset %d", c.SubsetSize)
+		label += fmt.Sprintf(" subset %d", c.SubsetSize)
 	}
 	if c.ReportDelay > 0 {
-		text += fmt.Sprintf(" late %v", c.ReportDelay)
+		label += fmt.Sprintf(" late %v", c.ReportDelay)
 	}
 	if c.FrozenFraction > 0 {
-		text += fmt.Sprintf(" frozen %g", c.FrozenFraction)
+		label += fmt.Sprintf(" frozen %g", c.FrozenFraction)
 	}
-	return text
+	return label
 }
 
-// Day names the day, whichever way it is played.
+// WorkloadKey identifies the workload, without the policy.
 func (c Cell) WorkloadKey() string { return strings.TrimPrefix(c.Key(), string(c.Policy)+" ") }
 
-// cost is about how much work a cell is, to tell the time that is left.
+// cost estimates the work of a cell, for the remaining time of a run.
 func (c Cell) cost() float64 {
 	return float64(c.Servers) * c.Load * c.Length.Seconds()
 }
 
-// Load reads and checks a design. Every error names the file, the line and the
-// fix.
+// Load reads and validates a design file. Errors about its content name the file,
+// the line and the fix.
 func Load(file string) (*Design, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -97,7 +101,7 @@
 	return Parse(filepath.Base(file), raw)
 }
 
-// Parse reads the text of a file.
+// Parse decodes and validates the text of a design file.
 func Parse(file string, raw []byte) (*Design, error) {
 	d := &Design{}
 	if err := strict.Decode(file, raw, d, "docs/experiments.md"); err != nil {
@@ -156,9 +160,9 @@
 	case d.Retries < 0 || d.Retries > 2:
 		return "retries", "retries: want 0, 1 or 2"
 	}
-	for _, w := range d.Policies {
-		if !slices.Contains(policy.All, policy.Name(w)) {
-			return "ways", fmt.Sprintf("unknown way %q; there are %v", w, policy.All)
+	for _, name := range d.Policies {
+		if !slices.Contains(policy.All, policy.Name(name)) {
+			return "ways", fmt.Sprintf("unknown way %q; there are %v", name, policy.All)
 		}
 	}
 	cells, err := d.Cells()
@@ -168,30 +172,30 @@
 	if len(cells) > maxCells {
 		return "", fmt.Sprintf("%d cells; want %d at most: take a sample, or fewer levels", len(cells), maxCells)
 	}
-	for _, f := range d.Faults { // what a size does not allow shows at the smallest one
-		x := cells[0].Workload
-		x.Fault = fleet.Fault(f)
-		if _, err := x.Scenario(); err != nil {
+	for _, fault := range d.Faults { // the first size stands for all
+		workload := cells[0].Workload
+		workload.Fault = fleet.Fault(fault)
+		if _, err := workload.Scenario(); err != nil {
 			return "faults", err.Error()
 		}
 	}
-	for _, l := range d.Loads {
-		x := cells[0].Workload
-		x.Load = l
-		if _, err := x.Scenario(); err != nil {
+	for _, load := range d.Loads {
+		workload := cells[0].Workload
+		workload.Load = load
+		if _, err := workload.Scenario(); err != nil {
 			return "loads", err.Error()
 		}
 	}
 	return "", ""
 }
 
-// Cells lists the cells, all seeds of one combination together. A sample is
-// drawn by the design's own name and size, the same each time.
+// Cells lists the cells, with all seeds of a combination together. The sample is
+// the same each time for the same design.
 func (d *Design) Cells() ([]Cell, error) {
-	var combos []Cell
-	controls := d.ControlServices
-	if len(controls) == 0 {
-		controls = []int{0}
+	var combinations []Cell
+	serviceCounts := d.ControlServices
+	if len(serviceCounts) == 0 {
+		serviceCounts = []int{0}
 	}
 	subsets := d.SubsetSizes
 	if len(subsets) == 0 {
@@ -199,7 +203,7 @@
 	}
 	for _, size := range d.Sizes {
 		var servers, proxies int
-		if n, err := fmt.Sscanf(size, "%dx%d", &servers, &proxies); n != 2 || err != nil {
+		if count, err := fmt.Sscanf(size, "%dx%d", &servers, &proxies); count != 2 || err != nil {
 			return nil, fmt.Errorf("sizes: %q is no size; write servers and proxies, such as \"100x10\"", size)
 		}
 		if servers < 3 || servers > 10_000 || proxies < 1 || proxies > 1_000 {
@@ -207,27 +211,27 @@
 		}
 		for _, load := range d.Loads {
 			for _, fault := range d.Faults {
-				for _, way := range d.Policies {
-					for _, n := range controls {
-						for _, part := range subsets {
-							combos = append(combos, Cell{policy.Name(way), fleet.Workload{Servers: servers, Proxies: proxies, Zones: d.Halls, Load: load,
-								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, ControlServices: n, SubsetSize: part, ReportDelay: d.ReportDelay.Duration, FrozenFraction: d.FrozenFraction}})
+				for _, name := range d.Policies {
+					for _, count := range serviceCounts {
+						for _, subset := range subsets {
+							combinations = append(combinations, Cell{policy.Name(name), fleet.Workload{Servers: servers, Proxies: proxies, Zones: d.Halls, Load: load,
+								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, ControlServices: count, SubsetSize: subset, ReportDelay: d.ReportDelay.Duration, FrozenFraction: d.FrozenFraction}})
 						}
 					}
 				}
 			}
 		}
 	}
-	if len(combos) == 0 {
+	if len(combinations) == 0 {
 		return nil, errors.New("no combination")
 	}
-	if d.SampleSize > 0 && d.SampleSize < len(combos) {
-		r := rand.New(rand.NewPCG(uint64(len(combos)), uint64(d.SampleSize)))
-		r.Shuffle(len(combos), func(i, j int) { combos[i], combos[j] = combos[j], combos[i] })
-		combos = combos[:d.SampleSize]
+	if d.SampleSize > 0 && d.SampleSize < len(combinations) {
+		rng := rand.New(rand.NewPCG(uint64(len(combinations)), uint64(d.SampleSize)))
+		rng.Shuffle(len(combinations), func(i, j int) { combinations[i], combinations[j] = combinations[j], combinations[i] })
+		combinations = combinations[:d.SampleSize]
 	}
-	cells := make([]Cell, 0, min(maxCells+1, len(combos)*d.Seeds))
-	for _, c := range combos {
+	cells := make([]Cell, 0, min(maxCells+1, len(combinations)*d.Seeds))
+	for _, c := range combinations {
 		for i := range d.Seeds {
 			c.Seed = d.FirstSeed + int64(i)
 			if cells = append(cells, c); len(cells) > maxCells {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"ivylock/internal/lab/policy"
 )
 
-const small = `name = "small"
+const smallDesign = `name = "small"
 ways = ["least", "chance"]
 sizes = ["6x2"]
 loads = [0.4, 0.8]
@@ -21,7 +21,7 @@
 length = "3s"
 `
 
-func design(t *testing.T, text string) *Design {
+func parseDesign(t *testing.T, text string) *Design {
 	t.Helper()
 	d, err := Parse("small.toml", []byte(text))
 	if err != nil {
@@ -30,65 +30,65 @@
 	return d
 }
 
-// A run that ends at any moment, also in the middle of a row, goes on where it
-// was: no finished day is played again, and the rows are those of one run.
-func TestARunGoesOnWhereItWas(t *testing.T) {
-	d, dir := design(t, small), t.TempDir()
-	whole, cut := filepath.Join(dir, "whole.rows"), filepath.Join(dir, "cut.rows")
-	if err := Run(context.Background(), d, whole, "c1", nil); err != nil {
+// Guards against lost or repeated cells when a run is interrupted, also in the
+// middle of a row.
+func TestInterruptedRunIsResumed(t *testing.T) {
+	d, dir := parseDesign(t, smallDesign), t.TempDir()
+	complete, interrupted := filepath.Join(dir, "whole.rows"), filepath.Join(dir, "cut.rows")
+	if err := Run(context.Background(), d, complete, "c1", nil); err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	if err := Run(ctx, d, cut, "c1", func(p Progress) {
+	ctx, cancel := context.WithCancel(context.Background())
+	if err := Run(ctx, d, interrupted, "c1", func(p Progress) {
 		if p.Done >= 5 {
-			stop()
+			cancel()
 		}
 	}); err == nil {
-		t.Fatal("it was not ended")
+		t.Fatal("the run was not cancelled")
 	}
-	raw, err := os.ReadFile(cut)
+	raw, err := os.ReadFile(interrupted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(cut, raw[:len(raw)-7], 0o600); err != nil { // as a kill leaves it
+	if err := os.WriteFile(interrupted, raw[:len(raw)-7], 0o600); err != nil { // as left by a killed run
 		t.Fatal(err)
 	}
-	before, err := Read(cut)
+	before, err := Read(interrupted)
 	if err != nil || len(before) == 0 {
 		t.Fatalf("%d rows, %v", len(before), err)
 	}
-	played := 0
-	if err := Run(context.Background(), d, cut, "c1", func(p Progress) {
-		played++
+	runs := 0
+	if err := Run(context.Background(), d, interrupted, "c1", func(p Progress) {
+		runs++
 		if p.Resumed != len(before) {
-			t.Errorf("it found %d of %d", p.Resumed, len(before))
+			t.Errorf("resumed with %d of %d rows", p.Resumed, len(before))
 		}
 	}); err != nil {
 		t.Fatal(err)
 	}
-	rows, err := Read(cut)
-	if err != nil || len(rows) != 16 || played != 16-len(before) {
-		t.Fatalf("%d rows after %d more days, %v", len(rows), played, err)
+	rows, err := Read(interrupted)
+	if err != nil || len(rows) != 16 || runs != 16-len(before) {
+		t.Fatalf("%d rows after %d more cells, %v", len(rows), runs, err)
 	}
-	want, _ := Read(whole)
-	by := map[string]Row{}
+	want, _ := Read(complete)
+	byKey := map[string]Row{}
 	for _, r := range want {
-		by[r.Key()] = r
+		byKey[r.Key()] = r
 	}
 	for _, r := range rows {
-		if w := by[r.Key()]; r.Measure != w.Measure || r.Events != w.Events || w.Orders == 0 {
+		if w := byKey[r.Key()]; r.Measure != w.Measure || r.Events != w.Events || w.Orders == 0 {
 			t.Errorf("%s: %+v and %+v", r.Key(), r, w)
 		}
 	}
-	if err := Run(context.Background(), d, cut, "c2", nil); err != nil { // another commit's rows do not count
+	if err := Run(context.Background(), d, interrupted, "c2", nil); err != nil { // rows of another commit do not count
 		t.Fatal(err)
 	}
-	if rows, _ = Read(cut); len(rows) != 32 {
+	if rows, _ = Read(interrupted); len(rows) != 32 {
 		t.Errorf("%d rows of two commits", len(rows))
 	}
 }
 
-func TestWhatIsNoRowIsSaid(t *testing.T) {
+func TestReadReportsInvalidLine(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "x.rows")
 	os.WriteFile(file, []byte("{\"way\":\"least\"}\nnonsense\n"), 0o600)
 	if _, err := Read(file); err == nil || !strings.Contains(err.Error(), ":2:") {
@@ -96,59 +96,59 @@
 	}
 }
 
-// A difference beyond noise is found, one within it is not, and more broken
-// rules are worse whatever the measure.
-func TestCompareTellsNoiseFromADifference(t *testing.T) {
-	rows := func(shift, noise float64, broken int) (out []Row) {
+// Compare must report significant differences only, and more broken rules as worse
+// whatever the measure.
+func TestCompareReportsSignificantDifferences(t *testing.T) {
+	rows := func(shift, noise float64, breaches int) (out []Row) {
 		for i := range 12 {
 			c := Cell{policy.TwoChoices, fleet.Workload{Servers: 12, Proxies: 3, Load: 0.5, Seed: int64(i + 1)}}
 			sign := float64(1 - 2*(i%2))
 			r := Row{Cell: c, Measure: 0.8 + 0.02*float64(i) + shift + noise*sign}
-			r.Breaches[4] = broken
+			r.Breaches[4] = breaches
 			out = append(out, r)
 		}
 		return out
 	}
 	for name, c := range map[string]struct {
-		b           []Row
-		worse, more bool
+		b             []Row
+		worse, better bool
 	}{
-		"the same":     {rows(0, 0, 0), false, false},
+		"equal":        {rows(0, 0, 0), false, false},
 		"noise":        {rows(-0.001, 0.02, 0), false, false},
 		"worse":        {rows(-0.03, 0.005, 0), true, false},
 		"better":       {rows(0.03, 0.005, 0), false, true},
-		"too little":   {rows(-0.003, 0, 0), false, false},
+		"too small":    {rows(-0.003, 0, 0), false, false},
 		"broken rules": {rows(0.03, 0.005, 1), true, true},
 	} {
 		all, err := Compare(rows(0, 0, 0), c.b, 0.005)
-		if err != nil || len(all) != 1 || all[0].Worse != c.worse || all[0].Better != c.more {
+		if err != nil || len(all) != 1 || all[0].Worse != c.worse || all[0].Better != c.better {
 			t.Errorf("%s: %+v, %v", name, all, err)
 		}
 	}
 	if _, err := Compare(rows(0, 0, 0), nil, 0); err == nil {
-		t.Error("nothing in common is no verdict")
+		t.Error("no error without a common cell")
 	}
 }
 
-func TestDesignsAreReadStrictly(t *testing.T) {
+func TestParseRejectsInvalidDesigns(t *testing.T) {
 	for text, want := range map[string]string{
-		strings.Replace(small, "seeds = 2", "seed = 2", 1):             ":6: unknown key seed",
-		strings.Replace(small, `"least"`, `"lest"`, 1):                 ":2: unknown way",
-		strings.Replace(small, `"6x2"`, `"6 by 2"`, 1):                 ":3: sizes: \"6 by 2\" is no size",
-		strings.Replace(small, `"6x2"`, `"6x2000"`, 1):                 ":3: sizes:",
-		strings.Replace(small, `"silent"`, `"loud"`, 1):                ":5: fleet: unknown fault",
-		strings.Replace(small, `0.8`, `8.0`, 1):                        ":4: fleet: want a load",
-		strings.Replace(small, `"3s"`, `3`, 1):                         ":7: length",
-		strings.Replace(small, `seeds = 2`, `seeds = 20000`, 1):        ":6: seeds",
-		strings.Replace(small, `name = "small"`, `name = "a b"`, 1):    ":1: name",
-		strings.Replace(small, `sizes = ["6x2"]`, `about = "none"`, 1): "no sizes",
+		strings.Replace(smallDesign, "seeds = 2", "seed = 2", 1):             ":6: unknown key seed",
+		strings.Replace(smallDesign, `"least"`, `"lest"`, 1):                 ":2: unknown way",
+		strings.Replace(smallDesign, `"6x2"`, `"6 by 2"`, 1):                 ":3: sizes: \"6 by 2\" is no size",
+		strings.Replace(smallDesign, `"6x2"`, `"6x2000"`, 1):                 ":3: sizes:",
+		strings.Replace(smallDesign, `"silent"`, `"loud"`, 1):                ":5: fleet: unknown fault",
+		strings.Replace(smallDesign, `0.8`, `8.0`, 1):                        ":4: fleet: want a load",
+		strings.Replace(smallDesign, `"3s"`, `3`, 1):                         ":7: length",
+		strings.Replace(smallDesign, `seeds = 2`, `seeds = 20000`, 1):        ":6: seeds",
+		strings.Replace(smallDesign, `name = "small"`, `name = "a b"`, 1):    ":1: name",
+		strings.Replace(smallDesign, `sizes = ["6x2"]`, `about = "none"`, 1): "no sizes",
 	} {
 		_, err := Parse("small.toml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: got %v", want, err)
 		}
 	}
-	d := design(t, small+"sample = 3\n")
+	d := parseDesign(t, smallDesign+"sample = 3\n")
 	a, _ := d.Cells()
 	b, _ := d.Cells()
 	if len(a) != 6 || a[0] != b[0] || a[5] != b[5] {
@@ -156,12 +156,12 @@
 	}
 }
 
-func TestFiguresAndPageAreDrawn(t *testing.T) {
+func TestReportContainsTableAndFigures(t *testing.T) {
 	var rows []Row
-	for _, way := range []policy.Name{policy.TwoChoices, policy.Random} {
+	for _, name := range []policy.Name{policy.TwoChoices, policy.Random} {
 		for _, load := range []float64{0.3, 0.6} {
 			for seed := range int64(3) {
-				c := Cell{way, fleet.Workload{Servers: 12, Proxies: 3, Load: load, Fault: fleet.NoFault, Seed: seed}}
+				c := Cell{name, fleet.Workload{Servers: 12, Proxies: 3, Load: load, Fault: fleet.NoFault, Seed: seed}}
 				rows = append(rows, Row{Cell: c, Measure: load + 0.01*float64(seed), P99: map[string]float64{"broadcast-clip": 100}})
 			}
 		}
@@ -173,10 +173,10 @@
 	}
 	for _, want := range []string{"12x3 load 0.3 quiet", "0.310 ± 0.025", "2 broken", "<svg"} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("the page does not say %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
-	if n := strings.Count(page.String(), "<svg"); n != len(shown) {
+	if n := strings.Count(page.String(), "<svg"); n != len(plottedValues) {
 		t.Errorf("%d figures", n)
 	}
 }
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -18,42 +18,42 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Figure is one drawing: what a value does as the load grows, a line for each
-// way, with the 95% interval over seeds.
+// Figure is one plot: a value against the load, with a line and 95% intervals over
+// seeds for each policy.
 type Figure struct {
 	Title string
 	SVG   []byte
 }
 
-// value is what a figure shows.
+// value is a value that figures show.
 type value struct {
 	name string
 	of   func(Row) float64
 }
 
-var shown = []value{
+var plottedValues = []value{
 	{"service measure", func(r Row) float64 { return r.Measure }},
 	{"worst 10 s", func(r Row) float64 { return r.WorstWindow }},
 	{"p99 of broadcast clips, ms", func(r Row) float64 { return r.P99["broadcast-clip"] }},
 }
 
-// Figures draws the rows: for each size and fault, and each value.
+// Figures plots each value for each size and fault.
 func Figures(rows []Row) ([]Figure, error) {
 	type key struct{ size, fault string }
-	by := map[key][]Row{}
+	groups := map[key][]Row{}
 	var order []key
 	for _, r := range rows {
 		k := key{fmt.Sprintf("%d servers, %d proxies", r.Servers, r.Proxies), string(r.Fault)}
-		if by[k] == nil {
+		if groups[k] == nil {
 			order = append(order, k)
 		}
-		by[k] = append(by[k], r)
+		groups[k] = append(groups[k], r)
 	}
 	var out []Figure
 	for _, k := range order {
-		for _, v := range shown {
+		for _, v := range plottedValues {
 			title := fmt.Sprintf("%s: %s, %s", v.name, k.size, k.fault)
-			svg, err := figure(title, v, by[k])
+			svg, err := figure(title, v, groups[k])
 			if err != nil {
 				return nil, err
 			}
@@ -63,7 +63,7 @@
 	return out, nil
 }
 
-// points are a line with its intervals.
+// points are the points of a line with their intervals.
 type points struct {
 	plotter.XYs
 	plotter.YErrors
@@ -74,26 +74,26 @@
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "load, in parts of what the servers can do", v.name
 	p.Legend.Top, p.Legend.Left = false, true
 	p.Add(plotter.NewGrid())
-	var ways []string
-	at := map[string]map[float64][]float64{}
+	var policies []string
+	values := map[string]map[float64][]float64{}
 	for _, r := range rows {
-		w := string(r.Policy)
-		if at[w] == nil {
-			at[w] = map[float64][]float64{}
-			ways = append(ways, w)
+		policy := string(r.Policy)
+		if values[policy] == nil {
+			values[policy] = map[float64][]float64{}
+			policies = append(policies, policy)
 		}
-		at[w][r.Load] = append(at[w][r.Load], v.of(r))
+		values[policy][r.Load] = append(values[policy][r.Load], v.of(r))
 	}
-	for i, w := range ways {
+	for i, policy := range policies {
 		var loads []float64
-		for l := range at[w] {
-			loads = append(loads, l)
+		for load := range values[policy] {
+			loads = append(loads, load)
 		}
 		sort.Float64s(loads)
 		var pts points
-		for _, l := range loads {
-			m := MeanOf(at[w][l])
-			pts.XYs = append(pts.XYs, plotter.XY{X: l, Y: m.Mean})
+		for _, load := range loads {
+			m := MeanOf(values[policy][load])
+			pts.XYs = append(pts.XYs, plotter.XY{X: load, Y: m.Mean})
 			pts.YErrors = append(pts.YErrors, struct{ Low, High float64 }{m.HalfWidth, m.HalfWidth})
 		}
 		line, dots, err := plotter.NewLinePoints(pts.XYs)
@@ -104,19 +104,19 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", title, err)
 		}
-		var c color.Color = plotutil.Color(i)
-		line.Color, dots.Color, bars.Color = c, c, c
+		var lineColor color.Color = plotutil.Color(i)
+		line.Color, dots.Color, bars.Color = lineColor, lineColor, lineColor
 		line.Dashes, dots.Shape = plotutil.Dashes(i/7), plotutil.Shape(i)
 		p.Add(line, dots, bars)
-		p.Legend.Add(w, line, dots)
+		p.Legend.Add(policy, line, dots)
 	}
 	canvas := vgsvg.New(16*vg.Centimeter, 10*vg.Centimeter)
 	p.Draw(draw.New(canvas))
-	var b bytes.Buffer
-	if _, err := canvas.WriteTo(&b); err != nil {
+	var out bytes.Buffer
+	if _, err := canvas.WriteTo(&out); err != nil {
 		return nil, fmt.Errorf("%s: %w", title, err)
 	}
-	return b.Bytes(), nil
+	return out.Bytes(), nil
 }
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
@@ -135,7 +135,7 @@
 {{end}}</body></html>
 `))
 
-// Report writes one page with the table and all figures in it.
+// Report writes one HTML page with the table and all figures.
 func Report(w io.Writer, title string, rows []Row) error {
 	figures, err := Figures(rows)
 	if err != nil {
@@ -164,19 +164,20 @@
 	}
 	lines := map[string]int{}
 	for _, g := range groups {
-		_, day, _ := strings.Cut(g.GroupKey(), " ")
-		i, known := lines[day]
+		_, workload, _ := strings.Cut(g.GroupKey(), " ")
+		i, known := lines[workload]
 		if !known {
 			i = len(data.Lines)
-			lines[day] = i
-			data.Lines = append(data.Lines, line{day, make([]cell, len(data.Ways))})
+			lines[workload] = i
+			data.Lines = append(data.Lines, line{workload, make([]cell, len(data.Ways))})
 		}
 		data.Lines[i].Cells[slices.Index(data.Ways, string(g.Policy))] = cell{
 			fmt.Sprintf("%.3f ± %.3f", g.Measure.Mean, g.Measure.HalfWidth), g.Breaches[1] + g.Breaches[2] + g.Breaches[3] + g.Breaches[4]}
 	}
 	for _, f := range figures {
-		_, svg, _ := strings.Cut(string(f.SVG), "<svg")                // without the XML declaration
-		data.Figures = append(data.Figures, template.HTML("<svg"+svg)) // made here: nothing of a file's is in it but numbers and checked names
+		_, svg, _ := strings.Cut(string(f.SVG), "<svg") // without the XML declaration
+		// The SVG is trusted: from the rows it contains only numbers and validated names.
+		data.Figures = append(data.Figures, template.HTML("<svg"+svg))
 	}
 	return page.Execute(w, data)
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -15,21 +15,20 @@
 	"ivylock/internal/lab/fleet"
 )
 
-// Progress is how far a run is.
+// Progress is the progress of a run.
 type Progress struct {
-	Done, Total, Resumed int // cells; those found in the file
+	Done, Total, Resumed int // cells; Resumed: those already in the file
 	Remaining            time.Duration
 	Last                 Row
 }
 
-// collect is how much the heap may grow before the collector runs: a run has
-// much garbage and little that lives.
-const collect = 400
+// gcPercent is GOGC during a run, which allocates much and retains little.
+const gcPercent = 400
 
-// Run plays the cells of a design that are not in the file yet, on all cores,
-// and appends a row for each as it ends. Rows of another commit do not count.
-// A run that was ended, by ctx or a kill, goes on where it was the next time.
-func Run(ctx context.Context, d *Design, file, commit string, told func(Progress)) error {
+// Run runs the cells of a design that the file does not contain yet, on all cores,
+// and appends a row for each as it finishes. Rows of other commits do not count. A
+// run that was cancelled or killed is resumed by the next call.
+func Run(ctx context.Context, d *Design, file, commit string, onProgress func(Progress)) error {
 	cells, err := d.Cells()
 	if err != nil {
 		return err
@@ -42,65 +41,65 @@
 	if syscall.Flock(int(out.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil {
 		return fmt.Errorf("%s: another run writes to it; wait, or name another file", file)
 	}
-	rows, whole, err := read(file)
+	rows, size, err := read(file)
 	if err != nil {
 		return err
 	}
-	if err := out.Truncate(whole); err != nil { // a row that was cut short
+	if err := out.Truncate(size); err != nil { // remove a truncated row
 		return err
 	}
-	if _, err := out.Seek(whole, 0); err != nil {
+	if _, err := out.Seek(size, 0); err != nil {
 		return err
 	}
-	found := map[string]bool{}
-	for _, r := range rows {
-		if r.Commit == commit {
-			found[r.Key()] = true
+	finished := map[string]bool{}
+	for _, result := range rows {
+		if result.Commit == commit {
+			finished[result.Key()] = true
 		}
 	}
-	var left []Cell
-	todo := 0.0
+	var pending []Cell
+	totalCost := 0.0
 	for _, c := range cells {
-		if !found[c.Key()] {
-			left, todo = append(left, c), todo+c.cost()
+		if !finished[c.Key()] {
+			pending, totalCost = append(pending, c), totalCost+c.cost()
 		}
 	}
-	defer debug.SetGCPercent(debug.SetGCPercent(collect))
+	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	var (
-		mu    sync.Mutex
-		wg    sync.WaitGroup
-		next  int
-		done  = 0.0
-		bad   error
-		begun = time.Now()
-		p     = Progress{Total: len(cells), Resumed: len(cells) - len(left), Done: len(cells) - len(left)}
+		mu       sync.Mutex
+		wg       sync.WaitGroup
+		next     int
+		doneCost = 0.0
+		failure  error
+		runStart = time.Now()
+		progress = Progress{Total: len(cells), Resumed: len(cells) - len(pending), Done: len(cells) - len(pending)}
 	)
-	for range min(runtime.GOMAXPROCS(0), max(1, len(left))) {
+	for range min(runtime.GOMAXPROCS(0), max(1, len(pending))) {
 		wg.Go(func() {
 			for {
 				mu.Lock()
-				if next >= len(left) || bad != nil || ctx.Err() != nil {
+				if next >= len(pending) || failure != nil || ctx.Err() != nil {
 					mu.Unlock()
 					return
 				}
-				c := left[next]
+				c := pending[next]
 				next++
 				mu.Unlock()
 				start := time.Now()
-				r, err := fleet.Run(c.Workload, c.Policy)
-				row := rowOf(c, r, commit, time.Since(start))
+				result, err := fleet.Run(c.Workload, c.Policy)
+				row := newRow(c, result, commit, time.Since(start))
 				mu.Lock()
 				if err == nil {
 					err = write(out, row)
 				}
 				if err != nil {
-					bad = errors.Join(bad, fmt.Errorf("%s: %w", c.Key(), err))
+					failure = errors.Join(failure, fmt.Errorf("%s: %w", c.Key(), err))
 				} else {
-					done += c.cost()
-					p.Done, p.Last = p.Done+1, row
-					p.Remaining = time.Duration((todo - done) / done * float64(time.Since(begun)))
-					if told != nil {
-						told(p)
+					doneCost += c.cost()
+					progress.Done, progress.Last = progress.Done+1, row
+					progress.Remaining = time.Duration((totalCost - doneCost) / doneCost * float64(time.Since(runStart)))
+					if onProgress != nil {
+						onProgress(progress)
 					}
 				}
 				mu.Unlock()
@@ -108,19 +107,19 @@
 		})
 	}
 	wg.Wait()
-	if bad == nil {
-		bad = ctx.Err()
+	if failure == nil {
+		failure = ctx.Err()
 	}
-	return bad
+	return failure
 }
 
-// write appends a row in one piece.
+// write appends a row with a single write.
 func write(out *os.File, row Row) error {
 	raw, err := json.Marshal(row)
 	if err != nil {
 		return err
 	}
-	if len(raw) >= maxRow {
+	if len(raw) >= maxRowSize {
 		return fmt.Errorf("a row of %d bytes", len(raw))
 	}
 	_, err = out.Write(append(raw, '\n'))
