--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -24,11 +24,12 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// proxyWord is the hidden command by which bench starts the other proxy.
-const proxyWord = "reverse-proxy"
+// reverseProxyCommand is the internal command with which bench starts the
+// standard library's proxy.
+const reverseProxyCommand = "reverse-proxy"
 
-// reverseProxy serves net/http/httputil's proxy over the servers named until
-// it is told to end, on one core.
+// reverseProxy runs net/http/httputil's proxy for the given servers on one core,
+// until ctx is done.
 func (a *app) reverseProxy(ctx context.Context, servers []string) int {
 	runtime.GOMAXPROCS(1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,8 +46,8 @@
 	return ExitPassed
 }
 
-// bench measures the node on one core beside net/http/httputil's proxy over
-// the same servers, turn and turn about.
+// bench measures the node on one core and net/http/httputil's proxy for the same
+// servers, in turn.
 func (a *app) bench(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("bench", flag.ContinueOnError)
 	rounds := f.Int("rounds", 3, "how `often` each is measured, in turn")
@@ -82,16 +83,16 @@
 	defer stop()
 	fmt.Fprintf(a.out, "4 servers that answer %d bytes after %v, closed-loop clients, one core for each proxy, %d rounds of %v\n", *body, *work, *rounds, *length)
 	if *against != "" {
-		return a.pair(ctx, dir, [2]string{*program, *against}, servers, *rounds, *body, *length)
+		return a.compareNodes(ctx, dir, [2]string{*program, *against}, servers, *rounds, *body, *length)
 	}
 	fmt.Fprintf(a.out, "%-8s %-14s %10s %10s %9s %9s %9s\n", "clients", "proxy", "answers/s", "CPU us", "p50 us", "p99 us", "refused")
 	counts := []int{1, 16, 64}
-	if *body > bounded.MaxBufferedBody { // one after another: what a byte costs
+	if *body > bounded.MaxBufferedBody { // a single client measures the cost per byte
 		counts = counts[:1]
 	}
 	for _, clients := range counts {
 		var rate, cpu, p50, p99 []float64 // ratios
-		var each []float64                // us of CPU a request of the node
+		var nodeCPU []float64             // CPU time of the node, us per request
 		for range *rounds {
 			node, err := a.measure(ctx, dir, *program, servers, clients, *body, *length)
 			if err != nil {
@@ -101,16 +102,16 @@
 			if err != nil {
 				return a.fail(ExitFailed, err)
 			}
-			for _, x := range []measured{node, other} {
-				fmt.Fprintf(a.out, "%-8d %-14s %10.0f %10.1f %9d %9d %8.2f%%\n", clients, x.name, x.Rate, x.cpu, x.P50.Microseconds(), x.P99.Microseconds(),
-					100*float64(x.Refused+x.Failed)/float64(max(1, x.Requests)))
+			for _, m := range []measurement{node, other} {
+				fmt.Fprintf(a.out, "%-8d %-14s %10.0f %10.1f %9d %9d %8.2f%%\n", clients, m.name, m.Rate, m.cpu, m.P50.Microseconds(), m.P99.Microseconds(),
+					100*float64(m.Refused+m.Failed)/float64(max(1, m.Requests)))
 			}
-			each = append(each, node.cpu)
+			nodeCPU = append(nodeCPU, node.cpu)
 			rate, cpu = append(rate, node.Rate/other.Rate), append(cpu, node.cpu/other.cpu)
 			p50, p99 = append(p50, ratio(node.P50, other.P50)), append(p99, ratio(node.P99, other.P99))
 		}
 		if *body > bounded.MaxBufferedBody {
-			fmt.Fprintf(a.out, "%-8d CPU of the node for each MB, median: %.0f us\n", clients, median(each)/(float64(*body)/1e6))
+			fmt.Fprintf(a.out, "%-8d CPU of the node for each MB, median: %.0f us\n", clients, median(nodeCPU)/(float64(*body)/1e6))
 		}
 		fmt.Fprintf(a.out, "%-8d node / reverse proxy, medians: answers/s %.2f, CPU a request %.2f, p50 %.2f, p99 %.2f\n", clients,
 			median(rate), median(cpu), median(p50), median(p99))
@@ -118,10 +119,9 @@
 	return ExitPassed
 }
 
-// pair compares two builds of the node: both processes stand beside one
-// another and are loaded in turn, in short slices, so that a drift of the
-// machine meets both.
-func (a *app) pair(ctx context.Context, dir string, programs [2]string, servers []string, rounds, body int, length time.Duration) int {
+// compareNodes compares two builds of the node: both processes run at the same
+// time and are loaded in turn, so that changes of the machine affect both.
+func (a *app) compareNodes(ctx context.Context, dir string, programs [2]string, servers []string, rounds, body int, length time.Duration) int {
 	var nodes [2]*process.Process
 	for i, program := range programs {
 		p, err := process.StartNode(program, dir, benchConfig(servers), process.Options{})
@@ -136,55 +136,55 @@
 		var cpu [2][]float64
 		var ratios []float64
 		for round := range rounds + 1 {
-			var now [2]float64
+			var current [2]float64
 			for k := range nodes {
 				i := (k + round) % 2
 				if ctx.Err() != nil {
 					return a.fail(ExitFailed, ctx.Err())
 				}
 				before := nodes[i].CPUTime()
-				f, err := perf.RunClosedLoop(perf.ClientLoad{Addr: nodes[i].Addr, Clients: clients, Length: length, Class: "viewer-clip", BodySize: body})
+				results, err := perf.RunClosedLoop(perf.ClientLoad{Addr: nodes[i].Addr, Clients: clients, Length: length, Class: "viewer-clip", BodySize: body})
 				if err != nil {
 					return a.fail(ExitFailed, err)
 				}
-				now[i] = float64((nodes[i].CPUTime() - before).Microseconds()) / float64(max(1, f.Requests))
+				current[i] = float64((nodes[i].CPUTime() - before).Microseconds()) / float64(max(1, results.Requests))
 			}
 			if round == 0 {
-				continue // they learn
+				continue // warmup
 			}
 			for i := range nodes {
-				cpu[i] = append(cpu[i], now[i])
+				cpu[i] = append(cpu[i], current[i])
 			}
-			ratios = append(ratios, now[0]/now[1])
+			ratios = append(ratios, current[0]/current[1])
 		}
 		fmt.Fprintf(a.out, "%-8d %12.1f %12.1f %8.3f %8.3f %8.3f\n", clients, median(cpu[0]), median(cpu[1]), median(ratios), slices.Min(ratios), slices.Max(ratios))
 	}
 	return ExitPassed
 }
 
-type measured struct {
+type measurement struct {
 	perf.Results
 	name string
-	cpu  float64 // us a request
+	cpu  float64 // us per request
 }
 
 func ratio(x, y time.Duration) float64 { return float64(x) / float64(max(1, y)) }
 
-func median(x []float64) float64 {
-	d := make([]time.Duration, len(x))
-	for i, v := range x {
-		d[i] = time.Duration(v * 1e6)
+func median(values []float64) float64 {
+	durations := make([]time.Duration, len(values))
+	for i, v := range values {
+		durations[i] = time.Duration(v * 1e6)
 	}
-	return float64(judge.Quantile(d, 0.5)) / 1e6
+	return float64(judge.Quantile(durations, 0.5)) / 1e6
 }
 
-// measure starts a proxy, lets it learn, measures it and ends it. An empty
-// program means the standard library's.
-func (a *app) measure(ctx context.Context, dir, program string, servers []string, clients, body int, length time.Duration) (measured, error) {
+// measure starts a proxy, warms it up, measures it and kills it. An empty program
+// stands for the standard library's proxy.
+func (a *app) measure(ctx context.Context, dir, program string, servers []string, clients, body int, length time.Duration) (measurement, error) {
 	if ctx.Err() != nil {
-		return measured{}, ctx.Err()
+		return measurement{}, ctx.Err()
 	}
-	m := measured{name: "reverse proxy"}
+	m := measurement{name: "reverse proxy"}
 	var p *process.Process
 	var err error
 	if program == "" {
@@ -192,7 +192,7 @@
 		if err != nil {
 			return m, err
 		}
-		p, err = process.StartCommand(append([]string{self, proxyWord}, servers...), m.name)
+		p, err = process.StartCommand(append([]string{self, reverseProxyCommand}, servers...), m.name)
 		if err != nil {
 			return m, err
 		}
@@ -203,7 +203,7 @@
 		}
 	}
 	defer p.Kill()
-	// It learns how fast its servers are in a quiet time, as on a real day.
+	// The node learns the speed of its servers under light load first.
 	for _, warm := range []int{1, clients} {
 		if _, err = perf.RunClosedLoop(perf.ClientLoad{Addr: p.Addr, Clients: warm, Length: length / 4, Class: "viewer-clip", BodySize: body}); err != nil {
 			return m, err
--- a/internal/lab/command/ceiling.go
+++ b/internal/lab/command/ceiling.go
@@ -18,12 +18,12 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// addedMost is what the lab may add to a request, at p99.
-const addedMost = time.Millisecond
+// maxAddedLatency is the latency that the lab may add to a request, at p99.
+const maxAddedLatency = time.Millisecond
 
-// ceiling measures what the lab itself adds: its clients speak to its clip
-// servers with no node in between, at rising rates. All that an answer takes
-// beyond its work, and all that an order is sent late, is the lab's.
+// ceiling measures the overhead of the lab itself: its clients talk to its clip
+// servers directly, without a node, at increasing rates. The overhead is the latency
+// beyond a request's work, and the delay with which an order is sent.
 func (a *app) ceiling(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("ceiling", flag.ContinueOnError)
 	length := f.Duration("length", 3*time.Second, "how `long` at each rate")
@@ -39,80 +39,80 @@
 		if ctx.Err() != nil {
 			return ExitFailed
 		}
-		served, late, p50, p99, err := added(rate, *length)
+		served, late, p50, p99, err := measureOverhead(rate, *length)
 		if err != nil {
 			return a.fail(ExitFailed, err)
 		}
 		fmt.Fprintf(a.out, "%10.0f %10.0f %12v %12v %12v\n", rate, served, late.Round(time.Microsecond), p50.Round(time.Microsecond), p99.Round(time.Microsecond))
-		if p99 >= addedMost || served < 0.95*rate {
+		if p99 >= maxAddedLatency || served < 0.95*rate {
 			break
 		}
 		best = rate
 	}
-	fmt.Fprintf(a.out, "the lab adds less than %v at p99 up to %.0f requests a second\n", addedMost, best)
+	fmt.Fprintf(a.out, "the lab adds less than %v at p99 up to %.0f requests a second\n", maxAddedLatency, best)
 	return ExitPassed
 }
 
-// added runs the lab without a node.
-func added(rate float64, length time.Duration) (served float64, late, p50, p99 time.Duration, err error) {
+// measureOverhead runs the lab without a node.
+func measureOverhead(rate float64, length time.Duration) (served float64, late, p50, p99 time.Duration, err error) {
 	s := &scenario.Scenario{Name: "ceiling", Seed: 1, Length: scenario.Span{Duration: length},
-		Load:  scenario.Load{Rate: rate, WorkFactor: 0.01}, // about a millisecond, so that no queue is part of it
+		Load:  scenario.Load{Rate: rate, WorkFactor: 0.01}, // about a millisecond per request, so that no queues build up
 		Zones: []scenario.Zone{{Name: "hall", Nodes: 12, Servers: map[string]int{"fast-6": 12}}}}
 	if err := scenario.Check(s); err != nil {
 		return 0, 0, 0, 0, err
 	}
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
-	var rec history.Recorder
-	front := caller.NewBalancer(s.Nodes())
-	for i, x := range s.Servers() { // each server stands where a node would
-		m, err := clip.NewMachine(x.Kind)
+	var recorder history.Recorder
+	balancer := caller.NewBalancer(s.Nodes())
+	for i, spec := range s.Servers() { // each server takes the place of a node
+		machine, err := clip.NewMachine(spec.Kind)
 		if err != nil {
 			return 0, 0, 0, 0, err
 		}
-		m.Slots, m.MaxQueue, m.MaxConnections, m.HandshakeWork, m.Speed = 512, 512, 4096, 0, 1
-		m.Cores = m.Slots
-		server := clipserver.New(clipserver.Config{Model: clip.NewServer(x.Name, m, clip.OverloadLimit{}, clip.NewPod(load.Limits.KeyWindow)), Clock: clock, Record: rec.Add})
+		machine.Slots, machine.MaxQueue, machine.MaxConnections, machine.HandshakeWork, machine.Speed = 512, 512, 4096, 0, 1
+		machine.Cores = machine.Slots
+		server := clipserver.New(clipserver.Config{Model: clip.NewServer(spec.Name, machine, clip.OverloadLimit{}, clip.NewPod(load.Limits.KeyWindow)), Clock: clock, Record: recorder.Add})
 		defer server.Close()
 		node := s.Nodes()[i].Name
 		addr, err := server.Listen(node)
 		if err != nil {
 			return 0, 0, 0, 0, err
 		}
-		front.Add(caller.Target{Node: node, Addr: addr, Incarnation: 1})
+		balancer.Add(caller.Target{Node: node, Addr: addr, Incarnation: 1})
 	}
-	clients := &caller.Clients{Scenario: s, Balancer: front, Clock: clock, Record: rec.Add, Slack: load.Limits.Slack}
+	clients := &caller.Clients{Scenario: s, Balancer: balancer, Clock: clock, Record: recorder.Add, Slack: load.Limits.Slack}
 	defer clients.Close()
 	var wg sync.WaitGroup
-	var lates []time.Duration
+	var sendDelays []time.Duration
 	begin := clock()
 	work := map[string]time.Duration{}
-	for st := load.NewStream(s, 1); ; {
-		o, more := st.Next()
-		if !more {
+	for stream := load.NewStream(s, 1); ; {
+		order, ok := stream.Next()
+		if !ok {
 			break
 		}
-		due := begin + o.At
+		due := begin + order.At
 		alarm.Sleep(due - clock())
-		lates = append(lates, clock()-due)
-		work[o.ID] = o.Work
-		o.At = due
-		wg.Go(func() { clients.Send(&o) })
+		sendDelays = append(sendDelays, clock()-due)
+		work[order.ID] = order.Work
+		order.At = due
+		wg.Go(func() { clients.Send(&order) })
 	}
 	wg.Wait()
-	took := clock() - begin
-	events, _ := rec.Snapshot()
+	elapsed := clock() - begin
+	events, _ := recorder.Snapshot()
 	sent := map[string]history.Event{}
-	var extra []time.Duration
+	var addedLatencies []time.Duration
 	for _, e := range events {
 		switch e.Kind {
 		case history.Try:
 			sent[e.Try] = e
 		case history.Answer:
-			if t := sent[e.Try]; e.Status == history.Served {
-				extra = append(extra, max(0, e.At-t.At-work[t.Order]))
+			if try := sent[e.Try]; e.Status == history.Served {
+				addedLatencies = append(addedLatencies, max(0, e.At-try.At-work[try.Order]))
 			}
 		}
 	}
-	return float64(len(extra)) / took.Seconds(), judge.Quantile(lates, 0.99), judge.Quantile(extra, 0.5), judge.Quantile(extra, 0.99), nil
+	return float64(len(addedLatencies)) / elapsed.Seconds(), judge.Quantile(sendDelays, 0.99), judge.Quantile(addedLatencies, 0.5), judge.Quantile(addedLatencies, 0.99), nil
 }
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -1,4 +1,4 @@
-// Package command is ivylab's command line.
+// Package command implements the command line of ivylab.
 package command
 
 import (
@@ -27,11 +27,11 @@
 	"ivylock/scenarios"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitPassed = 0
-	ExitFailed = 1 // a rule, a figure, or the run itself
-	ExitUsage  = 2 // unknown words or a bad file: nothing was started
+	ExitFailed = 1 // a broken rule, an unmet requirement or a failed run
+	ExitUsage  = 2 // wrong usage or an invalid file: nothing was started
 )
 
 const usage = `ivylab plays halls of clip servers, nodes and clients on this machine.
@@ -55,11 +55,11 @@
 
 type app struct {
 	out, err io.Writer
-	rows     int // of the terminal; 0: there is none
+	rows     int // of the terminal; 0: no terminal
 }
 
-// Run carries out a command line and gives the exit code. rows is the height
-// of the terminal that out is, or 0 if it is none.
+// Run executes a command line and returns the exit code. rows is the height of the
+// terminal that out writes to, or 0 if it is none.
 func Run(ctx context.Context, args []string, out, errs io.Writer, rows int) int {
 	a := &app{out, errs, rows}
 	if len(args) == 0 {
@@ -93,7 +93,7 @@
 		return a.plot(args[1:])
 	case "compare":
 		return a.compare(args[1:])
-	case proxyWord:
+	case reverseProxyCommand:
 		return a.reverseProxy(ctx, args[1:])
 	case "help", "-h", "-help", "--help":
 		fmt.Fprint(out, usage)
@@ -103,19 +103,18 @@
 	return ExitUsage
 }
 
-// parse reads flags, and one word ahead of or behind them where a command
-// takes one.
-func (a *app) parse(f *flag.FlagSet, args []string, word *string) bool {
+// parse parses flags and, if operand is not nil, one operand before or after them.
+func (a *app) parse(f *flag.FlagSet, args []string, operand *string) bool {
 	f.SetOutput(a.err)
-	if word != nil && len(args) > 0 && !strings.HasPrefix(args[0], "-") {
-		*word, args = args[0], args[1:]
+	if operand != nil && len(args) > 0 && !strings.HasPrefix(args[0], "-") {
+		*operand, args = args[0], args[1:]
 	}
 	if f.Parse(args) != nil {
 		return false
 	}
 	rest := f.Args()
-	if word != nil && *word == "" && len(rest) > 0 {
-		*word, rest = rest[0], rest[1:]
+	if operand != nil && *operand == "" && len(rest) > 0 {
+		*operand, rest = rest[0], rest[1:]
 	}
 	if len(rest) > 0 {
 		fmt.Fprintf(a.err, "ivylab %s: %q is one word too many\n", f.Name(), rest[0])
@@ -148,59 +147,59 @@
 	return ExitPassed
 }
 
-// find gives a scenario by its name, or reads a file.
-func find(word string) (*scenario.Scenario, error) {
-	if word == "" {
+// findScenario loads a scenario by its name or from a file.
+func findScenario(name string) (*scenario.Scenario, error) {
+	if name == "" {
 		return nil, errors.New("which scenario? ivylab list shows them")
 	}
-	if strings.HasSuffix(word, ".toml") {
-		raw, err := os.ReadFile(word)
+	if strings.HasSuffix(name, ".toml") {
+		raw, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		return scenario.Parse(word, raw)
+		return scenario.Parse(name, raw)
 	}
-	s, err := scenario.LoadFile(scenarios.Files, word+".toml")
+	s, err := scenario.LoadFile(scenarios.Files, name+".toml")
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("no scenario %q; ivylab list shows them, and a file's name ends with .toml", word)
+		return nil, fmt.Errorf("no scenario %q; ivylab list shows them, and a file's name ends with .toml", name)
 	}
 	return s, err
 }
 
-// files are where a run's results go.
-type files struct{ json, history, report string }
+// outputFiles are the paths for the results of a run; empty paths are skipped.
+type outputFiles struct{ json, history, report string }
 
-func (x *files) flags(f *flag.FlagSet) {
+func (x *outputFiles) flags(f *flag.FlagSet) {
 	f.StringVar(&x.json, "json", "", "write all figures by name to this `file`")
 	f.StringVar(&x.history, "history", "", "write the history, one JSON line an event, to this `file`")
 	f.StringVar(&x.report, "report", "", "write a self-contained HTML report to this `file`")
 }
 
 func (a *app) run(ctx context.Context, args []string) int {
-	var word string
-	var to files
+	var name string
+	var outputs outputFiles
 	f := flag.NewFlagSet("run", flag.ContinueOnError)
 	seed := f.Int64("seed", 0, "the `seed`; 0: the scenario's own")
 	inMemory := f.Bool("memory", false, "in memory, under virtual time: the decision module without its sockets")
 	program := f.String("node", "", "the node's `program`; empty: it is built from this source tree")
-	to.flags(f)
-	if !a.parse(f, args, &word) {
+	outputs.flags(f)
+	if !a.parse(f, args, &name) {
 		return ExitUsage
 	}
-	s, err := find(word)
+	s, err := findScenario(name)
 	if err != nil {
 		return a.fail(ExitUsage, err)
 	}
 	if *inMemory {
 		start := time.Now()
-		h := memory.Run(s, memory.Options{Seed: *seed})
-		return a.finish(s, h, nil, to, time.Since(start), nil)
+		hist := memory.Run(s, memory.Options{Seed: *seed})
+		return a.finish(s, hist, nil, outputs, time.Since(start), nil)
 	}
-	return a.play(ctx, s, real.Options{Seed: *seed}, *program, to, false)
+	return a.play(ctx, s, real.Options{Seed: *seed}, *program, outputs, false)
 }
 
-// play runs a scenario on sockets, with the screen if it is asked for.
-func (a *app) play(ctx context.Context, s *scenario.Scenario, o real.Options, program string, to files, screen bool) int {
+// play runs a scenario with real processes, on request with a live screen.
+func (a *app) play(ctx context.Context, s *scenario.Scenario, o real.Options, program string, outputs outputFiles, screen bool) int {
 	if program == "" {
 		built, clean, err := buildNode(ctx)
 		if err != nil {
@@ -213,21 +212,21 @@
 	live := show.NewLiveView(load.ScenarioClasses(s))
 	o.ObserveEvents = live.Add
 	start := time.Now()
-	hall, err := real.New(ctx, s, o)
+	testbed, err := real.New(ctx, s, o)
 	if err != nil {
 		return a.fail(ExitFailed, err)
 	}
-	over := make(chan struct{})
-	shown := make(chan struct{})
+	done := make(chan struct{})
+	displayed := make(chan struct{})
 	go func() {
-		defer close(shown)
-		a.follow(hall, live, s, over, screen)
+		defer close(displayed)
+		a.showProgress(testbed, live, s, done, screen)
 	}()
-	h, err := hall.Run(ctx)
-	close(over)
-	<-shown
-	hall.Close()
-	own := hall.LabStats()
+	hist, err := testbed.Run(ctx)
+	close(done)
+	<-displayed
+	testbed.Close()
+	labStats := testbed.LabStats()
 	if err != nil && ctx.Err() != nil {
 		fmt.Fprintln(a.err, "ivylab: stopped; all processes have ended")
 		return ExitFailed
@@ -235,77 +234,77 @@
 	if err != nil {
 		return a.fail(ExitFailed, err)
 	}
-	return a.finish(s, h, &own, to, time.Since(start), nil)
+	return a.finish(s, hist, &labStats, outputs, time.Since(start), nil)
 }
 
-// follow shows a run until it is over: a screen that changes, or plain lines.
-func (a *app) follow(h *real.Testbed, l *show.LiveView, s *scenario.Scenario, over <-chan struct{}, screen bool) {
-	every := 2 * time.Second
+// showProgress shows a run until it is over, on a live screen or as lines.
+func (a *app) showProgress(testbed *real.Testbed, live *show.LiveView, s *scenario.Scenario, done <-chan struct{}, screen bool) {
+	interval := 2 * time.Second
 	if screen = screen && a.rows > 0; screen {
-		every = 250 * time.Millisecond
-		fmt.Fprint(a.out, "\x1b[?25l\x1b[2J")         // no cursor, a clean screen
-		defer fmt.Fprint(a.out, "\x1b[?25h\x1b[0m\n") // as it was
+		interval = 250 * time.Millisecond
+		fmt.Fprint(a.out, "\x1b[?25l\x1b[2J")         // hide the cursor, clear the screen
+		defer fmt.Fprint(a.out, "\x1b[?25h\x1b[0m\n") // show the cursor again
 	}
-	t := time.NewTicker(every)
-	defer t.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
-		case <-t.C:
+		case <-ticker.C:
 			if screen {
-				text := l.Screen("ivylab "+s.Name, h.Clock(), s.Length.Duration, h.ServerStatuses(), a.rows-1)
+				text := live.Screen("ivylab "+s.Name, testbed.Clock(), s.Length.Duration, testbed.ServerStatuses(), a.rows-1)
 				fmt.Fprint(a.out, "\x1b[H"+strings.ReplaceAll(text, "\n", "\x1b[K\n")+"\x1b[J")
 			} else {
-				fmt.Fprintln(a.out, l.Line(h.Clock(), h.ServerStatuses()))
+				fmt.Fprintln(a.out, live.Line(testbed.Clock(), testbed.ServerStatuses()))
 			}
 		}
 	}
 }
 
-// Result is what run -json writes.
+// Result is the JSON output of run -json.
 type Result struct {
 	Scenario string         `json:"scenario"`
 	Seed     int64          `json:"seed"`
 	Passed   bool           `json:"held"`
 	Failures []string       `json:"did_not_hold"`
 	Verdict  *judge.Verdict `json:"verdict"`
-	LabStats *real.LabStats `json:"lab,omitempty"` // the lab's own part, on sockets
+	LabStats *real.LabStats `json:"lab,omitempty"` // runs with processes only
 	Elapsed  float64        `json:"took_s"`
 	Events   int            `json:"events"`
 }
 
-// finish judges a run, writes what was asked for and prints the verdict.
-func (a *app) finish(s *scenario.Scenario, h *history.History, own *real.LabStats, to files, took time.Duration, more []string) int {
-	v := judge.Judge(h)
-	left := append(holds.Check(s, h, &v), more...)
-	r := Result{s.Name, h.Setup.Seed, len(left) == 0, left, &v, own, took.Seconds(), len(h.Events)}
-	if err := to.write(h, &r); err != nil {
+// finish judges a run, writes the output files and prints the verdict.
+func (a *app) finish(s *scenario.Scenario, hist *history.History, labStats *real.LabStats, outputs outputFiles, elapsed time.Duration, extraFailures []string) int {
+	v := judge.Judge(hist)
+	failures := append(holds.Check(s, hist, &v), extraFailures...)
+	r := Result{s.Name, hist.Setup.Seed, len(failures) == 0, failures, &v, labStats, elapsed.Seconds(), len(hist.Events)}
+	if err := outputs.write(hist, &r); err != nil {
 		return a.fail(ExitFailed, err)
 	}
-	a.verdict(h, &r)
-	if to.report != "" {
-		fmt.Fprintf(a.out, "report: %s\n", to.report)
+	a.printVerdict(hist, &r)
+	if outputs.report != "" {
+		fmt.Fprintf(a.out, "report: %s\n", outputs.report)
 	}
-	if len(left) > 0 {
+	if len(failures) > 0 {
 		return ExitFailed
 	}
 	return ExitPassed
 }
 
-func (x files) write(h *history.History, r *Result) error {
+func (x outputFiles) write(h *history.History, r *Result) error {
 	return errors.Join(
-		put(x.json, func(w io.Writer) error {
+		writeFile(x.json, func(w io.Writer) error {
 			e := json.NewEncoder(w)
 			e.SetIndent("", "  ")
 			return e.Encode(r)
 		}),
-		put(x.history, h.Write),
-		put(x.report, func(w io.Writer) error { return show.Report(w, h, r.Verdict, r.Failures) }))
+		writeFile(x.history, h.Write),
+		writeFile(x.report, func(w io.Writer) error { return show.Report(w, h, r.Verdict, r.Failures) }))
 }
 
-// put writes a file; an empty path is none.
-func put(path string, do func(io.Writer) error) error {
+// writeFile writes a file unless the path is empty.
+func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
 	}
@@ -313,22 +312,22 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(do(f), f.Close())
+	return errors.Join(write(f), f.Close())
 }
 
-func (a *app) verdict(h *history.History, r *Result) {
-	g := r.Verdict.Service
+func (a *app) printVerdict(hist *history.History, r *Result) {
+	service := r.Verdict.Service
 	fmt.Fprintf(a.out, "\n%s, seed %d: score %.1f (measure %.3f: whole %.3f, worst 10 s %.3f, worst class %.3f; penalties %.2f)\n",
-		r.Scenario, r.Seed, g.Score, g.Measure, g.OnTimeRatio, g.WorstWindow, g.WorstClass, g.Penalties.Sum())
-	fmt.Fprintf(a.out, "%d orders in %d tries and %d attempts; %d tries refused, %d failed; %d effects run\n", g.Orders, g.Tries, g.Attempts, g.Refused, g.Failed, g.Runs)
-	for _, c := range g.Classes {
+		r.Scenario, r.Seed, service.Score, service.Measure, service.OnTimeRatio, service.WorstWindow, service.WorstClass, service.Penalties.Sum())
+	fmt.Fprintf(a.out, "%d orders in %d tries and %d attempts; %d tries refused, %d failed; %d effects run\n", service.Orders, service.Tries, service.Attempts, service.Refused, service.Failed, service.Runs)
+	for _, c := range service.Classes {
 		fmt.Fprintf(a.out, "  %-16s %6d orders, %6d within aim, p50 %4d ms, p99 %5d ms, %d tries refused, %d failed\n",
 			c.Class, c.Orders, c.OnTime, c.P50.Milliseconds(), c.P99.Milliseconds(), c.Refused, c.Failed)
 	}
 	if r.LabStats != nil {
 		fmt.Fprintf(a.out, "the lab sent its orders late by %v (p50) and %v (p99)\n", r.LabStats.LateP50.Round(10*time.Microsecond), r.LabStats.LateP99.Round(10*time.Microsecond))
 	} else {
-		fmt.Fprintf(a.out, "%.0f s of the lab's time in %.2f s\n", h.Events[len(h.Events)-1].At.Seconds(), r.Elapsed)
+		fmt.Fprintf(a.out, "%.0f s of the lab's time in %.2f s\n", hist.Events[len(hist.Events)-1].At.Seconds(), r.Elapsed)
 	}
 	if r.Passed {
 		fmt.Fprintln(a.out, "HELD: the four rules were kept, and all that the scenario asks")
@@ -340,25 +339,25 @@
 }
 
 func (a *app) judge(args []string) int {
-	var word string
+	var path string
 	f := flag.NewFlagSet("judge", flag.ContinueOnError)
-	if !a.parse(f, args, &word) {
+	if !a.parse(f, args, &path) {
 		return ExitUsage
 	}
-	file, err := os.Open(word)
+	file, err := os.Open(path)
 	if err != nil {
 		return a.fail(ExitUsage, err)
 	}
 	defer file.Close()
-	h, err := history.Read(file)
+	hist, err := history.Read(file)
 	if err != nil {
-		return a.fail(ExitUsage, fmt.Errorf("%s: %w", word, err))
+		return a.fail(ExitUsage, fmt.Errorf("%s: %w", path, err))
 	}
-	v := judge.Judge(h)
-	left := holds.BreachLines(&v)
-	r := Result{h.Setup.Scenario, h.Setup.Seed, len(left) == 0, left, &v, &real.LabStats{}, 0, len(h.Events)}
-	a.verdict(h, &r)
-	if len(left) > 0 {
+	v := judge.Judge(hist)
+	failures := holds.BreachLines(&v)
+	r := Result{hist.Setup.Scenario, hist.Setup.Seed, len(failures) == 0, failures, &v, &real.LabStats{}, 0, len(hist.Events)}
+	a.printVerdict(hist, &r)
+	if len(failures) > 0 {
 		return ExitFailed
 	}
 	return ExitPassed
@@ -387,20 +386,20 @@
 		}
 		return ExitPassed
 	}
-	res := sweep.Run(*first, *seeds, nil, func(x sweep.Finding) bool {
-		fmt.Fprintf(a.out, "seed %d breaks %v\nshrunk in %d replays, it still breaks %v:\n\n%s\n", x.Seed, x.Breach, x.Replays, x.ShrunkBreach, x.TOML())
+	result := sweep.Run(*first, *seeds, nil, func(finding sweep.Finding) bool {
+		fmt.Fprintf(a.out, "seed %d breaks %v\nshrunk in %d replays, it still breaks %v:\n\n%s\n", finding.Seed, finding.Breach, finding.Replays, finding.ShrunkBreach, finding.TOML())
 		return true
 	})
-	took := time.Since(start)
-	fmt.Fprintf(a.out, "%d timelines, %d tries, %.0f s of the lab's time in %.1f s (%.0f timelines a minute): %d break a rule\n", res.Played, res.Tries,
-		res.SimulatedTime.Seconds(), took.Seconds(), float64(res.Played)/took.Minutes(), len(res.Findings))
-	if len(res.Findings) > 0 {
-		var all []int64
-		for _, x := range res.Findings {
-			all = append(all, x.Seed)
+	elapsed := time.Since(start)
+	fmt.Fprintf(a.out, "%d timelines, %d tries, %.0f s of the lab's time in %.1f s (%.0f timelines a minute): %d break a rule\n", result.Played, result.Tries,
+		result.SimulatedTime.Seconds(), elapsed.Seconds(), float64(result.Played)/elapsed.Minutes(), len(result.Findings))
+	if len(result.Findings) > 0 {
+		var foundSeeds []int64
+		for _, finding := range result.Findings {
+			foundSeeds = append(foundSeeds, finding.Seed)
 		}
-		slices.Sort(all)
-		fmt.Fprintln(a.out, "seeds:", all)
+		slices.Sort(foundSeeds)
+		fmt.Fprintln(a.out, "seeds:", foundSeeds)
 		return ExitFailed
 	}
 	return ExitPassed
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -18,7 +18,7 @@
 	return code, o.String(), e.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeScenario(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -27,7 +27,7 @@
 	return path
 }
 
-const small = `name = "small"
+const smallScenario = `name = "small"
 length = "3s"
 [load]
 rate = 40.0
@@ -44,11 +44,11 @@
 faults_happen = true
 `
 
-func TestMisuseStartsNothingAndExitsWithTwo(t *testing.T) {
-	bad := write(t, strings.Replace(small, `at = "1s"`, "at = 1", 1))
+func TestUsageErrorsExitWithTwo(t *testing.T) {
+	bad := writeScenario(t, strings.Replace(smallScenario, `at = "1s"`, "at = 1", 1))
 	for _, c := range []struct {
 		args []string
-		say  string
+		want string
 	}{
 		{nil, "ivylab demo"},
 		{[]string{"dance"}, "unknown command"},
@@ -61,27 +61,27 @@
 		{[]string{"judge", "nothing"}, "no such file"},
 	} {
 		code, _, errs := run(context.Background(), c.args...)
-		if code != ExitUsage || !strings.Contains(errs, c.say) {
-			t.Errorf("%v: code %d, said %q, want %q", c.args, code, errs, c.say)
+		if code != ExitUsage || !strings.Contains(errs, c.want) {
+			t.Errorf("%v: code %d, error %q, want %q", c.args, code, errs, c.want)
 		}
 	}
 }
 
-func TestListNamesEveryScenario(t *testing.T) {
+func TestListPrintsScenarios(t *testing.T) {
 	code, out, errs := run(context.Background(), "list")
 	if code != ExitPassed || !strings.Contains(out, "hall-lost") || !strings.Contains(out, "overlap") {
 		t.Errorf("code %d: %s%s", code, out, errs)
 	}
 }
 
-func TestRunInMemoryWritesItsFilesAndTheJudgeReadsThem(t *testing.T) {
+func TestSimulatedRunWritesFilesThatJudgeReads(t *testing.T) {
 	dir := t.TempDir()
-	js, hist, page := filepath.Join(dir, "a.json"), filepath.Join(dir, "a.hist"), filepath.Join(dir, "a.html")
-	code, out, errs := run(context.Background(), "run", write(t, small), "-memory", "-json", js, "-history", hist, "-report", page, "-seed", "9")
+	jsonFile, historyFile, reportFile := filepath.Join(dir, "a.json"), filepath.Join(dir, "a.hist"), filepath.Join(dir, "a.html")
+	code, out, errs := run(context.Background(), "run", writeScenario(t, smallScenario), "-memory", "-json", jsonFile, "-history", historyFile, "-report", reportFile, "-seed", "9")
 	if code != ExitPassed || !strings.Contains(out, "HELD") {
 		t.Fatalf("code %d: %s%s", code, out, errs)
 	}
-	raw, err := os.ReadFile(js)
+	raw, err := os.ReadFile(jsonFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,20 +89,20 @@
 	if err := json.Unmarshal(raw, &r); err != nil || !r.Passed || r.Seed != 9 || r.Verdict.Service.Orders == 0 {
 		t.Errorf("%+v, %v", r, err)
 	}
-	if info, err := os.Stat(page); err != nil || info.Size() == 0 {
+	if info, err := os.Stat(reportFile); err != nil || info.Size() == 0 {
 		t.Errorf("report: %v", err)
 	}
-	if code, out, errs := run(context.Background(), "judge", hist); code != ExitPassed {
+	if code, out, errs := run(context.Background(), "judge", historyFile); code != ExitPassed {
 		t.Errorf("judge: code %d: %s%s", code, out, errs)
 	}
-	// What does not hold is said and is the exit code.
-	code, out, _ = run(context.Background(), "run", write(t, small+"[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"heavy\"\nclass = \"cut-order\"\npart = 0.000001\nfactor = 20.0\n"), "-memory")
+	// An unmet requirement is printed and changes the exit code.
+	code, out, _ = run(context.Background(), "run", writeScenario(t, smallScenario+"[[fault]]\nat = \"1s\"\nfor = \"1s\"\nwhat = \"heavy\"\nclass = \"cut-order\"\npart = 0.000001\nfactor = 20.0\n"), "-memory")
 	if code != ExitFailed || !strings.Contains(out, "DID NOT HOLD: fault 2 (heavy cut-order) did not happen") {
 		t.Errorf("code %d: %s", code, out)
 	}
 }
 
-func TestSweepSaysWhatItPlayed(t *testing.T) {
+func TestSweepPrintsCounts(t *testing.T) {
 	code, out, errs := run(context.Background(), "sweep", "-seeds", "3", "-from", "100")
 	if code != ExitPassed || !strings.Contains(out, "3 timelines") {
 		t.Errorf("code %d: %s%s", code, out, errs)
@@ -112,8 +112,8 @@
 	}
 }
 
-// children lists the processes of this program's that run a node.
-func children(t *testing.T, program string) string {
+// nodeProcesses lists the processes that run the given program.
+func nodeProcesses(t *testing.T, program string) string {
 	t.Helper()
 	dirs, _ := filepath.Glob("/proc/[0-9]*/exe")
 	var out []string
@@ -125,38 +125,38 @@
 	return strings.Join(out, " ")
 }
 
-func TestRunOnSocketsAndAStopLeaveNoProcess(t *testing.T) {
+func TestRunsLeaveNoProcessBehind(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "ivylock")
 	if out, err := exec.Command("go", "build", "-o", program, "ivylock/cmd/ivylock").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	code, out, errs := run(context.Background(), "run", write(t, small), "-node", program)
+	code, out, errs := run(context.Background(), "run", writeScenario(t, smallScenario), "-node", program)
 	if code != ExitPassed {
 		t.Errorf("code %d: %s%s", code, out, errs)
 	}
-	if left := children(t, program); left != "" {
+	if left := nodeProcesses(t, program); left != "" {
 		t.Errorf("left behind: %s", left)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	time.AfterFunc(700*time.Millisecond, stop)
+	ctx, cancel := context.WithCancel(context.Background())
+	time.AfterFunc(700*time.Millisecond, cancel)
 	code, out, errs = run(ctx, "demo", "-node", program, "-rate", "30", "-seconds", "60", "-report", filepath.Join(t.TempDir(), "x.html"))
 	if code != ExitFailed || !strings.Contains(errs, "stopped") {
 		t.Errorf("stopped: code %d: %s%s", code, out, errs)
 	}
-	if left := children(t, program); left != "" {
-		t.Errorf("left behind by a stop: %s", left)
+	if left := nodeProcesses(t, program); left != "" {
+		t.Errorf("left behind after cancellation: %s", left)
 	}
-	// A lab that is killed outright takes its nodes along.
+	// Killing the lab must end its nodes, too.
 	lab := filepath.Join(t.TempDir(), "ivylab")
 	if out, err := exec.Command("go", "build", "-o", lab, "ivylock/cmd/ivylab").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	cmd := exec.Command(lab, "run", write(t, strings.Replace(small, `"3s"`, `"60s"`, 1)), "-node", program)
+	cmd := exec.Command(lab, "run", writeScenario(t, strings.Replace(smallScenario, `"3s"`, `"60s"`, 1)), "-node", program)
 	cmd.Env = append(os.Environ(), "TMPDIR="+t.TempDir())
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until := func(what string, done func() bool) {
+	waitUntil := func(what string, done func() bool) {
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); !done(); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
@@ -164,11 +164,11 @@
 			}
 		}
 	}
-	until("started", func() bool { return children(t, program) != "" })
+	waitUntil("started", func() bool { return nodeProcesses(t, program) != "" })
 	cmd.Process.Kill()
 	cmd.Wait()
-	until("ended", func() bool { return children(t, program) == "" })
-	if code, _, errs := run(context.Background(), "run", write(t, small), "-node", "/bin/false"); code != ExitFailed || !strings.Contains(errs, "ended at once") {
-		t.Errorf("a program that is no node: code %d: %s", code, errs)
+	waitUntil("ended", func() bool { return nodeProcesses(t, program) == "" })
+	if code, _, errs := run(context.Background(), "run", writeScenario(t, smallScenario), "-node", "/bin/false"); code != ExitFailed || !strings.Contains(errs, "ended at once") {
+		t.Errorf("a program that is not a node: code %d: %s", code, errs)
 	}
 }
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -12,21 +12,21 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// rates that a machine of so many cores carries without being the trouble
-// itself: the lab and three nodes share them.
+// Requests per second that the machine carries without becoming the bottleneck;
+// the lab and three nodes share its cores.
 const (
 	ratePerCore = 60.0
-	rateMost    = 300.0
+	maxRate     = 300.0
 )
 
-// demo is the first look.
+// demo runs a scenario with a drain and a silent server on the live screen.
 func (a *app) demo(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("demo", flag.ContinueOnError)
 	seconds := f.Float64("seconds", 30, "how `long`; the faults keep their places in it")
 	rate := f.Float64("rate", 0, "first tries a `second`; 0: fit for this machine")
 	program := f.String("node", "", "the node's `program`; empty: it is built from this source tree")
-	to := files{}
-	to.flags(f)
+	outputs := outputFiles{}
+	outputs.flags(f)
 	f.Set("report", "ivylab-demo.html")
 	if !a.parse(f, args, nil) {
 		return ExitUsage
@@ -35,7 +35,7 @@
 		return a.fail(ExitUsage, errors.New("-seconds: want 5 to 600"))
 	}
 	if *rate == 0 {
-		*rate = min(rateMost, ratePerCore*float64(runtime.NumCPU()))
+		*rate = min(maxRate, ratePerCore*float64(runtime.NumCPU()))
 	}
 	s := demoScenario(*seconds, *rate)
 	if err := scenario.Check(s); err != nil {
@@ -43,12 +43,12 @@
 	}
 	fmt.Fprintf(a.out, "One discovery, 12 clip servers in three halls, three nodes as processes, %.0f requests a second for %.0f s.\n", *rate, *seconds)
 	fmt.Fprintln(a.out, "hall-nord.1 drains, later hall-vest.2 goes silent and comes back cold. Ctrl-C ends it.")
-	return a.play(ctx, s, real.Options{}, *program, to, true)
+	return a.play(ctx, s, real.Options{}, *program, outputs, true)
 }
 
 func demoScenario(seconds, rate float64) *scenario.Scenario {
-	at := func(part float64) scenario.Span {
-		return scenario.Span{Duration: time.Duration(part * seconds * float64(time.Second))}
+	at := func(fraction float64) scenario.Span {
+		return scenario.Span{Duration: time.Duration(fraction * seconds * float64(time.Second))}
 	}
 	s := &scenario.Scenario{Name: "demo", Seed: 1, Length: at(1), Load: scenario.Load{Rate: rate},
 		Client: scenario.Client{Retries: 2, RetryAfterFraction: 0.85},
@@ -57,8 +57,8 @@
 			{At: at(0.5), For: at(0.25), Kind: scenario.FaultSilent, Targets: []string{"hall-vest.2"}},
 		},
 		Requirements: scenario.Requirements{RequireFaults: true, MinServed: 0.5}}
-	for _, hall := range []string{"hall-nord", "hall-syd", "hall-vest"} {
-		s.Zones = append(s.Zones, scenario.Zone{Name: hall, Nodes: 1, Servers: map[string]int{"fast-6": 2, "std-6": 1, "slow-6": 1}})
+	for _, name := range []string{"hall-nord", "hall-syd", "hall-vest"} {
+		s.Zones = append(s.Zones, scenario.Zone{Name: name, Nodes: 1, Servers: map[string]int{"fast-6": 2, "std-6": 1, "slow-6": 1}})
 	}
 	return s
 }
--- a/internal/lab/command/experiment.go
+++ b/internal/lab/command/experiment.go
@@ -15,43 +15,43 @@
 	"ivylock/internal/lab/experiment"
 )
 
-// commit names the source that this program was built from; where the build
-// did not note it, that of the folder it is called in.
-func commit() string {
-	if id := builtFrom(); id != "unknown" {
+// sourceCommit returns the commit that this program was built from or, if the build
+// did not record it, the commit of the working directory.
+func sourceCommit() string {
+	if id := buildCommit(); id != "unknown" {
 		return id
 	}
 	id, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
 		return "unknown"
 	}
-	changed := ""
+	suffix := ""
 	if out, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no", "--", "*.go").Output(); err != nil || len(out) > 0 {
-		changed = "+"
+		suffix = "+"
 	}
-	return strings.TrimSpace(string(id)) + changed
+	return strings.TrimSpace(string(id)) + suffix
 }
 
-func builtFrom() string {
+func buildCommit() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	id, changed := "unknown", ""
-	for _, s := range info.Settings {
-		switch s.Key {
+	id, suffix := "unknown", ""
+	for _, setting := range info.Settings {
+		switch setting.Key {
 		case "vcs.revision":
-			id = s.Value[:min(12, len(s.Value))]
+			id = setting.Value[:min(12, len(setting.Value))]
 		case "vcs.modified":
-			if s.Value == "true" {
-				changed = "+"
+			if setting.Value == "true" {
+				suffix = "+"
 			}
 		}
 	}
-	return id + changed
+	return id + suffix
 }
 
-// experiment plays a design.
+// experiment runs a design.
 func (a *app) experiment(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("experiment", flag.ContinueOnError)
 	out := f.String("out", "", "the `file` of rows; empty: the design's name and .rows")
@@ -70,12 +70,12 @@
 		*out = d.Name + ".rows"
 	}
 	started := time.Now()
-	told := time.Time{}
-	err = experiment.Run(ctx, d, *out, commit(), func(p experiment.Progress) {
-		if time.Since(told) < time.Second && p.Done < p.Total {
+	shownAt := time.Time{}
+	err = experiment.Run(ctx, d, *out, sourceCommit(), func(p experiment.Progress) {
+		if time.Since(shownAt) < time.Second && p.Done < p.Total {
 			return
 		}
-		told = time.Now()
+		shownAt = time.Now()
 		line := fmt.Sprintf("%d of %d days, %v left; %s: %.3f", p.Done, p.Total, p.Remaining.Round(time.Second), p.Last.GroupKey(), p.Last.Measure)
 		if a.rows > 0 {
 			fmt.Fprintf(a.err, "\r\x1b[K%s", line)
@@ -96,17 +96,17 @@
 	if err != nil {
 		return a.fail(ExitFailed, err)
 	}
-	var mine []experiment.Row
+	var current []experiment.Row
 	for _, r := range rows {
-		if r.Commit == commit() {
-			mine = append(mine, r)
+		if r.Commit == sourceCommit() {
+			current = append(current, r)
 		}
 	}
-	fmt.Fprintf(a.out, "%s, commit %s, %v\n\n%s", d.Name, commit(), time.Since(started).Round(time.Second), experiment.Table(experiment.Groups(mine)))
+	fmt.Fprintf(a.out, "%s, commit %s, %v\n\n%s", d.Name, sourceCommit(), time.Since(started).Round(time.Second), experiment.Table(experiment.Groups(current)))
 	return ExitPassed
 }
 
-// plot draws a file of rows.
+// plot plots a file of rows.
 func (a *app) plot(args []string) int {
 	f := flag.NewFlagSet("plot", flag.ContinueOnError)
 	out := f.String("out", "", "the `folder` for the figures and the page; empty: the file's name without .rows")
@@ -134,8 +134,8 @@
 	if err != nil {
 		return a.fail(ExitFailed, err)
 	}
-	for i, x := range figures {
-		if err := os.WriteFile(filepath.Join(*out, fmt.Sprintf("figure-%02d.svg", i+1)), x.SVG, 0o644); err != nil {
+	for i, figure := range figures {
+		if err := os.WriteFile(filepath.Join(*out, fmt.Sprintf("figure-%02d.svg", i+1)), figure.SVG, 0o644); err != nil {
 			return a.fail(ExitFailed, err)
 		}
 	}
@@ -151,14 +151,14 @@
 	return ExitPassed
 }
 
-// compare tells what differs beyond noise between two files of rows.
+// compare reports significant differences between two files of rows.
 func (a *app) compare(args []string) int {
 	f := flag.NewFlagSet("compare", flag.ContinueOnError)
-	least := f.Float64("least", 0.005, "a difference of the measure under this does not count")
+	minDifference := f.Float64("least", 0.005, "a difference of the measure under this does not count")
 	if f.SetOutput(a.err); f.Parse(args) != nil {
 		return ExitUsage
 	}
-	if f.NArg() != 2 || *least < 0 {
+	if f.NArg() != 2 || *minDifference < 0 {
 		return a.fail(ExitUsage, errors.New("compare: want two files of rows, the older one first"))
 	}
 	var rows [2][]experiment.Row
@@ -168,21 +168,21 @@
 			return a.fail(ExitUsage, err)
 		}
 	}
-	all, err := experiment.Compare(rows[0], rows[1], *least)
+	all, err := experiment.Compare(rows[0], rows[1], *minDifference)
 	if err != nil {
 		return a.fail(ExitUsage, err)
 	}
 	worse := 0
 	for _, d := range all {
-		word := ""
+		verdict := ""
 		switch {
 		case d.Worse:
-			word = "WORSE"
+			verdict = "WORSE"
 			worse++
 		case d.Better:
-			word = "better"
+			verdict = "better"
 		}
-		fmt.Fprintf(a.out, "%-44s %3d days  %+.4f  [%+.4f, %+.4f]  %+d broken  %s\n", d.Group, d.N, d.Mean, d.Low, d.High, d.Breaches, word)
+		fmt.Fprintf(a.out, "%-44s %3d days  %+.4f  [%+.4f, %+.4f]  %+d broken  %s\n", d.Group, d.N, d.Mean, d.Low, d.High, d.Breaches, verdict)
 	}
 	fmt.Fprintf(a.out, "%d of %d worse\n", worse, len(all))
 	if worse > 0 {
--- a/internal/lab/command/soak.go
+++ b/internal/lab/command/soak.go
@@ -13,7 +13,7 @@
 	"ivylock/internal/lab/soak"
 )
 
-// soak plays random faults on many real nodes, seed after seed.
+// soak runs random faults against many real nodes, one seed after the other.
 func (a *app) soak(ctx context.Context, args []string) int {
 	b := soak.DefaultBounds
 	f := flag.NewFlagSet("soak", flag.ContinueOnError)
@@ -53,7 +53,7 @@
 			continue
 		}
 		failed++
-		if err := put(*historyFile, r.History.Write); err != nil {
+		if err := writeFile(*historyFile, r.History.Write); err != nil {
 			return a.fail(ExitFailed, err)
 		}
 	}
@@ -64,7 +64,8 @@
 	return ExitPassed
 }
 
-// buildNode builds the node's program from this source tree.
+// buildNode builds the node's program from this source tree into a temporary folder,
+// which clean removes.
 func buildNode(ctx context.Context, flags ...string) (program string, clean func(), err error) {
 	dir, err := os.MkdirTemp("", "ivylab-build-")
 	if err != nil {
--- a/internal/lab/command/xdsday.go
+++ b/internal/lab/command/xdsday.go
@@ -16,15 +16,15 @@
 	"ivylock/scenarios"
 )
 
-// xdsDay plays each scenario in memory in every way to choose a server.
+// xdsDay simulates each scenario under every policy.
 func (a *app) xdsDay(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("xds-day", flag.ContinueOnError)
 	seeds := f.Int("seeds", 5, "runs of each, with further seeds; 1 to 100")
-	times := f.Float64("load", 1, "times each scenario's own load; 0.1 to 10")
+	loadFactor := f.Float64("load", 1, "times each scenario's own load; 0.1 to 10")
 	if !a.parse(f, args, nil) {
 		return ExitUsage
 	}
-	if *seeds < 1 || *seeds > 100 || !(*times >= 0.1 && *times <= 10) {
+	if *seeds < 1 || *seeds > 100 || !(*loadFactor >= 0.1 && *loadFactor <= 10) {
 		return a.fail(ExitUsage, fmt.Errorf("xds-day: -seeds must be from 1 to 100, -load from 0.1 to 10"))
 	}
 	files, err := fs.Glob(scenarios.Files, "*.toml")
@@ -37,25 +37,25 @@
 	}
 	names := make([]string, len(files))
 	results := make([][]result, len(files))
-	room := make(chan struct{}, runtime.NumCPU())
-	var done sync.WaitGroup
+	slots := make(chan struct{}, runtime.NumCPU())
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i, file := range files {
 		s, err := scenario.LoadFile(scenarios.Files, file)
 		if err != nil {
 			return a.fail(ExitUsage, err)
 		}
-		s.Load.Rate *= *times
+		s.Load.Rate *= *loadFactor
 		names[i], results[i] = s.Name, make([]result, len(policy.All))
-		for j, way := range policy.All {
+		for j, name := range policy.All {
 			for seed := range *seeds {
-				done.Go(func() {
-					room <- struct{}{}
-					defer func() { <-room }()
+				wg.Go(func() {
+					slots <- struct{}{}
+					defer func() { <-slots }()
 					if ctx.Err() != nil {
 						return
 					}
-					v := judge.Judge(memory.Run(s, policy.Options(way, s.Seed+int64(seed))))
+					v := judge.Judge(memory.Run(s, policy.Options(name, s.Seed+int64(seed))))
 					mu.Lock()
 					defer mu.Unlock()
 					results[i][j].measure += v.Service.Measure / float64(*seeds)
@@ -66,20 +66,20 @@
 			}
 		}
 	}
-	done.Wait()
+	wg.Wait()
 	if ctx.Err() != nil {
 		return ExitFailed
 	}
 	fmt.Fprintf(a.out, "%-12s", "measure")
-	for _, way := range policy.All {
-		fmt.Fprintf(a.out, " %16s", way)
+	for _, name := range policy.All {
+		fmt.Fprintf(a.out, " %16s", name)
 	}
 	fmt.Fprintln(a.out)
 	sums := make([]result, len(policy.All))
-	line := func(name string, rs []result, parts float64) {
+	line := func(name string, rs []result, divisor float64) {
 		var b strings.Builder
 		for _, r := range rs {
-			cell := fmt.Sprintf("%.3f", r.measure/parts)
+			cell := fmt.Sprintf("%.3f", r.measure/divisor)
 			if r.breaches > 0 {
 				cell += fmt.Sprintf(" (%d broken)", r.breaches)
 			}
--- a/internal/lab/command/xdsdrain.go
+++ b/internal/lab/command/xdsdrain.go
@@ -12,16 +12,18 @@
 	"ivylock/internal/lab/xdsdrain"
 )
 
-// drainLimit is the third rule's: nothing new later than this after the word.
-const drainLimit = 500 * time.Millisecond
+// maxDrainDelay is the longest time after the notification of a drain in which the
+// rule on drains allows new requests.
+const maxDrainDelay = 500 * time.Millisecond
 
-// xdsDrain measures drains of proxies that are steered over xDS, under faults.
+// xdsDrain measures how long proxies controlled over xDS send to a drained server,
+// under faults.
 func (a *app) xdsDrain(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("xds-drain", flag.ContinueOnError)
 	count := f.Int("drains", 203, "drains, dealt over the faults; 7 to 10,000")
 	halls := f.Int("halls", 4, "halls at once; 1 to 16")
 	seed := f.Uint64("seed", 1, "of the choices")
-	program := f.String("control", beside("ivylock-control"), "the control service's program")
+	program := f.String("control", siblingProgram("ivylock-control"), "the control service's program")
 	if !a.parse(f, args, nil) {
 		return ExitUsage
 	}
@@ -31,34 +33,34 @@
 	jobs := make(chan xdsdrain.Fault)
 	var mu sync.Mutex
 	var all []xdsdrain.Measurement
-	var failed error
+	var firstErr error
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	fail := func(err error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if failed == nil {
-			failed = err
+		if firstErr == nil {
+			firstErr = err
 		}
 		cancel()
 	}
-	var done sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range *halls {
-		done.Go(func() {
-			h, err := xdsdrain.New(*program, *seed+uint64(i))
+		workers.Go(func() {
+			fixture, err := xdsdrain.New(*program, *seed+uint64(i))
 			if err != nil {
 				fail(err)
 				return
 			}
-			defer h.Close()
+			defer fixture.Close()
 			for fault := range jobs {
-				d, err := h.Drain(fault)
+				drains, err := fixture.Drain(fault)
 				if err != nil {
 					fail(fmt.Errorf("%s: %w", fault, err))
 					return
 				}
 				mu.Lock()
-				all = append(all, d...)
+				all = append(all, drains...)
 				mu.Unlock()
 			}
 		})
@@ -72,16 +74,16 @@
 		}
 	}
 	close(jobs)
-	done.Wait()
-	if failed != nil {
-		return a.fail(ExitFailed, failed)
+	workers.Wait()
+	if firstErr != nil {
+		return a.fail(ExitFailed, firstErr)
 	}
 	fmt.Fprintf(a.out, "%-15s %7s %8s %8s %8s %10s %8s\n", "fault", "drains", "p50 ms", "p99 ms", "max ms", "no server", "streams")
 	code := ExitPassed
 	for _, s := range xdsdrain.Summarise(all) {
 		ms := func(d time.Duration) string { return fmt.Sprintf("%.0f", float64(d)/1e6) }
 		fmt.Fprintf(a.out, "%-15s %7d %8s %8s %8s %9.1f%% %8d\n", s.Fault, s.Drains, ms(s.P50), ms(s.P99), ms(s.Max), 100*s.NoServerRatio, s.Streams)
-		if s.Max > drainLimit {
+		if s.Max > maxDrainDelay {
 			code = ExitFailed
 		}
 	}
@@ -89,13 +91,13 @@
 		return ExitFailed
 	}
 	if code != ExitPassed {
-		fmt.Fprintf(a.out, "a drained server got a new request later than %v\n", drainLimit)
+		fmt.Fprintf(a.out, "a drained server got a new request later than %v\n", maxDrainDelay)
 	}
 	return code
 }
 
-// beside names a program that is built beside this one.
-func beside(name string) string {
+// siblingProgram returns the path of a program in the folder of this one.
+func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
