--- a/internal/lab/show/live.go
+++ b/internal/lab/show/live.go
@@ -13,33 +13,32 @@
 )
 
 const (
-	recent   = 5 * time.Second // the figures of a screen are of so long
-	maxKnown = 100_000         // orders and tries that it remembers
+	statsWindow   = 5 * time.Second
+	maxRemembered = 100_000 // tries, before open orders and tries are forgotten
 )
 
-// LiveView follows a run as it goes on. Its methods may be called from several
-// goroutines.
+// LiveView shows a run in progress. Its methods are safe for concurrent use.
 type LiveView struct {
 	mu      sync.Mutex
 	classes []history.Class
 	byName  map[string]*history.Class
 	orders  map[string]history.Event // first tries
 	tries   map[string]history.Event
-	answers []answered
-	worth   [2]float64 // of the whole run: within its aim, asked for
+	answers []answer
+	value   [2]float64 // of the whole run: served within the target latency, requested
 	refused int
 	faults  map[string]time.Duration
 	notes   []string
 }
 
-type answered struct {
-	at, took time.Duration
-	class    string
-	status   history.Status
-	within   bool
+type answer struct {
+	at, latency time.Duration
+	class       string
+	status      history.Status
+	onTime      bool
 }
 
-// NewLiveView makes one for a class table.
+// NewLiveView returns a view of a run with the given classes.
 func NewLiveView(classes []history.Class) *LiveView {
 	l := &LiveView{classes: classes, byName: map[string]*history.Class{}, orders: map[string]history.Event{}, tries: map[string]history.Event{},
 		faults: map[string]time.Duration{}}
@@ -49,13 +48,13 @@
 	return l
 }
 
-// Add takes an event.
+// Add processes an event.
 func (l *LiveView) Add(e history.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch e.Kind {
 	case history.OrderIssued, history.Try:
-		if len(l.tries) > maxKnown {
+		if len(l.tries) > maxRemembered {
 			l.tries, l.orders = map[string]history.Event{}, map[string]history.Event{}
 		}
 		if e.Kind == history.Try {
@@ -64,20 +63,20 @@
 		if _, known := l.orders[e.Order]; !known {
 			l.orders[e.Order] = e
 			if c := l.byName[e.Class]; c != nil {
-				l.worth[1] += c.Value
+				l.value[1] += c.Value
 			}
 		}
 	case history.Answer:
-		t, known := l.tries[e.Try]
-		c := l.byName[t.Class]
+		try, known := l.tries[e.Try]
+		c := l.byName[try.Class]
 		if !known || c == nil {
 			return
 		}
 		delete(l.tries, e.Try)
-		took := e.At - l.orders[t.Order].At
-		a := answered{e.At, took, t.Class, e.Status, e.Status == history.Served && took <= c.TargetLatency}
-		if a.within {
-			l.worth[0] += c.Value
+		latency := e.At - l.orders[try.Order].At
+		a := answer{e.At, latency, try.Class, e.Status, e.Status == history.Served && latency <= c.TargetLatency}
+		if a.onTime {
+			l.value[0] += c.Value
 		}
 		if e.Status == history.Refused {
 			l.refused++
@@ -93,22 +92,22 @@
 	}
 }
 
-// figures are those of the last seconds.
-type figures struct {
+// classStats are the statistics of a class over statsWindow.
+type classStats struct {
 	name            string
 	rate            float64
-	within, refused float64 // shares of the answers
+	onTime, refused float64 // fractions of the answers
 	p50, p99        time.Duration
 }
 
-func (l *LiveView) figures(now time.Duration) []figures {
-	for len(l.answers) > 0 && l.answers[0].at < now-recent {
+func (l *LiveView) recentStats(now time.Duration) []classStats {
+	for len(l.answers) > 0 && l.answers[0].at < now-statsWindow {
 		l.answers = l.answers[1:]
 	}
-	var out []figures
+	var stats []classStats
 	for _, c := range l.classes {
-		f := figures{name: c.Name}
-		var took []time.Duration
+		f := classStats{name: c.Name}
+		var latencies []time.Duration
 		n := 0.0
 		for _, a := range l.answers {
 			if a.class != c.Name {
@@ -117,34 +116,34 @@
 			n++
 			switch {
 			case a.status == history.Served:
-				took = append(took, a.took)
-				if a.within {
-					f.within++
+				latencies = append(latencies, a.latency)
+				if a.onTime {
+					f.onTime++
 				}
 			case a.status == history.Refused:
 				f.refused++
 			}
 		}
 		if n > 0 {
-			f.within, f.refused = f.within/n, f.refused/n
+			f.onTime, f.refused = f.onTime/n, f.refused/n
 		}
-		f.rate = n / min(recent, max(now, time.Second)).Seconds()
-		f.p50, f.p99 = judge.Quantile(took, 0.5), judge.Quantile(took, 0.99)
-		out = append(out, f)
+		f.rate = n / min(statsWindow, max(now, time.Second)).Seconds()
+		f.p50, f.p99 = judge.Quantile(latencies, 0.5), judge.Quantile(latencies, 0.99)
+		stats = append(stats, f)
 	}
-	return out
+	return stats
 }
 
-// Screen words the whole screen, in so many lines at most.
+// Screen returns the text of the screen, limited to the given number of lines.
 func (l *LiveView) Screen(title string, now, length time.Duration, rows []real.ServerStatus, lines int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s   %5.1f s of %.0f s   worth served %5.1f%%   refused %d\n", title, now.Seconds(), length.Seconds(), 100*l.share(), l.refused)
-	b.WriteString("now: " + l.now() + "\n")
+	fmt.Fprintf(&b, "%s   %5.1f s of %.0f s   worth served %5.1f%%   refused %d\n", title, now.Seconds(), length.Seconds(), 100*l.onTimeRatio(), l.refused)
+	b.WriteString("now: " + l.activeFaults() + "\n")
 	fmt.Fprintf(&b, "%-16s %9s %11s %9s %9s %9s\n", "last 5 s", "answers/s", "within aim", "refused", "p50", "p99")
-	for _, f := range l.figures(now) {
-		fmt.Fprintf(&b, "%-16s %9.0f %10.1f%% %8.1f%% %6d ms %6d ms\n", f.name, f.rate, 100*f.within, 100*f.refused, f.p50.Milliseconds(), f.p99.Milliseconds())
+	for _, f := range l.recentStats(now) {
+		fmt.Fprintf(&b, "%-16s %9.0f %10.1f%% %8.1f%% %6d ms %6d ms\n", f.name, f.rate, 100*f.onTime, 100*f.refused, f.p50.Milliseconds(), f.p99.Milliseconds())
 	}
 	fmt.Fprintf(&b, "%-14s %-8s %-9s %-11s %9s %7s\n", "server", "kind", "state", "warm", "in flight", "queue")
 	for _, r := range rows {
@@ -152,7 +151,7 @@
 		if state == "" {
 			state = "up"
 		}
-		fmt.Fprintf(&b, "%-14s %-8s %-9s %-11s %9d %7d  %s\n", r.Name, r.Kind, state, warmth(r.WarmRatio), r.Active+r.Waiting, r.Waiting, strings.Repeat("#", min(r.Active+r.Waiting, 30)))
+		fmt.Fprintf(&b, "%-14s %-8s %-9s %-11s %9d %7d  %s\n", r.Name, r.Kind, state, formatWarmth(r.WarmRatio), r.Active+r.Waiting, r.Waiting, strings.Repeat("#", min(r.Active+r.Waiting, 30)))
 	}
 	for _, n := range l.notes {
 		b.WriteString(n + "\n")
@@ -161,29 +160,29 @@
 	return strings.Join(all[:min(len(all), max(1, lines))], "")
 }
 
-// Line words the state on one line.
+// Line returns the state of the run on one line.
 func (l *LiveView) Line(now time.Duration, rows []real.ServerStatus) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	text := fmt.Sprintf("%5.1fs worth served %5.1f%%, refused %d;", now.Seconds(), 100*l.share(), l.refused)
-	for _, f := range l.figures(now) {
+	text := fmt.Sprintf("%5.1fs worth served %5.1f%%, refused %d;", now.Seconds(), 100*l.onTimeRatio(), l.refused)
+	for _, f := range l.recentStats(now) {
 		text += fmt.Sprintf(" %s %.0f/s p99 %d ms,", f.name, f.rate, f.p99.Milliseconds())
 	}
-	held := 0
+	inFlight := 0
 	for _, r := range rows {
-		held += r.Active + r.Waiting
+		inFlight += r.Active + r.Waiting
 	}
-	return text + fmt.Sprintf(" in flight %d; now: %s", held, l.now())
+	return text + fmt.Sprintf(" in flight %d; now: %s", inFlight, l.activeFaults())
 }
 
-func (l *LiveView) share() float64 {
-	if l.worth[1] == 0 {
+func (l *LiveView) onTimeRatio() float64 {
+	if l.value[1] == 0 {
 		return 1
 	}
-	return l.worth[0] / l.worth[1]
+	return l.value[0] / l.value[1]
 }
 
-func (l *LiveView) now() string {
+func (l *LiveView) activeFaults() string {
 	if len(l.faults) == 0 {
 		return "nothing wrong"
 	}
@@ -195,9 +194,9 @@
 	return strings.Join(all, "; ")
 }
 
-func warmth(part float64) string {
-	if part >= 1 {
+func formatWarmth(ratio float64) string {
+	if ratio >= 1 {
 		return "warm"
 	}
-	return fmt.Sprintf("cold %.0f%%", 100*part)
+	return fmt.Sprintf("cold %.0f%%", 100*ratio)
 }
--- a/internal/lab/show/report.go
+++ b/internal/lab/show/report.go
@@ -21,42 +21,42 @@
 	"ms":  func(d time.Duration) string { return fmt.Sprintf("%.0f ms", d.Seconds()*1000) },
 }).Parse(reportText))
 
-// Report writes one self-contained page about a run. left is what did not
-// hold; none means the run is as asked.
-func Report(w io.Writer, h *history.History, v *judge.Verdict, left []string) error {
+// Report writes a self-contained HTML page about a run. failures are the
+// requirements and rules that the run did not meet.
+func Report(w io.Writer, h *history.History, v *judge.Verdict, failures []string) error {
 	s := NewSeries(h)
-	p := plot{seconds: s.Seconds, faults: s.Faults}
+	plotter := plot{seconds: s.Seconds, faults: s.Faults}
 	page := struct {
-		Setup  history.Setup
-		V      *judge.Verdict
-		Left   []string
-		Points float64
-		Plots  []drawn
-		Faults []FaultInterval
-	}{h.Setup, v, left, v.Service.Penalties.Sum(), nil, s.Faults}
-	worth := p.draw("Service: worth within its aim, of the worth asked for, by second of the first try", 1, true, line{"worth", s.OnTimeValue})
-	page.Plots = append(page.Plots, worth, p.draw("Refusals a second", 0, false, line{"refused", s.Refused}))
-	for _, hall := range hallsOf(h) {
-		var held, sent []line
-		for _, x := range h.Setup.Servers {
-			if x.Zone == hall {
-				held = append(held, line{x.Name + " " + x.Kind, s.InFlight[x.Name]})
-				sent = append(sent, line{x.Name + " " + x.Kind, s.Sent[x.Name]})
+		Setup    history.Setup
+		V        *judge.Verdict
+		Failures []string
+		Points   float64
+		Plots    []renderedPlot
+		Faults   []FaultInterval
+	}{h.Setup, v, failures, v.Service.Penalties.Sum(), nil, s.Faults}
+	value := plotter.draw("Service: worth within its aim, of the worth asked for, by second of the first try", 1, true, line{"worth", s.OnTimeValue})
+	page.Plots = append(page.Plots, value, plotter.draw("Refusals a second", 0, false, line{"refused", s.Refused}))
+	for _, zone := range zonesOf(h) {
+		var inFlight, sent []line
+		for _, server := range h.Setup.Servers {
+			if server.Zone == zone {
+				inFlight = append(inFlight, line{server.Name + " " + server.Kind, s.InFlight[server.Name]})
+				sent = append(sent, line{server.Name + " " + server.Kind, s.Sent[server.Name]})
 			}
 		}
-		page.Plots = append(page.Plots, p.draw(hall+": requests that each server holds, mean of the second", 0, false, held...),
-			p.draw(hall+": requests sent to each server a second", 0, false, sent...))
+		page.Plots = append(page.Plots, plotter.draw(zone+": requests that each server holds, mean of the second", 0, false, inFlight...),
+			plotter.draw(zone+": requests sent to each server a second", 0, false, sent...))
 	}
 	return reportPage.Execute(w, page)
 }
 
-func hallsOf(h *history.History) []string {
+func zonesOf(h *history.History) []string {
 	var out []string
 	seen := map[string]bool{}
-	for _, x := range h.Setup.Servers {
-		if !seen[x.Zone] {
-			seen[x.Zone] = true
-			out = append(out, x.Zone)
+	for _, server := range h.Setup.Servers {
+		if !seen[server.Zone] {
+			seen[server.Zone] = true
+			out = append(out, server.Zone)
 		}
 	}
 	return out
@@ -64,34 +64,34 @@
 
 type line struct {
 	name   string
-	values []float64 // by second; below 0: none
+	values []float64 // by second; negative: no value
 }
 
-// drawn is a finished plot.
-type drawn struct {
+// renderedPlot is a plot as SVG with its legend.
+type renderedPlot struct {
 	Title  string
 	SVG    template.HTML
-	Legend []key
+	Legend []legendEntry
 }
 
-type key struct{ Name, Colour string }
+type legendEntry struct{ Name, Colour string }
 
-// plot draws lines over the seconds of a run, with its faults marked.
+// plot renders lines over the time of a run and marks its faults.
 type plot struct {
 	seconds int
 	faults  []FaultInterval
 }
 
 const (
-	plotWidth, plotHeight                   = 900.0, 190.0
-	plotLeft, plotRight, plotTop, plotBelow = 46.0, 8.0, 8.0, 24.0
+	plotWidth, plotHeight                    = 900.0, 190.0
+	plotLeft, plotRight, plotTop, plotBottom = 46.0, 8.0, 8.0, 24.0
 )
 
-// colours that can be told apart also without green and red (Okabe and Ito).
+// colours is the colour-blind safe palette of Okabe and Ito.
 var colours = []string{"#0072b2", "#d55e00", "#009e73", "#cc79a7", "#e69f00", "#56b4e9", "#000000", "#8c6d31"}
 
-// draw gives one plot; top is the axis's end, or 0 to fit the lines.
-func (p plot) draw(title string, top float64, percent bool, lines ...line) drawn {
+// draw renders a plot; top is the end of the value axis, or 0 to fit the lines.
+func (p plot) draw(title string, top float64, percent bool, lines ...line) renderedPlot {
 	for _, l := range lines {
 		for _, v := range l.values {
 			if top != 1 || !percent {
@@ -99,17 +99,17 @@
 			}
 		}
 	}
-	top = nice(top)
+	top = roundUp(top)
 	x := func(second float64) float64 {
 		return plotLeft + second/float64(max(1, p.seconds))*(plotWidth-plotLeft-plotRight)
 	}
-	y := func(v float64) float64 { return plotHeight - plotBelow - v/top*(plotHeight-plotTop-plotBelow) }
+	y := func(v float64) float64 { return plotHeight - plotBottom - v/top*(plotHeight-plotTop-plotBottom) }
 	var b strings.Builder
 	fmt.Fprintf(&b, `<svg viewBox="0 0 %g %g" role="img" aria-label="%s">`, plotWidth, plotHeight, template.HTMLEscapeString(title))
 	for i, f := range p.faults {
 		from, to := x(f.From.Seconds()), x(f.To.Seconds())
 		fmt.Fprintf(&b, `<rect class="fault" x="%.1f" y="%g" width="%.1f" height="%.1f"><title>%s</title></rect>`, from, plotTop,
-			math.Max(2, to-from), plotHeight-plotTop-plotBelow, template.HTMLEscapeString(f.Text))
+			math.Max(2, to-from), plotHeight-plotTop-plotBottom, template.HTMLEscapeString(f.Text))
 		fmt.Fprintf(&b, `<text class="mark" x="%.1f" y="%g">%d</text>`, from+2, plotTop+10, i+1)
 	}
 	for i := 0; i <= 4; i++ {
@@ -129,10 +129,10 @@
 		}
 		fmt.Fprintf(&b, `<text class="axis" text-anchor="%s" x="%.1f" y="%g">%d s</text>`, anchor, x(float64(t)), plotHeight-8, t)
 	}
-	out := drawn{Title: title}
+	out := renderedPlot{Title: title}
 	for i, l := range lines {
 		colour := colours[i%len(colours)]
-		out.Legend = append(out.Legend, key{l.name, colour})
+		out.Legend = append(out.Legend, legendEntry{l.name, colour})
 		var path strings.Builder
 		pen := "M"
 		for t, v := range l.values {
@@ -154,8 +154,8 @@
 	return out
 }
 
-// nice rounds an axis's end up to 1, 2, 2.5 or 5 times a power of ten.
-func nice(v float64) float64 {
+// roundUp rounds the end of an axis up to 1, 2, 2.5 or 5 times a power of ten.
+func roundUp(v float64) float64 {
 	if v <= 0 {
 		return 1
 	}
--- a/internal/lab/show/show_test.go
+++ b/internal/lab/show/show_test.go
@@ -17,7 +17,7 @@
 	"ivylock/scenarios"
 )
 
-func played(t *testing.T) *history.History {
+func simulate(t *testing.T) *history.History {
 	t.Helper()
 	s, err := scenario.LoadFile(scenarios.Files, "silent.toml")
 	if err != nil {
@@ -26,8 +26,8 @@
 	return memory.Run(s, memory.Options{})
 }
 
-func TestSeriesAddUpToTheVerdict(t *testing.T) {
-	h := played(t)
+func TestSeriesMatchVerdict(t *testing.T) {
+	h := simulate(t)
 	s, v := NewSeries(h), judge.Judge(h)
 	sent, refused := 0.0, 0.0
 	for _, server := range h.Setup.Servers {
@@ -47,14 +47,15 @@
 	silent := s.Sent["hall-nord.1"][8:14]
 	for _, n := range silent {
 		if n != 0 {
-			t.Errorf("a silent server was sent %v", silent)
+			t.Errorf("attempts sent to a silent server: %v", silent)
 		}
 	}
 }
 
-// The page must be whole by itself: no address, no script, and well formed.
-func TestTheReportIsOnePageByItself(t *testing.T) {
-	h := played(t)
+// The page must be self-contained and escape text: no addresses, no scripts,
+// well-formed SVG.
+func TestReportIsSelfContained(t *testing.T) {
+	h := simulate(t)
 	h.Setup.Scenario = `<script>alert("x")</script>`
 	v := judge.Judge(h)
 	var b bytes.Buffer
@@ -64,12 +65,12 @@
 	text := b.String()
 	for _, bad := range []string{"<script", "http://", "https://", "src=", "<b>did"} {
 		if strings.Contains(text, bad) {
-			t.Errorf("the page holds %q", bad)
+			t.Errorf("the page contains %q", bad)
 		}
 	}
 	for _, want := range []string{"something &lt;b&gt;did", "silent hall-nord.1", "hall-vest: requests", "<svg"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	for _, svg := range strings.Split(text, "<svg")[1:] {
@@ -84,8 +85,8 @@
 	}
 }
 
-func TestTheScreenFitsAndShowsWhatGoesOn(t *testing.T) {
-	h := played(t)
+func TestScreenShowsRunWithinLineLimit(t *testing.T) {
+	h := simulate(t)
 	l := NewLiveView(load.Classes)
 	rows := []real.ServerStatus{{Name: "hall-nord.1", Kind: "fast-6", State: "silent", WarmRatio: 1}, {Name: "hall-nord.2", Kind: "fast-6", Active: 6, Waiting: 2, WarmRatio: 0.5}}
 	for _, e := range h.Events {
@@ -96,7 +97,7 @@
 	text := l.Screen("x", 8*time.Second, 24*time.Second, rows, 24)
 	for _, want := range []string{"silent hall-nord.1", "cold 50%", "broadcast-clip", "########", "worth served"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the screen lacks %q:\n%s", want, text)
+			t.Errorf("the screen does not contain %q:\n%s", want, text)
 		}
 	}
 	if n := strings.Count(l.Screen("x", 8*time.Second, 24*time.Second, rows, 5), "\n"); n > 5 {
