--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -195,11 +195,12 @@
 		hist := memory.Run(s, memory.Options{Seed: *seed})
 		return a.finish(s, hist, nil, outputs, time.Since(start), nil)
 	}
-	return a.play(ctx, s, real.Options{Seed: *seed}, *program, outputs, false)
+	return a.runWithProcesses(ctx, s, real.Options{Seed: *seed}, *program, outputs, false)
 }
 
-// play runs a scenario with real processes, on request with a live screen.
-func (a *app) play(ctx context.Context, s *scenario.Scenario, o real.Options, program string, outputs outputFiles, screen bool) int {
+// runWithProcesses runs a scenario with real processes, on request with a live
+// screen.
+func (a *app) runWithProcesses(ctx context.Context, s *scenario.Scenario, o real.Options, program string, outputs outputFiles, screen bool) int {
 	if program == "" {
 		built, clean, err := buildNode(ctx)
 		if err != nil {
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -43,7 +43,7 @@
 	}
 	fmt.Fprintf(a.out, "One discovery, 12 clip servers in three halls, three nodes as processes, %.0f requests a second for %.0f s.\n", *rate, *seconds)
 	fmt.Fprintln(a.out, "hall-nord.1 drains, later hall-vest.2 goes silent and comes back cold. Ctrl-C ends it.")
-	return a.play(ctx, s, real.Options{}, *program, outputs, true)
+	return a.runWithProcesses(ctx, s, real.Options{}, *program, outputs, true)
 }
 
 func demoScenario(seconds, rate float64) *scenario.Scenario {
--- a/internal/lab/command/xdsdrain.go
+++ b/internal/lab/command/xdsdrain.go
@@ -21,13 +21,13 @@
 func (a *app) xdsDrain(ctx context.Context, args []string) int {
 	f := flag.NewFlagSet("xds-drain", flag.ContinueOnError)
 	count := f.Int("drains", 203, "drains, dealt over the faults; 7 to 10,000")
-	halls := f.Int("halls", 4, "halls at once; 1 to 16")
+	fixtures := f.Int("halls", 4, "halls at once; 1 to 16")
 	seed := f.Uint64("seed", 1, "of the choices")
 	program := f.String("control", siblingProgram("ivylock-control"), "the control service's program")
 	if !a.parse(f, args, nil) {
 		return ExitUsage
 	}
-	if *count < len(xdsdrain.Faults) || *count > 10000 || *halls < 1 || *halls > 16 {
+	if *count < len(xdsdrain.Faults) || *count > 10000 || *fixtures < 1 || *fixtures > 16 {
 		return a.fail(ExitUsage, fmt.Errorf("xds-drain: 7 to 10000 drains in 1 to 16 halls"))
 	}
 	jobs := make(chan xdsdrain.Fault)
@@ -45,7 +45,7 @@
 		cancel()
 	}
 	var workers sync.WaitGroup
-	for i := range *halls {
+	for i := range *fixtures {
 		workers.Go(func() {
 			fixture, err := xdsdrain.New(*program, *seed+uint64(i))
 			if err != nil {
@@ -65,12 +65,12 @@
 			}
 		})
 	}
-deal:
+dispatch:
 	for i := range *count {
 		select {
 		case jobs <- xdsdrain.Faults[i%len(xdsdrain.Faults)]:
 		case <-ctx.Done():
-			break deal
+			break dispatch
 		}
 	}
 	close(jobs)
--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -172,7 +172,7 @@
 	if len(cells) > maxCells {
 		return "", fmt.Sprintf("%d cells; want %d at most: take a sample, or fewer levels", len(cells), maxCells)
 	}
-	for _, fault := range d.Faults { // the first size stands for all
+	for _, fault := range d.Faults { // checked with the first size only
 		workload := cells[0].Workload
 		workload.Fault = fleet.Fault(fault)
 		if _, err := workload.Scenario(); err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -52,9 +52,9 @@
 		return err
 	}
 	finished := map[string]bool{}
-	for _, result := range rows {
-		if result.Commit == commit {
-			finished[result.Key()] = true
+	for _, row := range rows {
+		if row.Commit == commit {
+			finished[row.Key()] = true
 		}
 	}
 	var pending []Cell
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -24,7 +24,7 @@
 	XDS            Name = "xds"      // proxies controlled by the control service
 	TwoChoices     Name = "least"    // power of two choices by this proxy's requests in flight (Mitzenmacher)
 	LeastRequests  Name = "fewest"   // least requests of this proxy in flight, of all servers
-	Random         Name = "chance"   // uniform
+	Random         Name = "chance"   // uniformly random
 	RoundRobin     Name = "turn"     // each server in turn
 	PeakEWMA       Name = "ewma"     // two choices by peak-sensitive latency times requests (Finagle, Linkerd)
 	WeightedRandom Name = "weighted" // by reported answers per second over utilisation (gRPC A58)
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -11,7 +11,7 @@
 	"ivylock/scenarios"
 )
 
-func play(t *testing.T, name string, policy Name) judge.Verdict {
+func simulate(t *testing.T, name string, policy Name) judge.Verdict {
 	t.Helper()
 	s, err := scenario.LoadFile(scenarios.Files, name+".toml")
 	if err != nil {
@@ -24,7 +24,7 @@
 // than nodes do, but must still serve at least as much as random choice.
 func TestSteeredProxiesKeepRulesAndServeAtLeastAsRandom(t *testing.T) {
 	for _, name := range []string{"quiet", "drain", "silent", "replace"} {
-		v, random := play(t, name, XDS), play(t, name, Random)
+		v, random := simulate(t, name, XDS), simulate(t, name, Random)
 		if !v.Passed() {
 			t.Errorf("%s: %v", name, v.Breaches[:min(3, len(v.Breaches))])
 		}
@@ -36,7 +36,7 @@
 
 func TestPoliciesAreDeterministic(t *testing.T) {
 	for _, policy := range All {
-		a, b := play(t, "drain", policy), play(t, "drain", policy)
+		a, b := simulate(t, "drain", policy), simulate(t, "drain", policy)
 		if fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Errorf("%s: %+v and %+v", policy, a.Service, b.Service)
 		}
@@ -46,7 +46,7 @@
 // Guards against a comparison that cannot tell policies apart.
 func TestRandomServesLessThanNodes(t *testing.T) {
 	start := time.Now()
-	nodes, random := play(t, "silent", Nodes), play(t, "silent", Random)
+	nodes, random := simulate(t, "silent", Nodes), simulate(t, "silent", Random)
 	if random.Service.Measure >= nodes.Service.Measure {
 		t.Errorf("random %.3f, nodes %.3f", random.Service.Measure, nodes.Service.Measure)
 	}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -69,7 +69,7 @@
 	case s.Load.RampTo != 0 && (s.Load.RampTo < 0.1 || s.Load.RampTo > limits.rate):
 		return "load.ramp_to", fmt.Sprintf("load.ramp_to: want 0.1 to %v, or leave it out", limits.rate)
 	case s.Load.WorkFactor < 0.0001 || s.Load.WorkFactor > 100:
-		return "load.work", "load.work: want 0.0001 to 100, as a multiple of the brief's work"
+		return "load.work", "load.work: want 0.0001 to 100, as a multiple of the default work"
 	case s.Client.Retries < 0 || s.Client.Retries > 2:
 		return "clients.retries", "clients.retries: want 0, 1 or 2"
 	case s.Client.TryTimeoutFraction < 0.5 || s.Client.TryTimeoutFraction > 0.8:
--- a/internal/lab/sweep/deploy.go
+++ b/internal/lab/sweep/deploy.go
@@ -102,7 +102,7 @@
 			f.Class = "viewer-clip" // scenario.Check accepts default classes only
 		}
 		s.Faults = append(s.Faults, f)
-		if scenario.Check(s) != nil { // it conflicts with earlier faults
+		if scenario.Check(s) != nil { // not valid together with the earlier faults
 			s.Faults = s.Faults[:len(s.Faults)-1]
 		}
 	}
--- a/internal/lab/sweep/draw.go
+++ b/internal/lab/sweep/draw.go
@@ -25,7 +25,7 @@
 	for i, name := range []string{"hall-nord", "hall-syd", "hall-vest"}[:2+r.IntN(2)] {
 		zone := scenario.Zone{Name: name, Nodes: 1, PodSize: 3 + r.IntN(3), Servers: map[string]int{}}
 		if i == 0 {
-			zone.Servers["std-6"] = 1 // at least one in this zone
+			zone.Servers["std-6"] = 1 // the first zone has at least one of this kind
 		}
 		for range 2 + r.IntN(4) {
 			zone.Servers[[]string{"fast-6", "std-6", "slow-6"}[r.IntN(3)]]++
@@ -40,7 +40,7 @@
 	for range 1 + r.IntN(5) {
 		f := generateFault(r, s, span)
 		s.Faults = append(s.Faults, f)
-		if scenario.Check(s) != nil { // it conflicts with earlier faults
+		if scenario.Check(s) != nil { // not valid together with the earlier faults
 			s.Faults = s.Faults[:len(s.Faults)-1]
 		}
 	}
