--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -37,7 +37,7 @@
 	FirstSeed   int64       `toml:"from"`    // 0: 1
 	SampleSize  int         `toml:"sample"`  // number of random combinations; 0: all
 	Length      strict.Span `toml:"length"`  // of the load; 0: 24 s
-	Halls       int         `toml:"halls"`   // 0: 3
+	Zones       int         `toml:"halls"`   // 0: 3
 	Retries     int         `toml:"retries"` // by clients
 	// ControlServices are levels of the number of control services; empty: one.
 	ControlServices []int       `toml:"controls"`
@@ -116,8 +116,8 @@
 	if d.Length.Duration == 0 {
 		d.Length.Duration = 24 * time.Second
 	}
-	if d.Halls == 0 {
-		d.Halls = 3
+	if d.Zones == 0 {
+		d.Zones = 3
 	}
 	if len(d.Faults) == 0 {
 		d.Faults = []string{string(fleet.NoFault)}
@@ -214,7 +214,7 @@
 				for _, name := range d.Policies {
 					for _, count := range serviceCounts {
 						for _, subset := range subsets {
-							combinations = append(combinations, Cell{policy.Name(name), fleet.Workload{Servers: servers, Proxies: proxies, Zones: d.Halls, Load: load,
+							combinations = append(combinations, Cell{policy.Name(name), fleet.Workload{Servers: servers, Proxies: proxies, Zones: d.Zones, Load: load,
 								Fault: fleet.Fault(fault), Length: d.Length.Duration, Retries: d.Retries, ControlServices: count, SubsetSize: subset, ReportDelay: d.ReportDelay.Duration, FrozenFraction: d.FrozenFraction}})
 						}
 					}
