--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -1,9 +1,9 @@
-// Package history records what happened in a lab run: every try of a client,
-// every attempt that reached a clip server, every run of an effect, every word
-// of discovery. All times are read from the lab's one monotonic clock, at the
-// stand-in where the thing happened, so that no node's clock is believed.
+// Package history records what happened in a lab run: every try of a client, every attempt that
+// reached a clip server, every run of an effect, every notification by discovery. All times are
+// read from the lab's one monotonic clock, in the stand-in where the event happened, so they do not
+// depend on any node's clock.
 //
-// The rules are checked on a History by package judge.
+// Package judge checks the rules on a History.
 package history
 
 import (
@@ -18,57 +18,60 @@
 // Effect says what a second execution of a request would do.
 type Effect string
 
-// The three effects of the brief.
+// The effects.
 const (
-	Safe   Effect = "safe"   // any number of runs
+	Safe   Effect = "safe"   // may run any number of times
 	Keyed  Effect = "keyed"  // a pod drops repeats of a key within Limits.KeyWindow
 	Unsafe Effect = "unsafe" // must never run twice
 )
 
-// Class is one row of the brief's class table.
+// Class describes one class of requests.
 type Class struct {
 	Name          string        `json:"name"`
 	Share         float64       `json:"share"`    // of all first tries, 0 to 1
-	WorkLow       time.Duration `json:"work_low"` // mean work on a core of speed 1 lies between these
+	WorkLow       time.Duration `json:"work_low"` // the mean work on a core of speed 1 lies between these two
 	WorkHigh      time.Duration `json:"work_high"`
-	TargetLatency time.Duration `json:"aim"`      // an answer later than this is worth nothing
-	Deadline      time.Duration `json:"deadline"` // the client's total patience over all its tries
+	TargetLatency time.Duration `json:"aim"`      // a later answer has no value
+	Deadline      time.Duration `json:"deadline"` // of the client, over all its tries
 	Value         float64       `json:"worth"`
 	Effect        Effect        `json:"effect"`
-	Scope         Scope         `json:"scope,omitempty"`  // of a keyed one: whose servers know its keys
-	DedupWindow   time.Duration `json:"window,omitempty"` // of a keyed one: how long; 0: Limits.KeyWindow
+	Scope         Scope         `json:"scope,omitempty"`  // of a keyed class: which servers share its keys
+	DedupWindow   time.Duration `json:"window,omitempty"` // of a keyed class; 0: Limits.KeyWindow
 }
 
-// Scope is whose servers share what keys they have met.
+// Scope says which servers share the keys that they have seen.
 type Scope string
 
 // The scopes.
 const (
-	PodScope    Scope = "" // those of a pod
+	PodScope    Scope = "" // the servers of a pod
 	ZoneScope   Scope = "hall"
 	GlobalScope Scope = "all"
 )
 
-// Limits are the figures of the four rules.
+// Limits holds the parameters of the four rules.
 type Limits struct {
-	Slack time.Duration `json:"slack"` // on every limit of time: what sockets may take
-	// AnswerSlack is how long after its client's time an answer only earns nothing; 0: Slack.
+	Slack time.Duration `json:"slack"` // tolerance of every time limit, for delays of sockets
+	// AnswerSlack is how late an answer may be before it breaks a rule; until then it only has no
+	// value. 0: Slack.
 	AnswerSlack time.Duration `json:"answer_slack,omitempty"`
 	// AbandonSlack is how long after its client has left an attempt may still begin; 0: Slack.
-	AbandonSlack      time.Duration `json:"leave_slack,omitempty"`
-	DrainGrace        time.Duration `json:"drain_grace"` // after the word of a drain
-	NotifyDeadline    time.Duration `json:"told_latest"` // a change counts as told so long after it could be asked for; 0: only when told
+	AbandonSlack time.Duration `json:"leave_slack,omitempty"`
+	DrainGrace   time.Duration `json:"drain_grace"` // after a node was notified of a drain
+	// NotifyDeadline is the time after a change from which a node counts as notified of it, even if
+	// it did not ask discovery; 0: only when notified.
+	NotifyDeadline    time.Duration `json:"told_latest"`
 	KeyWindow         time.Duration `json:"key_window"`  // how long a pod remembers a key
 	OverloadFactor    float64       `json:"fall_factor"` // multiple of a cold server's present capacity
-	OverloadWindow    time.Duration `json:"fall_time"`   // the window over which it counts
-	OverloadAllowance time.Duration `json:"fall_spare"`  // work that a window may hold beyond it: one request is no burst
-	// OverloadNotifiedOnly counts a fall only if two thirds of the work came from nodes that had been told
-	// of the start, as the brief words the rule; without it every fall counts. It wants Told
+	OverloadWindow    time.Duration `json:"fall_time"`   // over which the work is summed
+	OverloadAllowance time.Duration `json:"fall_spare"`  // work that a window may hold beyond the limit
+	// OverloadNotifiedOnly counts an overload only if two thirds of the work came from nodes that
+	// had been notified of the start; without it every overload counts. It needs NodeNotified
 	// events that say when a server started.
 	OverloadNotifiedOnly bool `json:"fall_told,omitempty"`
 }
 
-// Server is what the judge must know of a clip server.
+// Server describes a clip server to the judge.
 type Server struct {
 	Name string `json:"name"`
 	Zone string `json:"hall"`
@@ -76,62 +79,62 @@
 	Pod  int    `json:"pod"`
 }
 
-// Node is a node of the run.
+// Node describes a node of the run.
 type Node struct {
 	Name string `json:"name"`
 	Zone string `json:"hall"`
 }
 
-// Setup is what does not change during a run.
+// Setup holds what does not change during a run.
 type Setup struct {
 	Scenario string        `json:"scenario"`
 	Seed     int64         `json:"seed"`
-	Length   time.Duration `json:"length"` // of the load; the run goes on until all is answered
+	Length   time.Duration `json:"length"` // of the load; the run goes on until all requests have ended
 	Classes  []Class       `json:"classes"`
 	Servers  []Server      `json:"servers"`
 	Nodes    []Node        `json:"nodes"`
 	Limits   Limits        `json:"limits"`
 }
 
-// Kind tells what an Event is.
+// Kind is the kind of an Event.
 type Kind string
 
-// The kinds. The fields that each uses stand behind it.
+// The kinds, each with the fields that it uses.
 const (
-	OrderIssued           Kind = "ask"            // Order, Class: a client wants something, whether or not a node takes it
-	Try                   Kind = "try"            // Order, Try, Class, Node, Number, Deadline: the request's last byte is written
-	Answer                Kind = "answer"         // Try, Status, Server: the answer's last byte, or the end of waiting for it
-	ExtraData             Kind = "extra"          // Try: more came on the connection behind the answer
-	Attempt               Kind = "attempt"        // Try, Node, Server, Work, First, Verdict: its last byte reached a clip server
+	OrderIssued           Kind = "ask"            // Order, Class: issued, even if no node accepts it
+	Try                   Kind = "try"            // Order, Try, Class, Node, Number, Deadline: its last byte is written
+	Answer                Kind = "answer"         // Try, Status, Server: the end of the try for its client
+	ExtraData             Kind = "extra"          // Try: further bytes followed the answer on the connection
+	Attempt               Kind = "attempt"        // Try, Node, Server, Work, FirstByteAt, Verdict: a clip server has read it
 	EffectRun             Kind = "run"            // Try, Server, Work, Key: the effect began
-	DuplicateDropped      Kind = "repeat"         // Try, Server, Key: dropped, as the pod had met the key
+	DuplicateDropped      Kind = "repeat"         // Try, Server, Key: dropped, as the pod had seen the key
 	Probe                 Kind = "probe"          // Node, Server, Work
-	Connect               Kind = "connect"        // Node, Server: a connection came up
+	Connect               Kind = "connect"        // Node, Server: a connection was established
 	Disconnect            Kind = "disconnect"     // Node, Server
-	ServerStarted         Kind = "start"          // Server, Capacity, Cores, ColdFraction, WarmupTime: a process started
-	ServerOverloaded      Kind = "fell"           // Server: pushed over
-	DiscoveryChanged      Kind = "change"         // Server, Lifecycle: discovery knows, and may be asked
-	NodeNotified          Kind = "told"           // Node, Server, Lifecycle: discovery's answer was written to that node
+	ServerStarted         Kind = "start"          // Server, Capacity, Cores, ColdFraction, WarmupTime: of a process
+	ServerOverloaded      Kind = "fell"           // Server: a cold server went down under too much work
+	DiscoveryChanged      Kind = "change"         // Server, Lifecycle: known to discovery from now on
+	NodeNotified          Kind = "told"           // Node, Server, Lifecycle: discovery's answer was written to the node
 	NodeReady             Kind = "node-up"        // Node: it answered /up
-	NodeTerminating       Kind = "node-term"      // Node: told to end
-	NodeKilled            Kind = "node-kill"      // Node: killed outright
-	NodeExited            Kind = "node-end"       // Node: it ended by itself
-	DiscoveryCalled       Kind = "asked"          // Node: its call came to discovery
-	DatagramFault         Kind = "hindered"       // Node: a datagram that it sent is lost, late or doubled on purpose
-	NodeForceKilled       Kind = "node-over"      // Node: it still ran when its time to end was up, and was killed
-	NodeCrashed           Kind = "node-crash"     // Node: it ended though nobody told it to
+	NodeTerminating       Kind = "node-term"      // Node: asked to shut down
+	NodeKilled            Kind = "node-kill"      // Node: killed at once
+	NodeExited            Kind = "node-end"       // Node: it exited by itself
+	DiscoveryCalled       Kind = "asked"          // Node: its call reached discovery
+	DatagramFault         Kind = "hindered"       // Node: its datagram is lost, delayed or duplicated
+	NodeForceKilled       Kind = "node-over"      // Node: killed, as it still ran after its time to shut down
+	NodeCrashed           Kind = "node-crash"     // Node: it exited without being asked to
 	ConfigReloaded        Kind = "reloaded"       // Node: a new configuration, with another address of discovery
-	WatchSilenced         Kind = "silenced"       // Node: its open watch falls silent
-	DescriptorsExhausted  Kind = "no-descriptors" // Node: its process gets no further descriptor for a while
-	SystemCallsFailed     Kind = "calls-failed"   // Node, Note: system calls of its process have failed on purpose
+	WatchSilenced         Kind = "silenced"       // Node: its open watch receives nothing more
+	DescriptorsExhausted  Kind = "no-descriptors" // Node: its process gets no further file descriptor for a while
+	SystemCallsFailed     Kind = "calls-failed"   // Node, Note: system calls of its process were made to fail
 	IdleConnectionsClosed Kind = "idle-close"     // Server: it closed its idle connections
-	NodePaused            Kind = "node-stop"      // Node: it stands still
-	NodeResumed           Kind = "node-cont"      // Node: it goes on
+	NodePaused            Kind = "node-stop"      // Node: its process is paused
+	NodeResumed           Kind = "node-cont"      // Node: its process continues
 	PeerMessage           Kind = "message"        // Node, Bytes: a datagram to one receiver
-	AnswerCorrupted       Kind = "spoilt"         // Try, Server: its answer is spoilt on purpose
+	AnswerCorrupted       Kind = "spoilt"         // Try, Server: its answer is corrupted by a fault
 	SlowRead              Kind = "slow"           // Try: its client reads the answer slowly
-	DiscoveryReset        Kind = "forgot"         // discovery began again at a lower version
-	FaultStarted          Kind = "fault"          // Note: a fault of the timeline begins
+	DiscoveryReset        Kind = "forgot"         // discovery restarted at a lower version
+	FaultStarted          Kind = "fault"          // Note: a fault of the scenario begins
 	FaultEnded            Kind = "fault-end"      // Note
 )
 
@@ -142,13 +145,13 @@
 const (
 	Served           Status = "served"
 	Refused          Status = "refused"     // 429 or 503
-	Failed           Status = "failed"      // any other whole answer
-	WrongContent     Status = "wrong"       // a 200 with what no clip server made for this try
-	ConnectionBroken Status = "broken"      // the connection ended with no whole answer
-	TimedOut         Status = "gave-up"     // nothing until the client's time was over
-	Abandoned        Status = "left"        // the client went away early, of its own will
-	Unreachable      Status = "unreachable" // no node took it
-	CloseRace        Status = "crossed"     // its connection, between requests or unused, ended in that moment: nobody may have read it
+	Failed           Status = "failed"      // any other complete answer
+	WrongContent     Status = "wrong"       // a 200 whose body no clip server made for this try
+	ConnectionBroken Status = "broken"      // the connection ended without a complete answer
+	TimedOut         Status = "gave-up"     // no answer within the client's time
+	Abandoned        Status = "left"        // the client disconnected early, by its own choice
+	Unreachable      Status = "unreachable" // no node accepted it
+	CloseRace        Status = "crossed"     // the node closed the connection at that moment, perhaps without reading it
 )
 
 // Verdict is what a clip server did with an attempt.
@@ -160,9 +163,9 @@
 	Rejected Verdict = "turned-away" // answered with Not-Started: it never runs
 )
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one thing that happened. Kind decides which fields apply.
 type Event struct {
-	At           time.Duration `json:"at"` // since the lab's start
+	At           time.Duration `json:"at"` // since the start of the lab
 	Kind         Kind          `json:"kind"`
 	Order        string        `json:"order,omitempty"` // the client's request over all its tries
 	Try          string        `json:"try,omitempty"`   // Request-Id
@@ -175,10 +178,10 @@
 	Verdict      Verdict       `json:"verdict,omitempty"`
 	Lifecycle    string        `json:"lifecycle,omitempty"`
 	Deadline     time.Duration `json:"deadline,omitempty"` // a point in time, like At
-	FirstByteAt  time.Duration `json:"first,omitempty"`    // when the first byte was sent, less delay that the lab added
-	StartedAt    time.Duration `json:"started,omitempty"`  // a point in time: when the server started, as told; where that is known
+	FirstByteAt  time.Duration `json:"first,omitempty"`    // when it was sent, less the delay of the lab
+	StartedAt    time.Duration `json:"started,omitempty"`  // of the server, as notified; 0: unknown
 	Work         time.Duration `json:"work,omitempty"`     // on a core of speed 1
-	Capacity     float64       `json:"capacity,omitempty"` // cores times speed, when warm
+	Capacity     float64       `json:"capacity,omitempty"` // of a warm server: cores times speed
 	Cores        int           `json:"cores,omitempty"`
 	ColdFraction float64       `json:"cold_from,omitempty"`
 	WarmupTime   time.Duration `json:"cold_time,omitempty"`
@@ -186,34 +189,34 @@
 	Note         string        `json:"note,omitempty"`
 }
 
-// History is one run.
+// History is the record of one run.
 type History struct {
 	Setup  Setup
 	Events []Event // in order of At
-	Steps  uint64  // of a run in memory: what happened in the model; it is not written
+	Steps  uint64  // steps of the model in an in-memory run; not written
 }
 
-// MaxEvents bounds a Recorder: about 200 MB, an hour of the brief's day.
+// MaxEvents bounds a Recorder to about 200 MB.
 const MaxEvents = 2_000_000
 
-// Recorder collects events from many goroutines. Its zero value is ready.
+// Recorder collects events from several goroutines. Its zero value is ready to use.
 type Recorder struct {
-	mu      sync.Mutex
-	events  []Event
-	dropped int
-	watch   func(Event)
+	mu       sync.Mutex
+	events   []Event
+	dropped  int
+	observer func(Event)
 }
 
-// Observe calls f with every further event, under the recorder's lock. It must
-// be set before the first Add.
-func (r *Recorder) Observe(f func(Event)) { r.watch = f }
+// Observe calls f with every further event, under the recorder's lock. It must be called before the
+// first Add.
+func (r *Recorder) Observe(f func(Event)) { r.observer = f }
 
-// Add records an event. Past MaxEvents it is counted and dropped.
+// Add records an event. Events beyond MaxEvents are counted and dropped.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.watch != nil {
-		r.watch(e)
+	if r.observer != nil {
+		r.observer(e)
 	}
 	if len(r.events) >= MaxEvents {
 		r.dropped++
@@ -222,41 +225,40 @@
 	r.events = append(r.events, e)
 }
 
-// Snapshot returns the events in order of time and how many were dropped.
+// Snapshot returns the events in order of time and the number of dropped ones.
 func (r *Recorder) Snapshot() ([]Event, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := append([]Event(nil), r.events...)
-	Sort(out)
-	return out, r.dropped
+	events := append([]Event(nil), r.events...)
+	Sort(events)
+	return events, r.dropped
 }
 
 // Write writes a history as JSON lines, the setup first.
 func (h *History) Write(w io.Writer) error {
-	b := bufio.NewWriter(w)
-	enc := json.NewEncoder(b)
-	if err := enc.Encode(h.Setup); err != nil {
+	buffered := bufio.NewWriter(w)
+	encoder := json.NewEncoder(buffered)
+	if err := encoder.Encode(h.Setup); err != nil {
 		return fmt.Errorf("history: %w", err)
 	}
 	for i := range h.Events {
-		if err := enc.Encode(&h.Events[i]); err != nil {
+		if err := encoder.Encode(&h.Events[i]); err != nil {
 			return fmt.Errorf("history: %w", err)
 		}
 	}
-	return b.Flush()
+	return buffered.Flush()
 }
 
-// Read reads what Write wrote. An event of a line that is cut short is an
-// error that names the line.
+// Read reads what Write wrote. A truncated line is an error that names the line.
 func Read(r io.Reader) (*History, error) {
-	dec := json.NewDecoder(bufio.NewReader(r))
+	decoder := json.NewDecoder(bufio.NewReader(r))
 	h := &History{}
-	if err := dec.Decode(&h.Setup); err != nil {
+	if err := decoder.Decode(&h.Setup); err != nil {
 		return nil, fmt.Errorf("history: line 1: %w", err)
 	}
 	for line := 2; ; line++ {
 		var e Event
-		if err := dec.Decode(&e); err == io.EOF {
+		if err := decoder.Decode(&e); err == io.EOF {
 			return h, nil
 		} else if err != nil {
 			return nil, fmt.Errorf("history: line %d: %w", line, err)
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-func TestWhatIsWrittenReads(t *testing.T) {
+func TestWriteThenReadReturnsTheSameHistory(t *testing.T) {
 	h := &History{Setup: Setup{Scenario: "x", Seed: 3, Classes: []Class{{Name: "c", Effect: Keyed}}, Servers: []Server{{Name: "s", Pod: 2}}},
 		Events: []Event{{At: 1, Kind: Try, Try: "t", Deadline: time.Second}, {At: 2, Kind: Answer, Try: "t", Status: Served}}}
-	var b bytes.Buffer
-	if err := h.Write(&b); err != nil {
+	var written bytes.Buffer
+	if err := h.Write(&written); err != nil {
 		t.Fatal(err)
 	}
-	got, err := Read(bytes.NewReader(b.Bytes()))
+	got, err := Read(bytes.NewReader(written.Bytes()))
 	if err != nil || !reflect.DeepEqual(got, h) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("read %+v, error %v", got, err)
 	}
-	cut := b.Bytes()[:b.Len()-5]
-	if _, err := Read(bytes.NewReader(cut)); err == nil || !strings.Contains(err.Error(), "line 3") {
-		t.Errorf("cut short: %v", err)
+	truncated := written.Bytes()[:written.Len()-5]
+	if _, err := Read(bytes.NewReader(truncated)); err == nil || !strings.Contains(err.Error(), "line 3") {
+		t.Errorf("truncated input: %v", err)
 	}
 	if _, err := Read(strings.NewReader("")); err == nil {
-		t.Error("nothing at all reads")
+		t.Error("empty input was accepted")
 	}
 }
 
-func TestARecorderSortsAndIsBounded(t *testing.T) {
+func TestRecorderSortsAndBoundsEvents(t *testing.T) {
 	var r Recorder
-	seen := 0
-	r.Observe(func(Event) { seen++ })
+	observed := 0
+	r.Observe(func(Event) { observed++ })
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
@@ -43,8 +43,8 @@
 	}
 	wg.Wait()
 	events, dropped := r.Snapshot()
-	if len(events) != 800 || seen != 800 || dropped != 0 {
-		t.Fatalf("%d events, %d seen, %d dropped", len(events), seen, dropped)
+	if len(events) != 800 || observed != 800 || dropped != 0 {
+		t.Fatalf("%d events, %d observed, %d dropped", len(events), observed, dropped)
 	}
 	for i, e := range events {
 		if e.At != time.Duration(i) {
@@ -54,7 +54,7 @@
 	r.events = make([]Event, MaxEvents)
 	r.Add(Event{})
 	if _, dropped := r.Snapshot(); dropped != 1 {
-		t.Errorf("%d dropped past the bound", dropped)
+		t.Errorf("%d events dropped beyond MaxEvents, want 1", dropped)
 	}
 }
 
@@ -66,12 +66,12 @@
 		if err != nil {
 			return
 		}
-		var b bytes.Buffer
-		if err := h.Write(&b); err != nil {
+		var written bytes.Buffer
+		if err := h.Write(&written); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(&b); err != nil {
-			t.Fatalf("what was written does not read: %v", err)
+		if _, err := Read(&written); err != nil {
+			t.Fatalf("a written history cannot be read: %v", err)
 		}
 	})
 }
--- a/internal/lab/history/sort.go
+++ b/internal/lab/history/sort.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Sort puts events in order of time; those of one moment keep their order.
+// Sort sorts events by time and keeps the order of those at the same time.
 func Sort(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 }
