--- a/internal/lab/clip/machine.go
+++ b/internal/lab/clip/machine.go
@@ -1,6 +1,5 @@
-// Package clip is a stand-in clip server. Server is the model: it does no I/O
-// and reads no clock, so the same model serves the in-memory run under virtual
-// time and, behind Listener, real sockets.
+// Package clip models a clip server. Server does no I/O and reads no clock, so the same model
+// serves the in-memory run under virtual time and, through package clipserver, real sockets.
 package clip
 
 import (
@@ -8,34 +7,34 @@
 	"time"
 )
 
-// Machine says what a clip server can do.
+// Machine describes the capacity of a clip server.
 type Machine struct {
 	Kind           string
 	Cores          int     // 1 or more
 	Speed          float64 // of a core; work is stated for speed 1
-	Slots          int     // requests in work at once; more than Cores share them
-	MaxQueue       int     // requests that may wait for a slot; beyond it they are turned away
-	MaxConnections int     // open connections; beyond it a new one is turned away
+	Slots          int     // requests processed at once; more than Cores share the cores
+	MaxQueue       int     // requests that may wait for a slot; further ones are rejected
+	MaxConnections int     // open connections; requests on further ones are rejected
 	HandshakeWork  time.Duration
-	ProbeWork      time.Duration // work of one probe
-	ReportInterval time.Duration // how often the load report is made anew
-	ColdFraction   float64       // part of its capacity that a started process has, 0 to 1
-	WarmupTime     time.Duration // until it is warm; in between the part grows evenly
-	CancelsRunning bool          // a cancel stops running work too, not only waiting work
+	ProbeWork      time.Duration
+	ReportInterval time.Duration // how often the load report is renewed
+	ColdFraction   float64       // fraction of its capacity that a process has at its start, 0 to 1
+	WarmupTime     time.Duration // until it has its full capacity; the fraction grows linearly
+	CancelsRunning bool          // a cancellation also stops running work, not only queued work
 }
 
-// MachineKinds are the brief's three machines, each figure within its range. Speeds
-// differ from server to server; SpeedRange gives the range of a kind.
+// MachineKinds are the kinds of machines, with a typical speed each. Speeds differ from server to
+// server; SpeedRange gives the range of a kind.
 var MachineKinds = map[string]Machine{
 	"fast-6": {Kind: "fast-6", Cores: 6, Speed: 1.3},
 	"std-6":  {Kind: "std-6", Cores: 6, Speed: 0.97},
 	"slow-6": {Kind: "slow-6", Cores: 6, Speed: 0.7},
 }
 
-// SpeedRange holds the least and the greatest speed of a kind's core.
+// SpeedRange holds the minimum and maximum speed of a core, by kind.
 var SpeedRange = map[string][2]float64{"fast-6": {1.1, 1.5}, "std-6": {0.85, 1.1}, "slow-6": {0.59, 0.8}}
 
-// NewMachine gives a machine of a kind with the common figures of the brief filled in.
+// NewMachine returns a machine of a kind with the parameters that all kinds share.
 func NewMachine(kind string) (Machine, error) {
 	m, known := MachineKinds[kind]
 	if !known {
@@ -47,12 +46,11 @@
 	return m, nil
 }
 
-// Capacity is the work of speed 1 that a warm machine does in a second, in
-// seconds.
+// Capacity is the work, in seconds on a core of speed 1, that a warm machine does in a second.
 func (m Machine) Capacity() float64 { return float64(m.Cores) * m.Speed }
 
-// OverloadLimit says when a cold server falls over: sent more than Factor times what it
-// can do within Time, by all nodes together, with Spare work beyond that.
+// OverloadLimit says when a cold server goes down: when all nodes together send it more than Factor
+// times the work that it can do within Window, plus Allowance.
 type OverloadLimit struct {
 	Factor    float64
 	Window    time.Duration
--- a/internal/lab/clip/pod.go
+++ b/internal/lab/clip/pod.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// maxKeys bounds a pod's memory of keys: 8 s at 2,000 keyed requests a second.
+// maxKeys bounds the memory of a pod: 8 s at 2,000 keyed requests a second.
 const maxKeys = 16_000
 
-// Pod is a group of servers that share what keys they have met. It may be used
-// by several goroutines.
+// Pod is a group of servers that share the keys that they have seen. It is safe for concurrent use.
 type Pod struct {
 	Window time.Duration // how long a key is remembered
 	mu     sync.Mutex
@@ -17,13 +16,13 @@
 	order  []string
 }
 
-// NewPod makes a pod that remembers keys for a time.
+// NewPod makes a pod that remembers keys for window.
 func NewPod(window time.Duration) *Pod {
 	return &Pod{Window: window, seen: map[string]time.Duration{}}
 }
 
-// RecordKey tells whether a key is met for the first time within the window, and
-// remembers it from now on if so. An empty key is always new.
+// RecordKey reports whether a key is seen for the first time within the window, and records it if
+// so. An empty key is always new.
 func (p *Pod) RecordKey(now time.Duration, key string) bool {
 	if key == "" {
 		return true
@@ -34,7 +33,7 @@
 		delete(p.seen, p.order[0])
 		p.order = p.order[1:]
 	}
-	if _, met := p.seen[key]; met {
+	if _, known := p.seen[key]; known {
 		return false
 	}
 	p.seen[key] = now
--- a/internal/lab/clip/server.go
+++ b/internal/lab/clip/server.go
@@ -8,97 +8,97 @@
 	"ivylock/internal/lab/history"
 )
 
-// State is what goes on with a server's process.
+// State is the state of a server's process.
 type State int
 
 // The states.
 const (
 	Running  State = iota
-	Hung           // takes requests and answers none; what ran goes on, unheard
-	Isolated       // the machine is cut off: no reset, no answer
-	Down           // the process is dead, or has fallen over: connections are refused
+	Hung           // accepts requests and answers none; running work continues
+	Isolated       // cut off from the network: no reset, no answer
+	Down           // the process is dead or went down under overload: connections are refused
 )
 
 // Job is one attempt or probe at a server.
 type Job struct {
-	ID    uint64 // the caller's
+	ID    uint64 // chosen by the caller
 	Try   string
-	Key   string        // "" but for keyed requests
-	Work  time.Duration // on a core of speed 1, handshake included
+	Key   string        // of keyed requests only
+	Work  time.Duration // on a core of speed 1, including the handshake
 	Probe bool
 }
 
-// Completion says that a job's answer is ready.
+// Completion says that the answer of a job is ready.
 type Completion struct {
 	Job
-	Duplicate bool // dropped as a repeat: the effect did not run
+	Duplicate bool // dropped as a duplicate: the effect did not run
 }
 
-// JobStart says that a job was begun. Its effect ran, unless it is a repeat.
+// JobStart says that a job has begun. Its effect ran unless it is a duplicate.
 type JobStart struct {
 	Job
 	At        time.Duration
 	Duplicate bool
 }
 
-// LoadReport is the load report, in the fields of the protocol page.
+// LoadReport is the load report, with the fields of the protocol.
 type LoadReport struct {
 	InFlight, Queue int
-	Utilisation     float64 // of the cores since the report before, 0 to 1
-	CompletionRate  float64 // answers a second, the same
+	Utilisation     float64 // of the cores since the previous report, 0 to 1
+	CompletionRate  float64 // answers per second since the previous report
 }
 
 // Server is the model of one clip server. It is not safe for concurrent use.
 //
-// All jobs in work progress alike, so one number, the work that each of them
-// has had since the process began (done), tells when the next one ends.
+// All running jobs progress at the same rate. One number, the work that each of them would have
+// received since the process began (progressed), therefore tells when the next one ends.
 type Server struct {
-	Name          string
-	Machine       Machine
-	OverloadLimit OverloadLimit
-	pod           *Pod
-	state         State
-	since         time.Duration // start of the process
-	cold          bool          // it started cold at since
-	at            time.Duration // up to when done counts
-	done          float64       // s of work that each job in work has had
-	active        jobHeap
-	queue         []Job
-	conns         int
-	recent        []arrival // within Fall.Window, while cold
-	sum           time.Duration
-	load          LoadReport
-	loadAt        time.Duration
-	busy          float64 // s of cores at work since the process began
-	answers       float64
-	busyAt        float64 // these two at the last report
-	endedAt       float64
-	OnJobStart    func(JobStart) // told of every job that is begun; may be nil
+	Name            string
+	Machine         Machine
+	OverloadLimit   OverloadLimit
+	pod             *Pod
+	state           State
+	startedAt       time.Duration // start of the process
+	cold            bool          // the process started cold
+	at              time.Duration // time up to which progressed counts
+	progressed      float64       // work that each running job has received, in seconds
+	active          jobHeap
+	queue           []Job
+	conns           int
+	recent          []arrival // within OverloadLimit.Window, while cold
+	recentWork      time.Duration
+	report          LoadReport
+	reportedAt      time.Duration
+	busy            float64 // core-seconds of work since the process began
+	answers         float64
+	reportedBusy    float64 // busy and answers at the last report
+	reportedAnswers float64
+	OnJobStart      func(JobStart) // called for every job that begins, but for probes; may be nil
 }
 
 type arrival struct{ at, work time.Duration }
 
 type running struct {
 	Job
-	end    float64
-	repeat bool
+	end       float64
+	duplicate bool
 }
 
 // NewServer makes a warm, running server.
 func NewServer(name string, m Machine, f OverloadLimit, pod *Pod) *Server {
-	return &Server{Name: name, Machine: m, OverloadLimit: f, pod: pod, loadAt: -1 << 60}
+	return &Server{Name: name, Machine: m, OverloadLimit: f, pod: pod, reportedAt: -1 << 60}
 }
 
-// State gives the state.
+// State returns the state.
 func (s *Server) State() State { return s.state }
 
-// InFlight gives the requests in work and waiting, as they are now.
+// InFlight returns the numbers of running and of queued requests.
 func (s *Server) InFlight() (active, waiting int) { return len(s.active), len(s.queue) }
 
-// MaxConnections gives the open connections.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int { return s.conns }
 
-// SetState changes the state. A process that dies loses all it held.
+// SetState changes the state. A process that goes down loses its requests and connections.
 func (s *Server) SetState(now time.Duration, st State) {
 	s.progress(now)
 	s.state = st
@@ -107,13 +107,12 @@
 	}
 }
 
-// Start begins a new process: nothing is held, and it is cold if so asked. The
-// event describes it for the history.
+// Start begins a new process, which is cold on request. It returns the event for the history.
 func (s *Server) Start(now time.Duration, cold bool) history.Event {
 	s.SetState(now, Down)
-	s.state, s.since, s.cold, s.at, s.done = Running, now, cold, now, 0
-	s.recent, s.sum, s.load, s.loadAt = nil, 0, LoadReport{}, -1<<60
-	s.busy, s.answers, s.busyAt, s.endedAt = 0, 0, 0, 0
+	s.state, s.startedAt, s.cold, s.at, s.progressed = Running, now, cold, now, 0
+	s.recent, s.recentWork, s.report, s.reportedAt = nil, 0, LoadReport{}, -1<<60
+	s.busy, s.answers, s.reportedBusy, s.reportedAnswers = 0, 0, 0, 0
 	e := history.Event{At: now, Kind: history.ServerStarted, Server: s.Name, Capacity: s.Machine.Capacity(), Cores: s.Machine.Cores}
 	if cold {
 		e.ColdFraction, e.WarmupTime = s.Machine.ColdFraction, s.Machine.WarmupTime
@@ -121,19 +120,21 @@
 	return e
 }
 
-// Cold tells whether the process is not warm yet.
-func (s *Server) Cold(now time.Duration) bool { return s.cold && now < s.since+s.Machine.WarmupTime }
+// Cold reports whether the process is not warm yet.
+func (s *Server) Cold(now time.Duration) bool {
+	return s.cold && now < s.startedAt+s.Machine.WarmupTime
+}
 
-// WarmRatio is the part of its capacity that the server has.
+// WarmRatio is the fraction of its capacity that the server has.
 func (s *Server) WarmRatio(now time.Duration) float64 {
 	if !s.Cold(now) {
 		return 1
 	}
-	age := max(0, now-s.since).Seconds() / s.Machine.WarmupTime.Seconds()
+	age := max(0, now-s.startedAt).Seconds() / s.Machine.WarmupTime.Seconds()
 	return s.Machine.ColdFraction + (1-s.Machine.ColdFraction)*age
 }
 
-// Connect takes one more connection, or tells that there are too many.
+// Connect admits one more connection; it reports false if there are too many.
 func (s *Server) Connect() bool {
 	if s.conns >= s.Machine.MaxConnections {
 		return false
@@ -142,23 +143,22 @@
 	return true
 }
 
-// Disconnect gives one up.
+// Disconnect releases a connection.
 func (s *Server) Disconnect() { s.conns = max(0, s.conns-1) }
 
-// Submit brings a job whose last byte has come. It is taken, or turned away
-// unseen; fell says that it was the one too many for a cold server, which is
-// down from now on.
-func (s *Server) Submit(now time.Duration, j Job) (v history.Verdict, fell bool) {
+// Submit offers a job whose last byte has arrived; it is accepted or rejected. overloaded means
+// that it exceeded the OverloadLimit of a cold server, which is down from now on.
+func (s *Server) Submit(now time.Duration, j Job) (v history.Verdict, overloaded bool) {
 	s.progress(now)
-	if s.overdriven(now, j.Work) {
+	if s.addArrival(now, j.Work) {
 		s.SetState(now, Down)
 		return history.Accepted, true
 	}
 	switch {
 	case s.state == Hung:
-		return history.Accepted, false // it is held for good
+		return history.Accepted, false // and never answered
 	case len(s.active) < s.Machine.Slots:
-		s.begin(now, j)
+		s.startJob(now, j)
 	case len(s.queue) < s.Machine.MaxQueue:
 		s.queue = append(s.queue, j)
 	default:
@@ -167,86 +167,88 @@
 	return history.Accepted, false
 }
 
-// overdriven counts what a cold server is sent.
-func (s *Server) overdriven(now, work time.Duration) bool {
+// addArrival counts the work that a cold server receives and reports whether it exceeds the
+// OverloadLimit.
+func (s *Server) addArrival(now, work time.Duration) bool {
 	if !s.Cold(now) || s.OverloadLimit.Factor <= 0 {
-		s.recent, s.sum = nil, 0
+		s.recent, s.recentWork = nil, 0
 		return false
 	}
-	// One request keeps one core busy: it counts for no more than that core can
-	// do within the window, however heavy it is.
+	// One request keeps one core busy, so it counts for no more than that core can do within the
+	// window.
 	work = min(work, time.Duration(float64(s.OverloadLimit.Window)*s.Machine.Speed))
-	s.recent, s.sum = append(s.recent, arrival{now, work}), s.sum+work
+	s.recent, s.recentWork = append(s.recent, arrival{now, work}), s.recentWork+work
 	for s.recent[0].at <= now-s.OverloadLimit.Window {
-		s.sum -= s.recent[0].work
+		s.recentWork -= s.recent[0].work
 		s.recent = s.recent[1:]
 	}
-	from := now - s.OverloadLimit.Window // the part is straight from the start on, and what it was before
-	middle := (s.WarmRatio(max(from, s.since)) + s.WarmRatio(now)) / 2
-	can := middle * min(s.OverloadLimit.Window, now-s.since).Seconds()
-	can += s.Machine.ColdFraction * max(0, s.since-from).Seconds()
-	return s.sum.Seconds() > s.OverloadLimit.Factor*can*s.Machine.Capacity()+s.OverloadLimit.Allowance.Seconds()
+	// The warm ratio is linear from the start on and constant before it.
+	from := now - s.OverloadLimit.Window
+	meanRatio := (s.WarmRatio(max(from, s.startedAt)) + s.WarmRatio(now)) / 2
+	capacity := meanRatio * min(s.OverloadLimit.Window, now-s.startedAt).Seconds()
+	capacity += s.Machine.ColdFraction * max(0, s.startedAt-from).Seconds()
+	return s.recentWork.Seconds() > s.OverloadLimit.Factor*capacity*s.Machine.Capacity()+s.OverloadLimit.Allowance.Seconds()
 }
 
-func (s *Server) begin(now time.Duration, j Job) {
-	repeat := !j.Probe && !s.pod.RecordKey(now, j.Key)
-	r := running{Job: j, end: s.done + j.Work.Seconds(), repeat: repeat}
-	if repeat {
-		r.end = s.done // it knows the answer
+func (s *Server) startJob(now time.Duration, j Job) {
+	duplicate := !j.Probe && !s.pod.RecordKey(now, j.Key)
+	r := running{Job: j, end: s.progressed + j.Work.Seconds(), duplicate: duplicate}
+	if duplicate {
+		r.end = s.progressed // the answer is known already
 	}
 	heap.Push(&s.active, r)
 	if s.OnJobStart != nil && !j.Probe {
-		s.OnJobStart(JobStart{j, now, repeat})
+		s.OnJobStart(JobStart{j, now, duplicate})
 	}
 }
 
-// rate is the work that each job in work gets in a second of full capacity.
+// rate is the work that each running job receives per second of full capacity.
 func (s *Server) rate() float64 {
 	return s.Machine.Speed * math.Min(1, float64(s.Machine.Cores)/math.Max(1, float64(len(s.active))))
 }
 
-// progress lets the work go on until now.
+// progress advances the running jobs to now.
 func (s *Server) progress(now time.Duration) {
 	if now <= s.at {
 		return
 	}
 	if s.state != Down && len(s.active) > 0 {
 		s.busy += (now - s.at).Seconds() * float64(min(len(s.active), s.Machine.Cores))
-		s.done += s.rate() * s.integral(s.at, now)
+		s.progressed += s.rate() * s.fullSeconds(s.at, now)
 	}
 	s.at = now
 }
 
-// integral gives the seconds of full capacity that lie between two times.
-func (s *Server) integral(from, to time.Duration) float64 {
-	warm := s.since + s.Machine.WarmupTime
+// fullSeconds returns the equivalent, in seconds of full capacity, of the time between from and to.
+func (s *Server) fullSeconds(from, to time.Duration) float64 {
+	warm := s.startedAt + s.Machine.WarmupTime
 	if !s.cold || from >= warm {
 		return (to - from).Seconds()
 	}
-	cut := min(to, warm)
-	part := func(t time.Duration) float64 {
-		return s.Machine.ColdFraction + (1-s.Machine.ColdFraction)*max(0, t-s.since).Seconds()/s.Machine.WarmupTime.Seconds()
+	end := min(to, warm)
+	ratio := func(t time.Duration) float64 {
+		return s.Machine.ColdFraction + (1-s.Machine.ColdFraction)*max(0, t-s.startedAt).Seconds()/s.Machine.WarmupTime.Seconds()
 	}
-	return (cut-from).Seconds()*(part(from)+part(cut))/2 + (to - cut).Seconds()
+	return (end-from).Seconds()*(ratio(from)+ratio(end))/2 + (to - end).Seconds()
 }
 
-// NextCompletion tells when the next job ends if nothing else happens.
+// NextCompletion returns when the next job ends if nothing else happens.
 func (s *Server) NextCompletion() (time.Duration, bool) {
 	if len(s.active) == 0 || s.state == Down {
 		return 0, false
 	}
-	left := (s.active[0].end - s.done) / s.rate() // s of full capacity
+	left := (s.active[0].end - s.progressed) / s.rate() // in seconds of full capacity
 	if left <= 0 {
 		return s.at, true
 	}
 	t := s.at
-	if warm := s.since + s.Machine.WarmupTime; s.cold && t < warm {
-		if all := s.integral(t, warm); all < left {
-			left -= all
+	if warm := s.startedAt + s.Machine.WarmupTime; s.cold && t < warm {
+		if untilWarm := s.fullSeconds(t, warm); untilWarm < left {
+			left -= untilWarm
 			t = warm
-		} else { // p*x + g*x*x/2 = left, with p the part now and g its growth a second
+		} else { // p*x + g*x*x/2 = left, with p the present warm ratio and g its growth per second
 			g := (1 - s.Machine.ColdFraction) / s.Machine.WarmupTime.Seconds()
-			p := s.Machine.ColdFraction + g*max(0, t-s.since).Seconds()
+			p := s.Machine.ColdFraction + g*max(0, t-s.startedAt).Seconds()
 			x := left / p
 			if g > 0 {
 				x = (math.Sqrt(p*p+2*g*left) - p) / g
@@ -257,14 +259,13 @@
 	return t + roundUp(left), true
 }
 
-// roundUp goes to the next nanosecond, so that the work is done by then.
+// roundUp rounds up to the next nanosecond, so that the work is done by then.
 func roundUp(seconds float64) time.Duration { return time.Duration(math.Ceil(seconds*1e9)) + 1 }
 
-// Advance lets the work go on until now and gives the jobs that ended. A
-// server that hangs or is cut off ends jobs too, but nobody is told: it gives
-// none.
+// Advance advances the work to now and returns the jobs that ended. A hung or isolated server ends
+// jobs too, but returns none, as nobody gets their answers.
 func (s *Server) Advance(now time.Duration) []Completion {
-	var out []Completion
+	var completed []Completion
 	for {
 		t, any := s.NextCompletion()
 		if !any || t > now {
@@ -274,20 +275,20 @@
 		r := heap.Pop(&s.active).(running)
 		s.answers++
 		if s.state == Running {
-			out = append(out, Completion{r.Job, r.repeat})
+			completed = append(completed, Completion{r.Job, r.duplicate})
 		}
 		if len(s.queue) > 0 && s.state != Hung {
 			j := s.queue[0]
 			s.queue = s.queue[1:]
-			s.begin(t, j)
+			s.startJob(t, j)
 		}
 	}
 	s.progress(now)
-	return out
+	return completed
 }
 
-// Cancel drops a job whose caller is gone: waiting work always, running work
-// where the machine stops it.
+// Cancel drops a job whose client is gone: always if it is queued, and if it runs where the machine
+// stops running work.
 func (s *Server) Cancel(now time.Duration, id uint64) {
 	s.progress(now)
 	for i, j := range s.queue {
@@ -302,27 +303,27 @@
 			if len(s.queue) > 0 && s.state != Hung {
 				j := s.queue[0]
 				s.queue = s.queue[1:]
-				s.begin(now, j)
+				s.startJob(now, j)
 			}
 			return
 		}
 	}
 }
 
-// ReportInterval gives the load report, which is up to Machine.ReportInterval old.
+// Report returns the load report, which is up to Machine.ReportInterval old.
 func (s *Server) Report(now time.Duration) LoadReport {
-	if now-s.loadAt >= s.Machine.ReportInterval {
+	if now-s.reportedAt >= s.Machine.ReportInterval {
 		l := LoadReport{InFlight: len(s.active) + len(s.queue), Queue: len(s.queue)}
-		if d := (now - max(s.loadAt, s.since)).Seconds(); d > 0 {
-			l.Utilisation = (s.busy - s.busyAt) / (d * float64(s.Machine.Cores))
-			l.CompletionRate = (s.answers - s.endedAt) / d
+		if d := (now - max(s.reportedAt, s.startedAt)).Seconds(); d > 0 {
+			l.Utilisation = (s.busy - s.reportedBusy) / (d * float64(s.Machine.Cores))
+			l.CompletionRate = (s.answers - s.reportedAnswers) / d
 		}
-		s.load, s.loadAt, s.busyAt, s.endedAt = l, now, s.busy, s.answers
+		s.report, s.reportedAt, s.reportedBusy, s.reportedAnswers = l, now, s.busy, s.answers
 	}
-	return s.load
+	return s.report
 }
 
-// jobHeap holds the jobs in work, the next to end first.
+// jobHeap orders the running jobs by their end.
 type jobHeap []running
 
 func (h jobHeap) Len() int { return len(h) }
