--- a/internal/lab/clipserver/server.go
+++ b/internal/lab/clipserver/server.go
@@ -1,6 +1,6 @@
-// Package clipserver puts the model of a clip server on sockets, in the form
-// of the protocol page. It has an address of its own for each node, so that it
-// knows who sends; its faults are methods.
+// Package clipserver serves the model of a clip server over sockets, in the form of the protocol.
+// It has a separate address for each node, so that it knows the sender of a request. Its faults are
+// methods.
 package clipserver
 
 import (
@@ -23,70 +23,69 @@
 const (
 	maxBody  = 64 << 10
 	maxHead  = 16 << 10
-	idleTime = 60 * time.Second // a connection that stands idle for so long is closed
+	idleTime = 60 * time.Second // until an idle connection is closed
 )
 
-// Config says what a Server works with.
+// Config configures a Server.
 type Config struct {
-	Model  *clip.Server // the server's alone from now on
+	Model  *clip.Server // owned by the server from now on
 	Clock  func() time.Duration
 	Record func(history.Event)
-	// FirstByteAt tells when the first byte of a request came to a link in front,
-	// by the address that the server sees. It may be nil.
+	// FirstByteAt returns when the first byte of a request reached a link in front of the server,
+	// by the remote address that the server sees. It may be nil.
 	FirstByteAt func(node, remote string) (time.Duration, bool)
 }
 
-// Server is one clip server. Its methods may be called from several
-// goroutines.
+// Server is one clip server. It is safe for concurrent use.
 type Server struct {
 	Config
-	mu     sync.Mutex
-	doors  []*door
-	conns  map[*conn]bool
-	timer  *alarm.Timer
-	jobs   map[uint64]*conn
-	nextID uint64
-	spoil  func() bool // whether to spoil the next answer
-	life   int
-	muted  bool
-	closed bool
-	wait   sync.WaitGroup
+	mu          sync.Mutex
+	endpoints   []*endpoint
+	conns       map[*conn]bool
+	timer       *alarm.Timer
+	jobs        map[uint64]*conn
+	nextID      uint64
+	corrupt     func() bool // whether to corrupt the next answer
+	incarnation int
+	isolated    bool
+	closed      bool
+	goroutines  sync.WaitGroup
 }
 
-// door is the address for one node.
-type door struct {
+// endpoint is the address for one node.
+type endpoint struct {
 	node string
 	*socket.ReservedAddr
-	listener *net.TCPListener  // nil: no process listens
-	silence  *socket.BlackHole // while the machine is cut off
+	listener  *net.TCPListener  // nil: no process listens
+	blackHole *socket.BlackHole // while the machine is isolated
 }
 
-// conn is one connection. Its goroutine reads; whoever ends its job writes.
+// conn is one connection. Its goroutine reads; the goroutine that completes its job writes.
 type conn struct {
 	net.Conn
-	r      *bufio.Reader
-	limit  *io.LimitedReader
-	server *Server
-	door   *door
-	life   int
-	excess bool   // over the cap: its first request is turned away
-	fresh  bool   // the next request is the first one
-	job    uint64 // that it waits for; 0: none
-	try    string
-	method string
+	r           *bufio.Reader
+	limit       *io.LimitedReader
+	server      *Server
+	endpoint    *endpoint
+	incarnation int
+	overLimit   bool   // over the limit of connections: its first request is rejected
+	unused      bool   // no request has come on it yet
+	job         uint64 // the job that it waits for; 0: none
+	try         string
+	method      string
 }
 
-// New makes a server whose process runs and has been running for long.
+// New makes a server whose process has been running for long.
 func New(c Config) *Server {
 	s := &Server{Config: c, conns: map[*conn]bool{}, jobs: map[uint64]*conn{}}
-	s.timer = alarm.New(func() { go s.tick() }) // it may wait for the lock
-	s.watch()
+	s.timer = alarm.New(func() { go s.tick() }) // tick may wait for the lock
+	s.recordEffects()
 	c.Record(c.Model.Start(c.Clock(), false))
 	return s
 }
 
-// watch records the effects that the model runs.
-func (s *Server) watch() {
+// recordEffects records the effects that the model runs.
+func (s *Server) recordEffects() {
 	name := s.Model.Name
 	s.Model.OnJobStart = func(b clip.JobStart) {
 		kind := history.EffectRun
@@ -97,44 +96,43 @@
 	}
 }
 
-// Replace ends the process for good and puts a new server at its addresses,
-// which is down until Start.
+// Replace ends the process for good and puts a new server at its addresses. It is down until Start.
 func (s *Server) Replace(m *clip.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.die()
+	s.stopProcess()
 	s.Model = m
 	s.Model.SetState(s.Clock(), clip.Down)
-	s.watch()
+	s.recordEffects()
 }
 
-// Listen opens an address for a node.
+// Listen opens an address for a node and returns it.
 func (s *Server) Listen(node string) (string, error) {
 	p, err := socket.ReserveAddr()
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", s.Model.Name, err)
 	}
-	d := &door{node: node, ReservedAddr: p}
+	d := &endpoint{node: node, ReservedAddr: p}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doors = append(s.doors, d)
+	s.endpoints = append(s.endpoints, d)
 	return p.Addr, s.open(d)
 }
 
-// open lets a door's process listen. The caller holds the lock.
-func (s *Server) open(d *door) error {
+// open starts to listen at an endpoint. The caller holds the lock.
+func (s *Server) open(d *endpoint) error {
 	l, err := d.Listen()
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Model.Name, err)
 	}
 	d.listener = l
-	s.wait.Add(1)
+	s.goroutines.Add(1)
 	go s.accept(d, l)
 	return nil
 }
 
-func (s *Server) accept(d *door, l *net.TCPListener) {
-	defer s.wait.Done()
+func (s *Server) accept(d *endpoint, l *net.TCPListener) {
+	defer s.goroutines.Done()
 	for {
 		nc, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -144,36 +142,36 @@
 			continue
 		}
 		limit := &io.LimitedReader{R: nc}
-		c := &conn{Conn: nc, limit: limit, r: bufio.NewReader(limit), server: s, door: d, fresh: true}
+		c := &conn{Conn: nc, limit: limit, r: bufio.NewReader(limit), server: s, endpoint: d, unused: true}
 		s.mu.Lock()
 		if s.closed || d.listener != l {
 			s.mu.Unlock()
 			socket.Abort(nc)
 			continue
 		}
-		c.life = s.life
-		c.excess = !s.Model.Connect()
+		c.incarnation = s.incarnation
+		c.overLimit = !s.Model.Connect()
 		s.conns[c] = true
 		s.Record(history.Event{At: s.Clock(), Kind: history.Connect, Node: d.node, Server: s.Model.Name})
-		s.wait.Add(1)
+		s.goroutines.Add(1)
 		s.mu.Unlock()
 		go c.serve()
 	}
 }
 
-// serve reads requests until the connection ends. While a job is out it waits
-// for the next byte, and so sees that the node has closed the connection.
+// serve reads requests until the connection ends. While a job runs it waits for the next byte, and
+// so notices when the node closes the connection.
 func (c *conn) serve() {
 	s := c.server
-	defer s.wait.Done()
-	defer c.gone()
+	defer s.goroutines.Done()
+	defer c.cleanUp()
 	for {
 		c.SetReadDeadline(time.Now().Add(idleTime))
 		c.limit.N = maxHead + maxBody
 		if _, err := c.r.Peek(1); err != nil {
 			return
 		}
-		first := s.Clock()
+		firstByteAt := s.Clock()
 		req, err := http.ReadRequest(c.r)
 		if err != nil {
 			return
@@ -182,26 +180,25 @@
 			return
 		}
 		if s.FirstByteAt != nil {
-			if t, known := s.FirstByteAt(c.door.node, c.RemoteAddr().String()); known {
-				first = t
+			if t, known := s.FirstByteAt(c.endpoint.node, c.RemoteAddr().String()); known {
+				firstByteAt = t
 			}
 		}
-		if !c.take(req, first) {
+		if !c.handle(req, firstByteAt) {
 			return
 		}
 	}
 }
 
-// take brings a request to the model. It gives false if the connection must
-// end.
-func (c *conn) take(req *http.Request, first time.Duration) bool {
+// handle submits a request to the model. It reports false if the connection must end.
+func (c *conn) handle(req *http.Request, firstByteAt time.Duration) bool {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.life != s.life || c.job != 0 { // one request at a time
+	if c.incarnation != s.incarnation || c.job != 0 { // one request at a time
 		return false
 	}
-	if s.muted { // cut off: it never came
+	if s.isolated { // isolated: the request never arrived
 		return true
 	}
 	now := s.Clock()
@@ -217,29 +214,29 @@
 		}
 		j.Work = time.Duration(work) * time.Microsecond
 	}
-	if c.fresh {
-		c.fresh = false
+	if c.unused {
+		c.unused = false
 		j.Work += s.Model.Machine.HandshakeWork
 	}
 	s.nextID++
 	if j.Probe {
-		s.Record(history.Event{At: now, Kind: history.Probe, Node: c.door.node, Server: s.Model.Name, Work: j.Work})
+		s.Record(history.Event{At: now, Kind: history.Probe, Node: c.endpoint.node, Server: s.Model.Name, Work: j.Work})
 	}
-	verdict, fell := history.Rejected, false
-	if !c.excess {
-		verdict, fell = s.Model.Submit(now, j)
+	verdict, overloaded := history.Rejected, false
+	if !c.overLimit {
+		verdict, overloaded = s.Model.Submit(now, j)
 	}
 	if !j.Probe {
-		s.Record(history.Event{At: now, Kind: history.Attempt, Try: j.Try, Node: c.door.node, Server: s.Model.Name,
-			Work: j.Work, FirstByteAt: first, Verdict: verdict})
+		s.Record(history.Event{At: now, Kind: history.Attempt, Try: j.Try, Node: c.endpoint.node, Server: s.Model.Name,
+			Work: j.Work, FirstByteAt: firstByteAt, Verdict: verdict})
 	}
 	switch {
-	case fell:
+	case overloaded:
 		s.Record(history.Event{At: now, Kind: history.ServerOverloaded, Server: s.Model.Name})
-		s.die()
+		s.stopProcess()
 		return false
 	case verdict == history.Rejected:
-		return c.reply(http.StatusServiceUnavailable, "Not-Started: 1\r\n", "") && !c.excess
+		return c.reply(http.StatusServiceUnavailable, "Not-Started: 1\r\n", "") && !c.overLimit
 	}
 	c.job, c.try, c.method = j.ID, j.Try, req.Method
 	s.jobs[j.ID] = c
@@ -247,27 +244,27 @@
 	return true
 }
 
-// reply writes a whole answer.
+// reply writes a complete answer.
 func (c *conn) reply(status int, head, body string) bool {
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	_, err := fmt.Fprintf(c.Conn, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), head, body)
 	return err == nil
 }
 
-// gone cleans up behind a connection.
-func (c *conn) gone() {
+// cleanUp releases a connection that has ended and cancels its job.
+func (c *conn) cleanUp() {
 	s := c.server
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	if c.life != s.life {
+	if c.incarnation != s.incarnation {
 		return
 	}
-	if !c.excess {
+	if !c.overLimit {
 		s.Model.Disconnect()
 	}
-	s.Record(history.Event{At: s.Clock(), Kind: history.Disconnect, Node: c.door.node, Server: s.Model.Name})
+	s.Record(history.Event{At: s.Clock(), Kind: history.Disconnect, Node: c.endpoint.node, Server: s.Model.Name})
 	if c.job != 0 {
 		delete(s.jobs, c.job)
 		now := s.Clock()
@@ -283,8 +280,8 @@
 	s.advance(s.Clock())
 }
 
-// advance answers the jobs that are done and plans for the next one. The
-// caller holds the lock.
+// advance answers the jobs that are done and sets the timer for the next one. The caller holds the
+// lock.
 func (s *Server) advance(now time.Duration) {
 	for _, d := range s.Model.Advance(now) {
 		c := s.jobs[d.ID]
@@ -297,7 +294,7 @@
 		case d.Probe:
 			l := s.Model.Report(now)
 			c.reply(http.StatusOK, "", fmt.Sprintf("inflight=%d,queue=%d", l.InFlight, l.Queue))
-		case s.spoil != nil && s.spoil():
+		case s.corrupt != nil && s.corrupt():
 			s.Record(history.Event{At: now, Kind: history.AnswerCorrupted, Try: d.Try, Server: s.Model.Name})
 			c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nnot all of i"))
 			c.Close()
@@ -310,50 +307,50 @@
 	}
 }
 
-// AnswerBody is the answer that a server makes for a try; a client knows by it that
-// nobody else made it.
+// AnswerBody is the body of a server's answer to a try. By it a client recognises whose answer it
+// got.
 func AnswerBody(server, try string) string { return "clip " + try + " by " + server + "\n" }
 
-// die ends the process: connections are reset and new ones refused. The caller
-// holds the lock.
-func (s *Server) die() {
-	s.life++
+// stopProcess ends the process: connections are reset and new ones refused. The caller holds the
+// lock.
+func (s *Server) stopProcess() {
+	s.incarnation++
 	s.Model.SetState(s.Clock(), clip.Down)
 	s.jobs = map[uint64]*conn{}
-	for _, d := range s.doors {
+	for _, d := range s.endpoints {
 		if d.listener != nil {
 			d.listener.Close()
 			d.listener = nil
 		}
-		if d.silence != nil {
-			d.silence.Close()
-			d.silence = nil
+		if d.blackHole != nil {
+			d.blackHole.Close()
+			d.blackHole = nil
 		}
 	}
 	for c := range s.conns {
 		socket.Abort(c.Conn)
 	}
-	s.muted = false
+	s.isolated = false
 }
 
 // Kill ends the process.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.die()
+	s.stopProcess()
 }
 
-// Start begins a new process, cold or warm, at the same addresses. What an
-// older one held is reset.
+// Start begins a new process, cold or warm, at the same addresses. Connections of an older one are
+// reset.
 func (s *Server) Start(cold bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return nil
 	}
-	s.die()
+	s.stopProcess()
 	s.Record(s.Model.Start(s.Clock(), cold))
-	for _, d := range s.doors {
+	for _, d := range s.endpoints {
 		if err := s.open(d); err != nil {
 			return err
 		}
@@ -361,27 +358,27 @@
 	return nil
 }
 
-// Isolate cuts the machine off: what is open stays open, nothing comes up, and
-// nothing is said. Start brings it back.
+// Isolate cuts the machine off from the network: open connections stay open without answers, new
+// ones are not established. Start ends it.
 func (s *Server) Isolate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.muted = true
+	s.isolated = true
 	s.Model.SetState(s.Clock(), clip.Isolated)
-	for _, d := range s.doors {
+	for _, d := range s.endpoints {
 		if d.listener == nil {
 			continue
 		}
-		silence, err := d.BlackHole(d.listener)
+		blackHole, err := d.BlackHole(d.listener)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Model.Name, err)
 		}
-		d.silence, d.listener = silence, nil
+		d.blackHole, d.listener = blackHole, nil
 	}
 	return nil
 }
 
-// SetHung makes the process take requests and answer none, or go on.
+// SetHung makes the process accept requests without answering them, or continue.
 func (s *Server) SetHung(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -396,7 +393,7 @@
 	}
 }
 
-// CloseIdle closes the connections on which nothing is going on, as a process may at any time.
+// CloseIdle closes the connections without a running job, as a process may at any time.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -408,31 +405,31 @@
 	}
 }
 
-// CorruptAnswers asks choose before each answer whether to spoil it; nil ends that.
+// CorruptAnswers has choose decide before each answer whether to corrupt it; nil ends that.
 func (s *Server) CorruptAnswers(choose func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spoil = choose
+	s.corrupt = choose
 }
 
-// Status gives the server's state for a screen.
-func (s *Server) Status() (st clip.State, active, waiting int, part float64) {
+// Status returns the server's state for display.
+func (s *Server) Status() (st clip.State, active, waiting int, warmRatio float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	active, waiting = s.Model.InFlight()
 	return s.Model.State(), active, waiting, s.Model.WarmRatio(s.Clock())
 }
 
-// Close ends all and waits for it.
+// Close ends the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.timer.Stop()
-	s.die()
-	for _, d := range s.doors {
+	s.stopProcess()
+	for _, d := range s.endpoints {
 		d.ReservedAddr.Close()
 	}
-	s.doors = nil
+	s.endpoints = nil
 	s.mu.Unlock()
-	s.wait.Wait()
+	s.goroutines.Wait()
 }
