--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is the stand-in clients, with the front that deals out their
-// connections: the orders of a load stream, sent over sockets in the form of
-// the protocol page, with the clients' own retries.
+// Package caller implements the stand-in clients and the load balancer that distributes their
+// connections. They send the orders of a load stream over sockets, in the form of the protocol,
+// with the clients' own retries.
 package caller
 
 import (
@@ -24,132 +24,135 @@
 )
 
 const (
-	dialTime   = time.Second
-	piecePause = 30 * time.Millisecond // between the pieces of a request that is written slowly
-	maxIdle    = 512                   // kept connections; more are closed
-	maxOpen    = 4096
-	slowRead   = 20 * time.Millisecond // what a slow reader waits before it reads
+	dialTimeout = time.Second
+	piecePause  = 30 * time.Millisecond // between the pieces of a slowly written request
+	maxIdle     = 512                   // idle connections kept; further ones are closed
+	maxOpen     = 4096
+	// slowReadDelay is how long a slow reader waits before it reads.
+	slowReadDelay = 20 * time.Millisecond
 )
 
-// Target is where a connection may go: a node and the process that serves it.
+// Target is the destination of a connection: a node and the process that serves it.
 type Target struct {
 	Node, Addr  string
 	Incarnation int // counts the node's processes
 }
 
-// Balancer deals out connections among the nodes of a hall. Its methods may be
-// called from several goroutines.
+// Balancer distributes connections among the nodes of a zone. It is safe for concurrent use.
 type Balancer struct {
-	mu     sync.Mutex
-	halls  map[string]string // node: hall
-	order  []string
-	places map[string]Target    // those it knows to be up
-	lives  map[string]int       // of the processes that have been killed so far
-	ends   map[Target]time.Time // when, by node and life
-	turn   int
+	mu       sync.Mutex
+	zones    map[string]string // by node
+	order    []string
+	targets  map[string]Target    // the nodes known to be up
+	killed   map[string]int       // by node, the incarnation of the last process that was killed
+	killedAt map[Target]time.Time // by node and incarnation
+	next     int
 }
 
-// NewBalancer makes one for the nodes of a scenario.
+// NewBalancer makes a Balancer for the nodes of a scenario.
 func NewBalancer(nodes []scenario.Node) *Balancer {
-	f := &Balancer{halls: map[string]string{}, places: map[string]Target{}, lives: map[string]int{}, ends: map[Target]time.Time{}}
+	b := &Balancer{zones: map[string]string{}, targets: map[string]Target{}, killed: map[string]int{}, killedAt: map[Target]time.Time{}}
 	for _, n := range nodes {
-		f.halls[n.Name] = n.Zone
-		f.order = append(f.order, n.Name)
+		b.zones[n.Name] = n.Zone
+		b.order = append(b.order, n.Name)
 	}
-	return f
+	return b
 }
 
-// Add takes a node in.
-func (f *Balancer) Add(p Target) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.places[p.Node] = p
+// Add starts sending connections to a node.
+func (b *Balancer) Add(target Target) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.targets[target.Node] = target
 }
 
-// Remove leaves a process of a node out.
-func (f *Balancer) Remove(node string, life int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.places[node].Incarnation == life {
-		delete(f.places, node)
+// Remove stops sending connections to a process of a node.
+func (b *Balancer) Remove(node string, incarnation int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.targets[node].Incarnation == incarnation {
+		delete(b.targets, node)
 	}
 }
 
-// MarkKilled notes that a process was killed, before the front notices it: what it
-// had taken is the clients' to retry.
-func (f *Balancer) MarkKilled(node string, life int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.lives[node], f.ends[Target{Node: node, Incarnation: life}] = life, time.Now()
+// MarkKilled notes that a process was killed, before the balancer notices it: requests that it had
+// received are left to the clients' retries.
+func (b *Balancer) MarkKilled(node string, incarnation int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.killed[node], b.killedAt[Target{Node: node, Incarnation: incarnation}] = incarnation, time.Now()
 }
 
-// killTime is how long a process may go on that is being killed.
+// killTime is how long a process may keep running while it is being killed.
 const killTime = 100 * time.Millisecond
 
-// wasKilled tells whether a process was killed that may have had a request in its
-// hands by then; not one that was sent on an old connection of it long after.
-func (f *Balancer) wasKilled(p Target, sent time.Time) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if p.Incarnation > f.lives[p.Node] {
+// wasKilled reports whether a process was killed that may have had a request sent at that time. It
+// does not count requests sent on an old connection long after.
+func (b *Balancer) wasKilled(target Target, sent time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if target.Incarnation > b.killed[target.Node] {
 		return false
 	}
-	end, known := f.ends[Target{Node: p.Node, Incarnation: p.Incarnation}]
+	end, known := b.killedAt[Target{Node: target.Node, Incarnation: target.Incarnation}]
 	return !known || !sent.After(end.Add(killTime))
 }
 
-// Pick gives the node for the next connection from a hall; a hall without one
-// is served by the others.
-func (f *Balancer) Pick(hall string) (Target, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, near := range []bool{true, false} {
+// Pick returns the node for the next connection from a zone. Zones without a node are served by the
+// others.
+func (b *Balancer) Pick(zone string) (Target, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, sameZone := range []bool{true, false} {
 		var up []Target
-		for _, name := range f.order {
-			if p, known := f.places[name]; known && (f.halls[name] == hall) == near {
-				up = append(up, p)
+		for _, name := range b.order {
+			if target, known := b.targets[name]; known && (b.zones[name] == zone) == sameZone {
+				up = append(up, target)
 			}
 		}
 		if len(up) > 0 {
-			f.turn++
-			return up[f.turn%len(up)], true
+			b.next++
+			return up[b.next%len(up)], true
 		}
 	}
 	return Target{}, false
 }
 
-// Clients sends orders. Its methods may be called from several goroutines.
+// Clients sends orders. It is safe for concurrent use.
 type Clients struct {
 	Scenario *scenario.Scenario
 	Balancer *Balancer
 	Clock    func() time.Duration
 	Record   func(history.Event)
-	Slack    time.Duration // that a client waits past its time, so that the judge sees how late an answer is
+	// Slack is how much longer than its timeout a client waits, so that the judge sees how late an
+	// answer is.
+	Slack time.Duration
 
-	extra atomic.Int64 // numbers of what is sent to nodes that are told to end
+	lateOrders atomic.Int64 // number of the last order sent during a shutdown
 
 	mu    sync.Mutex
-	idle  map[string][]*conn // by hall, the warmest last
+	idle  map[string][]*conn // by zone, the most recently used last
 	open  int
 	stats Stats
 }
 
-// Stats are the clients' own counts.
+// Stats are the clients' own counters.
 type Stats struct {
 	Dialled, Resent, NoNode int
-	LateRequests            int // requests on connections of nodes that were told to end
-	CloseRaces              int // of these, on connections that had carried nothing and were closed unread just then
+	LateRequests            int // requests on connections of nodes that are shutting down
+	// CloseRaces counts those on unused connections that were closed unread at that moment.
+	CloseRaces int
 }
 
 type conn struct {
 	*net.TCPConn
-	r     *bufio.Reader // over the conn's own Read
-	reads int           // since the latest answer began to arrive
-	place Target
+	r      *bufio.Reader // reads through conn.Read
+	reads  int           // since the latest answer began to arrive
+	target Target
 }
 
-func newConn(nc *net.TCPConn, p Target) *conn {
-	k := &conn{TCPConn: nc, place: p}
+func newConn(nc *net.TCPConn, target Target) *conn {
+	k := &conn{TCPConn: nc, target: target}
 	k.r = bufio.NewReader(k)
 	return k
 }
@@ -173,29 +176,28 @@
 	}
 }
 
-// try sends one try and gives how it ended.
+// try sends one try and returns how it ended.
 func (c *Clients) try(o *load.Order, n int) (history.Status, time.Duration) {
 	id := fmt.Sprintf("%s.%d", o.ID, n)
-	patience := load.TryTimeout(c.Scenario, o, c.Clock())
-	if patience < time.Millisecond {
+	timeout := load.TryTimeout(c.Scenario, o, c.Clock())
+	if timeout < time.Millisecond {
 		return history.Abandoned, 0
 	}
-	text := wording(o, id, patience)
+	text := requestText(o, id, timeout)
 	var last result
-	for resend := false; ; resend = true {
-		k, fresh := c.take(o.Zone, resend)
+	for isResend := false; ; isResend = true {
+		k, isNew := c.acquire(o.Zone, isResend)
 		if k == nil {
 			c.mu.Lock()
 			c.stats.NoNode++
 			c.mu.Unlock()
 			return history.Unreachable, 0
 		}
-		began := time.Now()
-		last = c.exchange(k, text, id, o, patience)
-		// A connection that the node closed between requests, as it may: the
-		// request goes out once more on a new one. Not if the process was killed
-		// with the request in its hands.
-		if last.status == history.ConnectionBroken && last.silent && !fresh && !resend && !c.Balancer.wasKilled(k.place, began) {
+		startedAt := time.Now()
+		last = c.exchange(k, text, id, o, timeout)
+		// A node may close a connection between requests; the request is then resent once on a new
+		// one, unless the process may have been killed while it had the request.
+		if last.status == history.ConnectionBroken && last.beforeAnswer && !isNew && !isResend && !c.Balancer.wasKilled(k.target, startedAt) {
 			c.mu.Lock()
 			c.stats.Resent++
 			c.mu.Unlock()
@@ -204,31 +206,31 @@
 		if !last.written {
 			return history.Unreachable, 0
 		}
-		c.tell(o, id, n, k, last, patience)
+		c.recordTry(o, id, n, k, last, timeout)
 		break
 	}
 	return last.status, last.retryAfter
 }
 
-// tell records a try and how it ended.
-func (c *Clients) tell(o *load.Order, id string, n int, k *conn, r result, patience time.Duration) {
+// recordTry records a try and how it ended.
+func (c *Clients) recordTry(o *load.Order, id string, n int, k *conn, r result, timeout time.Duration) {
 	c.Record(history.Event{At: r.sent, Kind: history.Try, Order: o.ID, Try: id, Number: n, Class: o.Class.Name,
-		Node: k.place.Node, Key: o.Key, Deadline: r.sent + patience})
+		Node: k.target.Node, Key: o.Key, Deadline: r.sent + timeout})
 	c.Record(history.Event{At: r.ended, Kind: history.Answer, Try: id, Status: r.status, Server: r.server})
-	if r.extra {
+	if r.extraData {
 		c.Record(history.Event{At: r.ended, Kind: history.ExtraData, Try: id})
 	}
 }
 
-// wording words a try in the form of the protocol page.
-func wording(o *load.Order, id string, patience time.Duration) string {
+// requestText formats a try in the form of the protocol.
+func requestText(o *load.Order, id string, timeout time.Duration) string {
 	var text strings.Builder
 	method := http.MethodPost
 	if o.Class.Effect == history.Safe {
 		method = http.MethodGet
 	}
 	fmt.Fprintf(&text, "%s /%s/clip?sid=%s&work=%d HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n",
-		method, o.Class.Name, o.ID, o.Work.Microseconds(), id, o.Class.Name, patience.Milliseconds())
+		method, o.Class.Name, o.ID, o.Work.Microseconds(), id, o.Class.Name, timeout.Milliseconds())
 	if o.Tenant != "" {
 		fmt.Fprintf(&text, "Tenant: %s\r\n", o.Tenant)
 	}
@@ -243,15 +245,15 @@
 	return text.String()
 }
 
-// take gives the warmest idle connection from a hall, or opens one.
-func (c *Clients) take(hall string, fresh bool) (k *conn, isFresh bool) {
+// acquire returns the most recently used idle connection from a zone, or opens one.
+func (c *Clients) acquire(zone string, forceNew bool) (k *conn, isNew bool) {
 	c.mu.Lock()
 	if c.idle == nil {
 		c.idle = map[string][]*conn{}
 	}
-	if list := c.idle[hall]; !fresh && len(list) > 0 {
+	if list := c.idle[zone]; !forceNew && len(list) > 0 {
 		k = list[len(list)-1]
-		c.idle[hall] = list[:len(list)-1]
+		c.idle[zone] = list[:len(list)-1]
 		c.mu.Unlock()
 		return k, false
 	}
@@ -262,16 +264,16 @@
 	c.open++
 	c.stats.Dialled++
 	c.mu.Unlock()
-	if p, any := c.Balancer.Pick(hall); any {
-		if nc, err := socket.Dial(p.Addr, dialTime); err == nil {
-			return newConn(nc, p), true
+	if target, ok := c.Balancer.Pick(zone); ok {
+		if nc, err := socket.Dial(target.Addr, dialTimeout); err == nil {
+			return newConn(nc, target), true
 		}
 	}
-	c.drop(nil)
+	c.discard(nil)
 	return nil, true
 }
 
-func (c *Clients) drop(k *conn) {
+func (c *Clients) discard(k *conn) {
 	if k != nil {
 		k.Close()
 	}
@@ -280,25 +282,25 @@
 	c.open--
 }
 
-func (c *Clients) keep(hall string, k *conn) {
+func (c *Clients) reuse(zone string, k *conn) {
 	c.mu.Lock()
-	if len(c.idle[hall]) < maxIdle {
-		c.idle[hall] = append(c.idle[hall], k)
+	if len(c.idle[zone]) < maxIdle {
+		c.idle[zone] = append(c.idle[zone], k)
 		c.mu.Unlock()
 		return
 	}
 	c.mu.Unlock()
-	c.drop(k)
+	c.discard(k)
 }
 
-// Stats gives the counts.
+// Stats returns the counters.
 func (c *Clients) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// Close gives up idle connections.
+// Close closes idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -310,72 +312,73 @@
 	c.idle = nil
 }
 
-// result is how one exchange went.
+// result is the outcome of one exchange.
 type result struct {
-	status      history.Status
-	written     bool
-	silent      bool // it broke before the first byte of an answer
-	sent, ended time.Duration
-	retryAfter  time.Duration
-	server      string
-	extra       bool
+	status       history.Status
+	written      bool
+	beforeAnswer bool // it broke before the first byte of an answer
+	sent, ended  time.Duration
+	retryAfter   time.Duration
+	server       string
+	extraData    bool
 }
 
-func (c *Clients) exchange(k *conn, text, id string, o *load.Order, patience time.Duration) (r result) {
-	keep := false
-	arrived := time.Duration(-1) // when the whole answer did, if it was read at once
+func (c *Clients) exchange(k *conn, text, id string, o *load.Order, timeout time.Duration) (r result) {
+	reuse := false
+	// arrivedAt is when the whole answer arrived, if it was read at once.
+	arrivedAt := time.Duration(-1)
 	defer func() {
-		if r.ended = c.Clock(); arrived >= 0 {
-			r.ended = arrived
+		if r.ended = c.Clock(); arrivedAt >= 0 {
+			r.ended = arrivedAt
 		}
-		if keep {
-			c.keep(o.Zone, k)
+		if reuse {
+			c.reuse(o.Zone, k)
 		} else {
-			c.drop(k)
+			c.discard(k)
 		}
 	}()
-	k.SetDeadline(time.Now().Add(patience + c.Slack + time.Duration(o.WritePieces)*piecePause))
+	k.SetDeadline(time.Now().Add(timeout + c.Slack + time.Duration(o.WritePieces)*piecePause))
 	r.sent = c.Clock()
 	if err := writePieces(k, text, o.WritePieces); err != nil {
-		r.status, r.silent = history.ConnectionBroken, true
+		r.status, r.beforeAnswer = history.ConnectionBroken, true
 		return r
 	}
 	r.written, r.sent = true, c.Clock()
-	k.SetDeadline(time.Now().Add(patience + c.Slack))
+	k.SetDeadline(time.Now().Add(timeout + c.Slack))
 	if o.AbandonAfter > 0 {
 		k.SetReadDeadline(time.Now().Add(o.AbandonAfter))
 	}
 	firstAt, err := c.await(k)
 	if err != nil {
-		if r.status, r.silent = lost(err), true; o.AbandonAfter > 0 && r.status == history.TimedOut {
+		if r.status, r.beforeAnswer = errorStatus(err), true; o.AbandonAfter > 0 && r.status == history.TimedOut {
 			r.status = history.Abandoned
 		}
 		return r
 	}
-	k.SetDeadline(time.Now().Add(patience + c.Slack))
+	k.SetDeadline(time.Now().Add(timeout + c.Slack))
 	if o.SlowReader {
 		c.Record(history.Event{At: c.Clock(), Kind: history.SlowRead, Try: id})
-		time.Sleep(slowRead)
+		time.Sleep(slowReadDelay)
 	}
 	resp, err := http.ReadResponse(k.r, nil)
 	if err != nil {
-		r.status = lost(err)
+		r.status = errorStatus(err)
 		return r
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10+1))
 	if err != nil {
-		r.status = lost(err)
+		r.status = errorStatus(err)
 		return r
 	}
 	if k.reads == 1 {
-		arrived = firstAt
+		arrivedAt = firstAt
 	}
-	r.extra = k.r.Buffered() > 0
-	keep = !resp.Close && !r.extra
+	r.extraData = k.r.Buffered() > 0
+	reuse = !resp.Close && !r.extraData
 	switch resp.StatusCode {
 	case http.StatusOK:
 		r.status = history.WrongContent
-		if rest, ok := strings.CutPrefix(string(body), "clip "+id+" by "); ok {
+		if rest, found := strings.CutPrefix(string(body), "clip "+id+" by "); found {
 			r.status, r.server = history.Served, strings.TrimSpace(rest)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -389,8 +392,8 @@
 	return r
 }
 
-// await waits for the first byte of an answer, and tells when it arrived: when the kernel had it, not when
-// this process, which shares the machine with all nodes, came to read it.
+// await waits for the first byte of an answer and returns when it arrived: when the kernel had it,
+// not when this process, which shares the machine with all nodes, came to read it.
 func (c *Clients) await(k *conn) (at time.Duration, err error) {
 	age, some, err := socket.AwaitArrival(k.TCPConn)
 	at = c.Clock() - age
@@ -401,7 +404,7 @@
 	return at, err
 }
 
-// writePieces writes a request in so many pieces, with a pause between them.
+// writePieces writes a request in a number of pieces, with a pause between them.
 func writePieces(w io.Writer, text string, pieces int) error {
 	for i := 1; i < pieces; i++ {
 		cut := len(text) / (pieces - i + 1)
@@ -415,8 +418,8 @@
 	return err
 }
 
-// lost tells a time-out from a broken connection.
-func lost(err error) history.Status {
+// errorStatus distinguishes a timeout from a broken connection.
+func errorStatus(err error) history.Status {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return history.TimedOut
 	}
--- a/internal/lab/caller/caller_test.go
+++ b/internal/lab/caller/caller_test.go
@@ -15,17 +15,17 @@
 	"ivylock/internal/lab/scenario"
 )
 
-type rig struct {
+type fixture struct {
 	*Clients
-	t    *testing.T
-	mu   sync.Mutex
-	seen []history.Event
-	got  []*http.Request
+	t        *testing.T
+	mu       sync.Mutex
+	events   []history.Event
+	requests []*http.Request
 }
 
-// newRig makes clients whose one node is a script: answer gives the raw text
-// for the n-th request; "" closes the connection.
-func newRig(t *testing.T, answer func(n int, r *http.Request) string) *rig {
+// newFixture makes clients whose only node is scripted: answer returns the raw text of the answer
+// to the n-th request; "" closes the connection.
+func newFixture(t *testing.T, answer func(n int, r *http.Request) string) *fixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,14 +33,14 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	s := &scenario.Scenario{Client: scenario.Client{Retries: 2, TryTimeoutFraction: 0.5, Backoff: scenario.Span{Duration: time.Millisecond}}}
-	front := NewBalancer([]scenario.Node{{Name: "n0", Zone: "hall"}})
-	front.Add(Target{"n0", l.Addr().String(), 1})
+	balancer := NewBalancer([]scenario.Node{{Name: "n0", Zone: "hall"}})
+	balancer.Add(Target{"n0", l.Addr().String(), 1})
 	start := time.Now()
-	r := &rig{t: t, Clients: &Clients{Scenario: s, Balancer: front, Clock: func() time.Duration { return time.Since(start) }, Slack: 50 * time.Millisecond}}
+	r := &fixture{t: t, Clients: &Clients{Scenario: s, Balancer: balancer, Clock: func() time.Duration { return time.Since(start) }, Slack: 50 * time.Millisecond}}
 	r.Record = func(e history.Event) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.seen = append(r.seen, e)
+		r.events = append(r.events, e)
 	}
 	go func() {
 		for {
@@ -58,8 +58,8 @@
 					body := make([]byte, req.ContentLength)
 					req.Body.Read(body)
 					r.mu.Lock()
-					n := len(r.got)
-					r.got = append(r.got, req)
+					n := len(r.requests)
+					r.requests = append(r.requests, req)
 					r.mu.Unlock()
 					text := answer(n, req)
 					if text == "" {
@@ -94,11 +94,11 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", code, head)
 }
 
-func (r *rig) statuses() string {
+func (r *fixture) statuses() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for _, e := range r.seen {
+	for _, e := range r.events {
 		if e.Kind == history.Answer {
 			out = append(out, string(e.Status))
 		}
@@ -109,8 +109,8 @@
 	return strings.Join(out, " ")
 }
 
-func TestRequestsHaveTheProtocolsForm(t *testing.T) {
-	r := newRig(t, func(n int, req *http.Request) string { return served(req) })
+func TestRequestsHaveTheFormOfTheProtocol(t *testing.T) {
+	r := newFixture(t, func(n int, req *http.Request) string { return served(req) })
 	for i, want := range []struct{ method, key string }{safe: {"GET", ""}, unsafe: {"POST", ""}, keyed: {"POST", "k"}} {
 		if want.method == "" {
 			continue
@@ -118,7 +118,7 @@
 		o := order(i)
 		o.ID = fmt.Sprint("o", i)
 		r.Send(o)
-		req := r.got[len(r.got)-1]
+		req := r.requests[len(r.requests)-1]
 		if req.Method != want.method || req.Header.Get("Idempotency-Key") != want.key || req.Header.Get("Request-Class") != o.Class.Name ||
 			!strings.HasPrefix(req.URL.Path, "/"+o.Class.Name+"/") || req.Header.Get("Request-Timeout-Ms") == "" {
 			t.Errorf("%s: %+v", o.Class.Name, req)
@@ -129,39 +129,38 @@
 	}
 }
 
-// Each row is a class, what the node answers, and how the tries end.
-func TestWhatClientsTryAgain(t *testing.T) {
+func TestWhichAnswersClientsRetry(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		say   []string // "served" for a good answer
-		want  string
+		name    string
+		class   int
+		answers []string // raw text; "served" for a valid answer
+		want    string
 	}{
-		{"a refusal is tried again", unsafe, []string{status(503, ""), "served"}, "refused served"},
-		{"also a keyed one", keyed, []string{status(429, "Retry-After: 0.01\r\n"), "served"}, "refused served"},
-		{"a failed safe one is, twice at most", safe, []string{status(502, ""), status(502, ""), status(502, "")}, "failed failed failed"},
-		{"a failed unsafe one is not", unsafe, []string{status(502, "")}, "failed"},
-		{"a failed keyed one is not", keyed, []string{status(500, "")}, "failed"},
-		{"one that never comes whole is not if unsafe", unsafe, []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", ""}, "gave-up"},
-		{"somebody else's answer is wrong", unsafe, []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nelse"}, "wrong"},
-		{"more behind the answer", unsafe, []string{status(500, "") + status(500, "")}, "failed extra"},
+		{"a refused request is retried", unsafe, []string{status(503, ""), "served"}, "refused served"},
+		{"a refused keyed request is retried", keyed, []string{status(429, "Retry-After: 0.01\r\n"), "served"}, "refused served"},
+		{"a failed safe request is retried at most twice", safe, []string{status(502, ""), status(502, ""), status(502, "")}, "failed failed failed"},
+		{"a failed unsafe request is not retried", unsafe, []string{status(502, "")}, "failed"},
+		{"a failed keyed request is not retried", keyed, []string{status(500, "")}, "failed"},
+		{"an unsafe request with an incomplete answer is not retried", unsafe, []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", ""}, "gave-up"},
+		{"the answer to another request is wrong", unsafe, []string{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nelse"}, "wrong"},
+		{"extra bytes after the answer", unsafe, []string{status(500, "") + status(500, "")}, "failed extra"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(n int, req *http.Request) string {
-				if n >= len(c.say) {
+			r := newFixture(t, func(n int, req *http.Request) string {
+				if n >= len(c.answers) {
 					t.Errorf("%d requests", n+1)
 					return ""
 				}
-				if c.say[n] == "served" {
+				if c.answers[n] == "served" {
 					return served(req)
 				}
-				return c.say[n]
+				return c.answers[n]
 			})
 			o := order(c.class)
-			quick := *o.Class
-			quick.Deadline = 2 * time.Second
-			o.Class = &quick
+			shortened := *o.Class
+			shortened.Deadline = 2 * time.Second
+			o.Class = &shortened
 			r.Send(o)
 			if got := r.statuses(); got != c.want {
 				t.Errorf("ended %q, want %q", got, c.want)
@@ -170,10 +169,10 @@
 	}
 }
 
-// A node may close a connection between requests: the request that crosses
-// that goes out once more, as the same try.
-func TestAConnectionClosedBetweenRequestsIsNoLostRequest(t *testing.T) {
-	r := newRig(t, func(n int, req *http.Request) string {
+// A node may close a connection between requests: a request sent at that moment is resent as the
+// same try.
+func TestRequestIsResentWhenItsConnectionWasClosedBetweenRequests(t *testing.T) {
+	r := newFixture(t, func(n int, req *http.Request) string {
 		if n == 1 {
 			return ""
 		}
@@ -183,16 +182,15 @@
 	b.ID = "o2"
 	r.Send(a)
 	r.Send(b)
-	if got := r.statuses(); got != "served served" || r.Stats().Resent != 1 || len(r.got) != 3 {
-		t.Errorf("%s, %d resent, %d requests", got, r.Stats().Resent, len(r.got))
+	if got := r.statuses(); got != "served served" || r.Stats().Resent != 1 || len(r.requests) != 3 {
+		t.Errorf("%s, %d resent, %d requests", got, r.Stats().Resent, len(r.requests))
 	}
 }
 
-// But not when the process was killed with the request in its hands: it may
-// have sent it on.
-func TestARequestOfAKilledNodeIsNotResent(t *testing.T) {
-	var r *rig
-	r = newRig(t, func(n int, req *http.Request) string {
+// A killed process may have forwarded the request, so the clients do not resend it.
+func TestRequestOfAKilledNodeIsNotResent(t *testing.T) {
+	var r *fixture
+	r = newFixture(t, func(n int, req *http.Request) string {
 		if n == 1 {
 			r.Balancer.MarkKilled("n0", 1)
 			return ""
@@ -203,42 +201,42 @@
 	b.ID = "o2"
 	r.Send(a)
 	r.Send(b)
-	if got := r.statuses(); got != "served broken" || len(r.got) != 2 {
-		t.Errorf("%s, %d requests", got, len(r.got))
+	if got := r.statuses(); got != "served broken" || len(r.requests) != 2 {
+		t.Errorf("%s, %d requests", got, len(r.requests))
 	}
 }
 
-func TestTheFrontDealsWithinTheHallWhileItCan(t *testing.T) {
-	f := NewBalancer([]scenario.Node{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}, {Name: "n2", Zone: "b"}})
-	if _, any := f.Pick("a"); any {
-		t.Error("nobody is up")
+func TestBalancerPrefersNodesOfTheZone(t *testing.T) {
+	b := NewBalancer([]scenario.Node{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "b"}, {Name: "n2", Zone: "b"}})
+	if _, ok := b.Pick("a"); ok {
+		t.Error("a node was picked although none is up")
 	}
-	f.Add(Target{"n0", "x", 1})
-	f.Add(Target{"n1", "y", 1})
-	f.Add(Target{"n2", "z", 1})
-	seen := map[string]int{}
+	b.Add(Target{"n0", "x", 1})
+	b.Add(Target{"n1", "y", 1})
+	b.Add(Target{"n2", "z", 1})
+	events := map[string]int{}
 	for range 10 {
-		p, _ := f.Pick("b")
-		seen[p.Node]++
+		target, _ := b.Pick("b")
+		events[target.Node]++
 	}
-	if seen["n1"] != 5 || seen["n2"] != 5 {
-		t.Errorf("dealt %v", seen)
+	if events["n1"] != 5 || events["n2"] != 5 {
+		t.Errorf("picked %v", events)
 	}
-	f.Remove("n0", 7) // an older word
-	if p, _ := f.Pick("a"); p.Node != "n0" {
-		t.Errorf("dealt %v", p)
+	b.Remove("n0", 7) // an older incarnation
+	if target, _ := b.Pick("a"); target.Node != "n0" {
+		t.Errorf("picked %v", target)
 	}
-	f.Remove("n0", 1)
-	if p, any := f.Pick("a"); !any || p.Node == "n0" {
-		t.Errorf("a hall without nodes got %v, %v", p, any)
+	b.Remove("n0", 1)
+	if target, ok := b.Pick("a"); !ok || target.Node == "n0" {
+		t.Errorf("a zone without nodes got %v, %v", target, ok)
 	}
 }
 
-func TestWithoutANodeAnOrderIsUnreachable(t *testing.T) {
-	r := newRig(t, func(int, *http.Request) string { return "" })
+func TestOrderWithoutANodeIsUnreachable(t *testing.T) {
+	r := newFixture(t, func(int, *http.Request) string { return "" })
 	r.Balancer.Remove("n0", 1)
 	r.Send(order(unsafe))
 	if got := r.statuses(); got != "" || r.Stats().NoNode != 3 {
-		t.Errorf("%q, %d times no place", got, r.Stats().NoNode)
+		t.Errorf("%q, %d tries without a node", got, r.Stats().NoNode)
 	}
 }
--- a/internal/lab/caller/late.go
+++ b/internal/lab/caller/late.go
@@ -13,114 +13,117 @@
 	"ivylock/internal/lab/socket"
 )
 
-// lateKind is what a connection to a process that is told to end has carried.
-type lateKind int
+// connUse says what a connection to a process that is shutting down has carried.
+type connUse int
 
 const (
-	idle   lateKind = iota // requests
-	unused                 // nothing
-	begun                  // a part of a request
-	lateKinds
+	servedBefore   connUse = iota // requests
+	neverUsed                     // nothing
+	partialRequest                // a part of a request
+	connUses
 )
 
-// SendDuringShutdown sends requests to a process that is told to end, from now until it is killed, on
-// connections of each kind. It takes so many that are idle and opens as many new ones of
-// each other kind at once, and returns when all have been answered, or have ended. seed
-// draws classes and times.
-func (c *Clients) SendDuringShutdown(p Target, classes []history.Class, connections int, until time.Duration, seed int64) {
+// SendDuringShutdown sends requests to a process that is shutting down, from now until it is killed
+// after killAfter, on connections of each use: up to the given number of idle connections, and as
+// many new ones of each other use. It returns when every request has been answered or has failed.
+// Classes and times are drawn from seed.
+func (c *Clients) SendDuringShutdown(target Target, classes []history.Class, connections int, killAfter time.Duration, seed int64) {
 	r := rand.New(rand.NewPCG(uint64(seed), 0x6c617465))
-	var all sync.WaitGroup
-	send := func(k *conn, kind lateKind) {
+	var sends sync.WaitGroup
+	send := func(k *conn, use connUse) {
 		class := &classes[r.IntN(len(classes))]
-		o := &load.Order{ID: fmt.Sprintf("late%d", c.extra.Add(1)), Class: class, Work: (class.WorkLow + class.WorkHigh) / 2}
+		o := &load.Order{ID: fmt.Sprintf("late%d", c.lateOrders.Add(1)), Class: class, Work: (class.WorkLow + class.WorkHigh) / 2}
 		if class.Effect == history.Keyed {
 			o.Key = fmt.Sprintf("late%016x", r.Uint64())
 		}
-		var wait time.Duration
+		var delay time.Duration
 		switch r.IntN(4) {
 		case 0: // at any time
-			wait = time.Duration(r.Int64N(int64(until)))
-		case 1: // while the process still takes requests, or just after
-			wait = time.Duration(r.Int64N(int64(takesTime)))
-		case 2: // in the last moments
-			wait = until - time.Duration(r.Int64N(int64(lastMoments)))
-		case 3: // never, as far as the process is concerned
-			wait = until + lastMoments
+			delay = time.Duration(r.Int64N(int64(killAfter)))
+		case 1: // while the process still accepts requests, or just after
+			delay = time.Duration(r.Int64N(int64(acceptTime)))
+		case 2: // shortly before it is killed
+			delay = killAfter - time.Duration(r.Int64N(int64(finalPeriod)))
+		case 3: // after it is killed
+			delay = killAfter + finalPeriod
 		}
-		part := 0
-		if kind == begun {
-			part = 1 + r.IntN(leastText)
+		prefix := 0
+		if use == partialRequest {
+			prefix = 1 + r.IntN(minRequestBytes)
 		}
-		all.Go(func() { c.late(o, k, kind, part, wait) })
+		sends.Go(func() { c.sendLate(o, k, use, prefix, delay) })
 	}
-	for _, k := range c.resting(p, connections) {
-		send(k, idle)
+	for _, k := range c.takeIdle(target, connections) {
+		send(k, servedBefore)
 	}
-	for kind := unused; kind < lateKinds; kind++ {
+	for use := neverUsed; use < connUses; use++ {
 		for range connections {
-			if nc, err := socket.Dial(p.Addr, dialTime); err == nil {
+			if nc, err := socket.Dial(target.Addr, dialTimeout); err == nil {
 				c.mu.Lock()
 				c.open++
 				c.mu.Unlock()
-				send(newConn(nc, p), kind)
+				send(newConn(nc, target), use)
 			}
 		}
 	}
-	all.Wait()
+	sends.Wait()
 }
 
 const (
-	takesTime   = 800 * time.Millisecond // in which a process that was told to end takes requests, and a little more
-	lastMoments = 200 * time.Millisecond
-	leastText   = 100 // bytes that a request has at least
+	// acceptTime is a little more than the time in which a process that is shutting down accepts
+	// requests.
+	acceptTime  = 800 * time.Millisecond
+	finalPeriod = 200 * time.Millisecond
+	// minRequestBytes is a lower bound on the length of a request.
+	minRequestBytes = 100
 )
 
-// resting takes so many idle connections of a process out of use.
-func (c *Clients) resting(p Target, most int) (out []*conn) {
+// takeIdle removes up to limit idle connections of a process from the pool.
+func (c *Clients) takeIdle(target Target, limit int) (out []*conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for hall, list := range c.idle {
+	for zone, list := range c.idle {
 		kept := list[:0]
 		for _, k := range list {
-			if k.place == p && len(out) < most {
+			if k.target == target && len(out) < limit {
 				out = append(out, k)
 			} else {
 				kept = append(kept, k)
 			}
 		}
-		c.idle[hall] = kept
+		c.idle[zone] = kept
 	}
 	return out
 }
 
-// late sends a request after a wait, on a connection that still stands then. A part of it
-// goes ahead.
-func (c *Clients) late(o *load.Order, k *conn, kind lateKind, part int, wait time.Duration) {
+// sendLate sends a request after a delay, if the connection is still open then. Its first prefix
+// bytes are sent before the delay.
+func (c *Clients) sendLate(o *load.Order, k *conn, use connUse, prefix int, delay time.Duration) {
 	id := o.ID + ".0"
-	patience := o.Class.Deadline // the longest that a client waits
-	text := wording(o, id, patience)
-	io.WriteString(k, text[:part])
-	time.Sleep(wait)
-	if !bounded.OpenAndIdle(k.TCPConn) { // the process has ended it, or has answered the part
-		c.drop(k)
+	timeout := o.Class.Deadline // the longest that a client waits
+	text := requestText(o, id, timeout)
+	io.WriteString(k, text[:prefix])
+	time.Sleep(delay)
+	if !bounded.OpenAndIdle(k.TCPConn) { // the process has closed it, or has answered the prefix
+		c.discard(k)
 		return
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	c.Record(history.Event{At: c.Clock(), Kind: history.OrderIssued, Order: o.ID, Class: o.Class.Name})
-	r := c.exchange(k, text[part:], id, o, patience)
+	r := c.exchange(k, text[prefix:], id, o, timeout)
 	c.mu.Lock()
 	c.stats.LateRequests++
 	c.mu.Unlock()
 	if !r.written {
 		return
 	}
-	if r.status == history.ConnectionBroken && r.silent && kind != begun && !c.Balancer.wasKilled(k.place, began) {
-		r.status = history.CloseRace // a client would send it once more elsewhere
-		if kind == unused {
+	if r.status == history.ConnectionBroken && r.beforeAnswer && use != partialRequest && !c.Balancer.wasKilled(k.target, startedAt) {
+		r.status = history.CloseRace // a client would resend it elsewhere
+		if use == neverUsed {
 			c.mu.Lock()
 			c.stats.CloseRaces++
 			c.mu.Unlock()
 		}
 	}
-	c.tell(o, id, 0, k, r, patience)
+	c.recordTry(o, id, 0, k, r, timeout)
 }
