--- a/internal/lab/link/late_test.go
+++ b/internal/lab/link/late_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// lateArrival is how long after it was written a byte may be stamped as entering a link.
-const lateArrival = 100 * time.Millisecond
+// maxEntryDelay is how long after a byte was written its entry into a link may be stamped.
+const maxEntryDelay = 100 * time.Millisecond
 
-// The time at which bytes entered is still known to a server that accepts the connection only after its
-// dialler has closed it, as a machine that was held up does.
-func TestTheEntryIsKnownAfterTheDiallerClosed(t *testing.T) {
+// The time at which bytes entered the link is still known to a slow server that accepts the
+// connection only after the dialler has closed it.
+func TestEntryTimeIsKnownAfterTheDiallerClosed(t *testing.T) {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,21 +32,20 @@
 	}
 	written := clock()
 	c.Close()
-	time.Sleep(2 * lateArrival) // the pair has ended by now
+	time.Sleep(2 * maxEntryDelay) // until the pair has ended
 	s, err := target.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if entered, known := p.FirstByteAt(s.RemoteAddr().String()); !known || entered > written+lateArrival {
+	if entered, known := p.FirstByteAt(s.RemoteAddr().String()); !known || entered > written+maxEntryDelay {
 		t.Errorf("written at %v, entered at %v, known %v", written, entered, known)
 	}
 }
 
-// What is written to a link just before it turns into a black hole, on connections that come up at that
-// moment, comes out at once or never: the kernel's own retransmissions must not bring it out after the fault
-// has ended, seconds after the dialler closed.
-func TestWhatIsWrittenIntoABlackHoleNeverComesOutLate(t *testing.T) {
+// What is written just before a link becomes a black hole arrives at once or never: retransmissions
+// by the kernel must not deliver it after the fault has ended.
+func TestBlackHoleNeverDeliversDataLate(t *testing.T) {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,7 +75,7 @@
 				if !known {
 					entered = clock()
 				}
-				if after := entered - time.Duration(binary.BigEndian.Uint64(sent[:])); after > lateArrival {
+				if after := entered - time.Duration(binary.BigEndian.Uint64(sent[:])); after > maxEntryDelay {
 					late <- after
 				}
 			}()
@@ -93,7 +92,7 @@
 						return
 					default:
 					}
-					c, err := net.DialTimeout("tcp", p.Addr(), lateArrival)
+					c, err := net.DialTimeout("tcp", p.Addr(), maxEntryDelay)
 					if err != nil {
 						continue
 					}
@@ -106,14 +105,14 @@
 		time.Sleep(5 * time.Millisecond)
 		set(t, p, Conditions{State: BlackHole})
 		close(stop)
-		time.Sleep(2 * lateArrival)
+		time.Sleep(2 * maxEntryDelay)
 		set(t, p, Conditions{})
 	}
-	time.Sleep(3500 * time.Millisecond) // the kernel repeats the answer to a SYN after 1 s and 3 s
+	time.Sleep(3500 * time.Millisecond) // the kernel repeats its answer to a SYN after 1 s and 3 s
 	for {
 		select {
 		case after := <-late:
-			t.Errorf("came out %v after it was written", after)
+			t.Errorf("data arrived %v after it was written", after)
 		default:
 			return
 		}
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
-// echo answers each line with itself.
+// echo starts a server that returns what it receives.
 func echo(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 
 func dial(t *testing.T, p *TCP) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", p.Addr(), patience)
+	c, err := net.DialTimeout("tcp", p.Addr(), timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 	return c
 }
 
-// say sends a line and waits so long for it to come back.
-func say(c net.Conn, within time.Duration) (took time.Duration, err error) {
+// roundTrip sends a line and waits for it to come back.
+func roundTrip(c net.Conn, within time.Duration) (took time.Duration, err error) {
 	start := time.Now()
 	c.SetDeadline(start.Add(within))
 	if _, err := io.WriteString(c, "hello\n"); err != nil {
@@ -77,85 +77,84 @@
 	}
 }
 
-func TestItPassesAndDelays(t *testing.T) {
+func TestLinkDelaysLosesAndLimitsTheRate(t *testing.T) {
 	p := proxy(t)
 	c := dial(t, p)
-	if _, err := say(c, patience); err != nil {
+	if _, err := roundTrip(c, timeout); err != nil {
 		t.Fatal(err)
 	}
 	set(t, p, Conditions{Delay: 60 * time.Millisecond})
-	if took, err := say(c, patience); err != nil || took < 120*time.Millisecond {
-		t.Errorf("there and back took %v, %v", took, err)
+	if took, err := roundTrip(c, timeout); err != nil || took < 120*time.Millisecond {
+		t.Errorf("the round trip took %v, %v", took, err)
 	}
 	set(t, p, Conditions{Loss: 1})
-	if took, err := say(c, patience); err != nil || took < 2*retransmit {
+	if took, err := roundTrip(c, timeout); err != nil || took < 2*retransmitTimeout {
 		t.Errorf("with every segment lost once it took %v, %v", took, err)
 	}
 	set(t, p, Conditions{BytesPerSecond: 60})
-	if took, err := say(c, patience); err != nil || took < 180*time.Millisecond {
+	if took, err := roundTrip(c, timeout); err != nil || took < 180*time.Millisecond {
 		t.Errorf("6 bytes each way at 60 a second took %v, %v", took, err)
 	}
 }
 
-func TestABlackHoleIsSilentAndResetsWhenItEnds(t *testing.T) {
+func TestBlackHoleDropsEverythingAndResetsWhenItEnds(t *testing.T) {
 	p := proxy(t)
 	c := dial(t, p)
-	if _, err := say(c, patience); err != nil {
+	if _, err := roundTrip(c, timeout); err != nil {
 		t.Fatal(err)
 	}
 	set(t, p, Conditions{State: BlackHole})
-	if _, err := say(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := roundTrip(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("an open connection: %v", err)
 	}
 	if n, err := net.DialTimeout("tcp", p.Addr(), 200*time.Millisecond); err == nil {
 		n.Close()
-		t.Error("a new one came up")
+		t.Error("a new connection was established")
 	}
 	set(t, p, Conditions{})
-	if _, err := say(c, patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("afterwards the old one: %v", err)
+	if _, err := roundTrip(c, timeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the old connection after the black hole: %v", err)
 	}
-	if _, err := say(dial(t, p), patience); err != nil {
-		t.Errorf("afterwards a new one: %v", err)
+	if _, err := roundTrip(dial(t, p), timeout); err != nil {
+		t.Errorf("a new connection after the black hole: %v", err)
 	}
 }
 
-func TestHalfOpenLosesWhatTheDiallerSends(t *testing.T) {
+func TestHalfOpenLinkLosesWhatTheDiallerSends(t *testing.T) {
 	p := proxy(t)
 	c := dial(t, p)
 	set(t, p, Conditions{State: HalfOpen})
-	if _, err := say(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := roundTrip(c, 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%v", err)
 	}
-	if _, err := say(dial(t, p), 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := roundTrip(dial(t, p), 200*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a new connection: %v", err)
 	}
 }
 
-func TestResetBreaksWhatStandsAndWhatComes(t *testing.T) {
+func TestResetBreaksOpenAndNewConnections(t *testing.T) {
 	p := proxy(t)
 	c := dial(t, p)
-	if _, err := say(c, patience); err != nil {
+	if _, err := roundTrip(c, timeout); err != nil {
 		t.Fatal(err)
 	}
 	set(t, p, Conditions{State: Reset})
-	if _, err := say(c, patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := roundTrip(c, timeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("an open connection: %v", err)
 	}
-	// The reset may come while the dialler is still connecting or after it.
-	n, err := net.DialTimeout("tcp", p.Addr(), patience)
+	// The reset may arrive while the dialler is still connecting or after it.
+	n, err := net.DialTimeout("tcp", p.Addr(), timeout)
 	if err == nil {
 		defer n.Close()
-		_, err = say(n, patience)
+		_, err = roundTrip(n, timeout)
 	}
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a new one: %v", err)
+		t.Errorf("a new connection: %v", err)
 	}
 }
 
-// The time at which a request was sent is that of its entry, not that at which
-// a slow link delivers it.
-func TestItTellsWhenABurstEntered(t *testing.T) {
+// A request counts as sent when it enters a slow link, not when it is delivered.
+func TestFirstByteIsStampedAtEntry(t *testing.T) {
 	start := time.Now()
 	clock := func() time.Duration { return time.Since(start) }
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -186,25 +185,25 @@
 	}
 }
 
-func TestDatagramsComeFromTheSendersAddressLateOrNotAtAll(t *testing.T) {
+func TestDatagramsAreForwardedFromTheSendersAddressDelayedOrDropped(t *testing.T) {
 	receiver, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer receiver.Close()
 	var mu sync.Mutex
-	seen := 0
-	through, err := net.ListenPacket("udp", "127.0.0.1:0")
+	observed := 0
+	forwarder, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer through.Close()
-	var shape atomic.Pointer[Conditions]
-	shape.Store(&Conditions{Delay: 50 * time.Millisecond})
-	relay, err := NewUDP(func(netip.AddrPort) []Hop { return []Hop{{through, receiver.LocalAddr(), *shape.Load()}} }, func(_ netip.AddrPort, bytes, receivers int) {
+	defer forwarder.Close()
+	var conditions atomic.Pointer[Conditions]
+	conditions.Store(&Conditions{Delay: 50 * time.Millisecond})
+	relay, err := NewUDP(func(netip.AddrPort) []Hop { return []Hop{{forwarder, receiver.LocalAddr(), *conditions.Load()}} }, func(_ netip.AddrPort, bytes, receivers int) {
 		mu.Lock()
 		defer mu.Unlock()
-		seen += bytes * receivers
+		observed += bytes * receivers
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -218,21 +217,21 @@
 	start := time.Now()
 	io.WriteString(sender, "one")
 	buf := make([]byte, 16)
-	receiver.SetReadDeadline(time.Now().Add(patience))
+	receiver.SetReadDeadline(time.Now().Add(timeout))
 	n, from, err := receiver.ReadFrom(buf)
-	if err != nil || string(buf[:n]) != "one" || from.String() != through.LocalAddr().String() || time.Since(start) < 50*time.Millisecond {
+	if err != nil || string(buf[:n]) != "one" || from.String() != forwarder.LocalAddr().String() || time.Since(start) < 50*time.Millisecond {
 		t.Errorf("%q from %v after %v, %v", buf[:n], from, time.Since(start), err)
 	}
-	shape.Store(&Conditions{Loss: 1})
+	conditions.Store(&Conditions{Loss: 1})
 	io.WriteString(sender, "two")
-	for end := time.Now().Add(patience); relay.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(timeout); relay.Dropped.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing was dropped")
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if seen != 6 {
-		t.Errorf("it was told of %d bytes", seen)
+	if observed != 6 {
+		t.Errorf("%d bytes were observed", observed)
 	}
 }
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -1,5 +1,5 @@
-// Package link puts faults on the network between two parties: a proxy for any
-// TCP pair and one for datagrams. It knows nothing of what they say.
+// Package link injects faults into the network between two parties, with a proxy for TCP and a
+// relay for datagrams. It does not interpret what they carry.
 package link
 
 import (
@@ -13,82 +13,81 @@
 	"ivylock/internal/lab/socket"
 )
 
-// State is what a link does beside delay.
+// State is the state of a link, apart from delay and loss.
 type State string
 
 // The states.
 const (
 	Open      State = ""
-	HalfOpen  State = "half-open"  // what the dialler sends is lost; the other way works
-	Reset     State = "reset"      // all is reset, and new connections are
-	BlackHole State = "black-hole" // nothing passes either way, nobody is told
+	HalfOpen  State = "half-open"  // what the dialler sends is lost; the other direction works
+	Reset     State = "reset"      // open connections are reset, new ones too
+	BlackHole State = "black-hole" // nothing passes in either direction, without any notice
 )
 
-// Conditions is how a link behaves.
+// Conditions describe how a link behaves.
 type Conditions struct {
 	Delay          time.Duration // one way
-	Loss           float64       // share of segments that cost a retransmission
-	BytesPerSecond int           // bytes a second each way; 0: no limit
+	Loss           float64       // fraction of segments that cost a retransmission
+	BytesPerSecond int           // each way; 0: no limit
 	State          State
-	// Of datagrams alone: up to so much on top of the delay, and the share that
-	// comes twice.
+	// For datagrams only: the maximum addition to the delay, and the fraction that arrives twice.
 	Jitter            time.Duration
 	DuplicateFraction float64
 }
 
 const (
-	segment    = 16 << 10               // bytes that pass at once
-	inFlight   = 64                     // segments on the way at once; then the sender waits
-	retransmit = 200 * time.Millisecond // what a lost segment costs: TCP's least time-out
-	maxConns   = 4096                   // pairs of one proxy; beyond it a connection is closed at once
-	dialTime   = 2 * time.Second
-	remembered = 4096 // connections that have ended whose times of entry are still known
+	segment           = 16 << 10               // bytes relayed at once
+	maxQueued         = 64                     // segments queued in one direction; then the sender waits
+	retransmitTimeout = 200 * time.Millisecond // cost of a lost segment: the minimum retransmission timeout of TCP
+	maxConns          = 4096                   // of one proxy; further ones are closed at once
+	dialTimeout       = 2 * time.Second
+	// maxEnded is the number of ended connections whose time of entry is still known.
+	maxEnded = 4096
 )
 
-// TCP is a proxy in front of one address. Its methods may be called from
-// several goroutines.
+// TCP is a proxy in front of one address. It is safe for concurrent use.
 type TCP struct {
-	place    *socket.ReservedAddr
-	target   func() string
-	clock    func() time.Duration
-	mu       sync.Mutex
-	listener *net.TCPListener  // nil while it is a black hole
-	silence  *socket.BlackHole // while it is one
-	shape    Conditions
-	changed  chan struct{} // closed when the shape changes
-	pairs    map[*pair]bool
-	byLocal  map[string]*pair // by the address that the target sees; also some that have ended
-	ended    []string         // addresses of byLocal whose pairs have ended, oldest first
-	closed   bool
-	Refused  atomic.Int64 // connections over the bound
+	reserved    *socket.ReservedAddr
+	target      func() string
+	clock       func() time.Duration
+	mu          sync.Mutex
+	listener    *net.TCPListener  // nil in a black hole
+	blackHole   *socket.BlackHole // nil outside a black hole
+	conditions  Conditions
+	changed     chan struct{} // closed when the conditions change
+	pairs       map[*pair]bool
+	byLocalAddr map[string]*pair // by the address that the target sees; includes some ended pairs
+	endedAddrs  []string         // keys of byLocalAddr whose pairs have ended, oldest first
+	closed      bool
+	Refused     atomic.Int64 // connections beyond maxConns
 }
 
 // pair is one connection through the proxy.
 type pair struct {
-	near, far *net.TCPConn
-	entered   atomic.Int64 // when the first byte of the latest burst of the dialler came
-	answered  atomic.Bool  // the other side has spoken since
-	cut       atomic.Bool  // it is reset: what is still on its way is lost
+	downstream, upstream *net.TCPConn
+	firstByteAt          atomic.Int64 // when the first byte of the dialler's latest burst arrived
+	answered             atomic.Bool  // the target has sent something since
+	aborted              atomic.Bool  // the connection is reset: queued segments are lost
 }
 
-// NewTCP listens on a loopback address of its own and passes connections on
-// to target, which is asked anew for each.
+// NewTCP listens on a loopback address of its own and forwards connections to target, which is
+// called for each.
 func NewTCP(target func() string, clock func() time.Duration) (*TCP, error) {
-	place, err := socket.ReserveAddr()
+	reserved, err := socket.ReserveAddr()
 	if err != nil {
 		return nil, err
 	}
-	p := &TCP{place: place, target: target, clock: clock, changed: make(chan struct{}), pairs: map[*pair]bool{}, byLocal: map[string]*pair{}}
+	p := &TCP{reserved: reserved, target: target, clock: clock, changed: make(chan struct{}), pairs: map[*pair]bool{}, byLocalAddr: map[string]*pair{}}
 	if err := p.listen(); err != nil {
-		place.Close()
+		reserved.Close()
 		return nil, err
 	}
 	return p, nil
 }
 
-// listen begins to accept. The caller holds the lock, or is the only one that knows p.
+// listen starts accepting connections. The caller holds the lock, or is the only user of p.
 func (p *TCP) listen() error {
-	l, err := p.place.Listen()
+	l, err := p.reserved.Listen()
 	if err != nil {
 		return err
 	}
@@ -101,127 +100,128 @@
 	return nil
 }
 
-// Addr is where it listens.
-func (p *TCP) Addr() string { return p.place.Addr }
+// Addr returns the address of the proxy.
+func (p *TCP) Addr() string { return p.reserved.Addr }
 
-// Set changes the link for what passes from now on. What stood on a link that
-// was reset, half-open or a black hole is reset when that begins or ends.
+// Set changes the conditions for everything that passes from now on. Connections are reset when the
+// state becomes Reset, and when the link becomes Open again.
 func (p *TCP) Set(s Conditions) error {
 	p.mu.Lock()
-	old := p.shape
-	p.shape = s
-	err := p.silenceOrListen(old.State == BlackHole, s.State == BlackHole)
-	var cut []net.Conn
+	old := p.conditions
+	p.conditions = s
+	err := p.setBlackHole(old.State == BlackHole, s.State == BlackHole)
+	var conns []net.Conn
 	if s.State == Reset || old.State != Open && s.State == Open {
-		cut = p.all()
+		conns = p.abortAll()
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.mu.Unlock()
-	for _, c := range cut {
+	for _, c := range conns {
 		socket.Abort(c)
 	}
 	return err
 }
 
-// silenceOrListen begins or ends a black hole: nothing comes up in it, and nothing that was sent to it comes
-// up later. The caller holds the lock.
-func (p *TCP) silenceOrListen(was, is bool) error {
+// setBlackHole begins or ends a black hole: no connection is established in it, and nothing that
+// was sent to it arrives later. The caller holds the lock.
+func (p *TCP) setBlackHole(was, is bool) error {
 	switch {
 	case was == is || p.closed:
 		return nil
 	case is:
-		silence, err := p.place.BlackHole(p.listener)
+		blackHole, err := p.reserved.BlackHole(p.listener)
 		if err != nil {
 			return err
 		}
-		p.silence, p.listener = silence, nil
+		p.blackHole, p.listener = blackHole, nil
 		return nil
 	}
 	err := p.listen()
-	if p.silence != nil {
-		p.silence.Close()
-		p.silence = nil
+	if p.blackHole != nil {
+		p.blackHole.Close()
+		p.blackHole = nil
 	}
 	return err
 }
 
-// all lists every connection. The caller holds the lock.
-func (p *TCP) all() []net.Conn {
-	var out []net.Conn
+// abortAll marks every pair as aborted and returns their connections. The caller holds the lock.
+func (p *TCP) abortAll() []net.Conn {
+	var conns []net.Conn
 	for c := range p.pairs {
-		c.cut.Store(true)
-		if out = append(out, c.near); c.far != nil {
-			out = append(out, c.far)
+		c.aborted.Store(true)
+		if conns = append(conns, c.downstream); c.upstream != nil {
+			conns = append(conns, c.upstream)
 		}
 	}
-	return out
+	return conns
 }
 
-// FirstByteAt tells when the first byte of the latest burst of a connection came
-// to the proxy, by the address from which the target sees it.
+// FirstByteAt returns when the first byte of the latest burst of a connection reached the proxy, by
+// the remote address that the target sees.
 func (p *TCP) FirstByteAt(remote string) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.byLocal[remote]
+	c := p.byLocalAddr[remote]
 	if c == nil {
 		return 0, false
 	}
-	return time.Duration(c.entered.Load()), true
+	return time.Duration(c.firstByteAt.Load()), true
 }
 
 // Close ends the proxy and all its connections.
 func (p *TCP) Close() {
 	p.mu.Lock()
 	p.closed = true
-	all := p.all()
+	conns := p.abortAll()
 	if p.listener != nil {
 		p.listener.Close()
 	}
-	if p.silence != nil {
-		p.silence.Close()
+	if p.blackHole != nil {
+		p.blackHole.Close()
 	}
-	p.place.Close()
+	p.reserved.Close()
 	p.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		socket.Abort(c)
 	}
 }
 
-func (p *TCP) now() (Conditions, <-chan struct{}) {
+func (p *TCP) current() (Conditions, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.shape, p.changed
+	return p.conditions, p.changed
 }
 
 func (p *TCP) accept(l *net.TCPListener) {
 	for {
-		near, err := l.AcceptTCP()
+		downstream, err := l.AcceptTCP()
 		switch {
 		case err == nil:
-			if c := p.admit(l, near); c != nil {
+			if c := p.admit(l, downstream); c != nil {
 				go p.serve(c)
 			}
 		case errors.Is(err, net.ErrClosed):
 			return
-		default: // the machine is short of something
+		default: // out of some resource
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
 }
 
-// admit keeps a connection that came up at the present listener; else it is reset, and nil.
-func (p *TCP) admit(l *net.TCPListener, near *net.TCPConn) *pair {
-	c := &pair{near: near}
+// admit keeps a connection that the present listener accepted; otherwise it resets the connection
+// and returns nil.
+func (p *TCP) admit(l *net.TCPListener, downstream *net.TCPConn) *pair {
+	c := &pair{downstream: downstream}
 	c.answered.Store(true)
 	p.mu.Lock()
 	full := len(p.pairs) >= maxConns
-	if p.closed || p.listener != l || full || p.shape.State == Reset {
+	if p.closed || p.listener != l || full || p.conditions.State == Reset {
 		p.mu.Unlock()
 		if full {
 			p.Refused.Add(1)
 		}
-		socket.Abort(near)
+		socket.Abort(downstream)
 		return nil
 	}
 	p.pairs[c] = true
@@ -229,141 +229,142 @@
 	return c
 }
 
-// forget drops a pair that has ended. Its time of entry stays known for a while: a server that was held up
-// may accept the connection only now.
+// forget drops a pair that has ended. Its time of entry stays known for a while, as a delayed
+// server may accept the connection only now.
 func (p *TCP) forget(c *pair) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pairs, c)
-	if c.far == nil {
+	if c.upstream == nil {
 		return
 	}
-	p.ended = append(p.ended, c.far.LocalAddr().String())
-	if len(p.ended) <= remembered {
+	p.endedAddrs = append(p.endedAddrs, c.upstream.LocalAddr().String())
+	if len(p.endedAddrs) <= maxEnded {
 		return
 	}
-	oldest := p.ended[0]
-	p.ended = p.ended[1:]
-	if x := p.byLocal[oldest]; x != nil && !p.pairs[x] { // else the port is in use again
-		delete(p.byLocal, oldest)
+	oldest := p.endedAddrs[0]
+	p.endedAddrs = p.endedAddrs[1:]
+	if x := p.byLocalAddr[oldest]; x != nil && !p.pairs[x] { // otherwise the port is in use again
+		delete(p.byLocalAddr, oldest)
 	}
 }
 
 func (p *TCP) serve(c *pair) {
-	near := c.near
-	defer near.Close()
+	downstream := c.downstream
+	defer downstream.Close()
 	defer p.forget(c)
-	go p.expect(c) // what is sent while the other side is dialled has entered the link
-	nc, err := net.DialTimeout("tcp", p.target(), dialTime)
+	go p.awaitBurst(c) // what is sent during the dial has entered the link
+	nc, err := net.DialTimeout("tcp", p.target(), dialTimeout)
 	if err != nil {
-		socket.Abort(near)
+		socket.Abort(downstream)
 		return
 	}
-	far := nc.(*net.TCPConn)
-	defer far.Close()
+	upstream := nc.(*net.TCPConn)
+	defer upstream.Close()
 	p.mu.Lock()
-	c.far = far
-	p.byLocal[far.LocalAddr().String()] = c
+	c.upstream = upstream
+	p.byLocalAddr[upstream.LocalAddr().String()] = c
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pass(c, near, far, true) })
-	wg.Go(func() { p.pass(c, far, near, false) })
+	wg.Go(func() { p.forward(c, downstream, upstream, true) })
+	wg.Go(func() { p.forward(c, upstream, downstream, false) })
 	wg.Wait()
 }
 
-// expect waits for what the dialler sends next, without reading it, and notes when it entered the link: when
-// the kernel had it, not when this process, which shares the machine with all others, came to look.
-func (p *TCP) expect(c *pair) {
-	age, some, err := socket.AwaitArrival(c.near)
-	if err == nil && some && c.answered.CompareAndSwap(true, false) {
-		c.entered.Store(int64(p.clock() - age))
+// awaitBurst waits for the next bytes of the dialler, without reading them, and notes when they
+// entered the link: when the kernel had them, not when this process, which shares the machine with
+// all others, came to look.
+func (p *TCP) awaitBurst(c *pair) {
+	age, readable, err := socket.AwaitArrival(c.downstream)
+	if err == nil && readable && c.answered.CompareAndSwap(true, false) {
+		c.firstByteAt.Store(int64(p.clock() - age))
 	}
 }
 
-// hold waits while the link is in one of the states; it gives false once the
-// proxy is closed.
-func (p *TCP) hold(states ...State) bool {
+// waitWhile waits while the link is in one of the states. It reports false once the proxy is
+// closed.
+func (p *TCP) waitWhile(states ...State) bool {
 	for {
-		s, changed := p.now()
-		held := false
+		s, changed := p.current()
+		matches := false
 		for _, h := range states {
-			held = held || s.State == h
+			matches = matches || s.State == h
 		}
 		p.mu.Lock()
 		closed := p.closed
 		p.mu.Unlock()
-		if closed || !held {
+		if closed || !matches {
 			return !closed
 		}
 		select {
 		case <-changed:
-		case <-time.After(time.Second): // looks whether it was closed
+		case <-time.After(time.Second): // to check for Close
 		}
 	}
 }
 
-// parcel is a segment on its way.
-type parcel struct {
+// delayedSegment is a segment in transit.
+type delayedSegment struct {
 	data []byte
 	due  time.Time
 }
 
-// pass carries one way until it ends. Segments keep their order, so one that
-// is lost delays those behind it.
-func (p *TCP) pass(c *pair, from, to net.Conn, out bool) {
-	way := make(chan parcel, inFlight)
+// forward relays one direction until it ends. Segments keep their order, so a lost one delays those
+// behind it.
+func (p *TCP) forward(c *pair, from, to net.Conn, outbound bool) {
+	queue := make(chan delayedSegment, maxQueued)
 	go func() {
-		defer close(way)
+		defer close(queue)
 		last := time.Time{}
 		for {
 			buf := make([]byte, segment)
-			if out {
-				p.expect(c)
+			if outbound {
+				p.awaitBurst(c)
 			}
 			n, err := from.Read(buf)
 			if n > 0 {
-				if !out {
+				if !outbound {
 					c.answered.Store(true)
 				}
-				s, _ := p.now()
+				s, _ := p.current()
 				due := time.Now().Add(s.Delay)
 				if s.Loss > 0 && rand.Float64() < s.Loss {
-					due = due.Add(retransmit)
+					due = due.Add(retransmitTimeout)
 				}
 				if s.BytesPerSecond > 0 {
-					due = later(due, last).Add(time.Duration(float64(n) / float64(s.BytesPerSecond) * 1e9))
+					due = latest(due, last).Add(time.Duration(float64(n) / float64(s.BytesPerSecond) * 1e9))
 				}
-				last = later(due, last)
-				way <- parcel{buf[:n], last}
+				last = latest(due, last)
+				queue <- delayedSegment{buf[:n], last}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for x := range way {
+	for x := range queue {
 		time.Sleep(time.Until(x.due))
-		lost := []State{BlackHole}
-		if out {
-			lost = append(lost, HalfOpen)
+		blocking := []State{BlackHole}
+		if outbound {
+			blocking = append(blocking, HalfOpen)
 		}
-		if !p.hold(lost...) || c.cut.Load() {
+		if !p.waitWhile(blocking...) || c.aborted.Load() {
 			socket.Abort(from)
 			break
 		}
 		if _, err := to.Write(x.data); err != nil {
-			socket.Abort(from) // so that the reader ends, and its peer hears of it
+			socket.Abort(from) // ends the reader and notifies its peer
 			break
 		}
 	}
 	if t, ok := to.(*net.TCPConn); ok {
 		t.CloseWrite()
 	}
-	for range way {
+	for range queue {
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return b
 	}
