--- a/internal/lab/socket/socket.go
+++ b/internal/lab/socket/socket.go
@@ -1,6 +1,6 @@
-// Package socket has what the stand-ins need of the kernel to fail as machines
-// do: an address that stays theirs while no process listens there, and a
-// listener that falls silent. Linux only.
+// Package socket provides what the stand-ins need of the kernel to fail as machines do: an address
+// that stays reserved while no process listens there, and a listener that drops everything. Linux
+// only.
 package socket
 
 import (
@@ -11,55 +11,55 @@
 	"time"
 )
 
-// soReusePort is SO_REUSEPORT on Linux, which package syscall leaves out.
+// soReusePort is SO_REUSEPORT on Linux, which package syscall lacks.
 const soReusePort = 0xf
 
 const (
 	backlog   = 512
-	muteTries = 8
-	muteWait  = 30 * time.Millisecond // for a connection of our own to fill the backlog
+	fillTries = 8
+	// fillTimeout is the time for a connection of our own to fill the backlog.
+	fillTimeout = 30 * time.Millisecond
 )
 
-// ReservedAddr is a loopback address that stays its owner's also while no process
-// listens there: a bound socket that does not listen keeps others from getting
-// the port, and the kernel refuses connections to it.
+// ReservedAddr is a loopback address that stays reserved while no process listens there: a bound
+// socket that does not listen keeps the port, and the kernel refuses connections to it.
 type ReservedAddr struct {
-	holder int // descriptor
-	Addr   string
+	fd   int // bound socket
+	Addr string
 }
 
 func reusePort(network, address string, c syscall.RawConn) error {
-	var bad error
-	err := c.Control(func(fd uintptr) { bad = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1) })
+	var opErr error
+	err := c.Control(func(fd uintptr) { opErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1) })
 	if err != nil {
 		return err
 	}
-	return bad
+	return opErr
 }
 
-// ReserveAddr takes a free address.
+// ReserveAddr reserves a free address.
 func ReserveAddr() (*ReservedAddr, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("place: %w", err)
+		return nil, fmt.Errorf("reserve address: %w", err)
 	}
 	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, soReusePort, 1); err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
-	var at syscall.Sockaddr
+	var sockaddr syscall.Sockaddr
 	if err == nil {
-		at, err = syscall.Getsockname(fd)
+		sockaddr, err = syscall.Getsockname(fd)
 	}
 	if err != nil {
 		syscall.Close(fd)
-		return nil, fmt.Errorf("place: %w", err)
+		return nil, fmt.Errorf("reserve address: %w", err)
 	}
-	a := at.(*syscall.SockaddrInet4)
+	a := sockaddr.(*syscall.SockaddrInet4)
 	return &ReservedAddr{fd, (&net.TCPAddr{IP: a.Addr[:], Port: a.Port}).String()}, nil
 }
 
-// Listen begins to accept there. While an older listener of the place is open,
-// the kernel divides connections between the two.
+// Listen starts to listen at the address. While an older listener there is open, the kernel
+// distributes connections between the two.
 func (p *ReservedAddr) Listen() (*net.TCPListener, error) {
 	lc := net.ListenConfig{Control: reusePort}
 	l, err := lc.Listen(context.Background(), "tcp4", p.Addr)
@@ -69,32 +69,32 @@
 	return l.(*net.TCPListener), nil
 }
 
-// Close gives the address up.
-func (p *ReservedAddr) Close() { syscall.Close(p.holder) }
+// Close releases the address.
+func (p *ReservedAddr) Close() { syscall.Close(p.fd) }
 
 func setBacklog(l *net.TCPListener, n int) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var bad error
-	if err := raw.Control(func(fd uintptr) { bad = syscall.Listen(int(fd), n) }); err != nil {
+	var opErr error
+	if err := raw.Control(func(fd uintptr) { opErr = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
-	return bad
+	return opErr
 }
 
-// BlackHole is a listener that answers nobody, as a machine that is cut off: its backlog is full, so the
-// kernel drops what asks for a connection. Nothing that was sent to it comes up later.
+// BlackHole is a listener that answers nobody, as on an isolated machine: its backlog is full, so
+// the kernel drops connection requests. Nothing that was sent to it is delivered later.
 type BlackHole struct {
 	listener *net.TCPListener
-	fill     []net.Conn
+	fillers  []net.Conn
 }
 
-// BlackHole takes the place over from its listener, which may be nil and is closed. What waits there
-// unaccepted is reset.
-func (p *ReservedAddr) BlackHole(old *net.TCPListener) (*BlackHole, error) {
-	l, err := p.Listen() // before the old one ends, so that nobody is refused between the two
+// BlackHole takes over the address from its listener, which may be nil and is closed. Connections
+// that it has not accepted are reset.
+func (p *ReservedAddr) BlackHole(replaced *net.TCPListener) (*BlackHole, error) {
+	l, err := p.Listen() // before the old one closes, so that no connection is refused in between
 	if err != nil {
 		return nil, err
 	}
@@ -103,23 +103,23 @@
 		s.Close()
 		return nil, err
 	}
-	if old != nil {
-		old.Close()
+	if replaced != nil {
+		replaced.Close()
 	}
 	s.fillBacklog()
 	return s, nil
 }
 
-// fillBacklog connects until nothing more comes up.
+// fillBacklog connects until no more connections are established.
 func (s *BlackHole) fillBacklog() {
-	// A backlog of 0 takes one, or a client's; handshakes under way may still take another.
-	// Two in a row must fail: one alone may only mean a busy machine.
-	for range muteTries {
+	// A backlog of 0 takes one connection, ours or a client's; handshakes in progress may take
+	// another. Two attempts in a row must fail, as one may fail on a busy machine.
+	for range fillTries {
 		failed := 0
 		for failed < 2 {
-			c, err := net.DialTimeout("tcp", s.listener.Addr().String(), muteWait)
+			c, err := net.DialTimeout("tcp", s.listener.Addr().String(), fillTimeout)
 			if err == nil {
-				s.fill = append(s.fill, c)
+				s.fillers = append(s.fillers, c)
 				break
 			}
 			failed++
@@ -130,10 +130,10 @@
 	}
 }
 
-// Close closes it. All that waits there, also handshakes half done, is reset.
+// Close closes the listener. Waiting connections and unfinished handshakes are reset.
 func (s *BlackHole) Close() {
 	s.listener.Close()
-	for _, c := range s.fill {
+	for _, c := range s.fillers {
 		Abort(c)
 	}
 }
--- a/internal/lab/socket/socket_test.go
+++ b/internal/lab/socket/socket_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
 func accept(l *net.TCPListener) <-chan net.Conn {
 	out := make(chan net.Conn, 16)
@@ -24,14 +24,14 @@
 	return out
 }
 
-func TestAPlaceRefusesUntilSomebodyListensAndKeepsItsPort(t *testing.T) {
+func TestReservedAddrRefusesWithoutAListenerAndKeepsItsPort(t *testing.T) {
 	p, err := ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	for range 3 { // a process that comes and goes
-		if _, err := net.DialTimeout("tcp", p.Addr, patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	for range 3 { // a process that restarts
+		if _, err := net.DialTimeout("tcp", p.Addr, timeout); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatalf("with no process: %v", err)
 		}
 		l, err := p.Listen()
@@ -39,7 +39,7 @@
 			t.Fatal(err)
 		}
 		got := accept(l)
-		c, err := net.DialTimeout("tcp", p.Addr, patience)
+		c, err := net.DialTimeout("tcp", p.Addr, timeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestASilencedPlaceTakesNothingUntilItIsHeardAgain(t *testing.T) {
+func TestBlackHoleAcceptsNothingUntilItIsClosed(t *testing.T) {
 	p, err := ReserveAddr()
 	if err != nil {
 		t.Fatal(err)
@@ -59,31 +59,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waits, err := net.DialTimeout("tcp", p.Addr, patience) // in the backlog
+	waiting, err := net.DialTimeout("tcp", p.Addr, timeout) // stays in the backlog
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer waits.Close()
-	silence, err := p.BlackHole(l)
+	defer waiting.Close()
+	blackHole, err := p.BlackHole(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(silence.fill) == 0 {
-		t.Fatal("nothing fills its backlog")
+	if len(blackHole.fillers) == 0 {
+		t.Fatal("no connection fills the backlog")
 	}
 	if c, err := net.DialTimeout("tcp", p.Addr, 300*time.Millisecond); err == nil {
 		c.Close()
-		t.Fatal("a connection came up")
+		t.Fatal("a connection was established")
 	} else if errors.Is(err, syscall.ECONNREFUSED) {
-		t.Fatal("it refuses, and should say nothing")
+		t.Fatal("the connection was refused instead of dropped")
 	}
 	if l, err = p.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	silence.Close()
+	blackHole.Close()
 	got := accept(l)
-	c, err := net.DialTimeout("tcp", p.Addr, patience)
+	c, err := net.DialTimeout("tcp", p.Addr, timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,13 +91,13 @@
 	select {
 	case s := <-got:
 		if s.RemoteAddr().String() != c.LocalAddr().String() {
-			t.Errorf("an older connection came up, from %v", s.RemoteAddr())
+			t.Errorf("an older connection was accepted, from %v", s.RemoteAddr())
 		}
-	case <-time.After(patience):
-		t.Fatal("it does not hear again")
+	case <-time.After(timeout):
+		t.Fatal("no connection was accepted after the black hole")
 	}
-	waits.SetReadDeadline(time.Now().Add(patience))
-	if _, err := waits.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("what waited: %v", err)
+	waiting.SetReadDeadline(time.Now().Add(timeout))
+	if _, err := waiting.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the connection in the backlog: %v", err)
 	}
 }
