--- a/internal/lab/load/deployment.go
+++ b/internal/lab/load/deployment.go
@@ -7,19 +7,19 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Deployment says what settings and clients are like.
+// Deployment describes the settings and clients of a deployment.
 type Deployment struct {
 	Classes []history.Class
 	Limits  history.Limits
-	// ChangeSettings changes what the brief's settings have beside classes and limits; nil: nothing.
+	// ChangeSettings changes the default settings other than classes and limits; nil: nothing.
 	ChangeSettings func(all map[string]any)
-	Tenants        []string // the requests are dealt among them in turn; "" is nobody's
+	Tenants        []string // requests are assigned to them in turn; "" is no tenant
 }
 
-// QuotaTenant is whose all requests are where a scenario has a quota.
+// QuotaTenant is the tenant of all requests where a scenario has a quota.
 const QuotaTenant = "club"
 
-// DefaultDeployment is the brief's deployment, with a scenario's own shares and work.
+// DefaultDeployment is the default deployment with a scenario's shares and work.
 func DefaultDeployment(s *scenario.Scenario) *Deployment {
 	d := &Deployment{Classes: ScenarioClasses(s), Limits: Limits}
 	if s.TenantQuota > 0 {
@@ -29,8 +29,8 @@
 }
 
 // SharedKeyWindow is how long all servers together remember keys, where classes have scopes and
-// windows of their own: then all know all keys, and the judge looks who may meet them. 0:
-// each pod remembers its own.
+// windows of their own. Every server then knows all keys, and the judge checks which ones it may
+// see. 0: each pod remembers its own.
 func (d *Deployment) SharedKeyWindow() (window time.Duration) {
 	for _, c := range d.Classes {
 		window = max(window, c.DedupWindow)
--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -17,61 +17,62 @@
 	At                time.Duration // of the first try
 	Class             *history.Class
 	Zone              string
-	Key               string        // for keyed classes
-	Tenant            string        // "": nobody's
-	Work              time.Duration // on a core of speed 1, at whatever server
-	SlowReader        bool          // its client reads slowly
-	HonoursRetryAfter bool          // its client follows Retry-After
-	RetryJitter       [2]float64    // draws for the waits before its own retries
-	AbandonAfter      time.Duration // its client goes away so long after each try was sent; 0: it stays
-	WritePieces       int           // its tries are written in so many pieces, with a pause between them; 0: at once
+	Key               string        // of keyed classes
+	Tenant            string        // "": none
+	Work              time.Duration // on a core of speed 1, the same at every server
+	SlowReader        bool          // the client reads slowly
+	HonoursRetryAfter bool
+	RetryJitter       [2]float64    // random draws for the client's backoff
+	AbandonAfter      time.Duration // when the client disconnects after sending a try; 0: never
+	WritePieces       int           // a try is written in this many pieces, with a pause between them; 0: at once
 }
 
-// Stream gives the orders of a scenario one by one, the same for the same
-// seed.
+// Stream generates the orders of a scenario. The same seed gives the same orders.
 type Stream struct {
 	s       *scenario.Scenario
 	classes []history.Class
 	tenants []string
 	total   float64
 	rng     *rand.Rand
-	habits  *rand.Rand // for what only some scenarios ask: the orders do not shift by it
-	at      time.Duration
-	n       int
-	halls   []string
+	// clientRNG draws behaviour that only some scenarios enable, so that it does not shift the
+	// orders.
+	clientRNG *rand.Rand
+	at        time.Duration
+	n         int
+	zones     []string
 }
 
-// NewStream begins a stream.
+// NewStream begins a stream of the default deployment.
 func NewStream(s *scenario.Scenario, seed int64) *Stream {
 	return NewDeploymentStream(s, DefaultDeployment(s), seed)
 }
 
-// NewDeploymentStream begins a stream in another deployment than the brief's.
+// NewDeploymentStream begins a stream of a deployment.
 func NewDeploymentStream(s *scenario.Scenario, d *Deployment, seed int64) *Stream {
 	st := &Stream{s: s, classes: d.Classes, tenants: d.Tenants, rng: rand.New(rand.NewPCG(uint64(seed), 0x6c6f6164)),
-		habits: rand.New(rand.NewPCG(uint64(seed), 0x686162697473))}
+		clientRNG: rand.New(rand.NewPCG(uint64(seed), 0x686162697473))}
 	for _, c := range st.classes {
 		st.total += c.Share
 	}
 	for _, h := range s.Zones {
 		if h.Nodes > 0 {
-			st.halls = append(st.halls, h.Name)
+			st.zones = append(st.zones, h.Name)
 		}
 	}
 	return st
 }
 
-// ScenarioClasses gives the class table with a scenario's own shares and work.
+// ScenarioClasses returns the default classes with a scenario's shares and work.
 func ScenarioClasses(s *scenario.Scenario) []history.Class {
-	out := append([]history.Class(nil), Classes...)
-	for i := range out {
-		if part, set := s.Load.Shares[out[i].Name]; set {
-			out[i].Share = part
+	classes := append([]history.Class(nil), Classes...)
+	for i := range classes {
+		if share, set := s.Load.Shares[classes[i].Name]; set {
+			classes[i].Share = share
 		}
-		out[i].WorkLow = time.Duration(float64(out[i].WorkLow) * s.Load.WorkFactor)
-		out[i].WorkHigh = time.Duration(float64(out[i].WorkHigh) * s.Load.WorkFactor)
+		classes[i].WorkLow = time.Duration(float64(classes[i].WorkLow) * s.Load.WorkFactor)
+		classes[i].WorkHigh = time.Duration(float64(classes[i].WorkHigh) * s.Load.WorkFactor)
 	}
-	return out
+	return classes
 }
 
 // rate is the rate of first tries at a time.
@@ -83,7 +84,7 @@
 	return l.Rate + (l.RampTo-l.Rate)*at.Seconds()/st.s.Length.Seconds()
 }
 
-// Next gives the next order; ok is false at the end of the load.
+// Next returns the next order; ok is false at the end of the load.
 func (st *Stream) Next() (o Order, ok bool) {
 	st.at += time.Duration(st.rng.ExpFloat64() / st.rate(st.at) * 1e9)
 	if st.at >= st.s.Length.Duration {
@@ -94,16 +95,15 @@
 	if len(st.tenants) > 0 {
 		o.Tenant = st.tenants[st.n%len(st.tenants)]
 	}
-	pick := st.rng.Float64() * st.total
+	draw := st.rng.Float64() * st.total
 	for i := range st.classes {
-		if o.Class = &st.classes[i]; pick < o.Class.Share {
+		if o.Class = &st.classes[i]; draw < o.Class.Share {
 			break
 		}
-		pick -= o.Class.Share
+		draw -= o.Class.Share
 	}
-	o.Zone = st.halls[st.rng.IntN(len(st.halls))]
-	// Work is lognormal with a coefficient of variation of 1, as the brief gives
-	// a range of means only.
+	o.Zone = st.zones[st.rng.IntN(len(st.zones))]
+	// Work is lognormal with a coefficient of variation of 1.
 	const sigma = 0.8326 // sqrt(ln(1 + cv*cv))
 	mean := (o.Class.WorkLow + o.Class.WorkHigh) / 2
 	o.Work = time.Duration(float64(mean) * math.Exp(sigma*st.rng.NormFloat64()-sigma*sigma/2))
@@ -112,15 +112,15 @@
 	}
 	o.HonoursRetryAfter = st.rng.Float64() < st.s.Client.RetryAfterFraction
 	o.RetryJitter = [2]float64{st.rng.Float64(), st.rng.Float64()}
-	if st.habits.Float64() < st.s.Client.AbandonFraction {
-		o.AbandonAfter = time.Duration((0.01 + 0.9*st.habits.Float64()) * st.s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
+	if st.clientRNG.Float64() < st.s.Client.AbandonFraction {
+		o.AbandonAfter = time.Duration((0.01 + 0.9*st.clientRNG.Float64()) * st.s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
 	}
-	if st.habits.Float64() < st.s.Client.SlowWriteFraction {
-		o.WritePieces = 2 + st.habits.IntN(5)
+	if st.clientRNG.Float64() < st.s.Client.SlowWriteFraction {
+		o.WritePieces = 2 + st.clientRNG.IntN(5)
 	}
-	hit := st.rng.Float64() // one draw whatever the faults, so that orders do not shift
+	faultDraw := st.rng.Float64() // drawn whatever the faults, so that orders do not shift
 	for _, f := range st.s.Faults {
-		if st.at < f.At.Duration || st.at >= f.At.Duration+f.For.Duration || hit >= f.Fraction {
+		if st.at < f.At.Duration || st.at >= f.At.Duration+f.For.Duration || faultDraw >= f.Fraction {
 			continue
 		}
 		switch {
@@ -133,32 +133,32 @@
 	return o, true
 }
 
-// orderID words the number of an order in seven digits or more.
+// orderID formats the number of an order with at least seven digits.
 func orderID(n int) string {
 	b := make([]byte, 0, 12)
 	b = append(b, 'o')
-	for least := 1_000_000; n < least && least > 1; least /= 10 {
+	for threshold := 1_000_000; n < threshold && threshold > 1; threshold /= 10 {
 		b = append(b, '0')
 	}
 	return string(strconv.AppendInt(b, int64(n), 10))
 }
 
-// MaxRetryAfter is the longest wait that clients follow.
+// MaxRetryAfter is the longest Retry-After that clients follow.
 const MaxRetryAfter = 2 * time.Second
 
-// TryTimeout is how long a client waits for a try that it sends now: a share of
-// the deadline, and no longer than what is left of that.
+// TryTimeout is how long a client waits for a try sent now: a fraction of the deadline, but no
+// longer than what is left of it.
 func TryTimeout(s *scenario.Scenario, o *Order, now time.Duration) time.Duration {
-	try := time.Duration(s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
-	return min(try, o.At+o.Class.Deadline-now)
+	timeout := time.Duration(s.Client.TryTimeoutFraction * float64(o.Class.Deadline))
+	return min(timeout, o.At+o.Class.Deadline-now)
 }
 
-// NextRetry tells whether a client tries again after try number n (0 first) and
-// after what wait. Safe requests are retried after anything that is no answer
-// of worth; others only if the last try cannot have run.
-func NextRetry(s *scenario.Scenario, o *Order, n int, st history.Status, retryAfter, now time.Duration) (wait time.Duration, ok bool) {
-	harmless := st == history.Refused || st == history.Unreachable
-	if n >= s.Client.Retries || st == history.Served || st == history.Abandoned || !harmless && o.Class.Effect != history.Safe {
+// NextRetry reports whether a client retries after try number n, counted from 0, and after what
+// wait. Safe requests are retried unless they were served or the client left; others only if the
+// last try cannot have run.
+func NextRetry(s *scenario.Scenario, o *Order, n int, status history.Status, retryAfter, now time.Duration) (wait time.Duration, ok bool) {
+	notRun := status == history.Refused || status == history.Unreachable
+	if n >= s.Client.Retries || status == history.Served || status == history.Abandoned || !notRun && o.Class.Effect != history.Safe {
 		return 0, false
 	}
 	wait = time.Duration((0.5 + o.RetryJitter[n%len(o.RetryJitter)]) * float64(s.Client.Backoff.Duration) * math.Pow(2, float64(n)))
