--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,7 +1,6 @@
-// Package fleet draws scenarios of whole fleets for the lab's run in memory:
-// from a dozen servers to ten thousand, from one proxy to a thousand, at a
-// stated part of what the servers can do, with faults that grow with the
-// fleet. They are too large for sockets.
+// Package fleet generates scenarios of whole fleets for the in-memory lab: a dozen to ten thousand
+// servers, one to a thousand proxies, at a given fraction of the servers' capacity, with faults
+// that scale with the fleet. Such fleets are too large for sockets.
 package fleet
 
 import (
@@ -15,21 +14,21 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Fault names what goes wrong in a day.
+// Fault names the fault in a workload.
 type Fault string
 
 // The faults.
 const (
-	NoFault         Fault = "quiet"   // nothing
-	ServersIsolated Fault = "silent"  // one server in twelve is cut off for a third of the day and comes back cold
-	ServersHung     Fault = "hang"    // one in twelve takes requests and answers none
-	HeavyRequests   Fault = "heavy"   // one viewer clip in fifty costs twenty times its work
-	ZoneLost        Fault = "lost"    // a whole hall is cut off and comes back cold
-	ZoneReplaced    Fault = "replace" // all servers of a hall are replaced, a quarter at a time
-	ZonesReturn     Fault = "return"  // all halls but one are lost and come back one by one
+	NoFault         Fault = "quiet"   // no fault
+	ServersIsolated Fault = "silent"  // one server in twelve is isolated for a third of the load and comes back cold
+	ServersHung     Fault = "hang"    // one server in twelve accepts requests and answers none
+	HeavyRequests   Fault = "heavy"   // one viewer clip in fifty takes twenty times its work
+	ZoneLost        Fault = "lost"    // a zone is isolated and comes back cold
+	ZoneReplaced    Fault = "replace" // all servers of a zone are replaced, a quarter at a time
+	ZonesReturn     Fault = "return"  // all zones but one are lost and come back one by one
 )
 
-// Faults lists them all.
+// Faults lists all faults.
 var Faults = []Fault{NoFault, ServersIsolated, ServersHung, HeavyRequests, ZoneLost, ZoneReplaced, ZonesReturn}
 
 // Workload is one cell of an experiment.
@@ -37,22 +36,23 @@
 	Servers int           `json:"servers"` // 3 to 10,000
 	Proxies int           `json:"proxies"` // 1 to 1,000
 	Zones   int           `json:"halls"`   // 1 to 26; 0: 3
-	Load    float64       `json:"load"`    // of what warm servers can do, without a fault; 0.05 to 3
+	Load    float64       `json:"load"`    // fraction of the capacity of warm servers without a fault, 0.05 to 3
 	Fault   Fault         `json:"fault"`
 	Length  time.Duration `json:"length"` // of the load; 0: 24 s
 	Retries int           `json:"retries"`
-	// ControlServices is how many control services steered proxies are divided among;
-	// 0 and 1: one. The first of several is lost for a third of the day.
+	// ControlServices is the number of control services that the xDS proxies are divided among; 0
+	// means 1. With several, the first one is out of service for a third of the load.
 	ControlServices int `json:"controls,omitempty"`
-	SubsetSize      int `json:"subset,omitempty"` // servers of a hall that a steered proxy is told of, about; 0: all
-	// ReportDelay is how long the reports of steered proxies take, on average; Frozen is
-	// the part of the proxies that hears and says nothing from a third of the day on.
+	// SubsetSize is the approximate number of servers of a zone that an xDS proxy is sent; 0: all.
+	SubsetSize int `json:"subset,omitempty"`
+	// ReportDelay is the mean delay of the xDS proxies' reports. FrozenFraction is the fraction of
+	// the proxies that neither receive nor send anything after a third of the load.
 	ReportDelay    time.Duration `json:"late,omitempty"`
 	FrozenFraction float64       `json:"frozen,omitempty"`
 	Seed           int64         `json:"seed"`
 }
 
-// MeanWork is the mean work of a request by the brief's table, in seconds.
+// MeanWork is the mean work of a request of the default classes, in seconds on a core of speed 1.
 func MeanWork() float64 {
 	sum, share := 0.0, 0.0
 	for _, c := range load.Classes {
@@ -61,33 +61,33 @@
 	return sum / share
 }
 
-// Scenario draws the day: the same one for the same figures. Machine kinds are
-// dealt out by the brief's parts.
-func (d Workload) Scenario() (*scenario.Scenario, error) {
-	if d.Zones == 0 {
-		d.Zones = 3
+// Scenario generates the scenario, the same one for the same workload. Machine kinds are drawn in
+// fixed proportions.
+func (w Workload) Scenario() (*scenario.Scenario, error) {
+	if w.Zones == 0 {
+		w.Zones = 3
 	}
-	if d.Length == 0 {
-		d.Length = 24 * time.Second
+	if w.Length == 0 {
+		w.Length = 24 * time.Second
 	}
 	switch {
-	case d.Servers < 3 || d.Servers > 10_000:
-		return nil, fmt.Errorf("fleet: want 3 to 10,000 servers, have %d", d.Servers)
-	case d.Proxies < 1 || d.Proxies > 1_000:
-		return nil, fmt.Errorf("fleet: want 1 to 1,000 proxies, have %d", d.Proxies)
-	case d.Zones < 1 || d.Zones > 26 || d.Zones > d.Servers:
-		return nil, fmt.Errorf("fleet: want 1 to 26 halls with a server each, have %d", d.Zones)
-	case !(d.Load >= 0.05 && d.Load <= 3):
-		return nil, fmt.Errorf("fleet: want a load of 0.05 to 3 of the capacity, have %v", d.Load)
+	case w.Servers < 3 || w.Servers > 10_000:
+		return nil, fmt.Errorf("fleet: want 3 to 10,000 servers, have %d", w.Servers)
+	case w.Proxies < 1 || w.Proxies > 1_000:
+		return nil, fmt.Errorf("fleet: want 1 to 1,000 proxies, have %d", w.Proxies)
+	case w.Zones < 1 || w.Zones > 26 || w.Zones > w.Servers:
+		return nil, fmt.Errorf("fleet: want 1 to 26 halls with a server each, have %d", w.Zones)
+	case !(w.Load >= 0.05 && w.Load <= 3):
+		return nil, fmt.Errorf("fleet: want a load of 0.05 to 3 of the capacity, have %v", w.Load)
 	}
-	r := rand.New(rand.NewPCG(uint64(d.Seed), 0x666c656574))
+	r := rand.New(rand.NewPCG(uint64(w.Seed), 0x666c656574))
 	span := func(t time.Duration) scenario.Span { return scenario.Span{Duration: t} }
-	s := &scenario.Scenario{Name: fmt.Sprintf("fleet-%d-%s", d.Servers, d.Fault), Seed: d.Seed, Length: span(d.Length),
-		Client: scenario.Client{Retries: d.Retries, RetryAfterFraction: 0.85}}
+	s := &scenario.Scenario{Name: fmt.Sprintf("fleet-%d-%s", w.Servers, w.Fault), Seed: w.Seed, Length: span(w.Length),
+		Client: scenario.Client{Retries: w.Retries, RetryAfterFraction: 0.85}}
 	capacity := 0.0
-	for i := range d.Zones {
+	for i := range w.Zones {
 		h := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Servers: map[string]int{}, PodSize: 4}
-		for n := i; n < d.Servers; n += d.Zones {
+		for n := i; n < w.Servers; n += w.Zones {
 			kind := "slow-6"
 			if x := r.Float64(); x < 0.39 {
 				kind = "fast-6"
@@ -101,53 +101,53 @@
 			}
 			capacity += m.Capacity()
 		}
-		for n := i; n < d.Proxies; n += d.Zones {
+		for n := i; n < w.Proxies; n += w.Zones {
 			h.Nodes++
 		}
 		s.Zones = append(s.Zones, h)
 	}
-	s.Load.Rate = capacity / MeanWork() * d.Load
-	if err := d.faults(s, r); err != nil {
+	s.Load.Rate = capacity / MeanWork() * w.Load
+	if err := w.faults(s, r); err != nil {
 		return nil, err
 	}
 	return s, scenario.CheckInMemory(s)
 }
 
-// faults puts what goes wrong on the timeline.
-func (d Workload) faults(s *scenario.Scenario, r *rand.Rand) error {
-	at := func(part float64) scenario.Span {
-		return scenario.Span{Duration: time.Duration(part * float64(d.Length)).Round(time.Millisecond)}
+// faults adds the fault to the scenario.
+func (w Workload) faults(s *scenario.Scenario, r *rand.Rand) error {
+	at := func(fraction float64) scenario.Span {
+		return scenario.Span{Duration: time.Duration(fraction * float64(w.Length)).Round(time.Millisecond)}
 	}
 	var names []string
 	for _, x := range s.Servers() {
 		names = append(names, x.Name)
 	}
-	some := func(part float64) []string {
+	sample := func(fraction float64) []string {
 		r.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-		return names[:max(1, int(part*float64(len(names))))]
+		return names[:max(1, int(fraction*float64(len(names))))]
 	}
 	add := func(f scenario.Fault) { s.Faults = append(s.Faults, f) }
-	switch d.Fault {
+	switch w.Fault {
 	case NoFault, "":
 	case ServersIsolated:
-		add(scenario.Fault{Kind: scenario.FaultSilent, At: at(0.25), For: at(0.33), Targets: some(1.0 / 12)})
+		add(scenario.Fault{Kind: scenario.FaultSilent, At: at(0.25), For: at(0.33), Targets: sample(1.0 / 12)})
 	case ServersHung:
-		add(scenario.Fault{Kind: scenario.FaultHang, At: at(0.25), For: at(0.4), Targets: some(1.0 / 12)})
+		add(scenario.Fault{Kind: scenario.FaultHang, At: at(0.25), For: at(0.4), Targets: sample(1.0 / 12)})
 	case HeavyRequests:
 		add(scenario.Fault{Kind: scenario.FaultHeavy, At: at(0.2), For: at(0.6), Class: "viewer-clip", Fraction: 0.02, Factor: 20})
 	case ZoneLost:
 		add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.25), For: at(0.33), Targets: []string{s.Zones[len(s.Zones)-1].Name}})
 	case ZoneReplaced:
-		var own []string
+		var servers []string
 		for _, x := range s.Servers() {
 			if x.Zone == s.Zones[0].Name {
-				own = append(own, x.Name)
+				servers = append(servers, x.Name)
 			}
 		}
 		for i := range 4 {
-			from, to := i*len(own)/4, (i+1)*len(own)/4
+			from, to := i*len(servers)/4, (i+1)*len(servers)/4
 			if from < to {
-				add(scenario.Fault{Kind: scenario.FaultReplace, At: at(0.15 + 0.17*float64(i)), For: at(0.04), Targets: own[from:to]})
+				add(scenario.Fault{Kind: scenario.FaultReplace, At: at(0.15 + 0.17*float64(i)), For: at(0.04), Targets: servers[from:to]})
 			}
 		}
 	case ZonesReturn:
@@ -160,7 +160,7 @@
 		for i, f := range Faults {
 			all[i] = string(f)
 		}
-		return fmt.Errorf("fleet: unknown fault %q; there are %s", d.Fault, strings.Join(all, ", "))
+		return fmt.Errorf("fleet: unknown fault %q; there are %s", w.Fault, strings.Join(all, ", "))
 	}
 	return nil
 }
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -16,52 +16,52 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// seconds counts a day by the second: what clients asked for and got, and what servers were sent.
-type seconds struct {
-	asked, served []float64
-	at            map[string]int // by order: when it was asked for
-	sent          map[string][]int
+// perSecond counts by the second what clients issued and had served, and what servers received.
+type perSecond struct {
+	issued, served []float64
+	issuedAt       map[string]int // by order, when it was issued
+	sent           map[string][]int
 }
 
-func newSeconds(d Workload) *seconds {
-	n := int(d.Length/time.Second) + 20
-	return &seconds{asked: make([]float64, n), served: make([]float64, n), at: map[string]int{}, sent: map[string][]int{}}
+func newPerSecond(w Workload) *perSecond {
+	n := int(w.Length/time.Second) + 20
+	return &perSecond{issued: make([]float64, n), served: make([]float64, n), issuedAt: map[string]int{}, sent: map[string][]int{}}
 }
 
-func (s *seconds) event(e *history.Event) {
+func (s *perSecond) event(e *history.Event) {
 	now := int(e.At / time.Second)
-	if now >= len(s.asked) {
+	if now >= len(s.issued) {
 		return
 	}
 	switch e.Kind {
 	case history.OrderIssued:
-		s.at[e.Order] = now
-		s.asked[now]++
+		s.issuedAt[e.Order] = now
+		s.issued[now]++
 	case history.Answer:
 		if order := strings.Split(e.Try, ".")[0]; e.Status == history.Served {
-			s.served[s.at[order]]++
+			s.served[s.issuedAt[order]]++
 		}
 	case history.Attempt:
 		if s.sent[e.Server] == nil {
-			s.sent[e.Server] = make([]int, len(s.asked))
+			s.sent[e.Server] = make([]int, len(s.issued))
 		}
 		s.sent[e.Server][now]++
 	}
 }
 
-// part is what part of the requests of a stretch of the day was served.
-func (s *seconds) part(from, to int) float64 {
-	asked, served := 0.0, 0.0
+// servedFraction is the fraction of the requests issued in a range of seconds that was served.
+func (s *perSecond) servedFraction(from, to int) float64 {
+	issued, served := 0.0, 0.0
 	for i := from; i < to; i++ {
-		asked, served = asked+s.asked[i], served+s.served[i]
+		issued, served = issued+s.issued[i], served+s.served[i]
 	}
-	return served / asked
+	return served / issued
 }
 
-// hard plays a day of nodes with further faults, and wants the rules kept.
-func hard(t *testing.T, d Workload, change func(*scenario.Scenario), with memory.Options) *seconds {
+// runChecked runs a workload under the node policy with further faults and checks the rules.
+func runChecked(t *testing.T, w Workload, change func(*scenario.Scenario), with memory.Options) *perSecond {
 	t.Helper()
-	s, err := d.Scenario()
+	s, err := w.Scenario()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,144 +69,148 @@
 	if err := scenario.CheckInMemory(s); err != nil {
 		t.Fatal(err)
 	}
-	by := newSeconds(d)
-	if r := play(d, s, policy.Nodes, with, by.event); !r.Passed() {
+	counts := newPerSecond(w)
+	if r := runScenario(w, s, policy.Nodes, with, counts.event); !r.Passed() {
 		t.Errorf("%v", r.Counts)
 	}
-	return by
+	return counts
 }
 
-func span(d time.Duration) scenario.Span { return scenario.Span{Duration: d} }
+func span(w time.Duration) scenario.Span { return scenario.Span{Duration: w} }
 
-// Seven in ten nodes are killed at once and start again with nothing learnt, by the list that they had last, while
-// discovery turns every call away for 4 s. Service is back within 2 s of their return, and no server gets a flood from
-// nodes that know nothing.
-func TestSevenInTenNodesComeBackToACrowdedDiscovery(t *testing.T) {
-	d := Workload{Servers: 47, Proxies: 80, Load: 0.85, Length: 12 * time.Second, Retries: 2, Seed: 8}
-	by := hard(t, d, func(s *scenario.Scenario) {
-		var who []string
+// Seven in ten nodes are killed at once and restart from their last list while discovery refuses
+// all calls for 4 s. Service recovers within 2 s of their return, and the restarted nodes flood no
+// server.
+func TestMostNodesRestartWhileDiscoveryIsDown(t *testing.T) {
+	w := Workload{Servers: 47, Proxies: 80, Load: 0.85, Length: 12 * time.Second, Retries: 2, Seed: 8}
+	counts := runChecked(t, w, func(s *scenario.Scenario) {
+		var targets []string
 		for i, n := range s.Nodes() {
 			if i%10 < 7 {
-				who = append(who, n.Name)
+				targets = append(targets, n.Name)
 			}
 		}
 		s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultDiscoveryOutage, At: span(4900 * time.Millisecond), For: span(4 * time.Second)},
-			scenario.Fault{Kind: scenario.FaultKill, At: span(5 * time.Second), For: span(300 * time.Millisecond), Targets: who})
+			scenario.Fault{Kind: scenario.FaultKill, At: span(5 * time.Second), For: span(300 * time.Millisecond), Targets: targets})
 	}, memory.Options{})
-	if before, after := by.part(3, 5), by.part(8, 12); after < before-0.03 {
-		t.Errorf("%.3f of the requests served before, %.3f from 2.7 s after their return on", before, after)
+	if before, after := counts.servedFraction(3, 5), counts.servedFraction(8, 12); after < before-0.03 {
+		t.Errorf("%.3f of the requests served before, %.3f from 2.7 s after the return on", before, after)
 	}
-	for name, sent := range by.sent {
-		usual := slices.Max(sent[2:5])
-		if most := slices.Max(sent[5:9]); most > 3*usual+10 {
-			t.Errorf("%s got %d in a second, %d at most before", name, most, usual)
+	for name, sent := range counts.sent {
+		before := slices.Max(sent[2:5])
+		if peak := slices.Max(sent[5:9]); peak > 3*before+10 {
+			t.Errorf("%s received %d attempts in a second, at most %d before", name, peak, before)
 		}
 	}
 }
 
-// A hall is lost and comes back cold, told to all at once; in another hall four nodes take as much as thirty do
-// elsewhere. No cold server is pushed over by the sum of all.
-func TestALostHallComesBackToUnlikeNodes(t *testing.T) {
-	for _, lost := range []int{0, 1} {
-		d := Workload{Servers: 45, Proxies: 64, Load: 0.75, Length: 14 * time.Second, Retries: 2, Seed: 8}
-		hard(t, d, func(s *scenario.Scenario) {
+// A zone is lost and comes back cold, announced to all nodes at once, while four nodes of another
+// zone carry as much load as thirty elsewhere. No cold server is overloaded by the sum of all
+// nodes.
+func TestLostZoneReturnsToUnevenlyLoadedNodes(t *testing.T) {
+	for _, zone := range []int{0, 1} {
+		w := Workload{Servers: 45, Proxies: 64, Load: 0.75, Length: 14 * time.Second, Retries: 2, Seed: 8}
+		runChecked(t, w, func(s *scenario.Scenario) {
 			s.Zones[0].Nodes, s.Zones[1].Nodes, s.Zones[2].Nodes = 4, 30, 30
 			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultZoneLost, At: span(3 * time.Second), For: span(4 * time.Second),
-				Targets: []string{s.Zones[lost].Name}})
+				Targets: []string{s.Zones[zone].Name}})
 		}, memory.Options{})
 	}
 }
 
-// Six in ten servers are replaced within 7 s, and one in five of the new ones takes requests and answers none. Drains and
-// cold servers are kept, and a bad newcomer costs the whole fleet few requests.
-func TestSixInTenReplacedAndSomeOfThemBad(t *testing.T) {
-	bads, goods, found, kept, served := 0, 0, 0, 0, 0.0
+// Six in ten servers are replaced within 7 s, and one in five of the new ones accepts requests and
+// answers none. Drains and cold servers are respected, and each bad server costs the whole fleet
+// few requests.
+func TestMostServersReplacedAndSomeHung(t *testing.T) {
+	badAttempts, goodAttempts, badServers, goodServers, served := 0, 0, 0, 0, 0.0
 	const seeds = 3
 	for seed := range int64(seeds) {
-		d := Workload{Servers: 40, Proxies: 70, Load: 0.7, Length: 16 * time.Second, Retries: 2, Seed: 3 + seed}
+		w := Workload{Servers: 40, Proxies: 70, Load: 0.7, Length: 16 * time.Second, Retries: 2, Seed: 3 + seed}
 		var bad []string
-		by := hard(t, d, func(s *scenario.Scenario) {
-			all := s.Servers()
+		counts := runChecked(t, w, func(s *scenario.Scenario) {
+			servers := s.Servers()
 			for wave := range 4 {
-				var who []string
-				for i, x := range all {
+				var targets []string
+				for i, x := range servers {
 					if i%5 < 3 && i%4 == wave {
-						who = append(who, x.Name)
+						targets = append(targets, x.Name)
 					}
 				}
 				at := 2*time.Second + time.Duration(wave)*1700*time.Millisecond
-				s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultReplace, At: span(at), For: span(500 * time.Millisecond), Targets: who},
-					scenario.Fault{Kind: scenario.FaultHang, At: span(at + 1500*time.Millisecond), For: span(20 * time.Second), Targets: who[:len(who)/5+1]})
-				bad = append(bad, who[:len(who)/5+1]...)
+				s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultReplace, At: span(at), For: span(500 * time.Millisecond), Targets: targets},
+					scenario.Fault{Kind: scenario.FaultHang, At: span(at + 1500*time.Millisecond), For: span(20 * time.Second), Targets: targets[:len(targets)/5+1]})
+				bad = append(bad, targets[:len(targets)/5+1]...)
 			}
 		}, memory.Options{})
-		for name, sent := range by.sent {
+		for name, sent := range counts.sent {
 			slot, _, replaced := strings.Cut(name, "-r")
-			total := 0 // a bad one stops answering 1 s after its start; it gets some trials of the whole fleet
+			total := 0 // a bad server stops answering 1 s after its start, and gets some probes of the whole fleet
 			for _, k := range sent[10:16] {
 				total += k
 			}
 			switch {
 			case replaced && slices.Contains(bad, slot):
-				bads, found = bads+total, found+1
+				badAttempts, badServers = badAttempts+total, badServers+1
 			case replaced:
-				goods, kept = goods+total, kept+1
+				goodAttempts, goodServers = goodAttempts+total, goodServers+1
 			}
 		}
-		served += by.part(14, 16) / seeds
+		served += counts.servedFraction(14, 16) / seeds
 	}
-	if found < 6*seeds || kept < 12*seeds {
-		t.Fatalf("%d bad ones and %d good ones were sent anything", found, kept)
+	if badServers < 6*seeds || goodServers < 12*seeds {
+		t.Fatalf("only %d hung and %d other new servers received attempts", badServers, goodServers)
 	}
-	each, other := float64(bads)/float64(found), float64(goods)/float64(kept)
-	t.Logf("a bad one gets %.1f in six seconds, a good one %.1f; %.3f of the requests served in the end", each, other, served)
-	if each > 0.18*other {
-		t.Errorf("a new one that answers nothing gets %.1f in six seconds, another new one %.1f", each, other)
+	perBad, perGood := float64(badAttempts)/float64(badServers), float64(goodAttempts)/float64(goodServers)
+	t.Logf("a hung server received %.1f attempts in six seconds, another new one %.1f; %.3f of the requests served at the end", perBad, perGood, served)
+	if perBad > 0.18*perGood {
+		t.Errorf("a hung server received %.1f attempts in six seconds, another new one %.1f", perBad, perGood)
 	}
 	if served < 0.83 {
-		t.Errorf("%.3f of the requests served in the end", served)
+		t.Errorf("%.3f of the requests served at the end", served)
 	}
 }
 
-// shock makes all requests three times as heavy for 3 s, as if all servers were three times slower.
-func shock(s *scenario.Scenario, at time.Duration) {
+// addOverload makes all requests three times as heavy for 3 s, as if all servers were three times
+// slower.
+func addOverload(s *scenario.Scenario, at time.Duration) {
 	for _, class := range []string{"broadcast-clip", "viewer-clip", "cut-order", "tag-event"} {
 		s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultHeavy, At: span(at), For: span(3 * time.Second), Class: class, Fraction: 1, Factor: 3})
 	}
 }
 
-// All servers are three times slower for 3 s. Whatever the size and the load, the fleet is back within 10 s: it serves as
-// much as on the same day without the shock. Guards against an overload that keeps itself up.
-func TestAShockPassesAtEverySize(t *testing.T) {
-	all := []int{3, 24, 60}
+// Guards against a metastable overload: after 3 s in which all servers are three times slower, a
+// fleet of any size serves as much within 10 s as without the overload.
+func TestFleetRecoversFromAnOverloadAtEverySize(t *testing.T) {
+	servers := []int{3, 24, 60}
 	if *sizes {
-		all = []int{3, 24, 39, 40, 41, 80, 300}
+		servers = []int{3, 24, 39, 40, 41, 80, 300}
 	}
-	for _, nodes := range all {
+	for _, nodes := range servers {
 		for _, load := range []float64{0.6, 0.9} {
 			const seeds = 2
-			quiet, during, after := 0.0, 0.0, 0.0
+			without, during, after := 0.0, 0.0, 0.0
 			for seed := range int64(seeds) {
-				d := Workload{Servers: max(12, nodes*7/12), Proxies: nodes, Load: load, Length: 18 * time.Second, Retries: 2, Seed: 8 + seed}
-				quiet += hard(t, d, func(*scenario.Scenario) {}, memory.Options{}).part(13, 18) / seeds
-				by := hard(t, d, func(s *scenario.Scenario) { shock(s, 3*time.Second) }, memory.Options{})
-				during, after = during+by.part(3, 6)/seeds, after+by.part(13, 18)/seeds
+				w := Workload{Servers: max(12, nodes*7/12), Proxies: nodes, Load: load, Length: 18 * time.Second, Retries: 2, Seed: 8 + seed}
+				without += runChecked(t, w, func(*scenario.Scenario) {}, memory.Options{}).servedFraction(13, 18) / seeds
+				counts := runChecked(t, w, func(s *scenario.Scenario) { addOverload(s, 3*time.Second) }, memory.Options{})
+				during, after = during+counts.servedFraction(3, 6)/seeds, after+counts.servedFraction(13, 18)/seeds
 			}
-			t.Logf("%d nodes at %.1f: %.3f in the shock, %.3f after, %.3f without", nodes, load, during, after, quiet)
-			if after < quiet-0.02 || load > 0.8 && during > quiet-0.1 {
-				t.Errorf("%d nodes at %.1f: %.3f of the requests served in the shock, %.3f from 7 s after it on, %.3f without one", nodes, load, during, after, quiet)
+			t.Logf("%d nodes at %.1f: %.3f served during the overload, %.3f after it, %.3f without it", nodes, load, during, after, without)
+			if after < without-0.02 || load > 0.8 && during > without-0.1 {
+				t.Errorf("%d nodes at %.1f: %.3f of the requests served during the overload, %.3f from 7 s after it on, %.3f without it", nodes, load, during, after, without)
 			}
 		}
 	}
 }
 
-// A hall and its nodes are cut off from the others for 6 s, and lists come 2 s late. The rules hold on both sides, and
-// each side goes on by what its own servers can do: all of what little it asks for.
-func TestAHallCutOffServesItself(t *testing.T) {
-	d := Workload{Servers: 48, Proxies: 84, Load: 0.6, Length: 14 * time.Second, Retries: 2, Seed: 8}
-	by := hard(t, d, func(s *scenario.Scenario) {
+// A zone and its nodes are isolated from the others for 6 s, and lists arrive 2 s late. The rules
+// hold on both sides, and each side serves what its own servers can do.
+func TestIsolatedZoneServesItself(t *testing.T) {
+	w := Workload{Servers: 48, Proxies: 84, Load: 0.6, Length: 14 * time.Second, Retries: 2, Seed: 8}
+	counts := runChecked(t, w, func(s *scenario.Scenario) {
 		s.Discovery.NotificationDelay = span(2 * time.Second)
-		var here, there []string // servers of the hall and nodes of the others; and the other way round
+		// The zone's servers and the other zones' nodes, and the reverse.
+		var here, there []string
 		for _, x := range s.Servers() {
 			if x.Zone == s.Zones[0].Name {
 				here = append(here, x.Name)
@@ -221,73 +225,74 @@
 				here = append(here, n.Name)
 			}
 		}
-		for _, who := range [][]string{here, there} {
-			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultLink, At: span(4 * time.Second), For: span(6 * time.Second), Targets: who, State: "black-hole"})
+		for _, targets := range [][]string{here, there} {
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultLink, At: span(4 * time.Second), For: span(6 * time.Second), Targets: targets, State: "black-hole"})
 		}
 	}, memory.Options{})
-	// Some of what was out when the cut came is lost with it; then each side does what it can, and all is well after.
-	if cut, settled, after := by.part(4, 6), by.part(6, 10), by.part(11, 14); cut < 0.8 || settled < 0.95 || after < 0.97 {
+	// Some requests in flight at the start of the fault are lost with it; then each side serves
+	// what it can, and after it everything is served.
+	if cut, settled, after := counts.servedFraction(4, 6), counts.servedFraction(6, 10), counts.servedFraction(11, 14); cut < 0.8 || settled < 0.95 || after < 0.97 {
 		t.Errorf("%.3f of the requests served in the first two seconds, %.3f in the next four, %.3f after", cut, settled, after)
 	}
 }
 
-// What nodes tell one another is lost in one direction, or comes 1 s late and out of order, or one node is wrong by a
-// factor of ten in all that it says: the fleet serves as it does without.
-func TestBadWordsOfNodesSwayNobody(t *testing.T) {
+// Peer messages are lost in one direction, or arrive 1 s late and reordered, or one node is wrong
+// by a factor of ten in all its messages: the fleet serves about as much as without.
+func TestFaultyPeerMessagesDoNotDegradeService(t *testing.T) {
 	const seeds = 2
-	mean := func(change func(*scenario.Scenario), o memory.Options) (sum float64) {
+	meanServed := func(change func(*scenario.Scenario), o memory.Options) (sum float64) {
 		for seed := range int64(seeds) {
-			d := Workload{Servers: 48, Proxies: 84, Load: 0.9, Length: 8 * time.Second, Retries: 2, Seed: 8 + seed}
-			sum += hard(t, d, change, o).part(2, 8) / seeds
+			w := Workload{Servers: 48, Proxies: 84, Load: 0.9, Length: 8 * time.Second, Retries: 2, Seed: 8 + seed}
+			sum += runChecked(t, w, change, o).servedFraction(2, 8) / seeds
 		}
 		return sum
 	}
-	plain := mean(func(*scenario.Scenario) {}, memory.Options{})
-	number := func(node string) (n int) {
+	baseline := meanServed(func(*scenario.Scenario) {}, memory.Options{})
+	nodeNumber := func(node string) (n int) {
 		fmt.Sscanf(node, "n%d", &n)
 		return n
 	}
 	for name, c := range map[string]struct {
-		late   time.Duration
-		mutant memory.Mutant
-		least  float64
+		delay   time.Duration
+		mutant  memory.Mutant
+		minimum float64
 	}{
 		"one direction only": {0, func(_ time.Duration, node string, _ balance.Event, actions []balance.Action) []balance.Action {
 			return slices.DeleteFunc(slices.Clone(actions), func(a balance.Action) bool {
-				m, is := a.(balance.SendMessage)
-				return is && m.To < number(node)
+				m, ok := a.(balance.SendMessage)
+				return ok && m.To < nodeNumber(node)
 			})
-		}, plain - 0.03},
-		"a second late": {time.Second, nil, plain - 0.06},
+		}, baseline - 0.03},
+		"a second late": {time.Second, nil, baseline - 0.06},
 		"wrong by a factor of ten": {0, func(_ time.Duration, node string, _ balance.Event, actions []balance.Action) []balance.Action {
-			if number(node) != 5 {
+			if nodeNumber(node) != 5 {
 				return actions
 			}
 			actions = slices.Clone(actions)
 			for i, a := range actions {
-				if m, is := a.(balance.SendMessage); is {
+				if m, ok := a.(balance.SendMessage); ok {
 					m.Data = tenfold(m.Data)
 					actions[i] = m
 				}
 			}
 			return actions
-		}, plain - 0.02},
+		}, baseline - 0.02},
 	} {
-		p := mean(func(s *scenario.Scenario) {
-			if c.late > 0 {
-				s.Net.PeerDelay = span(c.late)
+		p := meanServed(func(s *scenario.Scenario) {
+			if c.delay > 0 {
+				s.Net.PeerDelay = span(c.delay)
 			}
 		}, memory.Options{Mutant: c.mutant})
-		if t.Logf("%s: %.3f of the requests served, %.3f without", name, p, plain); p < c.least {
-			t.Errorf("%s: %.3f of the requests served, %.3f without", name, p, plain)
+		if t.Logf("%s: %.3f of the requests served, %.3f without", name, p, baseline); p < c.minimum {
+			t.Errorf("%s: %.3f of the requests served, %.3f without", name, p, baseline)
 		}
 	}
 }
 
-// tenfold makes a datagram wrong by a factor of ten in each figure.
+// tenfold multiplies each figure of a datagram by ten.
 func tenfold(data []byte) []byte {
 	data = slices.Clone(data)
-	for _, at := range []int{3, 9} { // the work, and the wait of the one reading
+	for _, at := range []int{3, 9} { // the work, and the wait in the only reading
 		v := min(math.MaxUint16, 10*uint32(binary.BigEndian.Uint16(data[at:])))
 		binary.BigEndian.PutUint16(data[at:], uint16(v))
 	}
@@ -295,40 +300,41 @@
 	return data
 }
 
-// Nodes are restarted a tenth at a time while half of the servers are replaced: rules kept, next to nothing lost.
+// Nodes restart a tenth at a time while half of the servers are replaced: the rules hold and almost
+// nothing is lost.
 func TestNodesRestartInTenthsWhileServersAreReplaced(t *testing.T) {
-	d := Workload{Servers: 40, Proxies: 70, Load: 0.6, Length: 16 * time.Second, Retries: 2, Seed: 8}
-	by := hard(t, d, func(s *scenario.Scenario) {
+	w := Workload{Servers: 40, Proxies: 70, Load: 0.6, Length: 16 * time.Second, Retries: 2, Seed: 8}
+	counts := runChecked(t, w, func(s *scenario.Scenario) {
 		nodes, servers := s.Nodes(), s.Servers()
-		for part := range 10 {
-			var who []string
-			for i := part; i < len(nodes); i += 10 {
-				who = append(who, nodes[i].Name)
+		for tenth := range 10 {
+			var targets []string
+			for i := tenth; i < len(nodes); i += 10 {
+				targets = append(targets, nodes[i].Name)
 			}
-			at := 2*time.Second + time.Duration(part)*1200*time.Millisecond
-			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultRestart, At: span(at), For: span(time.Second), Targets: who})
-			who = nil
-			for i := part; i < len(servers); i += 20 {
-				who = append(who, servers[i].Name)
+			at := 2*time.Second + time.Duration(tenth)*1200*time.Millisecond
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultRestart, At: span(at), For: span(time.Second), Targets: targets})
+			targets = nil
+			for i := tenth; i < len(servers); i += 20 {
+				targets = append(targets, servers[i].Name)
 			}
-			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultReplace, At: span(at), For: span(time.Second), Targets: who})
+			s.Faults = append(s.Faults, scenario.Fault{Kind: scenario.FaultReplace, At: span(at), For: span(time.Second), Targets: targets})
 		}
 	}, memory.Options{})
-	if p := by.part(2, 16); p < 0.95 {
+	if p := counts.servedFraction(2, 16); p < 0.95 {
 		t.Errorf("%.3f of the requests served", p)
 	}
 }
 
-// All halls but one are lost and come back one by one, told to all nodes at once by the trial request of one, or by the
-// list. Days on which a cold server was pushed over: each node that heard of it sent one at once, and a heavy class counted
-// as a light one.
-func TestHallsThatReturnPushNobodyOver(t *testing.T) {
-	for _, day := range []struct {
+// All zones but one are lost and come back one by one, announced to all nodes at once by a list or
+// by one node's probe request. On these workloads nodes that sent to a returning server at the same
+// moment once overloaded it.
+func TestReturningZonesAreNotOverloaded(t *testing.T) {
+	for _, run := range []struct {
 		nodes int
 		load  float64
 		seed  int64
 	}{{24, 0.7, 105}, {24, 1.1, 102}, {39, 1.1, 108}, {60, 0.7, 107}, {80, 1.1, 1}} {
-		hard(t, Workload{Servers: max(12, day.nodes*7/12), Proxies: day.nodes, Load: day.load, Fault: ZonesReturn, Length: 14 * time.Second, Retries: 2, Seed: day.seed},
+		runChecked(t, Workload{Servers: max(12, run.nodes*7/12), Proxies: run.nodes, Load: run.load, Fault: ZonesReturn, Length: 14 * time.Second, Retries: 2, Seed: run.seed},
 			func(*scenario.Scenario) {}, memory.Options{})
 	}
 }
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -13,89 +13,87 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// linger is how long the judge waits for what is late: a request that a server
-// has taken ends within some seconds.
-const linger = 10 * time.Second
+// judgeRetention is how long the judge keeps a request: one that a server has accepted ends within
+// some seconds.
+const judgeRetention = 10 * time.Second
 
-// Result is what became of a day.
+// Result is the outcome of a workload.
 type Result struct {
 	judge.Verdict
-	// DispersionIndex is by how much the requests that a server gets in a second vary from
-	// second to second, over their mean (index of dispersion), over all servers
-	// and the middle of the day: 1 where they come by chance, far more where
-	// proxies go all for one server and then all for another.
+	// DispersionIndex is the variance of the requests that a server receives in a second over their
+	// mean, for all servers over the middle half of the load. It is 1 for random choice and far
+	// more if the proxies all move from one server to another.
 	DispersionIndex float64
-	Steps           uint64        // what happened in the model
-	SimulatedTime   time.Duration // the day's length, with its end
+	Steps           uint64        // steps of the model
+	SimulatedTime   time.Duration // up to the last event
 }
 
-// Run plays a day in a way to choose servers. The same day and way give the
-// same result.
-func Run(d Workload, way policy.Name) (Result, error) {
-	s, err := d.Scenario()
+// Run runs a workload under a balancing policy. The same workload and policy give the same result.
+func Run(w Workload, policyName policy.Name) (Result, error) {
+	s, err := w.Scenario()
 	if err != nil {
 		return Result{}, err
 	}
-	return play(d, s, way, memory.Options{}, nil), nil
+	return runScenario(w, s, policyName, memory.Options{}, nil), nil
 }
 
-// play plays a day's scenario, which may have been changed, and tells of each
-// event. Of the options it takes the mutant.
-func play(d Workload, s *scenario.Scenario, way policy.Name, with memory.Options, also func(*history.Event)) Result {
-	controls := policy.ControlPlane{Services: d.ControlServices, SubsetSize: d.SubsetSize, ReportDelay: d.ReportDelay, FrozenFraction: d.FrozenFraction, FrozenStart: s.Length.Duration / 3}
-	if d.ControlServices > 1 {
+// runScenario runs a workload's scenario, which the caller may have changed. observe, if not nil,
+// is called for each event. Of the options only the mutant is used.
+func runScenario(w Workload, s *scenario.Scenario, policyName policy.Name, options memory.Options, observe func(*history.Event)) Result {
+	controls := policy.ControlPlane{Services: w.ControlServices, SubsetSize: w.SubsetSize, ReportDelay: w.ReportDelay, FrozenFraction: w.FrozenFraction, FrozenStart: s.Length.Duration / 3}
+	if w.ControlServices > 1 {
 		controls.OutageStart, controls.OutageEnd = s.Length.Duration*2/5, s.Length.Duration*3/4
 	}
-	o := policy.OptionsWithControls(way, d.Seed, controls)
-	o.Mutant = with.Mutant
-	var live *judge.Checker
-	last := time.Duration(0)
-	sent := swing{length: s.Length.Duration, by: map[string][]float64{}}
+	o := policy.OptionsWithControls(policyName, w.Seed, controls)
+	o.Mutant = options.Mutant
+	var checker *judge.Checker
+	end := time.Duration(0)
+	attempts := attemptCounter{length: s.Length.Duration, perSecond: map[string][]float64{}}
 	o.ObserveEvents = func(setup *history.Setup) func(*history.Event) {
-		live = judge.NewChecker(setup)
-		live.Retention = linger
+		checker = judge.NewChecker(setup)
+		checker.Retention = judgeRetention
 		return func(e *history.Event) {
-			last = e.At
-			sent.event(e)
-			live.Add(e)
-			if also != nil {
-				also(e)
+			end = e.At
+			attempts.add(e)
+			checker.Add(e)
+			if observe != nil {
+				observe(e)
 			}
 		}
 	}
 	h := memory.Run(s, o)
-	return Result{Verdict: live.Verdict(), DispersionIndex: sent.index(), Steps: h.Steps, SimulatedTime: last}
+	return Result{Verdict: checker.Verdict(), DispersionIndex: attempts.dispersionIndex(), Steps: h.Steps, SimulatedTime: end}
 }
 
-// swing counts what servers are sent in each second.
-type swing struct {
-	length time.Duration
-	by     map[string][]float64
+// attemptCounter counts the attempts that each server receives in each second.
+type attemptCounter struct {
+	length    time.Duration
+	perSecond map[string][]float64
 }
 
-func (w *swing) event(e *history.Event) {
-	if e.Kind != history.Attempt || e.At >= w.length {
+func (c *attemptCounter) add(e *history.Event) {
+	if e.Kind != history.Attempt || e.At >= c.length {
 		return
 	}
-	n := w.by[e.Server]
-	if n == nil {
-		n = make([]float64, int(w.length/time.Second)+1)
-		w.by[e.Server] = n
+	counts := c.perSecond[e.Server]
+	if counts == nil {
+		counts = make([]float64, int(c.length/time.Second)+1)
+		c.perSecond[e.Server] = counts
 	}
-	n[e.At/time.Second]++
+	counts[e.At/time.Second]++
 }
 
-// index gives the mean of all servers' indices of dispersion, each by its mean.
-func (w *swing) index() float64 {
-	names := make([]string, 0, len(w.by))
-	for name := range w.by {
+// dispersionIndex returns the mean of all servers' indices of dispersion, weighted by their means.
+func (c *attemptCounter) dispersionIndex() float64 {
+	names := make([]string, 0, len(c.perSecond))
+	for name := range c.perSecond {
 		names = append(names, name)
 	}
-	slices.Sort(names) // a sum does not depend on a map's order
+	slices.Sort(names) // floating-point sums depend on the order
 	sum, weight := 0.0, 0.0
 	for _, name := range names {
-		n := w.by[name]
-		middle := n[len(n)/4 : max(len(n)/4+1, len(n)*3/4)]
+		counts := c.perSecond[name]
+		middle := counts[len(counts)/4 : max(len(counts)/4+1, len(counts)*3/4)]
 		mean, variance := stat.MeanVariance(middle, nil)
 		if mean > 0 && len(middle) > 1 {
 			sum, weight = sum+variance, weight+mean
