--- a/internal/lab/perf/perf.go
+++ b/internal/lab/perf/perf.go
@@ -1,5 +1,5 @@
-// Package perf measures a node beside another proxy: closed-loop clients over
-// the same servers, which answer at once.
+// Package perf measures a node in comparison with another proxy, with closed-loop clients over the
+// same servers.
 package perf
 
 import (
@@ -16,12 +16,12 @@
 	"ivylock/internal/lab/judge"
 )
 
-// StartServers listens on so many loopback addresses; each answers every request
-// after work, with a body of so many bytes.
+// StartServers starts n servers on loopback addresses. Each answers every request after the
+// duration work, with a body of size bytes.
 func StartServers(n int, work time.Duration, size int) (addrs []string, stop func(), err error) {
-	var all []net.Listener
+	var listeners []net.Listener
 	stop = func() {
-		for _, l := range all {
+		for _, l := range listeners {
 			l.Close()
 		}
 	}
@@ -31,7 +31,7 @@
 			stop()
 			return nil, nil, err
 		}
-		all = append(all, l)
+		listeners = append(listeners, l)
 		addrs = append(addrs, l.Addr().String())
 		go func() {
 			for {
@@ -39,22 +39,22 @@
 				if err != nil {
 					return
 				}
-				go answer(c, work, size)
+				go serveConn(c, work, size)
 			}
 		}()
 	}
 	return addrs, stop, nil
 }
 
-// SmallBody is the body that requests are measured with by default, in bytes.
+// SmallBody is the default size of answers, in bytes.
 const SmallBody = 5
 
-func answer(c net.Conn, work time.Duration, size int) {
+func serveConn(c net.Conn, work time.Duration, size int) {
 	defer c.Close()
-	text := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size), make([]byte, size)...)
+	response := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size), make([]byte, size)...)
 	for r := bufio.NewReader(c); ; {
 		length := 0
-		for first := true; ; first = false { // a head that our own side wrote
+		for first := true; ; first = false { // the head of a request, which our own side wrote
 			line, err := r.ReadSlice('\n')
 			if err != nil {
 				return
@@ -73,69 +73,69 @@
 		if work > 0 {
 			time.Sleep(work)
 		}
-		if _, err := c.Write(text); err != nil {
+		if _, err := c.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// ClientLoad says what the clients do.
+// ClientLoad describes what the clients do.
 type ClientLoad struct {
 	Addr     string
 	Clients  int           // each sends its next request when it has its answer
-	Length   time.Duration // or
-	Total    int           // so many requests in all, if above 0
-	Class    string        // of clip fetches: a GET
-	BodySize int           // of the bodies that the servers send
+	Length   time.Duration // of the run, if Total is 0
+	Total    int           // number of requests of all clients together
+	Class    string        // of the requests, which are GETs
+	BodySize int           // of the servers' answers, in bytes
 }
 
-// Results are what clients saw.
+// Results holds what the clients observed.
 type Results struct {
 	Requests, Served, Refused, Failed int
-	Rate                              float64       // answers of any kind a second
-	P50, P99                          time.Duration // of served ones
+	Rate                              float64       // answers of any kind per second
+	P50, P99                          time.Duration // latencies of served requests
 }
 
-const keep = 200_000 // latencies; later ones are not kept
+const maxLatencies = 200_000 // latencies kept in memory
 
 // RunClosedLoop runs closed-loop clients.
 func RunClosedLoop(l ClientLoad) (Results, error) {
 	var (
-		mu    sync.Mutex
-		out   Results
-		took  []time.Duration
-		bad   error
-		wg    sync.WaitGroup
-		left  atomic.Int64
-		start = time.Now()
-		end   = start.Add(l.Length)
+		mu        sync.Mutex
+		total     Results
+		latencies []time.Duration
+		lastErr   error
+		wg        sync.WaitGroup
+		remaining atomic.Int64
+		start     = time.Now()
+		end       = start.Add(l.Length)
 	)
-	left.Store(int64(l.Total))
+	remaining.Store(int64(l.Total))
 	for i := range l.Clients {
 		wg.Go(func() {
-			f, t, err := client(l, i, func() bool {
+			results, times, err := client(l, i, func() bool {
 				if l.Total > 0 {
-					return left.Add(-1) >= 0
+					return remaining.Add(-1) >= 0
 				}
 				return time.Now().Before(end)
 			})
 			mu.Lock()
 			defer mu.Unlock()
-			out.Requests, out.Served, out.Refused, out.Failed = out.Requests+f.Requests, out.Served+f.Served, out.Refused+f.Refused, out.Failed+f.Failed
-			took = append(took, t...)
+			total.Requests, total.Served, total.Refused, total.Failed = total.Requests+results.Requests, total.Served+results.Served, total.Refused+results.Refused, total.Failed+results.Failed
+			latencies = append(latencies, times...)
 			if err != nil {
-				bad = err
+				lastErr = err
 			}
 		})
 	}
 	wg.Wait()
-	out.Rate = float64(out.Requests) / time.Since(start).Seconds()
-	out.P50, out.P99 = judge.Quantile(took, 0.5), judge.Quantile(took, 0.99)
-	return out, bad
+	total.Rate = float64(total.Requests) / time.Since(start).Seconds()
+	total.P50, total.P99 = judge.Quantile(latencies, 0.5), judge.Quantile(latencies, 0.99)
+	return total, lastErr
 }
 
-// client is one closed loop. Connections that end are opened anew.
-func client(l ClientLoad, number int, more func() bool) (f Results, took []time.Duration, err error) {
+// client runs one closed loop. It reopens its connection when an answer closes it.
+func client(l ClientLoad, number int, more func() bool) (results Results, latencies []time.Duration, err error) {
 	var c net.Conn
 	var r *bufio.Reader
 	defer func() {
@@ -146,7 +146,7 @@
 	for n := 0; more(); n++ {
 		if c == nil {
 			if c, err = net.Dial("tcp", l.Addr); err != nil {
-				return f, took, err
+				return results, latencies, err
 			}
 			r = bufio.NewReader(c)
 		}
@@ -155,32 +155,32 @@
 		_, err = fmt.Fprintf(c, "GET /%s/x?sid=1 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: p%d-%d\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: 2000\r\n\r\n",
 			l.Class, number, n, l.Class)
 		if err != nil {
-			return f, took, err
+			return results, latencies, err
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			return f, took, err
+			return results, latencies, err
 		}
 		size, err := io.Copy(io.Discard, resp.Body)
 		if err != nil {
-			return f, took, err
+			return results, latencies, err
 		}
-		f.Requests++
+		results.Requests++
 		switch {
 		case resp.StatusCode == http.StatusOK && size == int64(l.BodySize):
-			f.Served++
-			if len(took) < keep/max(1, l.Clients) {
-				took = append(took, time.Since(start))
+			results.Served++
+			if len(latencies) < maxLatencies/max(1, l.Clients) {
+				latencies = append(latencies, time.Since(start))
 			}
 		case resp.StatusCode == http.StatusServiceUnavailable:
-			f.Refused++
+			results.Refused++
 		default:
-			f.Failed++
+			results.Failed++
 		}
 		if resp.Close {
 			c.Close()
 			c = nil
 		}
 	}
-	return f, took, nil
+	return results, latencies, nil
 }
--- a/internal/lab/perf/perf_test.go
+++ b/internal/lab/perf/perf_test.go
@@ -19,11 +19,10 @@
 	"ivylock/internal/nodetest"
 )
 
-// inNode starts a node in this process.
-func inNode(tb testing.TB, servers []string) string {
+// startNode starts a node in this process.
+func startNode(tb testing.TB, servers []string) string {
 	tb.Helper()
-	// The brief's worths: clip fetches of viewers are worth 1, so that they may
-	// be shed, and another class is worth 12.
+	// Viewers' clips get the value 1, so that they may be shed, and another class gets 12.
 	text := strings.Replace(nodetest.ConfigJSON("127.0.0.1:1", servers...), `"importance":12`, `"importance":1`, 1)
 	text = strings.Replace(text, `"importance":1,"key_scope":"cell"`, `"importance":12,"key_scope":"cell"`, 1)
 	c, err := node.ParseConfig([]byte(text))
@@ -36,16 +35,15 @@
 	}
 	n := node.New(c)
 	f := front.New(n, l, c.Settings.Classes, c.ClientSockets(), c.BodyBudget())
-	n.SetShutdownSchedule(guard.ShutdownSchedule{}) // it ends at once
+	n.SetShutdownSchedule(guard.ShutdownSchedule{}) // shuts down at once
 	ctx, stop := context.WithCancel(context.Background())
 	go n.Run(ctx, f)
 	tb.Cleanup(func() { stop(); <-n.Done() })
 	return l.Addr().String()
 }
 
-// inReverseProxy starts the standard library's proxy in this process, which
-// takes the servers in turn.
-func inReverseProxy(tb testing.TB, servers []string) string {
+// startReverseProxy starts the standard library's round-robin proxy in this process.
+func startReverseProxy(tb testing.TB, servers []string) string {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +55,7 @@
 	return l.Addr().String()
 }
 
-func fleet(tb testing.TB) []string {
+func startTestServers(tb testing.TB) []string {
 	tb.Helper()
 	servers, stop, err := StartServers(4, 0, SmallBody)
 	if err != nil {
@@ -67,28 +65,28 @@
 	return servers
 }
 
-// Guards against a measurement that measures nothing: all is served, by the
-// node and by the other proxy.
-func TestBothProxiesServe(t *testing.T) {
+// Guards against measuring failed requests: the node and the other proxy serve every request.
+func TestNodeAndReverseProxyServeEveryRequest(t *testing.T) {
 	log.SetOutput(io.Discard)
-	for name, start := range map[string]func(testing.TB, []string) string{"node": inNode, "reverseproxy": inReverseProxy} {
-		f, err := RunClosedLoop(ClientLoad{Addr: start(t, fleet(t)), Clients: 2, Total: 500, Class: "clip", BodySize: SmallBody})
+	for name, start := range map[string]func(testing.TB, []string) string{"node": startNode, "reverseproxy": startReverseProxy} {
+		f, err := RunClosedLoop(ClientLoad{Addr: start(t, startTestServers(t)), Clients: 2, Total: 500, Class: "clip", BodySize: SmallBody})
 		if err != nil || f.Served != 500 || f.P99 <= 0 || f.P50 > f.P99 {
 			t.Errorf("%s: %+v, %v", name, f, err)
 		}
 	}
 }
 
-// BenchmarkClosedLoop has one process for all, on two cores. The verdict that
-// idle servers are not shed is balance's own, under virtual time.
+// BenchmarkClosedLoop runs clients, proxy and servers in one process on two cores. Package balance
+// tests under virtual time that requests to idle servers are not shed.
 func BenchmarkClosedLoop(b *testing.B) {
 	log.SetOutput(io.Discard)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(2))
 	for _, clients := range []int{16, 64} {
-		for name, start := range map[string]func(testing.TB, []string) string{"node": inNode, "reverseproxy": inReverseProxy} {
+		for name, start := range map[string]func(testing.TB, []string) string{"node": startNode, "reverseproxy": startReverseProxy} {
 			b.Run(fmt.Sprintf("%s/%d", name, clients), func(b *testing.B) {
-				addr := start(b, fleet(b))
-				RunClosedLoop(ClientLoad{Addr: addr, Clients: 1, Total: 5000, Class: "clip", BodySize: SmallBody}) // a quiet time: it learns
+				addr := start(b, startTestServers(b))
+				// The node learns at low load.
+				RunClosedLoop(ClientLoad{Addr: addr, Clients: 1, Total: 5000, Class: "clip", BodySize: SmallBody})
 				RunClosedLoop(ClientLoad{Addr: addr, Clients: clients, Total: 5000, Class: "clip", BodySize: SmallBody})
 				b.ResetTimer()
 				f, err := RunClosedLoop(ClientLoad{Addr: addr, Clients: clients, Total: b.N, Class: "clip", BodySize: SmallBody})
@@ -103,7 +101,7 @@
 	}
 }
 
-// BenchmarkLongBody has one answer of 32 MB after another pass through.
+// BenchmarkLongBody relays one answer of 32 MB after another.
 func BenchmarkLongBody(b *testing.B) {
 	log.SetOutput(io.Discard)
 	const size = 32 << 20
@@ -115,7 +113,7 @@
 		}
 	}))
 	b.Cleanup(server.Close)
-	for name, start := range map[string]func(testing.TB, []string) string{"node": inNode, "reverseproxy": inReverseProxy} {
+	for name, start := range map[string]func(testing.TB, []string) string{"node": startNode, "reverseproxy": startReverseProxy} {
 		b.Run(name, func(b *testing.B) {
 			addr := start(b, []string{server.Listener.Addr().String()})
 			b.SetBytes(size)
