--- a/internal/lab/xdsdrain/drain.go
+++ b/internal/lab/xdsdrain/drain.go
@@ -1,6 +1,5 @@
-// Package xdsdrain measures how long after a drain proxies that are steered
-// over xDS still send new requests to the drained server, while something is
-// wrong between them and the control service.
+// Package xdsdrain measures how long after a drain proxies that are controlled over xDS still send
+// new requests to the drained server, while there is a fault between them and the control service.
 package xdsdrain
 
 import (
@@ -27,42 +26,44 @@
 	"ivylock/internal/lab/xdsproxy"
 )
 
-// Fault is what is wrong at the moment of a drain.
+// Fault is the fault at the moment of a drain.
 type Fault string
 
 // The faults.
 const (
-	NoFault       Fault = "nothing"        // the plain case
+	NoFault       Fault = "nothing"
 	PacketLoss    Fault = "loss"           // one segment in five is lost once, and 5 ms of delay
-	BlackHole     Fault = "black hole"     // nothing passes, nobody is told
-	HalfOpen      Fault = "half-open"      // what proxies say is lost
+	BlackHole     Fault = "black hole"     // nothing passes, without any notice
+	HalfOpen      Fault = "half-open"      // what proxies send is lost
 	StoppedReader Fault = "stopped reader" // proxies stop reading their stream
 	ControlPaused Fault = "stopped"        // SIGSTOP of the control service
-	ControlKilled Fault = "killed"         // SIGKILL, and a restart with the list kept before the drain
+	ControlKilled Fault = "killed"         // SIGKILL, then a restart with the list stored before the drain
 )
 
-// Faults lists them all.
+// Faults lists all faults.
 var Faults = []Fault{NoFault, PacketLoss, BlackHole, HalfOpen, StoppedReader, ControlPaused, ControlKilled}
 
-// Measurement is one measured drain as one proxy kept it.
+// Measurement is one drain as measured at one proxy.
 type Measurement struct {
-	Fault            Fault
-	Variant          string        // sotw or delta
-	LastRequest      time.Duration // from the drain to its last new request there; 0: none after it
-	StaleAfterResume time.Duration // of a stopped reader that went on: how long it still used what it had read and not looked at
-	Requests         int           // requests in the 1.2 s after the drain
-	NoServer         int           // of these: without any server to go to
-	Streams          int           // new discovery streams meanwhile
+	Fault       Fault
+	Variant     string        // sotw or delta
+	LastRequest time.Duration // time from the drain to the proxy's last new request there; 0: none
+	// StaleAfterResume is how long a stopped reader that continued still used what it had received
+	// but not read.
+	StaleAfterResume time.Duration
+	Requests         int // in the 1.2 s after the drain
+	NoServer         int // of these, how many had no server to go to
+	Streams          int // discovery streams opened in that time
 }
 
 const (
-	servers  = 6
-	rate     = 200 // requests a second of each proxy
-	watchFor = 1200 * time.Millisecond
-	settle   = 20 * time.Second
+	servers         = 6
+	requestRate     = 200 // requests per second of each proxy
+	observationTime = 1200 * time.Millisecond
+	startTimeout    = 20 * time.Second
 )
 
-const file = `[control]
+const configTemplate = `[control]
 listen = %q
 plain_text = true
 discovery = %q
@@ -88,101 +89,101 @@
 key_window = "8s"
 `
 
-// standIn is a server that notes when requests come.
+// standIn is a server that records when requests arrive.
 type standIn struct {
-	entry    hosts.Entry
-	draining atomic.Bool
-	mu       sync.Mutex
-	last     map[string]time.Duration // by proxy
-	count    map[string]int
-	http     *http.Server
+	entry        hosts.Entry
+	draining     atomic.Bool
+	mu           sync.Mutex
+	lastRequest  map[string]time.Duration // by proxy
+	requestCount map[string]int
+	http         *http.Server
 }
 
 // Testbed is one control service with its discovery, servers and proxies.
 type Testbed struct {
-	clock   func() time.Duration
-	program string
-	dir     string
-	addr    atomic.Value // string: where the control service listens
-	list    *hosts.Service
-	from    string // discovery's address
-	servers []*standIn
-	links   []*link.TCP
-	proxies []*xdsproxy.Proxy
-	names   []string
-	picks   []atomic.Int64
-	dark    []atomic.Int64
-	control *exec.Cmd
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	client  *http.Client
-	rnd     *rand.Rand
-	log     tail
+	clock         func() time.Duration
+	program       string
+	dir           string
+	addr          atomic.Value // string: listening address of the control service
+	discovery     *hosts.Service
+	discoveryAddr string
+	servers       []*standIn
+	links         []*link.TCP
+	proxies       []*xdsproxy.Proxy
+	proxyNames    []string
+	requests      []atomic.Int64
+	noServer      []atomic.Int64
+	controlCmd    *exec.Cmd
+	cancel        context.CancelFunc
+	goroutines    sync.WaitGroup
+	client        *http.Client
+	rng           *rand.Rand
+	logTail       tail
 }
 
-// New starts a hall with the control service's program.
+// New starts a testbed with the control service's program.
 func New(program string, seed uint64) (*Testbed, error) {
 	start := time.Now()
-	h := &Testbed{clock: func() time.Duration { return time.Since(start) }, program: program, rnd: rand.New(rand.NewPCG(seed, 3)),
+	b := &Testbed{clock: func() time.Duration { return time.Since(start) }, program: program, rng: rand.New(rand.NewPCG(seed, 3)),
 		client: &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
-	if err := h.start(); err != nil {
-		h.Close()
+	if err := b.start(); err != nil {
+		b.Close()
 		return nil, err
 	}
-	return h, nil
+	return b, nil
 }
 
-func (h *Testbed) start() (err error) {
-	if h.dir, err = os.MkdirTemp("", "xdsdrain"); err != nil {
+func (b *Testbed) start() (err error) {
+	if b.dir, err = os.MkdirTemp("", "xdsdrain"); err != nil {
 		return err
 	}
-	h.list = hosts.NewService(uint64(1000+h.rnd.Int64N(1000)), h.clock, func(history.Event) {}, func(_, server string) string {
-		for _, s := range h.servers {
+	b.discovery = hosts.NewService(uint64(1000+b.rng.Int64N(1000)), b.clock, func(history.Event) {}, func(_, server string) string {
+		for _, s := range b.servers {
 			if s.entry.InstanceID == server {
 				return s.entry.HostPort
 			}
 		}
 		return ""
 	})
-	if h.from, err = h.list.Listen("control"); err != nil {
+	if b.discoveryAddr, err = b.discovery.Listen("control"); err != nil {
 		return err
 	}
 	for i := range servers {
-		if err := h.serve(i); err != nil {
+		if err := b.startServer(i); err != nil {
 			return err
 		}
 	}
-	if err := h.run(); err != nil {
+	if err := b.startControl(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h.cancel = cancel
+	b.cancel = cancel
 	variants := []string{"sotw", "delta"}
-	h.picks, h.dark = make([]atomic.Int64, len(variants)), make([]atomic.Int64, len(variants))
+	b.requests, b.noServer = make([]atomic.Int64, len(variants)), make([]atomic.Int64, len(variants))
 	for _, v := range variants {
-		l, err := link.NewTCP(func() string { return h.addr.Load().(string) }, h.clock)
+		l, err := link.NewTCP(func() string { return b.addr.Load().(string) }, b.clock)
 		if err != nil {
 			return err
 		}
-		h.links = append(h.links, l)
+		b.links = append(b.links, l)
 		p := xdsproxy.New(xdsproxy.Config{ControlServices: []string{l.Addr()}, Delta: v == "delta", NodeID: v, Zone: "a", Service: "clips",
-			Clock: h.clock, HealthCheckPath: "/healthz"})
-		h.proxies, h.names = append(h.proxies, p), append(h.names, v)
+			Clock: b.clock, HealthCheckPath: "/healthz"})
+		b.proxies, b.proxyNames = append(b.proxies, p), append(b.proxyNames, v)
 	}
-	for i, p := range h.proxies {
-		h.done.Go(func() { p.Run(ctx) })
-		h.done.Go(func() { h.load(ctx, i) })
+	for i, p := range b.proxies {
+		b.goroutines.Go(func() { p.Run(ctx) })
+		b.goroutines.Go(func() { b.sendRequests(ctx, i) })
 	}
 	return nil
 }
 
-// serve starts a stand-in server.
-func (h *Testbed) serve(i int) error {
+// startServer starts a stand-in server.
+func (b *Testbed) startServer(i int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	s := &standIn{last: map[string]time.Duration{}, count: map[string]int{},
+	s := &standIn{lastRequest: map[string]time.Duration{}, requestCount: map[string]int{},
 		entry: hosts.Entry{InstanceID: "s" + strconv.Itoa(i), HostPort: l.Addr().String(), Zone: "a", Cell: i / 3, Lifecycle: hosts.Up, Weight: 1}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, r *http.Request) {
@@ -191,40 +192,40 @@
 		}
 	})
 	mux.HandleFunc("GET /clip", func(w http.ResponseWriter, r *http.Request) {
-		now, from := h.clock(), r.Header.Get("From")
+		now, proxy := b.clock(), r.Header.Get("From")
 		s.mu.Lock()
-		s.last[from] = now
-		s.count[from]++
+		s.lastRequest[proxy] = now
+		s.requestCount[proxy]++
 		s.mu.Unlock()
 	})
 	s.http = &http.Server{Handler: mux}
 	go s.http.Serve(l)
-	h.servers = append(h.servers, s)
-	h.list.SetNow(s.entry)
+	b.servers = append(b.servers, s)
+	b.discovery.SetNow(s.entry)
 	return nil
 }
 
-// run starts the control service. Its own log tells where it listens.
-func (h *Testbed) run() error {
-	path := filepath.Join(h.dir, "operator.toml")
-	text := fmt.Sprintf(file, "127.0.0.1:0", h.from, filepath.Join(h.dir, "list.json"))
+// startControl starts the control service, whose log gives its listening address.
+func (b *Testbed) startControl() error {
+	path := filepath.Join(b.dir, "operator.toml")
+	text := fmt.Sprintf(configTemplate, "127.0.0.1:0", b.discoveryAddr, filepath.Join(b.dir, "list.json"))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(h.program, "-config", path)
+	cmd := exec.Command(b.program, "-config", path)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it ends with the lab
-	said, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	h.control = cmd
+	b.controlCmd = cmd
 	addr := make(chan string, 1)
 	go func() {
-		for lines := bufio.NewScanner(said); lines.Scan(); {
-			h.log.add(lines.Text())
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
+			b.logTail.add(lines.Text())
 			if _, rest, ok := strings.Cut(lines.Text(), "msg=serves addr="); ok {
 				at, _, _ := strings.Cut(rest, " ")
 				addr <- at
@@ -233,24 +234,24 @@
 	}()
 	select {
 	case at := <-addr:
-		h.addr.Store(at)
+		b.addr.Store(at)
 		return nil
-	case <-time.After(settle):
-		return fmt.Errorf("the control service does not listen; it says:\n%s", h.Log())
+	case <-time.After(startTimeout):
+		return fmt.Errorf("the control service did not start to listen; its log:\n%s", b.Log())
 	}
 }
 
-func (h *Testbed) kill() {
-	if h.control != nil {
-		h.control.Process.Kill()
-		h.control.Wait()
-		h.control = nil
+func (b *Testbed) killControl() {
+	if b.controlCmd != nil {
+		b.controlCmd.Process.Kill()
+		b.controlCmd.Wait()
+		b.controlCmd = nil
 	}
 }
 
-// load has a proxy send requests, each on its own.
-func (h *Testbed) load(ctx context.Context, i int) {
-	t := time.NewTicker(time.Second / rate)
+// sendRequests sends the requests of a proxy at a fixed rate, each on its own.
+func (b *Testbed) sendRequests(ctx context.Context, i int) {
+	t := time.NewTicker(time.Second / requestRate)
 	defer t.Stop()
 	for {
 		select {
@@ -258,10 +259,10 @@
 			return
 		case <-t.C:
 		}
-		s, dropped, ok := h.proxies[i].Pick("fetch")
-		h.picks[i].Add(1)
+		s, dropped, ok := b.proxies[i].Pick("fetch")
+		b.requests[i].Add(1)
 		if !ok || dropped {
-			h.dark[i].Add(1)
+			b.noServer[i].Add(1)
 			continue
 		}
 		go func() {
@@ -269,41 +270,41 @@
 			if err != nil {
 				return
 			}
-			r.Header.Set("From", h.names[i])
-			if resp, err := h.client.Do(r); err == nil {
+			r.Header.Set("From", b.proxyNames[i])
+			if resp, err := b.client.Do(r); err == nil {
 				resp.Body.Close()
 			}
 		}()
 	}
 }
 
-// Close ends everything.
-func (h *Testbed) Close() {
-	if h.cancel != nil {
-		h.cancel()
+// Close ends the testbed.
+func (b *Testbed) Close() {
+	if b.cancel != nil {
+		b.cancel()
 	}
-	for _, p := range h.proxies {
+	for _, p := range b.proxies {
 		p.SetReadPaused(false)
 	}
-	h.done.Wait()
-	h.kill()
-	for _, l := range h.links {
+	b.goroutines.Wait()
+	b.killControl()
+	for _, l := range b.links {
 		l.Close()
 	}
-	for _, s := range h.servers {
+	for _, s := range b.servers {
 		s.http.Close()
 	}
-	if h.list != nil {
-		h.list.Close()
+	if b.discovery != nil {
+		b.discovery.Close()
 	}
-	os.RemoveAll(h.dir)
+	os.RemoveAll(b.dir)
 }
 
-// Log gives the last lines that the control service said.
-func (h *Testbed) Log() string {
-	h.log.mu.Lock()
-	defer h.log.mu.Unlock()
-	return strings.Join(h.log.lines, "\n")
+// Log returns the last lines of the control service's log.
+func (b *Testbed) Log() string {
+	b.logTail.mu.Lock()
+	defer b.logTail.mu.Unlock()
+	return strings.Join(b.logTail.lines, "\n")
 }
 
 // tail keeps the last lines of a log.
@@ -320,100 +321,100 @@
 	}
 }
 
-// all waits until every proxy uses every server.
-func (h *Testbed) all() error {
-	from := make([]map[string]int, len(h.servers))
-	for i, s := range h.servers {
-		from[i] = s.counts()
-	}
-	for began := time.Now(); time.Since(began) < settle; time.Sleep(20 * time.Millisecond) {
-		used := true
-		for i, s := range h.servers {
+// awaitAllUsed waits until every proxy uses every server.
+func (b *Testbed) awaitAllUsed() error {
+	before := make([]map[string]int, len(b.servers))
+	for i, s := range b.servers {
+		before[i] = s.counts()
+	}
+	for start := time.Now(); time.Since(start) < startTimeout; time.Sleep(20 * time.Millisecond) {
+		allUsed := true
+		for i, s := range b.servers {
 			now := s.counts()
-			for _, p := range h.names {
-				used = used && now[p] > from[i][p]+2
+			for _, p := range b.proxyNames {
+				allUsed = allUsed && now[p] > before[i][p]+2
 			}
 		}
-		if used {
+		if allUsed {
 			return nil
 		}
 	}
-	return fmt.Errorf("after %v not every proxy uses every server; the control service says:\n%s", settle, h.Log())
+	return fmt.Errorf("within %v not every proxy used every server; log of the control service:\n%s", startTimeout, b.Log())
 }
 
 func (s *standIn) counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int{}
-	for k, v := range s.count {
+	for k, v := range s.requestCount {
 		out[k] = v
 	}
 	return out
 }
 
-// lasts gives when each proxy last sent a new request.
-func (s *standIn) lasts(proxies []string) []time.Duration {
+// lastRequests returns when each proxy last sent a new request.
+func (s *standIn) lastRequests(proxies []string) []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]time.Duration, len(proxies))
 	for i, p := range proxies {
-		out[i] = s.last[p]
+		out[i] = s.lastRequest[p]
 	}
 	return out
 }
 
-// Measurement drains a server while a fault is on and measures what comes after it.
-func (h *Testbed) Drain(fault Fault) ([]Measurement, error) {
-	if err := h.all(); err != nil {
+// Drain drains a server during a fault and measures what follows at each proxy.
+func (b *Testbed) Drain(fault Fault) ([]Measurement, error) {
+	if err := b.awaitAllUsed(); err != nil {
 		return nil, err
 	}
-	s := h.servers[h.rnd.IntN(len(h.servers))]
-	if err := h.begin(fault); err != nil {
+	s := b.servers[b.rng.IntN(len(b.servers))]
+	if err := b.injectFault(fault); err != nil {
 		return nil, err
 	}
-	// The fault is there before the drain, as the news must meet it.
-	time.Sleep(time.Duration(h.rnd.Int64N(int64(150 * time.Millisecond))))
-	picks, dark, streams := make([]int64, 2), make([]int64, 2), make([]int, 2)
-	for i := range h.proxies {
-		picks[i], dark[i], streams[i] = h.picks[i].Load(), h.dark[i].Load(), h.proxies[i].Streams()
+	// The fault begins before the drain, so that the update meets it.
+	time.Sleep(time.Duration(b.rng.Int64N(int64(150 * time.Millisecond))))
+	requests, noServer, streams := make([]int64, 2), make([]int64, 2), make([]int, 2)
+	for i := range b.proxies {
+		requests[i], noServer[i], streams[i] = b.requests[i].Load(), b.noServer[i].Load(), b.proxies[i].Streams()
 	}
-	at := h.clock()
+	at := b.clock()
 	s.draining.Store(true)
 	e := s.entry
 	e.Lifecycle = hosts.Draining
-	h.list.SetNow(e)
-	if fault == ControlKilled { // it has not heard of the drain, nor has the list that it kept
-		if err := h.run(); err != nil {
+	b.discovery.SetNow(e)
+	if fault == ControlKilled { // the service has not been notified of the drain, and neither has its stored list
+		if err := b.startControl(); err != nil {
 			return nil, err
 		}
 	}
-	time.Sleep(watchFor)
-	out := make([]Measurement, len(h.proxies))
-	for i := range h.proxies {
-		out[i] = Measurement{Fault: fault, Variant: h.names[i], Requests: int(h.picks[i].Load() - picks[i]),
-			NoServer: int(h.dark[i].Load() - dark[i]), Streams: h.proxies[i].Streams() - streams[i]}
+	time.Sleep(observationTime)
+	out := make([]Measurement, len(b.proxies))
+	for i := range b.proxies {
+		out[i] = Measurement{Fault: fault, Variant: b.proxyNames[i], Requests: int(b.requests[i].Load() - requests[i]),
+			NoServer: int(b.noServer[i].Load() - noServer[i]), Streams: b.proxies[i].Streams() - streams[i]}
 	}
-	before := s.lasts(h.names)
-	ended := h.clock()
-	if err := h.end(fault); err != nil {
+	before := s.lastRequests(b.proxyNames)
+	observedUntil := b.clock()
+	if err := b.clearFault(fault); err != nil {
 		return nil, err
 	}
-	// What the network held back may come only now.
-	time.Sleep(watchFor / 2)
-	after := s.lasts(h.names)
-	for i := range h.names {
+	// Requests that the network delayed may arrive only now.
+	time.Sleep(observationTime / 2)
+	after := s.lastRequests(b.proxyNames)
+	for i := range b.proxyNames {
 		out[i].LastRequest = max(0, after[i]-at)
-		if fault == StoppedReader && after[i] > ended {
-			out[i].LastRequest, out[i].StaleAfterResume = max(0, before[i]-at), after[i]-ended
+		if fault == StoppedReader && after[i] > observedUntil {
+			out[i].LastRequest, out[i].StaleAfterResume = max(0, before[i]-at), after[i]-observedUntil
 		}
 	}
 	s.draining.Store(false)
-	h.list.SetNow(s.entry)
+	b.discovery.SetNow(s.entry)
 	return out, nil
 }
 
-func (h *Testbed) begin(f Fault) error {
-	for i, l := range h.links {
+func (b *Testbed) injectFault(f Fault) error {
+	for i, l := range b.links {
 		var err error
 		switch f {
 		case PacketLoss:
@@ -423,7 +424,7 @@
 		case HalfOpen:
 			err = l.Set(link.Conditions{State: link.HalfOpen})
 		case StoppedReader:
-			h.proxies[i].SetReadPaused(true)
+			b.proxies[i].SetReadPaused(true)
 		}
 		if err != nil {
 			return err
@@ -431,46 +432,46 @@
 	}
 	switch f {
 	case ControlPaused:
-		return h.control.Process.Signal(syscall.SIGSTOP)
+		return b.controlCmd.Process.Signal(syscall.SIGSTOP)
 	case ControlKilled:
-		h.kill()
+		b.killControl()
 	}
 	return nil
 }
 
-func (h *Testbed) end(f Fault) error {
-	for i, l := range h.links {
+func (b *Testbed) clearFault(f Fault) error {
+	for i, l := range b.links {
 		if err := l.Set(link.Conditions{}); err != nil {
 			return err
 		}
-		h.proxies[i].SetReadPaused(false)
+		b.proxies[i].SetReadPaused(false)
 	}
 	if f == ControlPaused {
-		return h.control.Process.Signal(syscall.SIGCONT)
+		return b.controlCmd.Process.Signal(syscall.SIGCONT)
 	}
 	return nil
 }
 
-// Summary is the drains of one fault.
+// Summary summarises the drains of one fault.
 type Summary struct {
 	Fault         Fault
 	Drains        int
 	P50, P99, Max time.Duration
-	NoServerRatio float64 // part of the requests in the 1.2 s after the drain that found no server
+	NoServerRatio float64 // fraction of the requests in the 1.2 s after the drain without a server
 	Streams       int
 }
 
-// Summarise gives one line for each fault, and one over all.
+// Summarise returns a summary for each fault, and one over all faults.
 func Summarise(drains []Measurement) []Summary {
 	var out []Summary
 	for _, f := range append(slices.Clone(Faults), "all") {
 		var last []time.Duration
 		s := Summary{Fault: f}
-		picks, dark := 0, 0
+		requests, noServer := 0, 0
 		for _, d := range drains {
 			if f == "all" || d.Fault == f {
 				last = append(last, d.LastRequest)
-				picks, dark, s.Streams = picks+d.Requests, dark+d.NoServer, s.Streams+d.Streams
+				requests, noServer, s.Streams = requests+d.Requests, noServer+d.NoServer, s.Streams+d.Streams
 			}
 		}
 		if len(last) == 0 {
@@ -478,7 +479,7 @@
 		}
 		slices.Sort(last)
 		s.Drains, s.P50, s.P99, s.Max = len(last), last[len(last)/2], last[(len(last)*99)/100], last[len(last)-1]
-		s.NoServerRatio = float64(dark) / float64(max(1, picks))
+		s.NoServerRatio = float64(noServer) / float64(max(1, requests))
 		out = append(out, s)
 	}
 	return out
--- a/internal/lab/xdsdrain/drain_test.go
+++ b/internal/lab/xdsdrain/drain_test.go
@@ -24,32 +24,31 @@
 	os.Exit(code)
 }
 
-// Under each fault a drain reaches both variants in time. A proxy that ignored
-// its leases would go on for the whole 1.8 s that are watched; the figures are
-// the lab's (ivylab xds-drain), this bound is twice the rule's.
-func TestADrainIsKeptUnderEachFault(t *testing.T) {
-	for _, half := range [][]Fault{Faults[:4], Faults[4:]} {
-		t.Run(string(half[0]), func(t *testing.T) {
+// Under each fault a drain reaches both variants within twice the rule's bound. A proxy that
+// ignored its leases would use the server for the whole 1.8 s of the measurement.
+func TestDrainReachesProxiesUnderEachFault(t *testing.T) {
+	for _, faults := range [][]Fault{Faults[:4], Faults[4:]} {
+		t.Run(string(faults[0]), func(t *testing.T) {
 			t.Parallel()
-			h, err := New(program, 1)
+			b, err := New(program, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer h.Close()
-			for _, f := range half {
-				drains, err := h.Drain(f)
+			defer b.Close()
+			for _, f := range faults {
+				measurements, err := b.Drain(f)
 				if err != nil {
 					t.Fatalf("%s: %v", f, err)
 				}
-				for _, d := range drains {
-					if d.LastRequest > time.Second {
-						t.Errorf("%s, %s: a new request %v after the drain", f, d.Variant, d.LastRequest)
+				for _, m := range measurements {
+					if m.LastRequest > time.Second {
+						t.Errorf("%s, %s: a new request %v after the drain", f, m.Variant, m.LastRequest)
 					}
-					if d.StaleAfterResume > 500*time.Millisecond { // a lease, and room for a busy machine
-						t.Errorf("%s, %s: it went on for %v with what it had read before the drain", f, d.Variant, d.StaleAfterResume)
+					if m.StaleAfterResume > 500*time.Millisecond { // a lease, and a margin for a busy machine
+						t.Errorf("%s, %s: the stopped reader used stale endpoints for %v after it continued", f, m.Variant, m.StaleAfterResume)
 					}
-					if d.Requests == 0 || d.NoServer == d.Requests {
-						t.Errorf("%s, %s: of %d requests %d had no server: nothing was measured", f, d.Variant, d.Requests, d.NoServer)
+					if m.Requests == 0 || m.NoServer == m.Requests {
+						t.Errorf("%s, %s: of %d requests %d had no server, so nothing was measured", f, m.Variant, m.Requests, m.NoServer)
 					}
 				}
 			}
@@ -57,7 +56,7 @@
 	}
 }
 
-func TestSummaries(t *testing.T) {
+func TestSummariseByFault(t *testing.T) {
 	var all []Measurement
 	for i := range 100 {
 		all = append(all, Measurement{Fault: PacketLoss, LastRequest: time.Duration(i+1) * time.Millisecond, Requests: 10, NoServer: i % 2})
