--- a/internal/lab/xdsproxy/client.go
+++ b/internal/lab/xdsproxy/client.go
@@ -26,54 +26,54 @@
 	endpointURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 	routeURL    = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 
-	retryEvery = 50 * time.Millisecond // between streams
-	checkEvery = 100 * time.Millisecond
-	checkTime  = 100 * time.Millisecond
+	retryInterval = 50 * time.Millisecond // between streams
+	checkInterval = 100 * time.Millisecond
+	checkTimeout  = 100 * time.Millisecond
 )
 
-// Config is what a proxy is told at its start.
+// Config configures a proxy.
 type Config struct {
-	ControlServices []string // control services, in order: the first that answers is used
-	Delta           bool     // the incremental variant
+	ControlServices []string // in order of preference; the next one is tried after each failure
+	Delta           bool     // incremental xDS
 	NodeID          string
 	Zone            string
-	Service         string // name of its routes
+	Service         string // name of the route configuration
 	Clock           func() time.Duration
-	HealthCheckPath string // path of the servers' health check
+	HealthCheckPath string // of the servers
 }
 
-// Proxy is a running stand-in.
+// Proxy is a running stand-in proxy.
 type Proxy struct {
-	cfg    Config
-	mu     sync.Mutex
-	table  *table
-	rnd    *rand.Rand
-	paused chan struct{} // closed when reading may go on; nil: it may
-	stream int           // how many streams it has had
-	client *http.Client
+	cfg         Config
+	mu          sync.Mutex
+	table       *table
+	rng         *rand.Rand
+	paused      chan struct{} // closed when reading may continue; nil: not paused
+	streamCount int           // number of streams opened
+	client      *http.Client
 }
 
-// New makes a proxy that knows nothing.
+// New makes a proxy without any resources.
 func New(cfg Config) *Proxy {
-	return &Proxy{cfg: cfg, table: newTable(), rnd: rand.New(rand.NewPCG(1, uint64(len(cfg.NodeID)))),
-		client: &http.Client{Timeout: checkTime, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &Proxy{cfg: cfg, table: newTable(), rng: rand.New(rand.NewPCG(1, uint64(len(cfg.NodeID)))),
+		client: &http.Client{Timeout: checkTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // Pick chooses a server for a request of a class.
 func (p *Proxy) Pick(class string) (s Server, dropped, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.table.pick(p.cfg.Clock(), class, p.rnd)
+	return p.table.pick(p.cfg.Clock(), class, p.rng)
 }
 
-// Streams is how many discovery streams it has begun.
+// Streams returns the number of discovery streams opened.
 func (p *Proxy) Streams() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stream
+	return p.streamCount
 }
 
-// SetReadPaused has it stop reading its stream, or go on; requests go on meanwhile.
+// SetReadPaused stops or continues reading the discovery stream; requests continue meanwhile.
 func (p *Proxy) SetReadPaused(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,21 +86,21 @@
 	}
 }
 
-// Run works until the context ends.
+// Run runs the proxy until the context ends.
 func (p *Proxy) Run(ctx context.Context) {
-	go p.check(ctx)
+	go p.healthCheck(ctx)
 	for n := 0; ctx.Err() == nil; n++ {
-		p.follow(ctx, p.cfg.ControlServices[n%len(p.cfg.ControlServices)])
+		p.runStream(ctx, p.cfg.ControlServices[n%len(p.cfg.ControlServices)])
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// check asks servers, while there is no lease, whether they are well.
-func (p *Proxy) check(ctx context.Context) {
-	t := time.NewTicker(checkEvery)
+// healthCheck checks the health of servers while the proxy has no lease for them.
+func (p *Proxy) healthCheck(ctx context.Context) {
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -109,11 +109,11 @@
 		case <-t.C:
 		}
 		p.mu.Lock()
-		ask := p.table.unchecked(p.cfg.Clock())
+		addrs := p.table.serversToCheck(p.cfg.Clock())
 		p.mu.Unlock()
-		for _, addr := range ask {
+		for _, addr := range addrs {
 			go func() {
-				at := p.cfg.Clock() // what it says holds from before it was asked
+				at := p.cfg.Clock() // the result is as old as the request
 				r, err := p.client.Get("http://" + addr + p.cfg.HealthCheckPath)
 				if err != nil {
 					return
@@ -121,7 +121,7 @@
 				r.Body.Close()
 				if r.StatusCode == http.StatusOK {
 					p.mu.Lock()
-					p.table.checks[addr] = at
+					p.table.lastHealthy[addr] = at
 					p.mu.Unlock()
 				}
 			}()
@@ -129,27 +129,26 @@
 	}
 }
 
-// resource is one that came, of either variant; without a body it is a
-// heartbeat.
+// resource is a resource of either variant; without a body it is a heartbeat.
 type resource struct {
 	name, version string
 	ttl           time.Duration
 	body          *anypb.Any
 }
 
-// link is a stream of either variant.
-type link interface {
-	ask(url, nonce, version string, names []string, complaint string) error
-	recv() (url, nonce, version string, rs []resource, removed []string, err error)
+// discoveryStream is a stream of either variant.
+type discoveryStream interface {
+	request(typeURL, nonce, version string, names []string, nack string) error
+	recv() (typeURL, nonce, version string, resources []resource, removed []string, err error)
 }
 
-// follow holds one stream until it breaks.
-func (p *Proxy) follow(ctx context.Context, addr string) {
+// runStream serves one stream until it breaks.
+func (p *Proxy) runStream(ctx context.Context, addr string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 500 * time.Millisecond,
-			Backoff: backoff.Config{BaseDelay: retryEvery, Multiplier: 1, MaxDelay: retryEvery}}))
+			Backoff: backoff.Config{BaseDelay: retryInterval, Multiplier: 1, MaxDelay: retryInterval}}))
 	if err != nil {
 		return
 	}
@@ -157,65 +156,65 @@
 	node := &corev3.Node{Id: p.cfg.NodeID, Locality: &corev3.Locality{Zone: p.cfg.Zone},
 		ClientFeatures: []string{"xds.config.supports-resource-ttl"}}
 	api := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
-	var l link
+	var s discoveryStream
 	if p.cfg.Delta {
-		g, err := api.DeltaAggregatedResources(ctx)
+		grpcStream, err := api.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return
 		}
-		l = &deltaLink{g: g, node: node, asked: map[string][]string{}}
+		s = &deltaStream{grpcStream: grpcStream, node: node, subscribed: map[string][]string{}}
 	} else {
-		g, err := api.StreamAggregatedResources(ctx)
+		grpcStream, err := api.StreamAggregatedResources(ctx)
 		if err != nil {
 			return
 		}
-		l = &wholeLink{g: g, node: node}
+		s = &sotwStream{grpcStream: grpcStream, node: node}
 	}
 	p.mu.Lock()
-	p.stream++
+	p.streamCount++
 	p.mu.Unlock()
-	if l.ask(clusterURL, "", "", nil, "") != nil || l.ask(routeURL, "", "", []string{p.cfg.Service}, "") != nil {
+	if s.request(clusterURL, "", "", nil, "") != nil || s.request(routeURL, "", "", []string{p.cfg.Service}, "") != nil {
 		return
 	}
 	wanted := map[string][]string{routeURL: {p.cfg.Service}}
 	for {
 		p.mu.Lock()
-		hold := p.paused
+		resume := p.paused
 		p.mu.Unlock()
-		if hold != nil {
+		if resume != nil {
 			select {
-			case <-hold:
+			case <-resume:
 			case <-ctx.Done():
 				return
 			}
 			continue
 		}
-		url, nonce, version, rs, removed, err := l.recv()
+		typeURL, nonce, version, resources, removed, err := s.recv()
 		if err != nil {
 			return
 		}
-		complaint := ""
-		if err := p.take(url, rs, removed, !p.cfg.Delta); err != nil {
-			complaint = err.Error()
+		nack := ""
+		if err := p.apply(typeURL, resources, removed, !p.cfg.Delta); err != nil {
+			nack = err.Error()
 		}
-		if l.ask(url, nonce, version, wanted[url], complaint) != nil {
+		if s.request(typeURL, nonce, version, wanted[typeURL], nack) != nil {
 			return
 		}
-		if url != clusterURL {
+		if typeURL != clusterURL {
 			continue
 		}
-		ends := p.ends()
-		if first := wanted[endpointURL] == nil; first || !slices.Equal(ends, wanted[endpointURL]) {
-			wanted[endpointURL] = ends
-			if l.ask(endpointURL, "", "", ends, "") != nil {
+		clusters := p.endpointClusters()
+		if first := wanted[endpointURL] == nil; first || !slices.Equal(clusters, wanted[endpointURL]) {
+			wanted[endpointURL] = clusters
+			if s.request(endpointURL, "", "", clusters, "") != nil {
 				return
 			}
 		}
 	}
 }
 
-// ends gives the clusters whose endpoints are wanted.
-func (p *Proxy) ends() []string {
+// endpointClusters returns the clusters whose endpoints are wanted.
+func (p *Proxy) endpointClusters() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := []string{}
@@ -228,24 +227,24 @@
 	return out
 }
 
-// take keeps what came.
-func (p *Proxy) take(url string, rs []resource, removed []string, whole bool) error {
+// apply stores the resources of a response.
+func (p *Proxy) apply(typeURL string, resources []resource, removed []string, sotw bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Clock()
 	t := p.table
 	t.expire(now)
-	if url == clusterURL && whole {
+	if typeURL == clusterURL && sotw {
 		clear(t.clusters)
 	}
-	for _, r := range rs {
+	for _, r := range resources {
 		if r.body == nil {
-			if url == endpointURL {
-				t.prolong(now, r.name, r.version, r.ttl)
+			if typeURL == endpointURL {
+				t.renew(now, r.name, r.version, r.ttl)
 			}
 			continue
 		}
-		switch url {
+		switch typeURL {
 		case clusterURL:
 			c := &clusterv3.Cluster{}
 			if err := r.body.UnmarshalTo(c); err != nil {
@@ -267,92 +266,92 @@
 			}
 			t.routes = rc
 		default:
-			return fmt.Errorf("unknown type %s", url)
+			return fmt.Errorf("unknown type %s", typeURL)
 		}
 	}
 	for _, n := range removed {
-		switch url {
+		switch typeURL {
 		case clusterURL:
 			delete(t.clusters, n)
 		case endpointURL:
-			delete(t.ends, n)
+			delete(t.endpoints, n)
 		}
 	}
 	return nil
 }
 
-type wholeLink struct {
-	g    discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
-	node *corev3.Node
-	last map[string]string // nonces: a change of names must carry the latest
+type sotwStream struct {
+	grpcStream discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
+	node       *corev3.Node
+	nonces     map[string]string // nonces by type; a change of names must carry the latest
 }
 
-func (l *wholeLink) ask(url, nonce, version string, names []string, complaint string) error {
+func (s *sotwStream) request(typeURL, nonce, version string, names []string, nack string) error {
 	if nonce == "" {
-		nonce = l.last[url]
+		nonce = s.nonces[typeURL]
 	}
-	m := &discoveryv3.DiscoveryRequest{Node: l.node, TypeUrl: url, ResponseNonce: nonce, VersionInfo: version, ResourceNames: names}
-	if complaint != "" {
-		m.ErrorDetail = &status.Status{Code: 3, Message: complaint}
+	m := &discoveryv3.DiscoveryRequest{Node: s.node, TypeUrl: typeURL, ResponseNonce: nonce, VersionInfo: version, ResourceNames: names}
+	if nack != "" {
+		m.ErrorDetail = &status.Status{Code: 3, Message: nack}
 	}
-	return l.g.Send(m)
+	return s.grpcStream.Send(m)
 }
 
-func (l *wholeLink) recv() (url, nonce, version string, rs []resource, removed []string, err error) {
-	m, err := l.g.Recv()
+func (s *sotwStream) recv() (typeURL, nonce, version string, resources []resource, removed []string, err error) {
+	m, err := s.grpcStream.Recv()
 	if err != nil {
 		return
 	}
 	for _, a := range m.GetResources() {
 		w := &discoveryv3.Resource{}
 		if !a.MessageIs(w) {
-			rs = append(rs, resource{body: a})
+			resources = append(resources, resource{body: a})
 			continue
 		}
 		if err = a.UnmarshalTo(w); err != nil {
 			return
 		}
-		rs = append(rs, resource{w.GetName(), w.GetVersion(), w.GetTtl().AsDuration(), w.GetResource()})
+		resources = append(resources, resource{w.GetName(), w.GetVersion(), w.GetTtl().AsDuration(), w.GetResource()})
 	}
-	if l.last == nil {
-		l.last = map[string]string{}
+	if s.nonces == nil {
+		s.nonces = map[string]string{}
 	}
-	l.last[m.GetTypeUrl()] = m.GetNonce()
-	return m.GetTypeUrl(), m.GetNonce(), m.GetVersionInfo(), rs, nil, nil
+	s.nonces[m.GetTypeUrl()] = m.GetNonce()
+	return m.GetTypeUrl(), m.GetNonce(), m.GetVersionInfo(), resources, nil, nil
 }
 
-type deltaLink struct {
-	g     discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
-	node  *corev3.Node
-	asked map[string][]string
+type deltaStream struct {
+	grpcStream discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
+	node       *corev3.Node
+	subscribed map[string][]string
 }
 
-func (l *deltaLink) ask(url, nonce, _ string, names []string, complaint string) error {
-	m := &discoveryv3.DeltaDiscoveryRequest{Node: l.node, TypeUrl: url, ResponseNonce: nonce}
+func (s *deltaStream) request(typeURL, nonce, _ string, names []string, nack string) error {
+	m := &discoveryv3.DeltaDiscoveryRequest{Node: s.node, TypeUrl: typeURL, ResponseNonce: nonce}
 	for _, n := range names {
-		if !slices.Contains(l.asked[url], n) {
+		if !slices.Contains(s.subscribed[typeURL], n) {
 			m.ResourceNamesSubscribe = append(m.ResourceNamesSubscribe, n)
 		}
 	}
-	for _, n := range l.asked[url] {
+	for _, n := range s.subscribed[typeURL] {
 		if !slices.Contains(names, n) {
 			m.ResourceNamesUnsubscribe = append(m.ResourceNamesUnsubscribe, n)
 		}
 	}
-	l.asked[url] = names
-	if complaint != "" {
-		m.ErrorDetail = &status.Status{Code: 3, Message: complaint}
+	s.subscribed[typeURL] = names
+	if nack != "" {
+		m.ErrorDetail = &status.Status{Code: 3, Message: nack}
 	}
-	return l.g.Send(m)
+	return s.grpcStream.Send(m)
 }
 
-func (l *deltaLink) recv() (url, nonce, version string, rs []resource, removed []string, err error) {
-	m, err := l.g.Recv()
+func (s *deltaStream) recv() (typeURL, nonce, version string, resources []resource, removed []string, err error) {
+	m, err := s.grpcStream.Recv()
 	if err != nil {
 		return
 	}
 	for _, r := range m.GetResources() {
-		rs = append(rs, resource{r.GetName(), r.GetVersion(), r.GetTtl().AsDuration(), r.GetResource()})
+		resources = append(resources, resource{r.GetName(), r.GetVersion(), r.GetTtl().AsDuration(), r.GetResource()})
 	}
-	return m.GetTypeUrl(), m.GetNonce(), m.GetSystemVersionInfo(), rs, m.GetRemovedResources(), nil
+	return m.GetTypeUrl(), m.GetNonce(), m.GetSystemVersionInfo(), resources, m.GetRemovedResources(), nil
 }
--- a/internal/lab/xdsproxy/table.go
+++ b/internal/lab/xdsproxy/table.go
@@ -1,12 +1,11 @@
-// Package xdsproxy is a stand-in for a proxy that is steered over xDS: a
-// client of both variants that knows TTLs (client.go), and the choice of a
-// server by what it was told (this file, which does no I/O).
+// Package xdsproxy is a stand-in for a proxy that is controlled over xDS: a client of both xDS
+// variants with support for TTLs (client.go), and the choice of a server by the received resources
+// (this file, which does no I/O).
 //
-// It does what the protocol page and Envoy's documentation say of a proxy:
-// a resource with a TTL is dropped when that has passed since it last came; an
-// aggregate cluster uses its first member that has a healthy endpoint; an
-// endpoint of a cluster with a health check is used only after a check that
-// succeeded lately.
+// It follows the protocol and Envoy's documentation: a resource with a TTL is dropped when it was
+// not renewed within the TTL; an aggregate cluster uses its first member that has a healthy
+// endpoint; an endpoint of a cluster with a health check is used only after a recent successful
+// check.
 package xdsproxy
 
 import (
@@ -29,36 +28,37 @@
 	weight   float64
 }
 
-// cluster is what is known of one.
+// cluster holds what is known of a cluster.
 type cluster struct {
-	members []string // of an aggregate
-	checked bool     // it has a health check
+	members       []string // of an aggregate cluster
+	healthChecked bool
 }
 
-// assignment is the endpoints of a cluster.
+// assignment holds the endpoints of a cluster.
 type assignment struct {
-	version string
-	until   time.Duration // its TTL's end; 0: none
-	servers []Server
-	drop    float64
+	version   string
+	expiresAt time.Duration // end of its TTL; 0: none
+	servers   []Server
+	dropRatio float64
 }
 
-// table is all that a proxy was told and still believes.
+// table holds the resources that a proxy has received and that have not expired.
 type table struct {
-	clusters map[string]cluster
-	ends     map[string]*assignment
-	routes   *routev3.RouteConfiguration
-	checks   map[string]time.Duration // by address: when a health check last succeeded
+	clusters    map[string]cluster
+	endpoints   map[string]*assignment
+	routes      *routev3.RouteConfiguration
+	lastHealthy map[string]time.Duration // by address, the time of the last successful health check
 }
 
-const checkValid = 150 * time.Millisecond // a successful health check counts so long
+// checkValidity is how long a successful health check counts.
+const checkValidity = 150 * time.Millisecond
 
 func newTable() *table {
-	return &table{clusters: map[string]cluster{}, ends: map[string]*assignment{}, checks: map[string]time.Duration{}}
+	return &table{clusters: map[string]cluster{}, endpoints: map[string]*assignment{}, lastHealthy: map[string]time.Duration{}}
 }
 
 func (t *table) setCluster(c *clusterv3.Cluster) error {
-	x := cluster{checked: len(c.GetHealthChecks()) > 0}
+	x := cluster{healthChecked: len(c.GetHealthChecks()) > 0}
 	if custom := c.GetClusterType(); custom != nil {
 		a := &aggregatev3.ClusterConfig{}
 		if err := custom.GetTypedConfig().UnmarshalTo(a); err != nil {
@@ -73,10 +73,10 @@
 func (t *table) setEndpoints(now time.Duration, version string, ttl time.Duration, m *endpointv3.ClusterLoadAssignment) {
 	a := &assignment{version: version}
 	if ttl > 0 {
-		a.until = now + ttl
+		a.expiresAt = now + ttl
 	}
 	for _, d := range m.GetPolicy().GetDropOverloads() {
-		a.drop += float64(d.GetDropPercentage().GetNumerator()) / 1e6
+		a.dropRatio += float64(d.GetDropPercentage().GetNumerator()) / 1e6
 	}
 	for _, l := range m.GetEndpoints() {
 		sum := 0.0
@@ -90,88 +90,88 @@
 				continue
 			}
 			s := e.GetEndpoint().GetAddress().GetSocketAddress()
-			part := 1.0
+			fraction := 1.0
 			if sum > 0 {
-				part = float64(e.GetLoadBalancingWeight().GetValue()) / sum
+				fraction = float64(e.GetLoadBalancingWeight().GetValue()) / sum
 			}
 			a.servers = append(a.servers, Server{Addr: net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue()))),
-				priority: l.GetPriority(), weight: float64(l.GetLoadBalancingWeight().GetValue()) * part})
+				priority: l.GetPriority(), weight: float64(l.GetLoadBalancingWeight().GetValue()) * fraction})
 		}
 	}
-	t.ends[m.GetClusterName()] = a
+	t.endpoints[m.GetClusterName()] = a
 }
 
-// prolong takes a heartbeat. One for what has run out finds nothing.
-func (t *table) prolong(now time.Duration, name, version string, ttl time.Duration) {
-	if a := t.ends[name]; a != nil && a.version == version && a.until > now {
-		a.until = now + ttl
+// renew applies a heartbeat, unless the assignment has expired.
+func (t *table) renew(now time.Duration, name, version string, ttl time.Duration) {
+	if a := t.endpoints[name]; a != nil && a.version == version && a.expiresAt > now {
+		a.expiresAt = now + ttl
 	}
 }
 
-// expire drops what has run out.
+// expire drops expired assignments.
 func (t *table) expire(now time.Duration) {
-	for n, a := range t.ends {
-		if a.until > 0 && now >= a.until {
-			delete(t.ends, n)
+	for n, a := range t.endpoints {
+		if a.expiresAt > 0 && now >= a.expiresAt {
+			delete(t.endpoints, n)
 		}
 	}
 }
 
-// pick chooses a server for a request of a class: ok is false if there is
-// none, dropped if the request is to be refused.
-func (t *table) pick(now time.Duration, class string, rnd *rand.Rand) (s Server, dropped, ok bool) {
+// pick chooses a server for a request of a class. ok is false if there is none; dropped means that
+// the request must be refused.
+func (t *table) pick(now time.Duration, class string, rng *rand.Rand) (s Server, dropped, ok bool) {
 	t.expire(now)
-	name := t.route(class, rnd)
+	name := t.route(class, rng)
 	members := []string{name}
 	if c := t.clusters[name]; len(c.members) > 0 {
 		members = c.members
 	}
 	for _, n := range members {
-		a := t.ends[n]
+		a := t.endpoints[n]
 		if a == nil {
 			continue
 		}
-		var fit []Server
-		total, level := 0.0, uint32(0)
+		var usable []Server
+		total, best := 0.0, uint32(0)
 		for _, x := range a.servers {
-			if t.clusters[n].checked {
-				if at, ok := t.checks[x.Addr]; !ok || now-at > checkValid {
+			if t.clusters[n].healthChecked {
+				if checkedAt, ok := t.lastHealthy[x.Addr]; !ok || now-checkedAt > checkValidity {
 					continue
 				}
 			}
-			if len(fit) == 0 || x.priority < level {
-				fit, total, level = fit[:0], 0, x.priority
+			if len(usable) == 0 || x.priority < best {
+				usable, total, best = usable[:0], 0, x.priority
 			}
-			if x.priority == level {
-				fit, total = append(fit, x), total+x.weight
+			if x.priority == best {
+				usable, total = append(usable, x), total+x.weight
 			}
 		}
-		if len(fit) == 0 {
+		if len(usable) == 0 {
 			continue
 		}
-		if rnd.Float64() < a.drop {
+		if rng.Float64() < a.dropRatio {
 			return Server{}, true, true
 		}
-		at := rnd.Float64() * total
-		for _, x := range fit {
-			if at -= x.weight; at < 0 {
+		draw := rng.Float64() * total
+		for _, x := range usable {
+			if draw -= x.weight; draw < 0 {
 				return x, false, true
 			}
 		}
-		return fit[len(fit)-1], false, true
+		return usable[len(usable)-1], false, true
 	}
 	return Server{}, false, false
 }
 
-// route gives the cluster of a class.
-func (t *table) route(class string, rnd *rand.Rand) string {
+// route returns the cluster of a class.
+func (t *table) route(class string, rng *rand.Rand) string {
 	for _, h := range t.routes.GetVirtualHosts() {
 		for _, r := range h.GetRoutes() {
-			fits := true
+			matches := true
 			for _, m := range r.GetMatch().GetHeaders() {
-				fits = fits && m.GetStringMatch().GetExact() == class
+				matches = matches && m.GetStringMatch().GetExact() == class
 			}
-			if !fits {
+			if !matches {
 				continue
 			}
 			w := r.GetRoute().GetWeightedClusters().GetClusters()
@@ -182,12 +182,12 @@
 			for _, x := range w {
 				total += x.GetWeight().GetValue()
 			}
-			at := rnd.Uint32N(max(total, 1))
+			draw := rng.Uint32N(max(total, 1))
 			for _, x := range w {
-				if v := x.GetWeight().GetValue(); at < v {
+				if v := x.GetWeight().GetValue(); draw < v {
 					return x.GetName()
 				} else {
-					at -= v
+					draw -= v
 				}
 			}
 		}
@@ -195,33 +195,33 @@
 	return ""
 }
 
-// unchecked gives the addresses that a proxy without a lease would use if it
-// knew them to be well: it must ask them.
-func (t *table) unchecked(now time.Duration) []string {
+// serversToCheck returns the addresses that a proxy without a lease would use if it knew that they
+// are healthy. It must check them.
+func (t *table) serversToCheck(now time.Duration) []string {
 	t.expire(now)
-	seen := map[string]bool{}
-	var out []string
+	known := map[string]bool{}
+	var addrs []string
 	for _, c := range t.clusters {
 		if len(c.members) == 0 {
 			continue
 		}
-		alive := false
+		leased := false
 		for _, n := range c.members {
-			a := t.ends[n]
-			if a == nil || alive {
+			a := t.endpoints[n]
+			if a == nil || leased {
 				continue
 			}
-			if !t.clusters[n].checked {
-				alive = len(a.servers) > 0
+			if !t.clusters[n].healthChecked {
+				leased = len(a.servers) > 0
 				continue
 			}
 			for _, s := range a.servers {
-				if !seen[s.Addr] {
-					seen[s.Addr] = true
-					out = append(out, s.Addr)
+				if !known[s.Addr] {
+					known[s.Addr] = true
+					addrs = append(addrs, s.Addr)
 				}
 			}
 		}
 	}
-	return out
+	return addrs
 }
--- a/internal/lab/xdsproxy/table_test.go
+++ b/internal/lab/xdsproxy/table_test.go
@@ -16,8 +16,8 @@
 
 const ms = time.Millisecond
 
-// told is a table that was told everything of a state.
-func told(t *testing.T, health ...steer.Health) *table {
+// receivedTable returns a table that has received every resource of a state.
+func receivedTable(t *testing.T, health ...steer.Health) *table {
 	t.Helper()
 	l := steer.Locality{Zone: "a", Weight: 1}
 	for i, h := range health {
@@ -35,7 +35,7 @@
 	for _, ty := range []xds.Type{xds.Cluster, xds.Endpoint, xds.Route} {
 		for _, n := range snap.Names(ty) {
 			r := snap.Get(ty, n)
-			if err := p.take(ty.URL(), []resource{{n, r.Version, r.TTL, r.Body}}, nil, false); err != nil {
+			if err := p.apply(ty.URL(), []resource{{n, r.Version, r.TTL, r.Body}}, nil, false); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -43,63 +43,63 @@
 	return p.table
 }
 
-func TestWeightsDropsAndRanks(t *testing.T) {
-	table := told(t, steer.Healthy, steer.Draining, steer.Healthy)
-	rnd := rand.New(rand.NewPCG(1, 1))
-	got, drops := map[string]int{}, 0
+func TestWeightsAndDropsOfPicks(t *testing.T) {
+	table := receivedTable(t, steer.Healthy, steer.Draining, steer.Healthy)
+	rng := rand.New(rand.NewPCG(1, 1))
+	got, refused := map[string]int{}, 0
 	for range 4000 {
-		s, dropped, ok := table.pick(0, "fetch", rnd)
+		s, dropped, ok := table.pick(0, "fetch", rng)
 		if !ok || dropped {
 			t.Fatal("no server, or dropped")
 		}
 		got[s.Addr]++
-		if _, dropped, _ := table.pick(0, "broadcast", rnd); dropped {
-			drops++
+		if _, dropped, _ := table.pick(0, "broadcast", rng); dropped {
+			refused++
 		}
 	}
 	if got["127.0.0.1:2"] != 0 || got["127.0.0.1:3"] < 2*got["127.0.0.1:1"] || got["127.0.0.1:3"] > 4*got["127.0.0.1:1"] {
 		t.Errorf("picks %v", got)
 	}
-	if drops < 850 || drops > 1150 {
-		t.Errorf("%d of 4000 dropped, a quarter stated", drops)
+	if refused < 850 || refused > 1150 {
+		t.Errorf("%d of 4000 requests dropped, want about a quarter", refused)
 	}
 }
 
-func TestALeaseRunsOutUnlessAHeartbeatCameInTime(t *testing.T) {
-	table := told(t, steer.Healthy)
-	rnd := rand.New(rand.NewPCG(1, 1))
-	uses := func(now time.Duration) bool { _, _, ok := table.pick(now, "fetch", rnd); return ok }
-	version := table.ends["clips/other/leased"].version
-	table.prolong(200*ms, "clips/other/leased", "another", 240*ms)
-	if !uses(239*ms) || table.ends["clips/other/leased"] == nil {
-		t.Fatal("ran out early")
-	}
-	table.prolong(239*ms, "clips/other/leased", version, 240*ms)
+func TestLeaseExpiresWithoutATimelyHeartbeat(t *testing.T) {
+	table := receivedTable(t, steer.Healthy)
+	rng := rand.New(rand.NewPCG(1, 1))
+	uses := func(now time.Duration) bool { _, _, ok := table.pick(now, "fetch", rng); return ok }
+	version := table.endpoints["clips/other/leased"].version
+	table.renew(200*ms, "clips/other/leased", "another", 240*ms)
+	if !uses(239*ms) || table.endpoints["clips/other/leased"] == nil {
+		t.Fatal("the lease expired early")
+	}
+	table.renew(239*ms, "clips/other/leased", version, 240*ms)
 	if !uses(478 * ms) {
-		t.Error("a heartbeat in time did not prolong it")
+		t.Error("a timely heartbeat did not renew the lease")
 	}
 	if uses(479 * ms) {
-		t.Error("it did not run out")
+		t.Error("the lease did not expire")
 	}
-	table.prolong(480*ms, "clips/other/leased", version, 240*ms)
+	table.renew(480*ms, "clips/other/leased", version, 240*ms)
 	if uses(480 * ms) {
-		t.Error("a late heartbeat brought it back")
+		t.Error("a late heartbeat renewed an expired lease")
 	}
-	// What is held needs its own word, lately.
-	if ask := table.unchecked(480 * ms); len(ask) != 1 || ask[0] != "127.0.0.1:1" {
-		t.Errorf("it asks %v", ask)
+	// Fallback endpoints need a recent health check of their own.
+	if addrs := table.serversToCheck(480 * ms); len(addrs) != 1 || addrs[0] != "127.0.0.1:1" {
+		t.Errorf("servers to check: %v", addrs)
 	}
-	table.checks["127.0.0.1:1"] = 480 * ms
-	if !uses(480*ms+checkValid) || uses(481*ms+checkValid) {
-		t.Error("what is held is used with a good check only, and not after it")
+	table.lastHealthy["127.0.0.1:1"] = 480 * ms
+	if !uses(480*ms+checkValidity) || uses(481*ms+checkValidity) {
+		t.Error("the fallback is used without a valid health check, or not used with one")
 	}
-	table.checks["127.0.0.1:1"] = 2 * time.Minute
+	table.lastHealthy["127.0.0.1:1"] = 2 * time.Minute
 	if uses(2 * time.Minute) {
-		t.Error("what is held does not run out")
+		t.Error("the fallback does not expire")
 	}
 }
 
-func TestPriorities(t *testing.T) {
+func TestPickUsesTheBestPriorityWithHealthyServers(t *testing.T) {
 	table := newTable()
 	if err := table.setCluster(&clusterv3.Cluster{Name: ""}); err != nil {
 		t.Fatal(err)
