--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -105,7 +105,7 @@
 	Try                   Kind = "try"            // Order, Try, Class, Node, Number, Deadline: its last byte is written
 	Answer                Kind = "answer"         // Try, Status, Server: the end of the try for its client
 	ExtraData             Kind = "extra"          // Try: further bytes followed the answer on the connection
-	Attempt               Kind = "attempt"        // Try, Node, Server, Work, FirstByteAt, Verdict: a clip server has read it
+	Attempt               Kind = "attempt"        // Try, Node, Server, Work, FirstByteAt, Verdict: a server has read it
 	EffectRun             Kind = "run"            // Try, Server, Work, Key: the effect began
 	DuplicateDropped      Kind = "repeat"         // Try, Server, Key: dropped, as the pod had seen the key
 	Probe                 Kind = "probe"          // Node, Server, Work
