--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -167,9 +167,9 @@
 func (c *Clients) Send(o *load.Order) {
 	c.Record(history.Event{At: c.Clock(), Kind: history.OrderIssued, Order: o.ID, Class: o.Class.Name})
 	for n := 0; ; n++ {
-		st, retryAfter := c.try(o, n)
-		wait, again := load.NextRetry(c.Scenario, o, n, st, retryAfter, c.Clock())
-		if !again {
+		status, retryAfter := c.try(o, n)
+		wait, retry := load.NextRetry(c.Scenario, o, n, status, retryAfter, c.Clock())
+		if !retry {
 			return
 		}
 		time.Sleep(wait)
@@ -251,9 +251,9 @@
 	if c.idle == nil {
 		c.idle = map[string][]*conn{}
 	}
-	if list := c.idle[zone]; !forceNew && len(list) > 0 {
-		k = list[len(list)-1]
-		c.idle[zone] = list[:len(list)-1]
+	if conns := c.idle[zone]; !forceNew && len(conns) > 0 {
+		k = conns[len(conns)-1]
+		c.idle[zone] = conns[:len(conns)-1]
 		c.mu.Unlock()
 		return k, false
 	}
@@ -273,6 +273,7 @@
 	return nil, true
 }
 
+// discard closes a connection. It may be nil, if it could not be opened.
 func (c *Clients) discard(k *conn) {
 	if k != nil {
 		k.Close()
@@ -282,6 +283,7 @@
 	c.open--
 }
 
+// reuse returns a connection to the idle ones, or closes it if there are too many.
 func (c *Clients) reuse(zone string, k *conn) {
 	c.mu.Lock()
 	if len(c.idle[zone]) < maxIdle {
@@ -304,8 +306,8 @@
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, list := range c.idle {
-		for _, k := range list {
+	for _, conns := range c.idle {
+		for _, k := range conns {
 			k.Close()
 		}
 	}
@@ -316,13 +318,14 @@
 type result struct {
 	status       history.Status
 	written      bool
-	beforeAnswer bool // it broke before the first byte of an answer
+	beforeAnswer bool // it failed before the first byte of an answer
 	sent, ended  time.Duration
 	retryAfter   time.Duration
 	server       string
 	extraData    bool
 }
 
+// exchange sends a request on a connection and reads its answer. The connection is reused or closed.
 func (c *Clients) exchange(k *conn, text, id string, o *load.Order, timeout time.Duration) (r result) {
 	reuse := false
 	// arrivedAt is when the whole answer arrived, if it was read at once.
@@ -348,7 +351,7 @@
 	if o.AbandonAfter > 0 {
 		k.SetReadDeadline(time.Now().Add(o.AbandonAfter))
 	}
-	firstAt, err := c.await(k)
+	firstByteAt, err := c.await(k)
 	if err != nil {
 		if r.status, r.beforeAnswer = errorStatus(err), true; o.AbandonAfter > 0 && r.status == history.TimedOut {
 			r.status = history.Abandoned
@@ -371,15 +374,15 @@
 		return r
 	}
 	if k.reads == 1 {
-		arrivedAt = firstAt
+		arrivedAt = firstByteAt
 	}
 	r.extraData = k.r.Buffered() > 0
 	reuse = !resp.Close && !r.extraData
 	switch resp.StatusCode {
 	case http.StatusOK:
 		r.status = history.WrongContent
-		if rest, found := strings.CutPrefix(string(body), "clip "+id+" by "); found {
-			r.status, r.server = history.Served, strings.TrimSpace(rest)
+		if server, found := strings.CutPrefix(string(body), "clip "+id+" by "); found {
+			r.status, r.server = history.Served, strings.TrimSpace(server)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		r.status = history.Refused
@@ -395,9 +398,9 @@
 // await waits for the first byte of an answer and returns when it arrived: when the kernel had it,
 // not when this process, which shares the machine with all nodes, came to read it.
 func (c *Clients) await(k *conn) (at time.Duration, err error) {
-	age, some, err := socket.AwaitArrival(k.TCPConn)
+	age, readable, err := socket.AwaitArrival(k.TCPConn)
 	at = c.Clock() - age
-	if err == nil && !some {
+	if err == nil && !readable {
 		err = io.EOF
 	}
 	k.reads = 0
