--- a/internal/lab/clipserver/server.go
+++ b/internal/lab/clipserver/server.go
@@ -112,26 +112,26 @@
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", s.Model.Name, err)
 	}
-	d := &endpoint{node: node, ReservedAddr: p}
+	e := &endpoint{node: node, ReservedAddr: p}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endpoints = append(s.endpoints, d)
-	return p.Addr, s.open(d)
+	s.endpoints = append(s.endpoints, e)
+	return p.Addr, s.open(e)
 }
 
 // open starts to listen at an endpoint. The caller holds the lock.
-func (s *Server) open(d *endpoint) error {
-	l, err := d.Listen()
+func (s *Server) open(e *endpoint) error {
+	l, err := e.Listen()
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Model.Name, err)
 	}
-	d.listener = l
+	e.listener = l
 	s.goroutines.Add(1)
-	go s.accept(d, l)
+	go s.accept(e, l)
 	return nil
 }
 
-func (s *Server) accept(d *endpoint, l *net.TCPListener) {
+func (s *Server) accept(e *endpoint, l *net.TCPListener) {
 	defer s.goroutines.Done()
 	for {
 		nc, err := l.Accept()
@@ -142,9 +142,9 @@
 			continue
 		}
 		limit := &io.LimitedReader{R: nc}
-		c := &conn{Conn: nc, limit: limit, r: bufio.NewReader(limit), server: s, endpoint: d, unused: true}
+		c := &conn{Conn: nc, limit: limit, r: bufio.NewReader(limit), server: s, endpoint: e, unused: true}
 		s.mu.Lock()
-		if s.closed || d.listener != l {
+		if s.closed || e.listener != l {
 			s.mu.Unlock()
 			socket.Abort(nc)
 			continue
@@ -152,7 +152,7 @@
 		c.incarnation = s.incarnation
 		c.overLimit = !s.Model.Connect()
 		s.conns[c] = true
-		s.Record(history.Event{At: s.Clock(), Kind: history.Connect, Node: d.node, Server: s.Model.Name})
+		s.Record(history.Event{At: s.Clock(), Kind: history.Connect, Node: e.node, Server: s.Model.Name})
 		s.goroutines.Add(1)
 		s.mu.Unlock()
 		go c.serve()
@@ -283,23 +283,23 @@
 // advance answers the jobs that are done and sets the timer for the next one. The caller holds the
 // lock.
 func (s *Server) advance(now time.Duration) {
-	for _, d := range s.Model.Advance(now) {
-		c := s.jobs[d.ID]
+	for _, done := range s.Model.Advance(now) {
+		c := s.jobs[done.ID]
 		if c == nil {
 			continue
 		}
-		delete(s.jobs, d.ID)
+		delete(s.jobs, done.ID)
 		c.job = 0
 		switch {
-		case d.Probe:
+		case done.Probe:
 			l := s.Model.Report(now)
 			c.reply(http.StatusOK, "", fmt.Sprintf("inflight=%d,queue=%d", l.InFlight, l.Queue))
 		case s.corrupt != nil && s.corrupt():
-			s.Record(history.Event{At: now, Kind: history.AnswerCorrupted, Try: d.Try, Server: s.Model.Name})
+			s.Record(history.Event{At: now, Kind: history.AnswerCorrupted, Try: done.Try, Server: s.Model.Name})
 			c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nnot all of i"))
 			c.Close()
 		default:
-			c.reply(http.StatusOK, "", AnswerBody(s.Model.Name, d.Try))
+			c.reply(http.StatusOK, "", AnswerBody(s.Model.Name, done.Try))
 		}
 	}
 	if t, any := s.Model.NextCompletion(); any {
@@ -317,14 +317,14 @@
 	s.incarnation++
 	s.Model.SetState(s.Clock(), clip.Down)
 	s.jobs = map[uint64]*conn{}
-	for _, d := range s.endpoints {
-		if d.listener != nil {
-			d.listener.Close()
-			d.listener = nil
+	for _, e := range s.endpoints {
+		if e.listener != nil {
+			e.listener.Close()
+			e.listener = nil
 		}
-		if d.blackHole != nil {
-			d.blackHole.Close()
-			d.blackHole = nil
+		if e.blackHole != nil {
+			e.blackHole.Close()
+			e.blackHole = nil
 		}
 	}
 	for c := range s.conns {
@@ -350,8 +350,8 @@
 	}
 	s.stopProcess()
 	s.Record(s.Model.Start(s.Clock(), cold))
-	for _, d := range s.endpoints {
-		if err := s.open(d); err != nil {
+	for _, e := range s.endpoints {
+		if err := s.open(e); err != nil {
 			return err
 		}
 	}
@@ -365,15 +365,15 @@
 	defer s.mu.Unlock()
 	s.isolated = true
 	s.Model.SetState(s.Clock(), clip.Isolated)
-	for _, d := range s.endpoints {
-		if d.listener == nil {
+	for _, e := range s.endpoints {
+		if e.listener == nil {
 			continue
 		}
-		blackHole, err := d.BlackHole(d.listener)
+		blackHole, err := e.BlackHole(e.listener)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Model.Name, err)
 		}
-		d.blackHole, d.listener = blackHole, nil
+		e.blackHole, e.listener = blackHole, nil
 	}
 	return nil
 }
@@ -426,8 +426,8 @@
 	s.closed = true
 	s.timer.Stop()
 	s.stopProcess()
-	for _, d := range s.endpoints {
-		d.ReservedAddr.Close()
+	for _, e := range s.endpoints {
+		e.ReservedAddr.Close()
 	}
 	s.endpoints = nil
 	s.mu.Unlock()
