--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestStreamDependsOnlyOnTheSeed(t *testing.T) {
+func TestFaultsDoNotShiftTheStreamOfASeed(t *testing.T) {
 	plain, heavy := testScenario(t, 1), testScenario(t, 1)
 	heavy.Faults = []scenario.Fault{{Kind: scenario.FaultHeavy, At: scenario.Span{Duration: 10 * time.Second},
 		For: scenario.Span{Duration: 20 * time.Second}, Class: "cut-order", Fraction: 0.1, Factor: 20}}
