--- a/internal/lab/socket/socket.go
+++ b/internal/lab/socket/socket.go
@@ -54,15 +54,15 @@
 		syscall.Close(fd)
 		return nil, fmt.Errorf("reserve address: %w", err)
 	}
-	a := sockaddr.(*syscall.SockaddrInet4)
-	return &ReservedAddr{fd, (&net.TCPAddr{IP: a.Addr[:], Port: a.Port}).String()}, nil
+	inet4 := sockaddr.(*syscall.SockaddrInet4)
+	return &ReservedAddr{fd, (&net.TCPAddr{IP: inet4.Addr[:], Port: inet4.Port}).String()}, nil
 }
 
 // Listen starts to listen at the address. While an older listener there is open, the kernel
 // distributes connections between the two.
-func (p *ReservedAddr) Listen() (*net.TCPListener, error) {
+func (a *ReservedAddr) Listen() (*net.TCPListener, error) {
 	lc := net.ListenConfig{Control: reusePort}
-	l, err := lc.Listen(context.Background(), "tcp4", p.Addr)
+	l, err := lc.Listen(context.Background(), "tcp4", a.Addr)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 }
 
 // Close releases the address.
-func (p *ReservedAddr) Close() { syscall.Close(p.fd) }
+func (a *ReservedAddr) Close() { syscall.Close(a.fd) }
 
 func setBacklog(l *net.TCPListener, n int) error {
 	raw, err := l.SyscallConn()
@@ -93,33 +93,33 @@
 
 // BlackHole takes over the address from its listener, which may be nil and is closed. Connections
 // that it has not accepted are reset.
-func (p *ReservedAddr) BlackHole(replaced *net.TCPListener) (*BlackHole, error) {
-	l, err := p.Listen() // before the old one closes, so that no connection is refused in between
+func (a *ReservedAddr) BlackHole(replaced *net.TCPListener) (*BlackHole, error) {
+	l, err := a.Listen() // before the old one closes, so that no connection is refused in between
 	if err != nil {
 		return nil, err
 	}
-	s := &BlackHole{listener: l}
+	b := &BlackHole{listener: l}
 	if err := setBacklog(l, 0); err != nil {
-		s.Close()
+		b.Close()
 		return nil, err
 	}
 	if replaced != nil {
 		replaced.Close()
 	}
-	s.fillBacklog()
-	return s, nil
+	b.fillBacklog()
+	return b, nil
 }
 
 // fillBacklog connects until no more connections are established.
-func (s *BlackHole) fillBacklog() {
+func (b *BlackHole) fillBacklog() {
 	// A backlog of 0 takes one connection, ours or a client's; handshakes in progress may take
 	// another. Two attempts in a row must fail, as one may fail on a busy machine.
 	for range fillTries {
 		failed := 0
 		for failed < 2 {
-			c, err := net.DialTimeout("tcp", s.listener.Addr().String(), fillTimeout)
+			c, err := net.DialTimeout("tcp", b.listener.Addr().String(), fillTimeout)
 			if err == nil {
-				s.fillers = append(s.fillers, c)
+				b.fillers = append(b.fillers, c)
 				break
 			}
 			failed++
@@ -131,9 +131,9 @@
 }
 
 // Close closes the listener. Waiting connections and unfinished handshakes are reset.
-func (s *BlackHole) Close() {
-	s.listener.Close()
-	for _, c := range s.fillers {
+func (b *BlackHole) Close() {
+	b.listener.Close()
+	for _, c := range b.fillers {
 		Abort(c)
 	}
 }
