--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -20,7 +20,7 @@
 // The faults.
 const (
 	NoFault         Fault = "quiet"   // no fault
-	ServersIsolated Fault = "silent"  // one server in twelve is isolated for a third of the load and comes back cold
+	ServersIsolated Fault = "silent"  // one server in twelve is isolated for a third of the length, then cold
 	ServersHung     Fault = "hang"    // one server in twelve accepts requests and answers none
 	HeavyRequests   Fault = "heavy"   // one viewer clip in fifty takes twenty times its work
 	ZoneLost        Fault = "lost"    // a zone is isolated and comes back cold
@@ -41,12 +41,12 @@
 	Length  time.Duration `json:"length"` // of the load; 0: 24 s
 	Retries int           `json:"retries"`
 	// ControlServices is the number of control services that the xDS proxies are divided among; 0
-	// means 1. With several, the first one is out of service for a third of the load.
+	// means 1. With several, the first one is out of service for a third of the length.
 	ControlServices int `json:"controls,omitempty"`
 	// SubsetSize is the approximate number of servers of a zone that an xDS proxy is sent; 0: all.
 	SubsetSize int `json:"subset,omitempty"`
 	// ReportDelay is the mean delay of the xDS proxies' reports. FrozenFraction is the fraction of
-	// the proxies that neither receive nor send anything after a third of the load.
+	// the proxies that neither receive nor send anything after a third of the length.
 	ReportDelay    time.Duration `json:"late,omitempty"`
 	FrozenFraction float64       `json:"frozen,omitempty"`
 	Seed           int64         `json:"seed"`
@@ -80,21 +80,21 @@
 	case !(w.Load >= 0.05 && w.Load <= 3):
 		return nil, fmt.Errorf("fleet: want a load of 0.05 to 3 of the capacity, have %v", w.Load)
 	}
-	r := rand.New(rand.NewPCG(uint64(w.Seed), 0x666c656574))
+	rng := rand.New(rand.NewPCG(uint64(w.Seed), 0x666c656574))
 	span := func(t time.Duration) scenario.Span { return scenario.Span{Duration: t} }
 	s := &scenario.Scenario{Name: fmt.Sprintf("fleet-%d-%s", w.Servers, w.Fault), Seed: w.Seed, Length: span(w.Length),
 		Client: scenario.Client{Retries: w.Retries, RetryAfterFraction: 0.85}}
 	capacity := 0.0
 	for i := range w.Zones {
-		h := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Servers: map[string]int{}, PodSize: 4}
+		zone := scenario.Zone{Name: fmt.Sprintf("hall-%c", 'a'+i), Servers: map[string]int{}, PodSize: 4}
 		for n := i; n < w.Servers; n += w.Zones {
 			kind := "slow-6"
-			if x := r.Float64(); x < 0.39 {
+			if x := rng.Float64(); x < 0.39 {
 				kind = "fast-6"
 			} else if x < 0.74 {
 				kind = "std-6"
 			}
-			h.Servers[kind]++
+			zone.Servers[kind]++
 			m, err := clip.NewMachine(kind)
 			if err != nil {
 				return nil, err
@@ -102,19 +102,19 @@
 			capacity += m.Capacity()
 		}
 		for n := i; n < w.Proxies; n += w.Zones {
-			h.Nodes++
+			zone.Nodes++
 		}
-		s.Zones = append(s.Zones, h)
+		s.Zones = append(s.Zones, zone)
 	}
 	s.Load.Rate = capacity / MeanWork() * w.Load
-	if err := w.faults(s, r); err != nil {
+	if err := w.faults(s, rng); err != nil {
 		return nil, err
 	}
 	return s, scenario.CheckInMemory(s)
 }
 
 // faults adds the fault to the scenario.
-func (w Workload) faults(s *scenario.Scenario, r *rand.Rand) error {
+func (w Workload) faults(s *scenario.Scenario, rng *rand.Rand) error {
 	at := func(fraction float64) scenario.Span {
 		return scenario.Span{Duration: time.Duration(fraction * float64(w.Length)).Round(time.Millisecond)}
 	}
@@ -123,7 +123,7 @@
 		names = append(names, x.Name)
 	}
 	sample := func(fraction float64) []string {
-		r.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+		rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		return names[:max(1, int(fraction*float64(len(names))))]
 	}
 	add := func(f scenario.Fault) { s.Faults = append(s.Faults, f) }
@@ -151,16 +151,16 @@
 			}
 		}
 	case ZonesReturn:
-		order := r.Perm(len(s.Zones) - 1)
-		for i, h := range order {
-			add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.2), For: at(0.2 + 0.1*float64(i)), Targets: []string{s.Zones[h+1].Name}})
+		order := rng.Perm(len(s.Zones) - 1)
+		for i, z := range order {
+			add(scenario.Fault{Kind: scenario.FaultZoneLost, At: at(0.2), For: at(0.2 + 0.1*float64(i)), Targets: []string{s.Zones[z+1].Name}})
 		}
 	default:
-		all := make([]string, len(Faults))
+		names := make([]string, len(Faults))
 		for i, f := range Faults {
-			all[i] = string(f)
+			names[i] = string(f)
 		}
-		return fmt.Errorf("fleet: unknown fault %q; there are %s", w.Fault, strings.Join(all, ", "))
+		return fmt.Errorf("fleet: unknown fault %q; there are %s", w.Fault, strings.Join(names, ", "))
 	}
 	return nil
 }
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -76,7 +76,7 @@
 	return counts
 }
 
-func span(w time.Duration) scenario.Span { return scenario.Span{Duration: w} }
+func span(d time.Duration) scenario.Span { return scenario.Span{Duration: d} }
 
 // Seven in ten nodes are killed at once and restart from their last list while discovery refuses
 // all calls for 4 s. Service recovers within 2 s of their return, and the restarted nodes flood no
@@ -181,11 +181,11 @@
 // Guards against a metastable overload: after 3 s in which all servers are three times slower, a
 // fleet of any size serves as much within 10 s as without the overload.
 func TestFleetRecoversFromAnOverloadAtEverySize(t *testing.T) {
-	servers := []int{3, 24, 60}
+	nodeCounts := []int{3, 24, 60}
 	if *sizes {
-		servers = []int{3, 24, 39, 40, 41, 80, 300}
+		nodeCounts = []int{3, 24, 39, 40, 41, 80, 300}
 	}
-	for _, nodes := range servers {
+	for _, nodes := range nodeCounts {
 		for _, load := range []float64{0.6, 0.9} {
 			const seeds = 2
 			without, during, after := 0.0, 0.0, 0.0
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -40,11 +40,11 @@
 // runScenario runs a workload's scenario, which the caller may have changed. observe, if not nil,
 // is called for each event. Of the options only the mutant is used.
 func runScenario(w Workload, s *scenario.Scenario, policyName policy.Name, options memory.Options, observe func(*history.Event)) Result {
-	controls := policy.ControlPlane{Services: w.ControlServices, SubsetSize: w.SubsetSize, ReportDelay: w.ReportDelay, FrozenFraction: w.FrozenFraction, FrozenStart: s.Length.Duration / 3}
+	controlPlane := policy.ControlPlane{Services: w.ControlServices, SubsetSize: w.SubsetSize, ReportDelay: w.ReportDelay, FrozenFraction: w.FrozenFraction, FrozenStart: s.Length.Duration / 3}
 	if w.ControlServices > 1 {
-		controls.OutageStart, controls.OutageEnd = s.Length.Duration*2/5, s.Length.Duration*3/4
+		controlPlane.OutageStart, controlPlane.OutageEnd = s.Length.Duration*2/5, s.Length.Duration*3/4
 	}
-	o := policy.OptionsWithControls(policyName, w.Seed, controls)
+	o := policy.OptionsWithControls(policyName, w.Seed, controlPlane)
 	o.Mutant = options.Mutant
 	var checker *judge.Checker
 	end := time.Duration(0)
--- a/internal/lab/fleet/subset_test.go
+++ b/internal/lab/fleet/subset_test.go
@@ -10,7 +10,7 @@
 	"ivylock/internal/lab/scenario"
 )
 
-var sizes = flag.Bool("fleet-sizes", false, "shocks at all sizes of docs/subsets.md")
+var sizes = flag.Bool("fleet-sizes", false, "run the overload test at all sizes of docs/subsets.md")
 
 // enableSubsets enables membership and subsets of servers.
 func enableSubsets(s *scenario.Scenario) {
