--- a/fleet/follow/agent.go
+++ b/fleet/follow/agent.go
@@ -11,29 +11,28 @@
 )
 
 const (
-	maxPending      = 1024 // peer reports
-	maxLog          = 512  // own withdrawals that can be sent one by one
+	maxPending      = 1024 // peer reports kept, at most
+	maxLog          = 512  // own withdrawals kept for answers to queries, at most
 	queryInterval   = 50 * time.Millisecond
-	minQueryRetry   = 150 * time.Millisecond // until the same peer is queried again; doubles
+	minQueryRetry   = 150 * time.Millisecond // until the same peer is queried again; doubled each time
 	maxQueryRetry   = 4 * time.Second
-	answerInterval  = 100 * time.Millisecond // between two answers to one peer
-	repeatDelay     = 150 * time.Millisecond // until a push is sent a second time
-	peerTimeout     = 4 * time.Second        // in which a peer counts as live
-	distrustTime    = time.Minute            // in which an unconfirmed reporter does not count
-	forgetAfter     = 30 * time.Second       // after which a silent peer may return with an older clock
-	staleSourceHold = 2 * time.Second        // in which a source once found stale still counts as stale
-	// A datagram may be older than its sender's newest by so much and still be part of
-	// an answer.
+	answerInterval  = 100 * time.Millisecond // minimum, between two answers to one peer
+	repeatDelay     = 150 * time.Millisecond // until withdrawals are pushed a second time
+	peerTimeout     = 4 * time.Second        // since its last message; then a peer does not count as live
+	distrustTime    = time.Minute            // during which reports of a peer are ignored after an unconfirmed one
+	forgetAfter     = 30 * time.Second       // after which a silent peer is accepted with an older clock
+	staleSourceHold = 2 * time.Second        // during which a source found stale still counts as stale
+	// Maximum age of a reordered part of an answer, relative to the sender's newest datagram.
 	reorderWindow = 2 * time.Second
 	maxClockDrift = 1e-4 // between the clocks of two processes, as a ratio
 )
 
 // peer is the agent's state of another process.
 type peer struct {
-	heard           Time // last message; 0: never
+	lastHeard       Time // last message; 0: never
 	sentAt          Time // when it was sent, by this process's clock
 	timestamp       version.Timestamp
-	offset          time.Duration // least difference to its timestamps: clock skew plus network delay
+	offset          time.Duration // least difference of local time to its timestamps: clock skew plus network delay
 	offsetAt        Time
 	vector          version.Vector
 	applied         version.List
@@ -44,17 +43,17 @@
 	answeredAt      Time
 	distrustedUntil Time
 	lastSent        Time // when anything was last sent to it
-	behind          bool // it acts on too old a list
+	behind          bool // it acts on an outdated list
 	parts           assembly
 }
 
-// assembly collects the parts of an answer.
+// assembly collects the parts of an answer that spans several datagrams.
 type assembly struct {
 	kind       kind
 	to, since  version.List
 	total      int
 	received   uint64
-	applicable bool // all withdrawals so far could be applied
+	applicable bool // all withdrawals received so far could be applied
 	keys       []version.Key
 }
 
@@ -75,13 +74,13 @@
 	startedAt Time
 }
 
-// repeat is a push that is to be sent a second time.
+// repeat is a scheduled second push of withdrawals.
 type repeat struct {
 	at    Time
 	since version.List
 }
 
-// Agent decides for one process. It is not safe for concurrent use.
+// Agent keeps one process up to date with its fleet. It is not safe for concurrent use.
 type Agent struct {
 	settings       Settings
 	fleet          Fleet
@@ -93,17 +92,17 @@
 	vector         version.Vector
 	digest         version.RunningDigest
 	entries        map[version.Key]entry
-	upCount        int // entries in state Up
-	listed         bool
+	upCount        int          // entries in state Up
+	listed         bool         // a list has been received
 	listAt         Time         // when the own list last changed
-	ownLog         []withdrawal // own withdrawals since logFloor that still hold
+	ownLog         []withdrawal // withdrawals by the own source since logFloor that are still in force
 	logFloor       version.List
 	pending        map[version.Key]*pending
 	applied        version.List // all withdrawals up to it are in force here
 	confirmed      Time         // when the own source last answered; 0: never
-	peersConfirmed Time         // time as of which peers confirmed the state in force here
+	peersConfirmed Time         // as of when peers confirmed the state in force here
 	peers          []peer
-	livePeers      int // peers heard within peerTimeout, as of the last tick
+	livePeers      int // peers that sent a message within peerTimeout, as of the last tick
 	nextHello      Time
 	nextQuery      Time
 	repeats        []repeat
@@ -113,12 +112,12 @@
 	resumedAt      Time
 	holdUntil      Time
 	reopenAt       Time
-	sourceStaleAt  Time // when so many peers were last behind that the source counted as stale
+	sourceStaleAt  Time // when the source was last found stale; 0: never
 	counts         Counts
 }
 
-// New returns the agent of a process that starts now. The settings and the build are
-// passed as digests (version.Digest).
+// New returns the agent of a process that has just started. The digests of its settings
+// and build are those of version.Digest.
 func New(settings Settings, fleetView Fleet, now Time, seed int64, processName string, settingsDigest, buildDigest uint16) *Agent {
 	clock := &version.HybridClock{}
 	a := &Agent{settings: settings, fleet: fleetView, rng: rand.New(rand.NewPCG(uint64(seed), 0x666f6c6c)), clock: clock, now: now, started: now,
@@ -226,7 +225,7 @@
 }
 
 // updateEntry applies an entry of the own list and reports whether it withdraws a
-// server that could be used before.
+// server that was in use before.
 func (a *Agent) updateEntry(serverKey version.Key, update Entry, listVersion version.List) (change withdrawal, withdraws bool) {
 	previous, known := a.entries[serverKey]
 	if known {
@@ -269,14 +268,14 @@
 func (a *Agent) dropOvertaken() {
 	changed := false
 	for _, k := range a.pendingKeys() {
-		h := a.pending[k]
-		if h.list.CompareGeneration(a.vector.List) == version.Newer {
+		report := a.pending[k]
+		if report.list.CompareGeneration(a.vector.List) == version.Newer {
 			continue
 		}
 		delete(a.pending, k)
-		changed = changed || h.enforced
-		if x, known := a.entries[k]; known && x.state == version.Up && h.enforced {
-			a.recorder.RecordRestored(a.now, x.name, a.vector.List)
+		changed = changed || report.enforced
+		if server, known := a.entries[k]; known && server.state == version.Up && report.enforced {
+			a.recorder.RecordRestored(a.now, server.name, a.vector.List)
 		}
 	}
 	if a.applied.CompareGeneration(a.vector.List) != version.Newer {
@@ -303,8 +302,8 @@
 	if len(a.pending) == 0 {
 		return false
 	}
-	h := a.pending[version.KeyOf(name)]
-	return h != nil && h.enforced
+	report := a.pending[version.KeyOf(name)]
+	return report != nil && report.enforced
 }
 
 // MinAnswerTime returns the time since which a server must have answered to be used, or
@@ -323,7 +322,8 @@
 // pause the state must be confirmed first.
 func (a *Agent) HoldUntil() Time { return a.holdUntil }
 
-// TrustsPeer reports whether readings and suspicions of another process may be used.
+// TrustsPeer reports whether load readings and suspicions sent by another process may be
+// used. A false result counts as an ignored datagram.
 func (a *Agent) TrustsPeer(from int) bool {
 	if a.settings.ObserveOnly || from < 0 || from >= len(a.peers) || !a.peers[from].behind {
 		return true
@@ -342,9 +342,9 @@
 	return msg
 }
 
-// advertisedVersion returns the version up to which this process tells peers of
-// withdrawals: that of its own source while it is live, else also what peers reported.
-// It guards against a report that circulates after all of its original reporters have
+// advertisedVersion returns the version up to which this process notifies peers of
+// withdrawals: that of its own source while that is live, else also what peers reported.
+// So a report does not keep circulating after all of its original reporters have
 // retracted it.
 func (a *Agent) advertisedVersion() version.List {
 	if a.ownSourceFresh() {
@@ -384,15 +384,16 @@
 	}
 }
 
-// Wrap embeds another message to a peer in a hello if the peer knows the format, there
-// is room and a hello is due.
+// Wrap returns a datagram that carries another package's message to a peer in a hello,
+// or the message itself if the peer does not know the format, there is no room, or no
+// hello is due.
 func (a *Agent) Wrap(now Time, to int, data []byte) []byte {
 	a.growPeers()
 	if to < 0 || to >= len(a.peers) || len(data) > MaxDatagram-headerSize {
 		return data
 	}
 	receiver := &a.peers[to]
-	if receiver.heard == 0 || now-receiver.heard > forgetAfter || now-receiver.lastSent < a.settings.HelloInterval {
+	if receiver.lastHeard == 0 || now-receiver.lastHeard > forgetAfter || now-receiver.lastSent < a.settings.HelloInterval {
 		return data
 	}
 	a.now = max(a.now, now)
@@ -404,8 +405,8 @@
 	return msg.append(make([]byte, 0, MaxDatagram))
 }
 
-// Payload returns the part of a datagram that is not the fleet's own: all of one in
-// another format, what a hello carries, nothing of the others.
+// Payload returns what a datagram carries for other packages: the whole datagram if it
+// is of another format, the payload of a hello, and nil for the other kinds.
 func Payload(data []byte) []byte {
 	if !IsFleetDatagram(data) {
 		return data
@@ -440,7 +441,7 @@
 	a.growPeers()
 	a.livePeers = 0
 	for i := range a.peers {
-		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= peerTimeout {
+		if p := &a.peers[i]; p.lastHeard > 0 && a.now-p.lastHeard <= peerTimeout {
 			a.livePeers++
 		}
 	}
@@ -484,13 +485,13 @@
 		return
 	}
 	sender := &a.peers[event.From]
-	if sender.heard > 0 && a.now-sender.heard < forgetAfter && msg.vector.Clock <= sender.timestamp {
+	if sender.lastHeard > 0 && a.now-sender.lastHeard < forgetAfter && msg.vector.Clock <= sender.timestamp {
 		a.counts.Stale++ // duplicated, late or replayed
 		if msg.kind == hello || sender.timestamp.Sub(msg.vector.Clock) > reorderWindow {
 			return
 		}
-		// An overtaken part of an answer: what it says of a version is still true, but
-		// its sender's state is outdated.
+		// A reordered part of an answer: its withdrawals are still valid, but its
+		// sender's state is outdated.
 	} else {
 		a.updatePeer(event.From, sender, &msg)
 	}
@@ -511,23 +512,23 @@
 // updatePeer stores the sender's state from its newest datagram.
 func (a *Agent) updatePeer(from int, sender *peer, msg *message) {
 	a.clock.Observe(a.now, msg.vector.Clock)
-	// The time in transit counts: a datagram that waited during a process pause is as
-	// old as that.
+	// Time in transit counts: a datagram that was queued during a process pause has
+	// aged by its length.
 	apparentDelay := a.now - msg.vector.Clock.Time()
 	sender.offset += Time(maxClockDrift * float64(a.now-sender.offsetAt))
-	if sender.heard == 0 || a.now-sender.heard >= forgetAfter || apparentDelay < sender.offset {
+	if sender.lastHeard == 0 || a.now-sender.lastHeard >= forgetAfter || apparentDelay < sender.offset {
 		sender.offset = apparentDelay
 	}
 	sender.offsetAt = a.now
-	sender.heard, sender.timestamp, sender.vector, sender.applied, sender.age, sender.mode = a.now, msg.vector.Clock, msg.vector, msg.applied, msg.age, msg.mode
+	sender.lastHeard, sender.timestamp, sender.vector, sender.applied, sender.age, sender.mode = a.now, msg.vector.Clock, msg.vector, msg.applied, msg.age, msg.mode
 	sender.sentAt = a.now - (apparentDelay - sender.offset)
 	a.recorder.RecordPeer(a.now, from, msg.vector)
 	a.adoptEpoch(sender)
 }
 
-// adoptEpoch takes over the epoch that most peers with the identical list have: this
-// process started or was cut off during a discovery restart, or counted one that was
-// none. The content is the same, so nothing that is acted on changes.
+// adoptEpoch adopts the epoch that most peers with the identical list have. Epochs
+// differ if this process started or was cut off during a discovery restart, or counted
+// one that did not happen. The list's content does not change.
 func (a *Agent) adoptEpoch(sender *peer) {
 	own := a.vector.List
 	if theirs := sender.vector.List; !a.listed || theirs.Generation != own.Generation || theirs.Digest != own.Digest || theirs.Epoch == own.Epoch {
@@ -536,13 +537,13 @@
 	supporters, chosen := map[uint16]int{own.Epoch: 1}, own.Epoch
 	for i := range a.peers {
 		other := &a.peers[i]
-		if l := other.vector.List; other.heard > 0 && a.now-other.heard <= peerTimeout && l.Generation == own.Generation && l.Digest == own.Digest {
-			supporters[l.Epoch]++
+		if list := other.vector.List; other.lastHeard > 0 && a.now-other.lastHeard <= peerTimeout && list.Generation == own.Generation && list.Digest == own.Digest {
+			supporters[list.Epoch]++
 		}
 	}
-	for e, n := range supporters {
-		if n > supporters[chosen] || n == supporters[chosen] && int16(e-chosen) > 0 {
-			chosen = e
+	for epoch, n := range supporters {
+		if n > supporters[chosen] || n == supporters[chosen] && int16(epoch-chosen) > 0 {
+			chosen = epoch
 		}
 	}
 	if chosen == own.Epoch || supporters[chosen] < a.quorum() {
@@ -558,8 +559,8 @@
 	a.recorder.RecordVersion(a.now, a.vector)
 }
 
-// quorum returns how many processes must agree so that a single one is not trusted:
-// two, where that many are live.
+// quorum returns how many peers must agree, so that no single peer is trusted: two, or
+// one if fewer are live.
 func (a *Agent) quorum() int { return min(2, max(1, a.livePeers)) }
 
 // handleResumed processes the end of a process pause.
@@ -578,8 +579,8 @@
 	}
 }
 
-// expectedPeers returns how many of the other processes are heard within a time if each
-// sends hellos to random peers and nothing is lost.
+// expectedPeers returns the expected number of other processes from which a message is
+// received within a window, if each sends hellos to random peers and nothing is lost.
 func (a *Agent) expectedPeers(processes int, window time.Duration) float64 {
 	if processes == 0 {
 		return 0
--- a/fleet/follow/api.go
+++ b/fleet/follow/api.go
@@ -2,8 +2,13 @@
 // how it degrades when it cannot: which peers it queries for updates it has missed,
 // which peer reports it applies, when it narrows its set of servers or refuses new
 // requests, which peers it ignores, and what it still relies on after a process pause.
-// It does no I/O, reads no clock and starts no goroutine: events go in, actions come
-// out. The design is described in docs/audit.md.
+// It does no I/O, reads no clock and starts no goroutine: it turns events into actions.
+// docs/audit.md describes the design.
+//
+// A process receives the list of servers from its own source, the discovery service. A
+// withdrawal is a change of the list by which a server must not be used any more.
+// Processes notify their peers of withdrawals in datagrams; a hello is the datagram that
+// each sends regularly to random peers.
 package follow
 
 import (
@@ -40,20 +45,20 @@
 
 // Settings are the parameters of a fleet, the same at all its processes.
 type Settings struct {
-	ObserveOnly         bool          // notify and record only: peer reports are not applied, the set is never narrowed
+	ObserveOnly         bool          // only notify and record: peer reports are not applied, the mode stays Current
 	HelloInterval       time.Duration // between two rounds of hellos
 	HelloFanout         int           // peers per round of hellos
 	PushFanout          int           // peers that are notified of a withdrawal at once
 	NarrowAfter         time.Duration // without confirmation: only servers that have just answered are used
 	CloseAfter          time.Duration // without confirmation: no new requests are taken
-	BehindAfter         time.Duration // a peer that acts on older lists for so long is ignored
-	ReopenJitter        time.Duration // processes that closed together reopen at random times within it
+	BehindAfter         time.Duration // a peer that acts on an older list for longer is ignored
+	ReopenJitter        time.Duration // maximum random delay before reopening
 	OnePeerFraction     float64       // of the list that reports of a single peer may withdraw
 	AllPeersFraction    float64       // of the list that reports of all peers together may withdraw
-	StaleSourceFraction float64       // of the fleet: if so many are behind, the source counts as stale
-	UnconfirmedTimeout  time.Duration // after which a report is dropped that the own, live source does not confirm
-	PauseThreshold      time.Duration // a gap between ticks that counts as a process pause
-	PauseHold           time.Duration // longest wait for confirmation of the own state after a pause
+	StaleSourceFraction float64       // of the fleet: if so many have no recent list, the source counts as stale
+	UnconfirmedTimeout  time.Duration // after which a report that the live own source has not confirmed is dropped
+	PauseThreshold      time.Duration // longer gaps between ticks count as process pauses
+	PauseHold           time.Duration // maximum wait for confirmation of the own state after a pause
 }
 
 // DefaultSettings returns the settings described in docs/audit.md.
@@ -63,17 +68,18 @@
 		PauseThreshold: 400 * time.Millisecond, PauseHold: 300 * time.Millisecond}
 }
 
-// Mode tells how well a process can show that what it acts on is current.
+// Mode describes how recently the list that a process acts on was confirmed to be current,
+// and what the process does about it.
 type Mode uint8
 
 const (
-	// Current: its own source, or peers with the same list, have confirmed it recently.
+	// Current: its own source, or peers with the same list, confirmed the list recently.
 	Current Mode = iota
-	// Held: no process hears its source, so all keep using the last good list.
+	// Held: no process receives anything from its source, so all keep using the last list.
 	Held
-	// Narrowed: it uses only servers that have just answered.
+	// Narrowed: only servers that have just answered are used.
 	Narrowed
-	// Closed: it takes no new requests.
+	// Closed: no new requests are accepted.
 	Closed
 	modeCount
 )
@@ -89,7 +95,7 @@
 	StartedAt Time
 }
 
-// ListKind tells what a list contains.
+// ListKind is the kind of a list.
 type ListKind int
 
 const (
@@ -117,12 +123,12 @@
 		From int
 		Data []byte
 	}
-	// Tick is due about every 100 ms.
+	// Tick must be delivered about every 100 ms.
 	Tick struct{}
-	// Resumed reports that the process was paused and runs again. It precedes all
-	// events that were queued during the pause.
+	// Resumed reports that the process was paused for a time. It must be delivered before
+	// all events that were queued during the pause.
 	Resumed struct{ Gap time.Duration }
-	// MaintenanceChanged carries the digest of the maintenance records in force.
+	// MaintenanceChanged reports a new digest of the maintenance records in force.
 	MaintenanceChanged struct{ Digest uint16 }
 )
 
@@ -157,13 +163,13 @@
 
 // Counts are an agent's counters since its start.
 type Counts struct {
-	Hellos, Queries, Answers, Withdrawals uint64 // datagrams sent, by kind; withdrawals singly
+	Hellos, Queries, Answers, Withdrawals uint64 // datagrams sent, by kind; single withdrawals in them
 	Bytes                                 uint64 // of all datagrams sent
 	Applied                               uint64 // withdrawals applied that peers reported
 	OverLimit                             uint64 // withdrawals not applied because of the limits on peer reports
 	Reverted                              uint64 // withdrawals reverted because the own source did not confirm them
 	Malformed                             uint64 // datagrams of unknown format
 	Stale                                 uint64 // datagrams older than one that the sender had sent before
-	Ignored                               uint64 // datagrams of peers that are too far behind
+	Ignored                               uint64 // datagrams ignored because their sender acts on an outdated list
 	Dropped                               uint64 // withdrawals dropped because the table was full
 }
--- a/fleet/follow/follow_test.go
+++ b/fleet/follow/follow_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Missed withdrawals are queried, also beyond the peers' logs, and the own source takes
-// over when it is back.
+// Missed withdrawals are queried, also those that peers no longer have in their logs, and
+// the own source takes precedence when it is back.
 func TestMissedWithdrawalsAreQueried(t *testing.T) {
 	s := newSim(t, 9, 200, 3)
 	s.run(3 * time.Second)
@@ -178,7 +178,7 @@
 	}
 }
 
-// No process closes or narrows while a source that was down for long recovers for one
+// No process closes or narrows while a source recovers from a long failure, for one
 // process after the other.
 func TestStaggeredSourceRecoveryKeepsServing(t *testing.T) {
 	for _, n := range []int{3, 4, 9, 30} {
@@ -388,7 +388,7 @@
 	}
 }
 
-// Where two sources disagree, each process follows its own, and none degrades.
+// If two sources disagree, each process follows its own, and none degrades.
 func TestDisagreeingSources(t *testing.T) {
 	s := newSim(t, 8, 12, 4)
 	s.run(2 * time.Second)
@@ -418,7 +418,7 @@
 	}
 }
 
-// Without a partition no process degrades or is ignored, whatever the loss, delay and
+// Without a partition no process degrades or is ignored, at any loss, delay and clock
 // skew.
 func TestNoProcessExcludedWithoutFault(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
--- a/fleet/follow/message.go
+++ b/fleet/follow/message.go
@@ -8,13 +8,13 @@
 	"ivylock/fleet/version"
 )
 
-// MaxDatagram is the largest datagram between processes, bytes.
+// MaxDatagram is the maximum size of a datagram between processes, in bytes.
 const MaxDatagram = 256
 
 // Datagram format: a format byte, the kind, the sender's vector (24 bytes), the age of
 // its source's last list in hundredths of a second, its mode, and the version up to
 // which it applies all withdrawals (6 bytes). Then by kind: a hello carries any other
-// payload for the receiver; a query the version from which on withdrawals are wanted;
+// payload for the receiver; a query the version after which withdrawals are requested;
 // withdrawals their part number, the version after which they are complete, and the
 // entries; a full list its part number and the keys of all servers that are up. All in
 // network byte order.
@@ -30,10 +30,10 @@
 	maxKeys               = (MaxDatagram - headerSize - fullListHeaderSize) / keySize
 	maxParts              = 64
 
-	maxHelloWithdrawals = 4 // in a hello
+	maxHelloWithdrawals = 4 // sent with a hello
 
 	stateMask  = 0x03
-	relayed    = 0x80 // the sender has it from a peer, not from its own source
+	relayed    = 0x80 // the sender received it from a peer, not from its own source
 	unknownAge = 0xFFFF
 )
 
@@ -47,7 +47,7 @@
 	kindCount
 )
 
-// withdrawal says that a server takes no new requests, as of a version.
+// withdrawal is a server that takes no new requests as of a version.
 type withdrawal struct {
 	key     version.Key
 	state   version.State
@@ -114,7 +114,7 @@
 // IsFleetDatagram reports whether a datagram is of the fleet's format, of any kind.
 func IsFleetDatagram(datagram []byte) bool { return len(datagram) > 0 && datagram[0] == formatID }
 
-// parse decodes a datagram. It rejects one of another format as a whole.
+// parse decodes a datagram. It returns errFormat if any of it is malformed.
 func parse(data []byte) (message, error) {
 	var msg message
 	if len(data) < headerSize || len(data) > MaxDatagram || data[0] != formatID || data[1] >= byte(kindCount) {
--- a/fleet/follow/sim_test.go
+++ b/fleet/follow/sim_test.go
@@ -10,7 +10,7 @@
 	"ivylock/fleet/version"
 )
 
-// sim is a fleet of agents under virtual time. Processes can be cut off from the
+// sim simulates a fleet of agents in virtual time. Processes can be cut off from the
 // source; datagrams can be lost, delayed and duplicated.
 type sim struct {
 	t             testing.TB
@@ -21,11 +21,11 @@
 	agents        []*Agent
 	paused        []bool
 	cut           []bool                     // from the source
-	lossRate      func(from, to int) float64 // fraction of datagrams
+	lossRate      func(from, to int) float64 // fraction of datagrams lost
 	delay         func(from, to int) time.Duration
 	skew          []time.Duration // of clocks
 	duplicateRate float64
-	lag           []time.Duration // from the source to a process
+	lag           []time.Duration // delay from the source to a process
 	list          map[string]version.State
 	generation    uint64
 	sourceFrozen  bool
@@ -109,8 +109,8 @@
 	}
 	s.lastTick[i] = s.now
 	s.handle(i, Tick{})
-	st, _ := s.agents[i].Mode()
-	s.modeTicks[st]++
+	mode, _ := s.agents[i].Mode()
+	s.modeTicks[mode]++
 }
 
 // pollLoop delivers the list every second while the source is reachable.
@@ -208,7 +208,7 @@
 	s.scheduleAfter(d, func() { s.paused[i] = false })
 }
 
-func (s *sim) modeOf(i int) Mode { st, _ := s.agents[i].Mode(); return st }
+func (s *sim) modeOf(i int) Mode { mode, _ := s.agents[i].Mode(); return mode }
 
 // timeUntilWithdrawn runs until a process no longer uses a server and returns the time
 // it took.
--- a/fleet/follow/standing.go
+++ b/fleet/follow/standing.go
@@ -9,14 +9,14 @@
 )
 
 // confirmedAsOf returns the time as of which the state in force here is known to have
-// been current: by the own source's last answer, or by peers whose sources have
-// answered and whose list is the same or whose withdrawals are all in force here. Where
-// several peers are live, one alone is not enough.
+// been current. It is confirmed by the last answer of the own source, or by peers whose
+// sources have answered and whose list is identical or whose withdrawals are all in
+// force here. A single peer is not enough if several are live.
 func (a *Agent) confirmedAsOf() Time {
 	var confirmations []Time
 	for i := range a.peers {
 		p := &a.peers[i]
-		if p.heard == 0 || a.now-p.heard > peerTimeout || p.age < 0 {
+		if p.lastHeard == 0 || a.now-p.lastHeard > peerTimeout || p.age < 0 {
 			continue
 		}
 		if a.confirmsOwnList(p) {
@@ -39,28 +39,27 @@
 		p.vector.List.CompareGeneration(a.vector.List) == version.Newer && a.applied.CompareGeneration(p.vector.List) != version.Older
 }
 
-// sourceStale reports whether so much of the fleet has no recent list that the source
-// is stale rather than this process cut off.
+// sourceStale reports whether the source is stale for the whole fleet, rather than this
+// process cut off from it: a large fraction of the peers has no recent list either.
 func (a *Agent) sourceStale(age time.Duration) bool {
-	otherProcesses := len(a.otherProcesses()) // those that are gone are not counted
+	otherProcesses := len(a.otherProcesses()) // those known to be gone are not counted
 	window := min(forgetAfter, age-a.settings.NarrowAfter/2)
 	if window <= 0 {
 		return false
 	}
 	if a.sourceStaleAt > 0 && a.now-a.sourceStaleAt < staleSourceHold {
-		return true // few peers may be heard by chance
+		return true // messages of few peers may have arrived since, by chance
 	}
 	fraction := a.settings.StaleSourceFraction
-	if age < a.settings.CloseAfter { // few peers can be heard in so short a time, and narrowing can wait
+	if age < a.settings.CloseAfter { // the window is too short for messages of most peers
 		fraction /= 2
 	}
 	stale := 0
 	for i := range a.peers {
 		p := &a.peers[i]
-		// A peer whose source is back and that has the same list does not contradict
-		// this one: it guards against closing when the source recovers for others
-		// first.
-		if p.heard > 0 && a.now-p.sentAt <= window && (p.age < 0 || p.age >= a.settings.NarrowAfter/2 || a.confirmsOwnList(p)) {
+		// A peer whose source is back also counts if it confirms the list here, so that
+		// this process does not close when the source recovers for others first.
+		if p.lastHeard > 0 && a.now-p.sentAt <= window && (p.age < 0 || p.age >= a.settings.NarrowAfter/2 || a.confirmsOwnList(p)) {
 			stale++
 		}
 	}
@@ -73,7 +72,7 @@
 	return true
 }
 
-// updateMode computes the mode.
+// updateMode computes the mode and reports a change.
 func (a *Agent) updateMode() {
 	age := a.now - max(a.confirmedAsOf(), a.started)
 	if a.holdUntil > 0 && (a.now >= a.holdUntil || a.now-age >= a.resumedAt) {
@@ -81,7 +80,7 @@
 	}
 	next, reason := Current, ""
 	switch {
-	case a.settings.ObserveOnly || a.fleet.Size() <= 1: // no peer could confirm anything
+	case a.settings.ObserveOnly || a.fleet.Size() <= 1: // no peer that could confirm the list
 	case age < a.settings.NarrowAfter:
 	case a.sourceStale(age):
 		next, reason = Held, fmt.Sprintf("nobody's source has spoken for %v", age.Round(time.Second))
@@ -94,7 +93,7 @@
 		a.reopenAt = 0
 		return
 	}
-	// Reopen at random times: processes that closed together must not return together.
+	// Processes that closed together reopen at random times, not all at once.
 	if a.mode == Closed && next < Closed {
 		if a.reopenAt == 0 {
 			a.reopenAt = a.now + Time(a.rng.Float64()*float64(a.settings.ReopenJitter))
@@ -117,18 +116,18 @@
 	return reason
 }
 
-// markBehindPeers marks the peers that act on too old a list. If too large a fraction
-// of the live peers would be marked, none is: then they are the majority, or the source
-// is late for most.
+// markBehindPeers marks the peers that act on an outdated list. If too large a fraction
+// of the live peers would be marked, none is: they may be right, or the source may be
+// late for most.
 func (a *Agent) markBehindPeers() {
-	behind, heard := 0, 0
+	behind, live := 0, 0
 	for i := range a.peers {
 		p := &a.peers[i]
 		p.behind = false
-		if p.heard == 0 || a.now-p.heard > peerTimeout {
+		if p.lastHeard == 0 || a.now-p.lastHeard > peerTimeout {
 			continue
 		}
-		heard++
+		live++
 		own := a.vector.List
 		if a.now-a.listAt > a.settings.BehindAfter && p.sentAt-a.listAt > a.settings.BehindAfter && a.now-a.confirmed < a.settings.NarrowAfter &&
 			p.applied.CompareGeneration(own) == version.Older {
@@ -136,7 +135,7 @@
 			behind++
 		}
 	}
-	if float64(behind) > (1-a.settings.StaleSourceFraction)*float64(heard)/2 && behind > 1 {
+	if float64(behind) > (1-a.settings.StaleSourceFraction)*float64(live)/2 && behind > 1 {
 		for i := range a.peers {
 			a.peers[i].behind = false
 		}
@@ -153,12 +152,12 @@
 	Ignored        bool           `json:"unused"`
 }
 
-// Peers lists the processes that have ever been heard.
+// Peers lists the processes from which a message has been received, by number.
 func (a *Agent) Peers() []Peer {
 	var out []Peer
 	for i := range a.peers {
-		if p := &a.peers[i]; p.heard > 0 {
-			out = append(out, Peer{i, p.vector, p.applied, p.mode.String(), a.now - p.heard, p.behind})
+		if p := &a.peers[i]; p.lastHeard > 0 {
+			out = append(out, Peer{i, p.vector, p.applied, p.mode.String(), a.now - p.lastHeard, p.behind})
 		}
 	}
 	return out
--- a/fleet/follow/words.go
+++ b/fleet/follow/words.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// sendWithdrawals sends the complete withdrawals between a version and the advertised
-// one to some processes.
+// sendWithdrawals sends all withdrawals between a version and the advertised one to some
+// processes.
 func (a *Agent) sendWithdrawals(to []int, since version.List, withdrawn []withdrawal) {
 	parts := (len(withdrawn) + maxWithdrawals - 1) / maxWithdrawals
 	if parts > maxParts {
@@ -38,7 +38,7 @@
 }
 
 // sendHello sends a hello, with the newest withdrawals if they are known to be complete
-// since some version. So a process that no peer hears is kept up to date too.
+// since some version. So a process whose queries are lost is kept up to date too.
 func (a *Agent) sendHello(to int) {
 	if !a.listed || a.logFloor.Epoch != a.advertisedVersion().Epoch {
 		a.send(to, a.message(hello))
@@ -61,10 +61,10 @@
 	best := -1
 	for i := range a.peers {
 		p := &a.peers[i]
-		if p.heard == 0 || a.now-p.heard > peerTimeout || p.applied.CompareGeneration(a.applied) != version.Newer || a.now < p.queriedAt+p.queryWait {
+		if p.lastHeard == 0 || a.now-p.lastHeard > peerTimeout || p.applied.CompareGeneration(a.applied) != version.Newer || a.now < p.queriedAt+p.queryWait {
 			continue
 		}
-		if best < 0 || p.heard > a.peers[best].heard {
+		if best < 0 || p.lastHeard > a.peers[best].lastHeard {
 			best = i
 		}
 	}
@@ -74,9 +74,9 @@
 	p := &a.peers[best]
 	p.queriedAt, p.queryWait = a.now, min(maxQueryRetry, max(minQueryRetry, 2*p.queryWait))
 	a.nextQuery = a.now + queryInterval
-	m := a.message(query)
-	m.since = a.applied
-	a.send(best, m)
+	msg := a.message(query)
+	msg.since = a.applied
+	a.send(best, msg)
 }
 
 // answerQuery sends a process the withdrawals since a version one by one or, if the log
@@ -129,8 +129,8 @@
 		return result
 	}
 	for _, k := range a.pendingKeys() {
-		if h := a.pending[k]; h.enforced && h.list.CompareGeneration(base) == version.Newer {
-			w := h.withdrawal
+		if report := a.pending[k]; report.enforced && report.list.CompareGeneration(base) == version.Newer {
+			w := report.withdrawal
 			w.relayed = true
 			result = append(result, w)
 		}
@@ -138,7 +138,7 @@
 	return result
 }
 
-// collect adds a part of an answer and reports whether it is complete.
+// collect adds a part of an answer and reports whether the answer is complete.
 func (p *peer) collect(msg *message, applicable bool) bool {
 	answer := &p.parts
 	if answer.kind != msg.kind || answer.to != msg.applied || answer.since != msg.since || answer.total != msg.parts {
@@ -197,8 +197,8 @@
 }
 
 // advanceApplied records that all withdrawals up to a version are in force here, if
-// enough peers have that version: a peer that claims a huge version must not keep this
-// process from querying the others.
+// enough peers have that version. Otherwise a single peer with a huge version could keep
+// this process from querying the others.
 func (a *Agent) advanceApplied(sender *peer, to version.List) {
 	sender.queryWait = 0
 	if to.CompareGeneration(a.applied) != version.Newer || a.countAtLeast(to) < a.quorum() {
@@ -213,7 +213,7 @@
 func (a *Agent) countAtLeast(to version.List) int {
 	n := 0
 	for i := range a.peers {
-		if p := &a.peers[i]; p.heard > 0 && a.now-p.heard <= peerTimeout && p.applied.CompareGeneration(to) != version.Older {
+		if p := &a.peers[i]; p.lastHeard > 0 && a.now-p.lastHeard <= peerTimeout && p.applied.CompareGeneration(to) != version.Older {
 			n++
 		}
 	}
@@ -223,7 +223,7 @@
 // applyWithdrawal processes one withdrawal that a peer reports. It is enforced at once
 // unless the own source has reached that version, within limits on how much of the list
 // peers may withdraw; the limit for a single peer is lower than for several that agree.
-// inForce reports that nothing keeps the withdrawal from being in force.
+// inForce reports whether the withdrawal is in force here or superseded by the own source.
 func (a *Agent) applyWithdrawal(from int, sender *peer, received withdrawal) (enforced, inForce bool) {
 	if a.settings.ObserveOnly {
 		return false, false
@@ -270,10 +270,10 @@
 }
 
 // independentReporters counts the peers that have the withdrawal from their own
-// sources. A relayed report counts as one if there is no other.
-func (h *pending) independentReporters() int {
-	n := len(h.reporters)
-	if n > 1 && slices.Contains(h.reporters, -1) {
+// sources. Relayed reports count as one, and only if there is no other.
+func (p *pending) independentReporters() int {
+	n := len(p.reporters)
+	if n > 1 && slices.Contains(p.reporters, -1) {
 		n--
 	}
 	return n
@@ -283,11 +283,11 @@
 // peers have already withdrawn.
 func (a *Agent) withinLimits(candidate *pending) bool {
 	singleReporter, total := 0, 0
-	for k, o := range a.pending {
-		if x, known := a.entries[k]; !o.enforced || !known || x.state != version.Up {
+	for k, report := range a.pending {
+		if server, known := a.entries[k]; !report.enforced || !known || server.state != version.Up {
 			continue
 		}
-		if total++; o.independentReporters() < 2 {
+		if total++; report.independentReporters() < 2 {
 			singleReporter++
 		}
 	}
@@ -301,8 +301,8 @@
 	return total < limit(a.settings.AllPeersFraction)
 }
 
-// expireUnconfirmed drops reports that the own source, though live since, has not
-// confirmed in time, and does not count their reporters for a while.
+// expireUnconfirmed drops reports that the own source, although live since, has not
+// confirmed in time, and ignores their reporters for a while.
 func (a *Agent) expireUnconfirmed() {
 	changed := false
 	for _, serverKey := range a.pendingKeys() {
@@ -310,15 +310,15 @@
 		if a.retracted(report) {
 			a.drop(serverKey, report)
 			changed = changed || report.enforced
-			for _, t := range report.reporters { // guards against a peer that repeats it over and over
-				if t >= 0 {
-					a.peers[t].distrustedUntil = a.now + distrustTime/4
+			for _, reporter := range report.reporters { // limits a peer that repeats it
+				if reporter >= 0 {
+					a.peers[reporter].distrustedUntil = a.now + distrustTime/4
 				}
 			}
 			continue
 		}
 		wait := a.settings.UnconfirmedTimeout
-		if report.independentReporters() > 1 { // several sources against one: the own one may be late
+		if report.independentReporters() > 1 { // several sources agree: the own one may be late
 			wait *= 4
 		}
 		if a.confirmed < report.receivedAt+wait || a.now-a.confirmed > a.settings.NarrowAfter {
@@ -326,9 +326,9 @@
 		}
 		a.drop(serverKey, report)
 		a.counts.Reverted++
-		for _, t := range report.reporters {
-			if t >= 0 && report.independentReporters() == 1 {
-				a.peers[t].distrustedUntil = a.now + distrustTime
+		for _, reporter := range report.reporters {
+			if reporter >= 0 && report.independentReporters() == 1 {
+				a.peers[reporter].distrustedUntil = a.now + distrustTime
 			}
 		}
 		if report.enforced {
@@ -341,8 +341,8 @@
 	}
 }
 
-// drop removes a report that the own source does not confirm. All withdrawals beyond
-// the own list must be received anew.
+// drop removes a report that the own source does not confirm, and resets the applied
+// version to the own list's: withdrawals beyond it must be received again.
 func (a *Agent) drop(serverKey version.Key, report *pending) {
 	delete(a.pending, serverKey)
 	if a.applied.CompareGeneration(a.vector.List) == version.Newer {
@@ -353,8 +353,8 @@
 	}
 }
 
-// retracted reports whether nobody stands by a report any more: the own source has
-// answered since, and all its reporters now have the own source's list.
+// retracted reports whether a report no longer has a supporter: the own source has
+// answered since, and all reporters now have the own source's list.
 func (a *Agent) retracted(report *pending) bool {
 	if a.confirmed <= report.receivedAt || !a.ownSourceFresh() {
 		return false
@@ -362,7 +362,7 @@
 	own := a.vector.List
 	hasOwnList := func(number int) bool {
 		p := &a.peers[number]
-		return p.heard > report.receivedAt && p.vector.List.Generation == own.Generation && p.vector.List.Digest == own.Digest
+		return p.lastHeard > report.receivedAt && p.vector.List.Generation == own.Generation && p.vector.List.Digest == own.Digest
 	}
 	for _, number := range report.reporters {
 		if number >= 0 && !hasOwnList(number) {
