--- a/fleet/roster/api.go
+++ b/fleet/roster/api.go
@@ -41,16 +41,16 @@
 // Settings configure a roster. They must be the same at all processes.
 type Settings struct {
 	ProbePeriod            time.Duration  // one probe is started in each period
-	ProbeTimeout           time.Duration  // of a probe, until indirect probes are requested
+	ProbeTimeout           time.Duration  // time without an ack until indirect probes are requested
 	IndirectProbes         int            // members asked to probe on this process's behalf
 	SuspicionMultiplier    float64        // minimum suspicion time, in periods times log10 of the fleet size
-	SuspicionMaxMultiplier float64        // of the minimum, with one failed own probe; doubled with none
+	SuspicionMaxMultiplier float64        // multiple of the minimum after one or two failed own probes; doubled without any
 	MaxAwareness           int            // upper bound of the local health score
 	RetransmitMultiplier   float64        // transmissions of an update, times log10 of the fleet size
-	BytesPerSecond         float64        // gossip budget; beyond it datagrams carry few updates
+	BytesPerSecond         float64        // budget of sent bytes; beyond it datagrams carry few updates
 	ForgetAfter            time.Duration  // time until a gone member is removed
-	AllowedPrefixes        []netip.Prefix // accepted senders beside members and seeds
-	MaxMembers             int            // known members, at most
+	AllowedPrefixes        []netip.Prefix // accepted senders in addition to members and seeds
+	MaxMembers             int            // limit of known members, without this process
 	IDLimit                ID             // exclusive upper bound of valid IDs
 }
 
@@ -75,9 +75,9 @@
 	PeerActive struct{ ID ID }
 	// Tick must be delivered ten times per period or more often.
 	Tick struct{}
-	// Resumed reports that this process was paused.
+	// Resumed reports that this process was paused for a time.
 	Resumed struct{ Gap time.Duration }
-	// Leaving reports that this process is about to shut down in order.
+	// Leaving reports that this process is about to shut down gracefully.
 	Leaving struct{}
 )
 
@@ -129,13 +129,13 @@
 	UnknownSenders        uint64 // datagrams from senders that are not accepted
 	Malformed             uint64
 	Stale                 uint64 // datagrams of a former incarnation
-	IncarnationsRaised    uint64 // changes to a later incarnation after meeting a former one of its own
+	IncarnationsRaised    uint64 // changes to a later incarnation because a former one had the same or a higher number
 	MembersRejected       uint64 // members not added because of MaxMembers
 }
 
 // NumberedAddr returns a placeholder address for a process in a configuration that numbers
 // all processes and where each process reaches the others at different addresses. It is
-// never used on the network.
+// never used on the network. number must be from 0 to 65535.
 func NumberedAddr(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{0, 0, byte(number >> 8), byte(number)}), 1)
 }
@@ -166,7 +166,7 @@
 // IsMessage reports whether a datagram belongs to this package.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == formatByte }
 
-// IsGone reports whether a member is gone or has left.
+// IsGone reports whether a member is gone or has left; false if it is not known.
 func (r *Roster) IsGone(id ID) bool {
 	m := r.members[id]
 	return m != nil && (m.Status == Gone || m.Status == Left)
--- a/fleet/roster/message.go
+++ b/fleet/roster/message.go
@@ -82,16 +82,16 @@
 	return to
 }
 
-func parse(b []byte) (message, error) {
+func parse(data []byte) (message, error) {
 	var m message
-	if len(b) < headerSize || len(b) > MaxDatagram || b[0] != formatByte || b[1] >= byte(kindCount) || (len(b)-headerSize)%updateSize != 0 {
+	if len(data) < headerSize || len(data) > MaxDatagram || data[0] != formatByte || data[1] >= byte(kindCount) || (len(data)-headerSize)%updateSize != 0 {
 		return m, errMalformed
 	}
-	m = message{kind: kind(b[1]), seq: binary.BigEndian.Uint32(b[2:]), id: ID(binary.BigEndian.Uint32(b[6:])), incarnation: Incarnation(binary.BigEndian.Uint32(b[10:])),
-		refutations: binary.BigEndian.Uint16(b[14:]), digest: binary.BigEndian.Uint32(b[16:]), target: ID(binary.BigEndian.Uint32(b[20:])), targetAddr: readAddr(b[24:])}
-	for b = b[headerSize:]; len(b) > 0; b = b[updateSize:] {
-		u := update{status: Status(b[0]), id: ID(binary.BigEndian.Uint32(b[1:])), incarnation: Incarnation(binary.BigEndian.Uint32(b[5:])),
-			refutations: binary.BigEndian.Uint16(b[9:]), addr: readAddr(b[11:])}
+	m = message{kind: kind(data[1]), seq: binary.BigEndian.Uint32(data[2:]), id: ID(binary.BigEndian.Uint32(data[6:])), incarnation: Incarnation(binary.BigEndian.Uint32(data[10:])),
+		refutations: binary.BigEndian.Uint16(data[14:]), digest: binary.BigEndian.Uint32(data[16:]), target: ID(binary.BigEndian.Uint32(data[20:])), targetAddr: readAddr(data[24:])}
+	for data = data[headerSize:]; len(data) > 0; data = data[updateSize:] {
+		u := update{status: Status(data[0]), id: ID(binary.BigEndian.Uint32(data[1:])), incarnation: Incarnation(binary.BigEndian.Uint32(data[5:])),
+			refutations: binary.BigEndian.Uint16(data[9:]), addr: readAddr(data[11:])}
 		if u.status >= statusCount {
 			return m, errMalformed
 		}
--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -13,18 +13,18 @@
 const (
 	// Members sent per period by full-state synchronization, on average.
 	syncMembersPerPeriod = 24.0
-	// Probes of suspects started per period, beside the regular probe.
+	// Probes of suspects started per period, at most, in addition to the regular probe.
 	maxSuspectProbes = 4
 	maxPingsPerProbe = 3
-	// Concurrent regular probes, as long as earlier ones are not answered.
+	// Regular probes that may be unanswered at the same time.
 	maxUnansweredProbes = 4
 	// Members at the head of the probe order from which the next target is chosen.
 	probeLookahead = 6
-	// Members notified at once of a suspicion raised by this process.
+	// Members notified immediately of a suspicion raised by this process.
 	suspicionFanout = 2
 	// Failed own probes after which the minimum suspicion time applies.
 	failuresForShortTimeout = 3
-	// Processes that probe a suspect per period, on average.
+	// Processes of the fleet that probe the same suspect per period, on average.
 	suspectProbersPerPeriod = 60.0
 	// Probability per period of pinging a seed that never answered, if others are known.
 	seedRetryProbability = 0.1
@@ -125,7 +125,8 @@
 		case m == nil || m.Status == Left:
 		case m.Status != Gone:
 			r.markHeard(m)
-		// The partition may have healed: a probe tells the member its status here, and it refutes.
+		// The partition may have healed: a probe notifies the member of its status here, so that
+		// it can refute it.
 		case r.now-m.lastNotified >= r.settings.ProbePeriod:
 			m.lastNotified = r.now
 			r.startProbe(m, false)
@@ -195,10 +196,10 @@
 
 // send queues a message with as many member updates as fit, those transmitted least often
 // first.
-func (r *Roster) send(to netip.AddrPort, m message) {
-	m.id, m.incarnation, m.refutations, m.digest = r.self.ID, r.self.Incarnation, r.self.Refutations, r.Digest()
+func (r *Roster) send(to netip.AddrPort, msg message) {
+	msg.id, msg.incarnation, msg.refutations, msg.digest = r.self.ID, r.self.Incarnation, r.self.Refutations, r.Digest()
 	if r.leaving {
-		m.updates = append(m.updates, update{Left, r.self.ID, r.self.Incarnation, r.self.Refutations, r.self.Addr})
+		msg.updates = append(msg.updates, update{Left, r.self.ID, r.self.Incarnation, r.self.Refutations, r.self.Addr})
 	}
 	limit := int(math.Ceil(r.settings.RetransmitMultiplier * math.Log10(float64(len(r.members)+2))))
 	var pending []*member
@@ -210,17 +211,17 @@
 	slices.SortFunc(pending, func(a, b *member) int { return cmp.Or(cmp.Compare(a.transmits, b.transmits), cmp.Compare(a.ID, b.ID)) })
 	// A suspected receiver is always sent its own status, so that it can refute.
 	if x := r.members[r.byAddr[to]]; x != nil && x.Status != Alive {
-		m.updates = append(m.updates, x.update())
+		msg.updates = append(msg.updates, x.update())
 	}
 	room := MaxUpdates
 	if r.byteBudget < 0 {
 		room = updatesOverBudget
 	}
-	for _, x := range pending[:max(0, min(len(pending), room-len(m.updates)))] {
+	for _, x := range pending[:max(0, min(len(pending), room-len(msg.updates)))] {
 		x.transmits++
-		m.updates = append(m.updates, x.update())
+		msg.updates = append(msg.updates, x.update())
 	}
-	data := m.append(make([]byte, 0, MaxDatagram))
+	data := msg.append(make([]byte, 0, MaxDatagram))
 	r.counts.Datagrams++
 	r.counts.Bytes += uint64(len(data))
 	r.byteBudget = max(-maxDebtSeconds*r.settings.BytesPerSecond, r.byteBudget-float64(len(data)))
@@ -238,7 +239,7 @@
 }
 
 func (r *Roster) handleDatagram(e DatagramReceived) {
-	m, err := parse(e.Data)
+	msg, err := parse(e.Data)
 	if err != nil {
 		r.counts.Malformed++
 		return
@@ -247,31 +248,31 @@
 		r.counts.UnknownSenders++
 		return
 	}
-	if m.id == r.self.ID || r.leaving {
+	if msg.id == r.self.ID || r.leaving {
 		return
 	}
-	if m.id >= r.settings.IDLimit {
+	if msg.id >= r.settings.IDLimit {
 		r.counts.UnknownSenders++
 		return
 	}
-	from := r.members[m.id]
+	from := r.members[msg.id]
 	switch {
-	case from != nil && (m.incarnation < from.Incarnation || m.incarnation == from.Incarnation && from.Status == Left):
+	case from != nil && (msg.incarnation < from.Incarnation || msg.incarnation == from.Incarnation && from.Status == Left):
 		r.counts.Stale++
 		r.sendKnownIncarnation(from, e.From)
 		return
-	case from != nil && from.Addr != e.From && m.incarnation == from.Incarnation:
+	case from != nil && from.Addr != e.From && msg.incarnation == from.Incarnation:
 		r.counts.UnknownSenders++ // another process's ID
 		return
 	}
-	if from = r.applyUpdate(update{Alive, m.id, m.incarnation, m.refutations, e.From}, m.id, true); from == nil {
+	if from = r.applyUpdate(update{Alive, msg.id, msg.incarnation, msg.refutations, e.From}, msg.id, true); from == nil {
 		return
 	}
-	for _, u := range m.updates {
+	for _, u := range msg.updates {
 		if u.id == r.self.ID {
 			r.refute(u)
 		} else {
-			r.applyUpdate(u, m.id, false)
+			r.applyUpdate(u, msg.id, false)
 		}
 	}
 	if from.Status == Left {
@@ -279,46 +280,46 @@
 	}
 	from.lastDatagram = r.now
 	r.markHeard(from)
-	r.syncIfDiffers(from, m.digest)
-	switch m.kind {
+	r.syncIfDiffers(from, msg.digest)
+	switch msg.kind {
 	case ping:
-		r.send(e.From, message{kind: ack, seq: m.seq})
+		r.send(e.From, message{kind: ack, seq: msg.seq})
 	case ack:
-		r.handleAck(m.seq, m.id)
+		r.handleAck(msg.seq, msg.id)
 	case pingRequest:
-		if len(r.relays) < maxRelays && m.target != r.self.ID {
+		if len(r.relays) < maxRelays && msg.target != r.self.ID {
 			r.seq++
-			r.relays[r.seq] = &relay{seq: m.seq, to: e.From, sent: r.now, memberID: m.target}
-			r.send(m.targetAddr, message{kind: ping, seq: r.seq, target: m.target})
+			r.relays[r.seq] = &relay{seq: msg.seq, to: e.From, sent: r.now, memberID: msg.target}
+			r.send(msg.targetAddr, message{kind: ping, seq: r.seq, target: msg.target})
 		}
 	case nack:
-		if p := r.probes[m.seq]; p != nil {
+		if p := r.probes[msg.seq]; p != nil {
 			p.nacks++
 		}
 	}
 }
 
 // sendKnownIncarnation notifies a process that uses an outdated incarnation of the one known
-// here, so that it takes a later one. This happens after a restart with a clock that was set
-// back, or within the same second. Nothing is sent while the known incarnation is active,
-// since the datagram is then a late one of its predecessor.
-func (r *Roster) sendKnownIncarnation(m *member, to netip.AddrPort) {
-	if r.now-m.lastDatagram < r.settings.ProbePeriod || r.now-m.lastNotified < r.settings.ProbePeriod {
+// here, so that it changes to a later one. An incarnation is outdated after a restart with a
+// clock that was set back, or within the same second. Nothing is sent while the known
+// incarnation is active: then the datagram is a delayed one of its predecessor.
+func (r *Roster) sendKnownIncarnation(peer *member, to netip.AddrPort) {
+	if r.now-peer.lastDatagram < r.settings.ProbePeriod || r.now-peer.lastNotified < r.settings.ProbePeriod {
 		return
 	}
-	m.lastNotified = r.now
-	r.send(to, message{kind: stateSync, updates: []update{m.update()}})
+	peer.lastNotified = r.now
+	r.send(to, message{kind: stateSync, updates: []update{peer.update()}})
 }
 
 // syncIfDiffers starts sending all members to a process whose view differs, at most every
 // other period and less often in a large fleet, so that the bandwidth does not grow with it.
-func (r *Roster) syncIfDiffers(m *member, digest uint32) {
+func (r *Roster) syncIfDiffers(peer *member, digest uint32) {
 	if digest == r.Digest() || r.now < r.nextSync || len(r.syncPending) > 0 {
 		return
 	}
-	r.nextSync, r.syncTo = r.now+Time(max(2, float64(len(r.members))/syncMembersPerPeriod)*float64(r.settings.ProbePeriod)), m.Addr
+	r.nextSync, r.syncTo = r.now+Time(max(2, float64(len(r.members))/syncMembersPerPeriod)*float64(r.settings.ProbePeriod)), peer.Addr
 	for _, id := range r.sortedIDs() {
-		if id != m.ID {
+		if id != peer.ID {
 			r.syncPending = append(r.syncPending, id)
 		}
 	}
@@ -332,23 +333,23 @@
 			return
 		}
 		n := min(len(r.syncPending), MaxUpdates-1) // one update is reserved for the receiver's own status
-		m := message{kind: stateSync}
+		msg := message{kind: stateSync}
 		for _, id := range r.syncPending[:n] {
-			if x := r.members[id]; x != nil {
-				m.updates = append(m.updates, x.update())
+			if peer := r.members[id]; peer != nil {
+				msg.updates = append(msg.updates, peer.update())
 			}
 		}
 		r.syncPending = r.syncPending[n:]
-		r.send(r.syncTo, m)
+		r.send(r.syncTo, msg)
 	}
 }
 
 // markHeard records that this process itself heard from a member, which ends a suspicion.
-func (r *Roster) markHeard(m *member) {
+func (r *Roster) markHeard(peer *member) {
 	r.lastHeard = r.now
-	m.LastHeard, m.lastDirect, m.failedProbes = r.now, r.now, 0
-	if m.Status == Suspect {
-		r.setStatus(m, Alive)
+	peer.LastHeard, peer.lastDirect, peer.failedProbes = r.now, r.now, 0
+	if peer.Status == Suspect {
+		r.setStatus(peer, Alive)
 	}
 }
 
@@ -372,11 +373,11 @@
 }
 
 // applyUpdate applies an update of a member: one of a later incarnation, of a later
-// refutation count, or a worse status with the same numbers. fromSelf tells that the member
-// sent it itself. The result is nil if the member is not known and is not added.
+// refutation count, or a worse status with the same numbers. fromSelf is set if the member
+// itself sent the update. The result is nil if the member is not known and is not added.
 func (r *Roster) applyUpdate(reported update, reporter ID, fromSelf bool) *member {
-	m := r.members[reported.id]
-	if m == nil {
+	target := r.members[reported.id]
+	if target == nil {
 		if reported.id >= r.settings.IDLimit {
 			return nil
 		}
@@ -387,59 +388,60 @@
 			r.counts.MembersRejected++
 			return nil
 		}
-		m = &member{Member: Member{ID: reported.id, Addr: reported.addr, Incarnation: reported.incarnation, Refutations: reported.refutations, StatusSince: r.now}, countsForMajority: true}
-		r.members[reported.id], r.byAddr[reported.addr] = m, reported.id
+		target = &member{Member: Member{ID: reported.id, Addr: reported.addr, Incarnation: reported.incarnation, Refutations: reported.refutations, StatusSince: r.now}, countsForMajority: true}
+		r.members[reported.id], r.byAddr[reported.addr] = target, reported.id
 		r.probeOrder = append(r.probeOrder, reported.id)
-		r.setStatus(m, Alive)
+		r.setStatus(target, Alive)
 		if reported.status != Suspect {
-			return m
+			return target
 		}
 	}
 	switch {
-	case reported.incarnation < m.Incarnation, reported.incarnation == m.Incarnation && int16(reported.refutations-m.Refutations) < 0:
-		return m
-	// A new incarnation must announce itself, and can't displace one heard from just now.
-	case reported.incarnation > m.Incarnation:
-		if reported.status != Alive && !fromSelf || !fromSelf && m.lastDatagram > 0 && r.now-m.lastDatagram < r.settings.ProbePeriod {
-			return m
-		}
-		delete(r.byAddr, m.Addr)
-		m.Incarnation, m.Refutations, m.Addr, m.failedProbes, m.countsForMajority = reported.incarnation, reported.refutations, reported.addr, 0, true
+	case reported.incarnation < target.Incarnation, reported.incarnation == target.Incarnation && int16(reported.refutations-target.Refutations) < 0:
+		return target
+	// A new incarnation must announce itself, and does not replace one that was heard from
+	// within a period.
+	case reported.incarnation > target.Incarnation:
+		if reported.status != Alive && !fromSelf || !fromSelf && target.lastDatagram > 0 && r.now-target.lastDatagram < r.settings.ProbePeriod {
+			return target
+		}
+		delete(r.byAddr, target.Addr)
+		target.Incarnation, target.Refutations, target.Addr, target.failedProbes, target.countsForMajority = reported.incarnation, reported.refutations, reported.addr, 0, true
 		r.byAddr[reported.addr] = reported.id
-		r.setStatus(m, Alive)
+		r.setStatus(target, Alive)
 	case reported.status == Alive:
-		if newer := int16(reported.refutations-m.Refutations) > 0; newer && m.Status != Left {
-			m.Refutations, m.failedProbes = reported.refutations, 0
-			if m.Status != Alive {
-				r.setStatus(m, Alive)
+		if newer := int16(reported.refutations-target.Refutations) > 0; newer && target.Status != Left {
+			target.Refutations, target.failedProbes = reported.refutations, 0
+			if target.Status != Alive {
+				r.setStatus(target, Alive)
 			} else {
-				m.transmits = 0
+				target.transmits = 0
 			}
 		}
-	case reported.status == Left && m.Status != Left:
-		m.Refutations = reported.refutations
-		if fromSelf || reporter == reported.id || m.lastDirect == 0 || r.now-m.lastDirect > r.settings.ProbePeriod {
-			m.countsForMajority = false
-			r.setStatus(m, Left)
+	case reported.status == Left && target.Status != Left:
+		target.Refutations = reported.refutations
+		if fromSelf || reporter == reported.id || target.lastDirect == 0 || r.now-target.lastDirect > r.settings.ProbePeriod {
+			target.countsForMajority = false
+			r.setStatus(target, Left)
 		}
 	// A peer report that the member is suspected or gone makes it suspect here, never gone.
-	case m.Status == Alive:
-		if m.lastDirect > 0 && r.now-m.lastDirect < r.settings.ProbePeriod {
-			return m // heard from within a period
+	case target.Status == Alive:
+		if target.lastDirect > 0 && r.now-target.lastDirect < r.settings.ProbePeriod {
+			return target // heard from within a period
 		}
-		m.Refutations = reported.refutations
-		r.setStatus(m, Suspect)
+		target.Refutations = reported.refutations
+		r.setStatus(target, Suspect)
 	}
-	return m
+	return target
 }
 
 // setStatus changes a member's status and marks it for dissemination.
-func (r *Roster) setStatus(m *member, to Status) {
-	m.transmits, m.Status, m.StatusSince = 0, to, r.now
+func (r *Roster) setStatus(peer *member, to Status) {
+	peer.transmits, peer.Status, peer.StatusSince = 0, to, r.now
 	if to == Suspect {
-		m.suspectedAt = r.now
+		peer.suspectedAt = r.now
 	}
-	r.actions = append(r.actions, StatusChanged{m.ID, to, m.Incarnation})
+	r.actions = append(r.actions, StatusChanged{peer.ID, to, peer.Incarnation})
 }
 
 // refute answers a suspicion of this process, or a claim that it has left.
@@ -529,8 +531,8 @@
 			continue
 		}
 		delete(r.probes, seq)
-		// Nacks, or anything heard since the probe was sent, show that this process is not the
-		// slow one.
+		// Nacks, or any message received since the probe was sent, show that this process is not
+		// slow itself.
 		if p.inRound && p.nacks == 0 && r.lastHeard <= p.sent {
 			r.awareness = min(r.settings.MaxAwareness, r.awareness+1)
 		}
@@ -549,8 +551,8 @@
 		}
 	}
 	r.nextPeriod = r.now + r.settings.ProbePeriod
-	// Processes that know only part of the seeds keep pinging the others, so that groups that
-	// formed separately find each other.
+	// Processes that know only some of the seeds keep pinging the others, so that separate
+	// groups find each other.
 	few := len(r.members) < len(r.seeds) || r.AliveCount() == 1
 	for _, a := range r.seeds {
 		if _, known := r.byAddr[a]; !known && a != r.self.Addr && (few || r.rng.Float64() < seedRetryProbability) {
@@ -601,11 +603,11 @@
 	return id
 }
 
-func (r *Roster) startProbe(m *member, inRound bool) {
+func (r *Roster) startProbe(peer *member, inRound bool) {
 	r.seq++
-	r.probes[r.seq] = &probe{memberID: m.ID, seq: r.seq, sent: r.now, pings: 1, inRound: inRound}
+	r.probes[r.seq] = &probe{memberID: peer.ID, seq: r.seq, sent: r.now, pings: 1, inRound: inRound}
 	r.counts.Probes++
-	r.send(m.Addr, message{kind: ping, seq: r.seq, target: m.ID})
+	r.send(peer.Addr, message{kind: ping, seq: r.seq, target: peer.ID})
 }
 
 // isProbed reports whether a probe of a member is pending.
@@ -653,14 +655,15 @@
 }
 
 // suspicionExpired reports whether a suspicion has lasted long enough to declare the member
-// gone. The time shortens with the number of this process's own failed probes.
-func (r *Roster) suspicionExpired(m *member) bool {
+// gone. The required time is shorter after failed probes by this process itself, and longer
+// while its local health score is high.
+func (r *Roster) suspicionExpired(peer *member) bool {
 	least := r.settings.SuspicionMultiplier * math.Max(1, math.Log10(float64(len(r.members)+1))) * float64(r.settings.ProbePeriod)
-	age := float64(r.now-max(m.suspectedAt, m.lastDirect)) / float64(1+r.awareness/2)
+	age := float64(r.now-max(peer.suspectedAt, peer.lastDirect)) / float64(1+r.awareness/2)
 	switch {
-	case m.failedProbes >= failuresForShortTimeout:
+	case peer.failedProbes >= failuresForShortTimeout:
 		return age >= least
-	case m.failedProbes > 0:
+	case peer.failedProbes > 0:
 		return age >= least*r.settings.SuspicionMaxMultiplier
 	}
 	return age >= 2*least*r.settings.SuspicionMaxMultiplier
@@ -669,15 +672,15 @@
 // expireMembers declares members gone whose suspicion expired, and removes old ones.
 func (r *Roster) expireMembers() {
 	for _, id := range r.sortedIDs() {
-		m := r.members[id]
+		peer := r.members[id]
 		switch {
-		case m.Status == Suspect && r.suspicionExpired(m):
-			r.setStatus(m, Gone)
-		case m.Status == Gone && m.countsForMajority && r.now-m.StatusSince > goneExclusionDelay && r.HasMajority():
-			m.countsForMajority = false
-		case (m.Status == Gone || m.Status == Left) && !m.countsForMajority && r.now-m.StatusSince > r.settings.ForgetAfter:
+		case peer.Status == Suspect && r.suspicionExpired(peer):
+			r.setStatus(peer, Gone)
+		case peer.Status == Gone && peer.countsForMajority && r.now-peer.StatusSince > goneExclusionDelay && r.HasMajority():
+			peer.countsForMajority = false
+		case (peer.Status == Gone || peer.Status == Left) && !peer.countsForMajority && r.now-peer.StatusSince > r.settings.ForgetAfter:
 			delete(r.members, id)
-			delete(r.byAddr, m.Addr)
+			delete(r.byAddr, peer.Addr)
 		}
 	}
 }
@@ -703,8 +706,8 @@
 	return all[:min(n, len(all))]
 }
 
-// handleResumed accounts for a pause of this process: the silence during it says nothing
-// about the members.
+// handleResumed accounts for a pause of this process, during which it could not hear from
+// members: suspicions start again, and silence does not include the pause.
 func (r *Roster) handleResumed(e Resumed) {
 	r.awareness = min(r.settings.MaxAwareness, r.awareness+2)
 	clear(r.probes)
--- a/fleet/roster/roster_test.go
+++ b/fleet/roster/roster_test.go
@@ -22,17 +22,17 @@
 	queue           timerQueue
 	nodes           []*Roster
 	nodeByAddr      map[netip.AddrPort]int
-	incarnation     []int // number of starts
+	incarnation     []int // number of starts of each process
 	up              []bool
 	pausedUntil     []Time
 	lastTick        []Time
 	lossRate        func(from, to int) float64
 	delay           func() time.Duration
 	duplicateRate   float64
-	falseSuspicions int           // suspicions of processes that are up
-	falseGone       map[ID]int    // times that a process that is up was declared gone
-	goneLearnedAt   map[ID][]Time // when others declared a dead process gone
-	starved         []bool
+	falseSuspicions int           // suspicions of running processes
+	falseGone       map[ID]int    // how often a running process was declared gone
+	goneLearnedAt   map[ID][]Time // when others declared a killed process gone
+	starved         []bool        // of CPU: ticks are delivered at random intervals
 }
 
 type timer struct {
@@ -82,22 +82,22 @@
 func (s *sim) start(i int) {
 	s.incarnation[i]++
 	s.up[i] = true
-	set := Defaults()
-	set.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("127.1.0.0/16")}
+	settings := Defaults()
+	settings.AllowedPrefixes = []netip.Prefix{netip.MustParsePrefix("127.1.0.0/16")}
 	var seeds []netip.AddrPort
 	for _, k := range []int{0, 1, 2} {
 		if k != i && len(seeds) < 2 {
 			seeds = append(seeds, addr(k))
 		}
 	}
-	s.nodes[i] = New(set, Member{ID: ID(i + 1), Addr: addr(i), Incarnation: Incarnation(1000 + s.incarnation[i])}, seeds, s.now, int64(i)*1000+int64(s.incarnation[i]))
+	s.nodes[i] = New(settings, Member{ID: ID(i + 1), Addr: addr(i), Incarnation: Incarnation(1000 + s.incarnation[i])}, seeds, s.now, int64(i)*1000+int64(s.incarnation[i]))
 	s.lastTick[i] = s.now
 	s.tick(i, s.incarnation[i])
 }
 
 func (s *sim) kill(i int) { s.up[i] = false; s.incarnation[i] += 0 }
 
-func (s *sim) timer(d time.Duration, do func()) {
+func (s *sim) schedule(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.queue, timer{s.now + d, s.seq, do})
 }
@@ -108,9 +108,9 @@
 			s.now = end
 			return
 		}
-		p := heap.Pop(&s.queue).(timer)
-		s.now = p.at
-		p.do()
+		next := heap.Pop(&s.queue).(timer)
+		s.now = next.at
+		next.do()
 	}
 }
 
@@ -123,7 +123,7 @@
 		next = time.Duration(s.rng.IntN(1200)) * time.Millisecond
 		s.pausedUntil[i] = s.now + next - 1
 	}
-	s.timer(next, func() { s.tick(i, incarnation) })
+	s.schedule(next, func() { s.tick(i, incarnation) })
 	if s.now < s.pausedUntil[i] && !s.starved[i] {
 		return
 	}
@@ -159,13 +159,13 @@
 	if !known || len(data) > MaxDatagram {
 		return
 	}
-	times := 1
+	copies := 1
 	if s.rng.Float64() < s.duplicateRate {
-		times = 2
+		copies = 2
 	}
-	for range times {
+	for range copies {
 		if s.rng.Float64() >= s.lossRate(from, k) {
-			s.timer(s.delay(), func() { s.deliver(from, k, data) })
+			s.schedule(s.delay(), func() { s.deliver(from, k, data) })
 		}
 	}
 }
@@ -174,7 +174,7 @@
 	switch {
 	case !s.up[to]:
 	case s.now < s.pausedUntil[to]:
-		s.timer(s.pausedUntil[to]-s.now+1, func() { s.deliver(from, to, data) })
+		s.schedule(s.pausedUntil[to]-s.now+1, func() { s.deliver(from, to, data) })
 	default:
 		if gap := s.now - s.lastTick[to]; gap > 400*time.Millisecond {
 			s.inject(to, Resumed{gap})
@@ -200,12 +200,12 @@
 	return true
 }
 
-func (s *sim) runUntilConverged(most time.Duration) time.Duration {
-	from := s.now
-	for !s.converged() && s.now-from < most {
+func (s *sim) runUntilConverged(limit time.Duration) time.Duration {
+	start := s.now
+	for !s.converged() && s.now-start < limit {
 		s.run(100 * time.Millisecond)
 	}
-	return s.now - from
+	return s.now - start
 }
 
 var large = flag.Bool("roster-large", false, "fleets of 150 to 1,000 processes too")
@@ -233,8 +233,8 @@
 			killedAt := s.now
 			detectionTime := s.runUntilConverged(2 * time.Minute)
 			firstDetection := time.Duration(-1)
-			if l := s.goneLearnedAt[ID(dead+1)]; len(l) > 0 {
-				firstDetection = l[0] - killedAt
+			if times := s.goneLearnedAt[ID(dead+1)]; len(times) > 0 {
+				firstDetection = times[0] - killedAt
 			}
 			t.Logf("%4d processes, loss %.1f: joined after %v; death detected first after %v, by all after %v; %.0f bytes and %.1f datagrams per second; %d live processes declared gone; %.0f false suspicions per process and hour", n, loss,
 				joinTime.Round(100*time.Millisecond), firstDetection.Round(100*time.Millisecond), detectionTime.Round(100*time.Millisecond), float64(after.Bytes-before.Bytes)/30, float64(after.Datagrams-before.Datagrams)/30, len(s.falseGone), suspicionsPerHour)
@@ -263,7 +263,7 @@
 			if s.nodes[0].AliveCount() != 4 || s.nodes[11].AliveCount() != 8 {
 				t.Errorf("sides see %d and %d alive, want 4 and 8", s.nodes[0].AliveCount(), s.nodes[11].AliveCount())
 			}
-			s.falseGone = map[ID]int{} // of the other side of the partition, which is unreachable
+			s.falseGone = map[ID]int{} // the two sides rightly declared each other gone
 			s.lossRate = func(int, int) float64 { return 0 }
 		}},
 		{"8 of 12 killed at once and restarted", func(s *sim) {
@@ -296,7 +296,7 @@
 			s.delay = func() time.Duration { return time.Duration(2500+s.rng.IntN(1000)) * time.Millisecond }
 			s.run(time.Minute)
 			s.delay = func() time.Duration { return 5 * time.Millisecond }
-			s.falseGone = map[ID]int{} // later than any suspicion timeout, so indistinguishable from a crash
+			s.falseGone = map[ID]int{} // the delay exceeds any suspicion timeout, like a crash
 		}, func(*testing.T, *sim) {}},
 		{"process paused for 3 s", func(s *sim) { s.pausedUntil[3] = s.now + 3*time.Second; s.run(20 * time.Second) }, func(*testing.T, *sim) {}},
 		{"loss in one direction only", func(s *sim) {
@@ -379,8 +379,8 @@
 		s := newSim(n, rapid.Uint64().Draw(r, "seed"))
 		loss := rapid.Float64Range(0, 0.4).Draw(r, "loss")
 		s.lossRate, s.duplicateRate = func(int, int) float64 { return loss }, 0.2
-		late := rapid.IntRange(0, 250).Draw(r, "late")
-		s.delay = func() time.Duration { return time.Duration(s.rng.IntN(late+1)) * time.Millisecond }
+		maxDelayMillis := rapid.IntRange(0, 250).Draw(r, "late")
+		s.delay = func() time.Duration { return time.Duration(s.rng.IntN(maxDelayMillis+1)) * time.Millisecond }
 		for range rapid.IntRange(0, 8).Draw(r, "events") {
 			s.run(time.Duration(rapid.IntRange(0, 20000).Draw(r, "later")) * time.Millisecond)
 			switch i := rapid.IntRange(0, n-1).Draw(r, "who"); {
@@ -397,7 +397,8 @@
 	})
 }
 
-// Processes that know only a seed that died during a lossy start must still find the others.
+// Processes whose only known seed died during a start with packet loss must still find the
+// others.
 func TestLossyStartLeavesNoIsolatedGroups(t *testing.T) {
 	for seed := range uint64(60) {
 		s := newSim(5, seed)
@@ -425,7 +426,7 @@
 				s.deliver(5, to, (&message{kind: ping, id: 6, incarnation: Incarnation(1000 + s.incarnation[5]), target: ID(to + 1)}).append(nil))
 			}
 			if s.now < floodEnd {
-				s.timer(9*time.Millisecond, flood)
+				s.schedule(9*time.Millisecond, flood)
 			}
 		}
 		traffic = func() {
@@ -436,7 +437,7 @@
 					}
 				}
 			}
-			s.timer(300*time.Millisecond, traffic)
+			s.schedule(300*time.Millisecond, traffic)
 		}
 		flood()
 		traffic()
@@ -460,7 +461,7 @@
 		s.inject(0, DatagramReceived{addr(1), data})
 		s.run(time.Second)
 		if m, err := parse(data); err == nil {
-			if again, err := parse(m.append(nil)); err != nil || fmt.Sprint(again) != fmt.Sprint(m) {
+			if decoded, err := parse(m.append(nil)); err != nil || fmt.Sprint(decoded) != fmt.Sprint(m) {
 				t.Errorf("re-encoded datagram differs from what was parsed: %v", err)
 			}
 		}
