--- a/fleet/subset/even.go
+++ b/fleet/subset/even.go
@@ -27,15 +27,15 @@
 			if targets[i] <= 0 {
 				continue
 			}
-			f := 0.0
+			sum := 0.0
 			for _, p := range users[i] {
-				f += quotient(load[p], weightSum[p])
+				sum += quotient(load[p], weightSum[p])
 			}
-			achieved[i] = f * w
+			achieved[i] = sum * w
 			maxError = math.Max(maxError, math.Abs(achieved[i]/targets[i]-1))
 		}
-		for p, s := range load {
-			if s > 0 && weightSum[p] == 0 { // requests without a server
+		for p, fraction := range load {
+			if fraction > 0 && weightSum[p] == 0 { // requests without a server
 				maxError = math.Inf(1)
 			}
 		}
--- a/fleet/subset/groups.go
+++ b/fleet/subset/groups.go
@@ -9,7 +9,7 @@
 // GroupCount is the number of groups of proxies.
 const GroupCount = 64
 
-// AllServers stands in place of a group for a proxy that uses every server.
+// AllServers is used in place of a group for a proxy that uses every server.
 const AllServers = -1
 
 // GroupSet is a set of groups; the empty set stands for all groups.
@@ -26,23 +26,23 @@
 	return bits.OnesCount64(uint64(s))
 }
 
-// GroupRanking lists the groups in the order of their rank for a unit.
+// GroupRanking lists the groups in the order of their rank for a unit, a server or pod.
 type GroupRanking [GroupCount]uint8
 
 // RankGroups ranks the groups for a unit by its name, by the same hashing that ranks processes
 // for a server.
-func RankGroups(unit string) (o GroupRanking) {
+func RankGroups(unit string) (ranking GroupRanking) {
 	key := xxhash.Sum64String(unit)
 	var score [GroupCount]uint64
 	for g := range GroupCount {
 		score[g] = Score(key, uint64(g))
 		i := g
-		for ; i > 0 && score[o[i-1]] < score[g]; i-- {
-			o[i] = o[i-1]
+		for ; i > 0 && score[ranking[i-1]] < score[g]; i-- {
+			ranking[i] = ranking[i-1]
 		}
-		o[i] = uint8(g)
+		ranking[i] = uint8(g)
 	}
-	return o
+	return ranking
 }
 
 // First returns the set of the n highest ranked groups.
@@ -56,8 +56,8 @@
 	return s
 }
 
-// GroupsPerServer returns in how many groups each server must be for groups with
-// serversPerGroup servers on average.
+// GroupsPerServer returns the number of groups that each server must be in, so that groups
+// have serversPerGroup servers on average; all groups if serversPerGroup is 0.
 func GroupsPerServer(servers, serversPerGroup int) int {
 	if servers <= serversPerGroup || serversPerGroup <= 0 {
 		return GroupCount
--- a/fleet/subset/groups_test.go
+++ b/fleet/subset/groups_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A ranking must contain each group once, and First(n) must return n nested groups.
+// A ranking must contain each group once, and First(n) must return n groups, including those
+// of First(n-1).
 func TestRankingGivesRequestedNumberOfGroups(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := RankGroups(rapid.String().Draw(t, "unit"))
@@ -25,7 +26,7 @@
 			t.Fatalf("in %d groups, want %d", s.Len(), n)
 		}
 		if n < GroupCount && uint64(o.First(n+1))&uint64(s) != uint64(s) && n+1 < GroupCount {
-			t.Fatal("the set of n groups is no subset of that of n+1")
+			t.Fatal("the set of n groups is not a subset of that of n+1")
 		}
 	})
 }
--- a/fleet/subset/plan.go
+++ b/fleet/subset/plan.go
@@ -6,7 +6,7 @@
 //
 // Each server is used by the processes that rank highest for it by rendezvous hashing (Thaler
 // and Ravishankar, 1998), so a process that joins or leaves changes little for the others. A
-// process with too few servers also takes the least used ones for which it ranks high. The
+// process with too few servers is also given the least used ones for which it ranks high. The
 // remaining differences between the sizes of sets are compensated by the servers' weights
 // (BalanceWeights) or by what each process observes of its servers.
 //
@@ -38,13 +38,13 @@
 	RelativeSize float64 // multiple of the mean size; 0: not known
 }
 
-// maxUsersFactor bounds the users of a server as a multiple of the wanted ones, when processes
-// are suspected. Whichever processes each process suspects, no others use the server, which
-// bounds its connections without coordination.
+// maxUsersFactor bounds the users of a server, as a multiple of the wanted number, when
+// processes are suspected. All processes choose the users from the same highest ranked ones,
+// so the server's connections are bounded even if each suspects different processes.
 const maxUsersFactor = 3
 
-// minRanked is the number of processes ranked for a server at least; those ranked lower never
-// use it by rank.
+// minRanked is the minimum number of processes that are ranked for a server; those beyond it
+// are never assigned by rank.
 const minRanked = 64
 
 // Planner computes plans for a fleet and caches rankings. It is not safe for concurrent use.
@@ -122,7 +122,7 @@
 type Plan struct {
 	processes []Process
 	indexByID map[uint32]int32
-	users     [][]int32 // by server; in order of rank, then those from fillSets
+	users     [][]int32 // by server; in order of rank, then those added by fillSets
 	sets      [][]int32 // by process
 	keys      []uint64  // by server
 	rankings  [][]int32 // by server
@@ -168,9 +168,9 @@
 
 // assignUsers gives a server its highest ranked processes. Suspected ones do not count, so
 // that each has a substitute, up to maxUsersFactor.
-func (pl *Plan) assignUsers(p *Planner, serverIndex int32, server *Server) {
-	want := p.wantedUsers(server)
-	ranking, healthy := p.rankProcesses(server), 0
+func (pl *Plan) assignUsers(planner *Planner, serverIndex int32, server *Server) {
+	want := planner.wantedUsers(server)
+	ranking, healthy := planner.rankProcesses(server), 0
 	pl.rankings[serverIndex] = ranking
 	users := make([]int32, 0, want+2)
 	for _, i := range ranking {
@@ -179,7 +179,7 @@
 		}
 		users = append(users, i)
 		pl.sets[i] = append(pl.sets[i], serverIndex)
-		if !p.processes[i].Suspected {
+		if !planner.processes[i].Suspected {
 			healthy++
 		}
 	}
@@ -203,15 +203,15 @@
 	}
 	for i := range candidates {
 		for _, from := range [][]candidate{candidates[i], all} {
-			for len(pl.sets[i]) < least && pl.takeLeastUsed(int32(i), from) {
+			for len(pl.sets[i]) < least && pl.addLeastUsed(int32(i), from) {
 			}
 		}
 	}
 }
 
-// takeLeastUsed gives a process the least used server that it does not use yet, among equals
+// addLeastUsed gives a process the least used server that it does not use yet, among equals
 // the one for which it ranks highest. It returns false if there is none.
-func (pl *Plan) takeLeastUsed(i int32, from []candidate) bool {
+func (pl *Plan) addLeastUsed(i int32, from []candidate) bool {
 	best := candidate{0, -1}
 	for _, x := range from {
 		n := len(pl.users[x.server])
--- a/fleet/subset/plan_test.go
+++ b/fleet/subset/plan_test.go
@@ -44,7 +44,7 @@
 	return out
 }
 
-// changed counts the edges that only one side has, without the excepted ones.
+// changed counts the edges that only one of two sets has, without the excepted ones.
 func changed(a, b edges, except func([2]uint64) bool) (n int) {
 	for _, x := range [][2]edges{{a, b}, {b, a}} {
 		for e := range x[0] {
@@ -56,8 +56,8 @@
 	return n
 }
 
-// In any fleet, servers and processes must have enough users and servers, suspected users must
-// be substituted, and equal views must give equal sets.
+// In any fleet, servers must have enough users and processes enough servers, suspected users
+// must have substitutes, and equal views must give equal sets.
 func TestPlanBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{UsersPerServer: rapid.IntRange(1, 12).Draw(t, "users"), MinServers: rapid.IntRange(1, 6).Draw(t, "least")}
--- a/fleet/subset/rank.go
+++ b/fleet/subset/rank.go
@@ -1,8 +1,8 @@
 package subset
 
-// Score returns the score of a process for a unit; the highest rank first (rendezvous hashing,
-// Thaler and Ravishankar, 1998). A process is a node's number or a group of proxies; a unit is
-// a server or a pod.
+// Score returns the score of a process for a unit by rendezvous hashing (Thaler and
+// Ravishankar, 1998); the process with the highest score ranks first. process is the number
+// of a node or of a group of proxies, unit the key of a server or pod.
 func Score(unit, process uint64) uint64 { return mix(mix(unit) + process) }
 
 // mix is the finalizer of splitmix64 (Steele et al., 2014).
--- a/fleet/subset/settle.go
+++ b/fleet/subset/settle.go
@@ -9,7 +9,7 @@
 type Time = time.Duration
 
 const (
-	// ReactionSpread is the time within which a process acts on another's death or suspicion.
+	// ReactionSpread is the time within which a process reacts to another's death or suspicion.
 	// The delay is pseudorandom per pair of processes, so that the connections of a failed zone
 	// are taken over gradually.
 	ReactionSpread = 1500 * time.Millisecond
@@ -53,7 +53,7 @@
 	changed bool
 }
 
-// NewDamper creates the damper of a process that starts with others present.
+// NewDamper creates the damper of a process. At first all listed processes count as present.
 func NewDamper(self uint32, all []uint32) *Damper {
 	d := &Damper{self: self, peers: map[uint32]pending{self: {current: Present}}, changed: true}
 	for _, id := range all {
@@ -62,7 +62,7 @@
 	return d
 }
 
-// spread returns a fraction of a time span that is fixed for this process and another.
+// spread returns a pseudorandom time below span that is fixed for a pair of processes.
 func (d *Damper) spread(id uint32, span time.Duration) time.Duration {
 	return time.Duration(float64(span) * float64(Score(uint64(id), uint64(d.self)|1<<40)>>11) / (1 << 53))
 }
@@ -90,18 +90,18 @@
 	}
 }
 
-func (d *Damper) update(now Time, x Observation) {
-	p := d.peers[x.ID]
+func (d *Damper) update(now Time, observed Observation) {
+	p := d.peers[observed.ID]
 	switch {
-	case x.ID == d.self:
-	case x.State == p.current:
+	case observed.ID == d.self:
+	case observed.State == p.current:
 		p.due = 0
-		d.peers[x.ID] = p
-	case p.due > 0 && x.State == p.next: // already pending
-	case x.State < p.current:
-		d.peers[x.ID] = pending{p.current, x.State, now + d.spread(x.ID, ReactionSpread)}
+		d.peers[observed.ID] = p
+	case p.due > 0 && observed.State == p.next: // already pending
+	case observed.State < p.current:
+		d.peers[observed.ID] = pending{p.current, observed.State, now + d.spread(observed.ID, ReactionSpread)}
 	default:
-		d.peers[x.ID] = pending{p.current, x.State, now + RejoinDelay + d.spread(x.ID, RejoinDelay)}
+		d.peers[observed.ID] = pending{p.current, observed.State, now + RejoinDelay + d.spread(observed.ID, RejoinDelay)}
 	}
 }
 
--- a/fleet/subset/settle_test.go
+++ b/fleet/subset/settle_test.go
@@ -50,8 +50,8 @@
 		before := used()
 		first, changes := before, []int{}
 		for from := now; now < from+length; now += tick {
-			for _, s := range dampers {
-				s.Observe(now, observations(dead, deadState))
+			for _, damper := range dampers {
+				damper.Observe(now, observations(dead, deadState))
 			}
 			after := used()
 			changes = append(changes, changed(before, after, func([2]uint64) bool { return false }))
@@ -91,7 +91,7 @@
 // A view must follow lasting changes and ignore flapping.
 func TestDamperSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewDamper(1, []uint32{1, 2, 3, 4, 5})
+		damper := NewDamper(1, []uint32{1, 2, 3, 4, 5})
 		now := time.Hour
 		for range rapid.IntRange(0, 30).Draw(t, "flaps") {
 			var seen []Observation
@@ -100,30 +100,30 @@
 					seen = append(seen, Observation{id, state})
 				}
 			}
-			s.Observe(now, seen)
+			damper.Observe(now, seen)
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "later")) * time.Millisecond
 		}
 		last := []Observation{{1, Present}, {2, Present}, {3, Suspected}, {7, Present}}
 		for range 40 {
-			s.Observe(now, last)
+			damper.Observe(now, last)
 			now += 100 * time.Millisecond
 		}
-		s.changed = true
-		view, _ := s.View()
-		if len(view) != 4 || view[0].ID != 1 || view[2].ID != 3 || !view[2].Suspected || view[3].ID != 7 || len(s.peers) != 4 {
+		damper.changed = true
+		view, _ := damper.View()
+		if len(view) != 4 || view[0].ID != 1 || view[2].ID != 3 || !view[2].Suspected || view[3].ID != 7 || len(damper.peers) != 4 {
 			t.Fatalf("%v", view)
 		}
 	})
-	s := NewDamper(1, []uint32{1, 2})
-	s.View()
+	damper := NewDamper(1, []uint32{1, 2})
+	damper.View()
 	for k := range 50 { // absent or back every 400 ms
 		state := Present
 		if k/4%2 == 0 {
 			state = Suspected
 		}
-		s.Observe(time.Hour+time.Duration(k)*100*time.Millisecond, []Observation{{1, Present}, {2, state}})
+		damper.Observe(time.Hour+time.Duration(k)*100*time.Millisecond, []Observation{{1, Present}, {2, state}})
 	}
-	if _, changed := s.View(); changed && s.peers[2].current == Present {
+	if _, changed := damper.View(); changed && damper.peers[2].current == Present {
 		t.Error("a flapping process counts as present again")
 	}
 }
