--- a/fleet/shares/flows.go
+++ b/fleet/shares/flows.go
@@ -11,8 +11,8 @@
 )
 
 // LoadEstimator estimates this process's fraction of the fleet's load from peers' load
-// reports. Each process receives reports of some randomly chosen peers, so their mean stands
-// for all. It is not safe for concurrent use.
+// reports. Each process receives reports of some random peers; their mean is the estimate for
+// all others. It is not safe for concurrent use.
 type LoadEstimator struct {
 	reports map[ID]loadReport
 }
@@ -23,29 +23,30 @@
 }
 
 // Report records a peer's load, in requests per second.
-func (f *LoadEstimator) Report(now Time, from ID, rate float64) {
-	if f.reports == nil {
-		f.reports = map[ID]loadReport{}
+func (e *LoadEstimator) Report(now Time, from ID, rate float64) {
+	if e.reports == nil {
+		e.reports = map[ID]loadReport{}
 	}
-	if _, known := f.reports[from]; known || len(f.reports) < maxReports {
-		f.reports[from] = loadReport{max(0, rate), now}
+	if _, known := e.reports[from]; known || len(e.reports) < maxReports {
+		e.reports[from] = loadReport{max(0, rate), now}
 	}
 }
 
 // Fraction returns the fraction of the fleet's load that is this process's own, given its
 // load and the number of live processes including itself; an equal fraction if there is no
-// load. A single peer's report counts for at most four times the median.
-func (f *LoadEstimator) Fraction(now Time, own float64, alive int) float64 {
+// load. A single peer's report counts for at most four times the median or the own load,
+// whichever is larger.
+func (e *LoadEstimator) Fraction(now Time, own float64, alive int) float64 {
 	if alive <= 1 {
 		return 1
 	}
 	var rates []float64
-	for id, x := range f.reports {
-		if now-x.at > reportLifetime {
-			delete(f.reports, id)
+	for id, report := range e.reports {
+		if now-report.at > reportLifetime {
+			delete(e.reports, id)
 			continue
 		}
-		rates = append(rates, x.rate)
+		rates = append(rates, report.rate)
 	}
 	if len(rates) == 0 {
 		return 1 / float64(alive)
--- a/fleet/shares/message.go
+++ b/fleet/shares/message.go
@@ -11,8 +11,9 @@
 
 // Wire format, in network byte order. All messages: format byte; resource number; message
 // kind; the incarnation, nonce and round of a lease. Then, in messages of fixedSize bytes:
-// amount; duration of a grant in ms. Claims carry the quorum's digest in place of the nonce;
-// claims and their replies end with slot sets, preceded by a byte with the length of each.
+// amount; duration of a grant in ms. Offers carry the load in thousandths in place of the
+// incarnation. Claims carry the quorum's digest in place of the nonce; claims and their
+// replies end with slot sets, preceded by a byte with the length of each in bytes.
 const (
 	formatByte = 0xF3
 	headerSize = 1 + 1 + 1 + 4 + 4 + 4
@@ -34,8 +35,8 @@
 // IsMessage reports whether a datagram belongs to this package.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == formatByte }
 
-// IsRequest reports whether a datagram requests or offers a lease. Those of peers that lag
-// too far behind are ignored.
+// IsRequest reports whether a datagram requests or offers a lease, or claims slots. Callers
+// ignore such datagrams from peers that lag too far behind.
 func IsRequest(data []byte) bool {
 	return len(data) > 2 && (data[2] == kindOffer || data[2] == kindRequest || data[2] == kindClaim)
 }
--- a/fleet/shares/parts.go
+++ b/fleet/shares/parts.go
@@ -11,12 +11,12 @@
 	workUnits       = 1_000_000 // units of the fleet's total work
 	demandSmoothing = 0.2       // weight of a round's arrivals in the smoothed rate
 	roundInterval   = 250 * time.Millisecond
-	maxQuotas       = 200 // resource numbers in datagrams; higher ones are:
-	workNumber      = 250
-	slotsNumber     = 251
+	maxQuotas       = 200 // quotas have the resource numbers below it
+	workNumber      = 250 // resource number of the fleet's work
+	slotsNumber     = 251 // resource number of claims and their replies
 
 	slotLeaseTime     = 2500 * time.Millisecond
-	quotaLeaseTime    = 1250 * time.Millisecond // with slots; well below slotLeaseTime
+	quotaLeaseTime    = 1250 * time.Millisecond // with slots; must be well below slotLeaseTime
 	slotFloorFraction = 0.05                    // fraction of the total reserved for floors, with slots
 )
 
@@ -26,7 +26,7 @@
 	Rate float64
 }
 
-// Config says what a process shares with the others.
+// Config describes what a process shares with the others.
 type Config struct {
 	Self         ID
 	Incarnation  uint32
@@ -34,9 +34,9 @@
 	Quotas       []Quota // shared quotas; none: quotas are not shared
 	ShareWork    bool    // the fractions of the fleet's work are shared
 	Guards       []ID    // none: each process keeps its base permanently
-	Slots        int
-	MaxProcesses int // processes that have a floor, with guards
-	Seed         int64
+	Slots        int     // with guards; see Quorum
+	MaxProcesses int     // processes with a lower ID have a floor, with guards
+	Seed         int64   // of the random choices
 }
 
 // Quorum returns the quorum that a configuration describes.
@@ -53,8 +53,8 @@
 // Allocation lists the changes of what this process may use.
 type Allocation struct {
 	Quotas map[string]float64 // requests per second by name; changed ones only
-	// EquivalentNodes is the number of processes if each had as large a fraction of the
-	// fleet's work as this one; 0: not changed.
+	// EquivalentNodes is the inverse of this process's fraction of the fleet's work, that is,
+	// the number of processes if all had the same fraction as this one; 0: not changed.
 	EquivalentNodes float64
 }
 
@@ -73,7 +73,7 @@
 	share    *Share
 	arrivals float64 // since the last round
 	rate     float64 // smoothed, per second
-	reported int64   // allowance last returned by Allocation
+	reported int64   // allowance last returned by Allocation; -1: none yet
 }
 
 // Allocator shares all resources of one process with its peers. It is not safe for
@@ -91,8 +91,8 @@
 	Unrecognized uint64 // datagrams that are malformed or of an unknown resource
 }
 
-// NewAllocator creates the allocator of a process that has just started. Since a predecessor
-// may have left leases behind, it starts restricted to its floor.
+// NewAllocator creates the allocator of a process that has just started. Leases granted by a
+// predecessor may still be in use, so at first the process may use its floor only.
 func NewAllocator(cfg Config, now Time) *Allocator {
 	a := &Allocator{cfg: cfg, byName: map[string]*resource{}, alive: max(1, cfg.Nodes)}
 	if len(cfg.Guards) > 0 {
@@ -143,7 +143,7 @@
 }
 
 // Tick must be called about ten times a second and after a process pause. alive lists the
-// processes taken for alive, including this one.
+// processes considered alive, including this one.
 func (a *Allocator) Tick(now Time, alive []ID) (out []Datagram) {
 	a.alive = max(1, len(alive))
 	if a.holder != nil {
@@ -160,7 +160,7 @@
 			r.arrivals = 0
 			r.share.SetDemand(math.Ceil(r.rate * r.units))
 			if r == a.work {
-				// Positive also without requests, so that peers receive a report.
+				// Not 0 even without requests, so that peers receive a load report.
 				r.share.SetLoad(max(r.rate, 1/r.units))
 				r.share.SetDemand(a.loads.Fraction(now, r.rate, a.alive) * workUnits)
 			}
@@ -231,7 +231,7 @@
 }
 
 // Allocation returns the changes since the last call. After a process pause it must be called
-// before what was allocated is used, since leases may have expired.
+// before any allocation is used, since leases may have expired.
 func (a *Allocator) Allocation(now Time) (allocation Allocation, changed bool) {
 	for _, r := range a.resources {
 		allowance := r.share.Allowance(now)
--- a/fleet/shares/seats.go
+++ b/fleet/shares/seats.go
@@ -32,7 +32,7 @@
 	MaxClockDrift float64       // as a fraction, in either direction
 }
 
-// Digest returns a hash that distinguishes quorums.
+// Digest returns a hash of all settings of the quorum.
 func (q *Quorum) Digest() uint16 {
 	h := xxhash.New()
 	for _, x := range append([]ID{ID(q.Slots), ID(q.MaxProcesses), ID(q.LeaseTime / time.Millisecond), ID(q.MaxClockDrift * 1e6)}, q.Guards...) {
@@ -50,7 +50,7 @@
 	return time.Duration(float64(q.LeaseTime) * (1 + q.MaxClockDrift) / (1 - q.MaxClockDrift))
 }
 
-// SlotSet is a set of slots.
+// SlotSet is a set of slots, numbered from 0 to MaxSlots-1.
 type SlotSet [MaxSlots / 64]uint64
 
 // Has reports whether the set contains a slot.
@@ -83,13 +83,13 @@
 	}
 )
 
-// HolderSet is a set of processes.
+// HolderSet is a set of processes with IDs below MaxHolders.
 type HolderSet [MaxHolders / 64]uint64
 
 // Has reports whether the set contains a process.
 func (h *HolderSet) Has(id ID) bool { return id < MaxHolders && h[id/64]>>(id%64)&1 != 0 }
 
-// Add adds a process; one above MaxHolders is ignored.
+// Add adds a process; an ID of MaxHolders or more is ignored.
 func (h *HolderSet) Add(id ID) {
 	if id < MaxHolders {
 		h[id/64] |= 1 << (id % 64)
@@ -149,33 +149,33 @@
 // maxClaimants bounds the processes whose last claim a guard keeps.
 const maxClaimants = 4096
 
-// HandleClaim answers a claim. Leases of a process's former incarnation are not passed on to
-// the later one; they expire.
-func (g *Guard) HandleClaim(now Time, from ID, c Claim) (ClaimReply, bool) {
+// HandleClaim returns the reply to a claim, and false if the claim is ignored. Leases of a
+// process's former incarnation are not passed on to the later one; they expire.
+func (g *Guard) HandleClaim(now Time, from ID, claim Claim) (ClaimReply, bool) {
 	last, known := g.lastClaims[from]
 	switch {
 	// Another quorum, too many claimants, a round out of order, or a former incarnation (also
 	// after a clock was set back).
-	case c.QuorumDigest != g.quorum.Digest(), !known && len(g.lastClaims) >= maxClaimants,
-		known && c.Incarnation == last.incarnation && int32(c.Round-last.round) <= 0,
-		known && int32(c.Incarnation-last.incarnation) < 0 && now-last.at < g.quorum.LeaseTime:
+	case claim.QuorumDigest != g.quorum.Digest(), !known && len(g.lastClaims) >= maxClaimants,
+		known && claim.Incarnation == last.incarnation && int32(claim.Round-last.round) <= 0,
+		known && int32(claim.Incarnation-last.incarnation) < 0 && now-last.at < g.quorum.LeaseTime:
 		g.IgnoredClaims++
 		return ClaimReply{}, false
 	}
-	g.lastClaims[from] = lastClaim{c.Incarnation, c.Round, now}
-	out := ClaimReply{Incarnation: c.Incarnation, Round: c.Round}
+	g.lastClaims[from] = lastClaim{claim.Incarnation, claim.Round, now}
+	out := ClaimReply{Incarnation: claim.Incarnation, Round: claim.Round}
 	mayGrant := now-g.startedAt >= g.quorum.guardLeaseTime()
 	slotLimit, grantedCount := g.slotLimit(now), 0
-	for id, c := range g.lastClaims {
-		if now-c.at < g.quorum.guardLeaseTime() {
+	for id, last := range g.lastClaims {
+		if now-last.at < g.quorum.guardLeaseTime() {
 			out.Active.Add(id)
 		}
 	}
 	for i := range g.slots {
 		s := &g.slots[i]
 		held := now < s.until
-		mine := held && s.holder == from && s.incarnation == c.Incarnation
-		requested := c.Requested.Has(i)
+		mine := held && s.holder == from && s.incarnation == claim.Incarnation
+		requested := claim.Requested.Has(i)
 		switch {
 		// Released: the holder stops using a slot before its claim omits it.
 		case mine && !requested:
@@ -186,7 +186,7 @@
 			out.Contested.Add(i)
 		case requested && mayGrant && (mine || !held):
 			grantedCount++
-			s.holder, s.incarnation, s.until = from, c.Incarnation, now+g.quorum.guardLeaseTime()
+			s.holder, s.incarnation, s.until = from, claim.Incarnation, now+g.quorum.guardLeaseTime()
 			held = true
 			out.Granted.Add(i)
 			if s.contendedAt > 0 && now-s.contendedAt < g.quorum.LeaseTime && s.contender != from {
@@ -218,7 +218,7 @@
 	requested     SlotSet                                    // slots in the last claim
 	firstRound    []uint32                                   // by slot: first of the consecutive rounds requesting it
 	backoffUntil  []Time                                     // by slot: not requested until then
-	unservedSince []Time                                     // by slot: since when it is requested in vain, or 0
+	unservedSince []Time                                     // by slot: since when requested without success, or 0
 	freeSince     []Time                                     // by slot: since when a majority reports it free, or 0
 	next          Time                                       // time of the next round
 	pendingReturn int                                        // contested slots that back a granted lease
@@ -279,13 +279,13 @@
 	}
 	votes, answers := map[ID]int{h.self: h.quorum.majority()}, 0
 	for _, g := range h.quorum.Guards {
-		a := h.replies[g]
-		if a == nil || now-h.lastReply[g] >= h.quorum.LeaseTime/2 {
+		reply := h.replies[g]
+		if reply == nil || now-h.lastReply[g] >= h.quorum.LeaseTime/2 {
 			continue
 		}
 		answers++
 		for id := range ID(min(h.quorum.MaxProcesses, MaxHolders)) {
-			if a.Active.Has(id) {
+			if reply.Active.Has(id) {
 				votes[id]++
 			}
 		}
@@ -339,7 +339,8 @@
 }
 
 // Tick starts a round when one is due: it renews leases, claims assigned slots that are
-// missing, and releases contested slots assigned to others as far as spare allows.
+// missing, and releases contested slots assigned to others. spare returns how many of the held
+// slots may be released.
 func (h *Holder) Tick(now Time, spare func(held int) int) []Message {
 	if now < h.next {
 		return nil
@@ -450,7 +451,8 @@
 	return h.freeSince[i] > 0 && now-h.freeSince[i] > h.quorum.LeaseTime && (h.unservedSince[i] > 0 || h.rng.Float64() < 0.1)
 }
 
-// isContested reports whether a majority of the guards says that another process claims a slot.
+// isContested reports whether a majority of the guards reports that another process claims a
+// slot.
 func (h *Holder) isContested(i int) bool {
 	n := 0
 	for _, g := range h.quorum.Guards {
@@ -473,19 +475,19 @@
 }
 
 // HandleReply processes a guard's reply. Leases count from when they were requested.
-func (h *Holder) HandleReply(now Time, from ID, a ClaimReply) {
+func (h *Holder) HandleReply(now Time, from ID, reply ClaimReply) {
 	until, isGuard := h.until[from]
-	if !isGuard || a.Incarnation != h.incarnation || h.round-a.Round >= maxPendingRounds || a.Round > h.round {
+	if !isGuard || reply.Incarnation != h.incarnation || h.round-reply.Round >= maxPendingRounds || reply.Round > h.round {
 		return
 	}
-	if old := h.replies[from]; old == nil || int32(a.Round-old.Round) >= 0 {
-		h.replies[from] = &a
+	if old := h.replies[from]; old == nil || int32(reply.Round-old.Round) >= 0 {
+		h.replies[from] = &reply
 	}
 	h.lastReply[from] = now
-	end := h.requestedAt[a.Round%maxPendingRounds] + h.quorum.LeaseTime
+	end := h.requestedAt[reply.Round%maxPendingRounds] + h.quorum.LeaseTime
 	for i := range h.quorum.Slots {
 		// A slot not requested in some later round may have been leased to another process.
-		if a.Granted.Has(i) && h.requested.Has(i) && int32(a.Round-h.firstRound[i]) >= 0 {
+		if reply.Granted.Has(i) && h.requested.Has(i) && int32(reply.Round-h.firstRound[i]) >= 0 {
 			until[i] = max(until[i], end)
 			h.updateHeldUntil(i)
 		}
--- a/fleet/shares/seats_test.go
+++ b/fleet/shares/seats_test.go
@@ -12,7 +12,7 @@
 
 var long = flag.Bool("shares-long", false, "more seeds and states")
 
-// fractionInUse returns the fraction of the total in use, with total demand above it.
+// fractionInUse returns the fraction of the total in use; the demand must exceed the total.
 func (w *world) fractionInUse() float64 {
 	sum := 0.0
 	for i, n := range w.nodes {
@@ -23,7 +23,8 @@
 	return sum / float64(w.settings.Total)
 }
 
-// recoveryTime runs for 8 s and returns when the fraction in use last was too low.
+// recoveryTime runs for 8 s and returns the time of the last step in which the fraction in use
+// was too low.
 func (w *world) recoveryTime(fraction float64) time.Duration {
 	from, last := w.now, time.Duration(0)
 	for w.now-from < 8*time.Second {
@@ -54,7 +55,7 @@
 				}
 				return loss
 			}
-			for i := range w.demands { // four would use the whole total
+			for i := range w.demands { // four processes would use the whole total
 				w.demands[i] = 36000 / 4
 			}
 			w.demands[36], w.demands[37], w.demands[38] = 0, 0, 0
@@ -116,7 +117,8 @@
 	}
 }
 
-// A process that claims all slots and releases none must not keep more than three shares.
+// A process that claims all slots and releases none must not keep more than three equal
+// shares.
 func TestGreedyHolderKeepsThreeSharesAtMost(t *testing.T) {
 	w := newSlotWorld(t, 8, 0, 6400, 3, 0, 1, 2)
 	for i := range w.demands {
@@ -223,15 +225,15 @@
 		var next []state
 		add := func(s state) {
 			for slot := range q.Slots {
-				by := 0
+				holders := 0
 				for _, h := range s.h {
 					if h != nil && s.now < h.heldUntil[slot] {
-						by++
+						holders++
 						holding++
 					}
 				}
-				if by > 1 {
-					t.Fatalf("slot %d is held by %d processes: %s", slot, by, fingerprint(s))
+				if holders > 1 {
+					t.Fatalf("slot %d is held by %d processes: %s", slot, holders, fingerprint(s))
 				}
 			}
 			if k := fingerprint(s); !seen[k] && len(seen) < maxStates && len(s.deliveries) < 7 {
--- a/fleet/shares/shares.go
+++ b/fleet/shares/shares.go
@@ -44,23 +44,23 @@
 	return Settings{FloorFraction: 0.2, LeaseTime: 2 * time.Second, MaxClockDrift: 0.02, Headroom: 1.25, OfferFanout: 2, MinLease: 1, MaxLeases: 64}
 }
 
-// Messages between processes. Each carries the borrower's incarnation, so that a lease of a
-// former incarnation is not taken for one of the present.
+// Messages between processes. Those about a lease carry the borrower's incarnation, so that a
+// lease of a former incarnation is not mistaken for one of the present.
 type (
-	// Offer announces how much the sender could lend, and its load in requests per second, to
-	// a thousandth.
+	// Offer announces how much the sender could lend, in units, and its load in requests per
+	// second, with a resolution of a thousandth.
 	Offer struct {
 		Spare int64
 		Load  float64
 	}
-	// LeaseTerms identify a requested lease and its amount; a nonce that was granted before
-	// asks for a renewal.
+	// LeaseTerms identify a requested lease and its amount in units; a nonce that was granted
+	// before requests a renewal.
 	LeaseTerms struct {
 		Incarnation uint32
 		Nonce       uint32
 		Amount      int64
 	}
-	// Grant answers a LeaseRequest. The duration counts from the request of that round.
+	// Grant answers a LeaseRequest. The duration starts when that round was requested.
 	Grant struct {
 		Incarnation uint32 // the borrower's
 		Nonce       uint32
@@ -99,10 +99,11 @@
 	until  Time
 }
 
-// maxPendingRounds is how many rounds of a lease may be in flight. A grant of any of them
-// counts from the time when that round was requested.
+// maxPendingRounds is the number of rounds of a lease that may be in flight. A grant of any of
+// them counts from when that round was requested.
 const maxPendingRounds = 16
 
+// maxOffers is the number of peers whose latest offer is kept.
 const maxOffers = 1024
 
 // borrowedLease is an amount borrowed, or requested, from a peer.
@@ -163,14 +164,14 @@
 }
 
 // NewWithSlots creates the share of a process whose base consists of the slots it holds, plus
-// a floor if its ID is below the quorum's MaxProcesses. FloorFraction is here a fraction of
-// an equal share among MaxProcesses.
-func NewWithSlots(settings Settings, h *Holder, now Time, seed int64) *Share {
-	s := New(settings, h.self, h.incarnation, now, seed, true)
-	maxProcesses := int64(max(1, h.quorum.MaxProcesses))
+// a floor if its ID is below the quorum's MaxProcesses. In this case FloorFraction is a
+// fraction of an equal share among MaxProcesses.
+func NewWithSlots(settings Settings, holder *Holder, now Time, seed int64) *Share {
+	s := New(settings, holder.self, holder.incarnation, now, seed, true)
+	maxProcesses := int64(max(1, holder.quorum.MaxProcesses))
 	floor := int64(settings.FloorFraction * float64(settings.Total) / float64(maxProcesses))
-	s.holder, s.floor, s.slotUnits = h, 0, (settings.Total-maxProcesses*floor)/int64(h.quorum.Slots)
-	if int64(h.self) < maxProcesses {
+	s.holder, s.floor, s.slotUnits = holder, 0, (settings.Total-maxProcesses*floor)/int64(holder.quorum.Slots)
+	if int64(holder.self) < maxProcesses {
 		s.floor = floor
 	}
 	return s
@@ -386,19 +387,19 @@
 
 // lend grants what can be spared. A lease that is in use is renewed with its amount, if what
 // backs it is held for long enough.
-func (s *Share) lend(now Time, to ID, m LeaseRequest) []Message {
-	key := leaseKey{to, m.Incarnation, m.Nonce}
+func (s *Share) lend(now Time, to ID, request LeaseRequest) []Message {
+	key := leaseKey{to, request.Incarnation, request.Nonce}
 	lease := s.grantedLeases[key]
 	amount, duration := s.spare(now)
 	if lease == nil || now >= lease.until {
-		amount = min(m.Amount, amount)
-		if m.Round > 0 || amount < s.settings.MinLease || amount <= 0 { // an expired lease needs a new nonce
+		amount = min(request.Amount, amount)
+		if request.Round > 0 || amount < s.settings.MinLease || amount <= 0 { // an expired lease needs a new nonce
 			return nil
 		}
 		lease = &grantedLease{amount: amount}
 		s.grantedLeases[key] = lease
 	} else {
-		if m.Round > 0 && s.Allowance(now) < s.desired() { // the lender's own demand comes first
+		if request.Round > 0 && s.Allowance(now) < s.desired() { // the lender's own demand comes first
 			return nil
 		}
 		if duration = s.renewableFor(now); duration == 0 {
@@ -406,10 +407,10 @@
 		}
 	}
 	lease.until = max(lease.until, now+s.lenderTime(duration))
-	return []Message{{to, Grant{m.Incarnation, m.Nonce, m.Round, lease.amount, duration}}}
+	return []Message{{to, Grant{request.Incarnation, request.Nonce, request.Round, lease.amount, duration}}}
 }
 
-// renewableFor returns for how long everything lent could be renewed; 0: not at all.
+// renewableFor returns the duration for which everything lent could be renewed; 0: not at all.
 func (s *Share) renewableFor(now Time) time.Duration {
 	lent, _ := s.outstanding(now)
 	for _, d := range []time.Duration{s.settings.LeaseTime, s.settings.LeaseTime / 2} {
@@ -421,13 +422,13 @@
 }
 
 // handleGrant puts a granted lease into use, counted from the request of that round.
-func (s *Share) handleGrant(now Time, from ID, m Grant) {
-	lease := s.borrowedLeases[m.Nonce]
-	if m.Incarnation != s.incarnation || lease == nil || lease.from != from || m.Amount <= 0 || lease.amount > 0 && m.Amount != lease.amount || m.Duration <= 0 || m.Duration > s.settings.LeaseTime {
+func (s *Share) handleGrant(now Time, from ID, grant Grant) {
+	lease := s.borrowedLeases[grant.Nonce]
+	if grant.Incarnation != s.incarnation || lease == nil || lease.from != from || grant.Amount <= 0 || lease.amount > 0 && grant.Amount != lease.amount || grant.Duration <= 0 || grant.Duration > s.settings.LeaseTime {
 		return
 	}
-	at, known := lease.requestTime(m.Round)
-	if until := at + m.Duration; known && until > now {
-		lease.amount, lease.until = m.Amount, max(lease.until, until)
+	at, known := lease.requestTime(grant.Round)
+	if until := at + grant.Duration; known && until > now {
+		lease.amount, lease.until = grant.Amount, max(lease.until, until)
 	}
 }
--- a/fleet/shares/shares_test.go
+++ b/fleet/shares/shares_test.go
@@ -18,7 +18,7 @@
 	payload  any
 }
 
-// world simulates a fleet of shares in virtual time, with drifting clocks.
+// world simulates a fleet in virtual time, with drifting clocks.
 type world struct {
 	t           interface{ Fatalf(string, ...any) }
 	rng         *rand.Rand
@@ -28,7 +28,7 @@
 	incarnation []uint32
 	pausedUntil []time.Duration
 	clockRate   []float64
-	demands     []float64
+	demands     []float64 // units
 	deliveries  []delivery
 	lossRate    func(from, to ID) float64
 	maxDelay    time.Duration
@@ -37,7 +37,7 @@
 	quorum  *Quorum // nil: permanent bases
 	holders []*Holder
 	guards  []*Guard
-	greedy  func(i int) bool // the process claims all slots
+	greedy  func(i int) bool // whether a process claims all slots
 }
 
 // newSlotWorld creates a world with a quorum, in which the first run processes are running.
@@ -103,10 +103,10 @@
 }
 
 func (w *world) send(i int, out []Message) {
-	for _, t := range out {
+	for _, message := range out {
 		for range 1 + w.rng.IntN(5)/4 { // one in five is duplicated
-			if ID(i) == t.To || w.rng.Float64() >= w.lossRate(ID(i), t.To) {
-				w.deliveries = append(w.deliveries, delivery{w.now + time.Duration(w.rng.Float64()*float64(w.maxDelay)), ID(i), t.To, t.Payload})
+			if ID(i) == message.To || w.rng.Float64() >= w.lossRate(ID(i), message.To) {
+				w.deliveries = append(w.deliveries, delivery{w.now + time.Duration(w.rng.Float64()*float64(w.maxDelay)), ID(i), message.To, message.Payload})
 			}
 		}
 	}
