--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -1,7 +1,7 @@
-// Package member runs a process's part in a fleet: it joins the exchange of list versions
-// (package follow), membership (roster), the sharing of quotas (shares) and the choice of
-// servers (subset) behind one interface of events and actions. It does no I/O, reads no clock
-// and starts no goroutine.
+// Package member makes a process a member of a fleet. It combines the exchange of list
+// versions (package follow), membership (roster), the division of quotas and work (shares) and
+// the choice of servers (subset) behind one interface of events and actions. It does no I/O,
+// reads no clock and starts no goroutine.
 package member
 
 import (
@@ -26,6 +26,7 @@
 // incarnationTick is the resolution of the incarnation numbers passed to package shares.
 const incarnationTick = time.Second / 16
 
+// maxNodeSeeds is the number of configured nodes that are contacted on joining.
 const maxNodeSeeds = 3
 
 // Config configures a member.
@@ -36,16 +37,17 @@
 	ShareWork    bool  // divide the fleet's work by load
 	Subsets      bool  // assign servers to live processes
 	Guards       []int // numbers of the processes that lease slots; see shares.Quorum
-	Slots        int
-	MaxProcesses int
+	Slots        int   // with guards; see shares.Quorum
+	MaxProcesses int   // with guards; see shares.Quorum
 
 	Name  string
 	Self  int // this process's number
 	Nodes int // configured nodes, numbered from 0
 
-	// AllowedPrefixes are the senders accepted beside the configured ones. If there are none,
-	// processes are identified by their configured numbers, each process reaches the others at
-	// different addresses, and all addresses here are those of roster.NumberedAddr.
+	// AllowedPrefixes are the addresses from which datagrams are accepted in addition to the
+	// configured ones. If there are none, processes are identified by their configured numbers,
+	// each may reach the others at different addresses, and all addresses here are those of
+	// roster.NumberedAddr.
 	AllowedPrefixes []netip.Prefix
 	Peers           []netip.AddrPort // configured nodes by number; with AllowedPrefixes only
 	Addr            netip.AddrPort   // where others reach this process; with AllowedPrefixes only
@@ -70,9 +72,9 @@
 	SourceEvent struct{ Event follow.Event }
 	// Tick must be delivered about ten times a second.
 	Tick struct{}
-	// Resumed reports that the process was paused.
+	// Resumed reports that the process was paused for a time.
 	Resumed struct{ Gap time.Duration }
-	// Leaving reports that the process is about to shut down in order.
+	// Leaving reports that the process is about to shut down gracefully.
 	Leaving struct{}
 )
 
@@ -92,7 +94,8 @@
 		To   netip.AddrPort
 		Data []byte
 	}
-	// Deliver passes on a payload for other packages, received from a trusted process.
+	// Deliver passes on a payload for other packages that a process sent. Payloads of processes
+	// that lag too far behind are not passed on.
 	Deliver struct {
 		From int
 		Data []byte
@@ -101,9 +104,10 @@
 	ServersChanged struct{}
 	// QuerySource asks the caller to query its own source again at once.
 	QuerySource struct{}
-	// AllocationChanged reports a change of what this process may use.
+	// AllocationChanged reports changes of the quotas and the fraction of the work that this
+	// process may use.
 	AllocationChanged struct{ shares.Allocation }
-	// FleetChanged reports the processes among which servers are divided.
+	// FleetChanged reports all processes among which servers are divided, after a change.
 	FleetChanged struct{ Processes []subset.Process }
 	// Log is a line for the log.
 	Log struct{ Line string }
@@ -151,15 +155,15 @@
 	}
 	m.agent = follow.New(cfg.Follow, followFleet{m}, now, cfg.Seed, cfg.Name, cfg.SettingsDigest, cfg.BuildDigest)
 	if cfg.ShareQuotas || cfg.ShareWork || slices.Contains(cfg.Guards, cfg.Self) {
-		c := shares.Config{Self: shares.ID(cfg.Self), Incarnation: uint32(now / incarnationTick), Nodes: cfg.Nodes, ShareWork: cfg.ShareWork,
+		sharesConfig := shares.Config{Self: shares.ID(cfg.Self), Incarnation: uint32(now / incarnationTick), Nodes: cfg.Nodes, ShareWork: cfg.ShareWork,
 			Slots: cfg.Slots, MaxProcesses: cfg.MaxProcesses, Seed: cfg.Seed}
 		if cfg.ShareQuotas {
-			c.Quotas = cfg.TenantQuotas
+			sharesConfig.Quotas = cfg.TenantQuotas
 		}
 		for _, guard := range cfg.Guards {
-			c.Guards = append(c.Guards, shares.ID(guard))
+			sharesConfig.Guards = append(sharesConfig.Guards, shares.ID(guard))
 		}
-		m.allocator = shares.NewAllocator(c, now)
+		m.allocator = shares.NewAllocator(sharesConfig, now)
 	}
 	if cfg.Subsets && cfg.Membership && cfg.Self < FirstControlID {
 		var all []uint32
@@ -178,8 +182,8 @@
 	return roster.NumberedAddr(m.cfg.Self)
 }
 
-// seeds returns the addresses to contact on joining: the next nodes by number, so that each is
-// contacted by some; the guards, which should learn of the process soon; and configured ones.
+// seeds returns the addresses to contact on joining: configured ones; the guards, which should
+// learn of the process soon; and the next nodes by number, so that each is contacted by some.
 func (m *Member) seeds() []netip.AddrPort {
 	out := slices.Clone(m.cfg.Seeds)
 	numbers := slices.Clone(m.cfg.Guards)
@@ -316,7 +320,7 @@
 }
 
 // updateView reports the nodes among which servers are divided, if they changed. Configured
-// nodes that have not been seen count for a while after this process's start.
+// nodes that are still unknown count as present until subset.StartupGrace after the start.
 func (m *Member) updateView() {
 	if m.damper == nil {
 		return
@@ -347,8 +351,8 @@
 }
 
 func (m *Member) reportAllocation() {
-	if g, changed := m.allocator.Allocation(m.now); changed {
-		m.emit(AllocationChanged{g})
+	if allocation, changed := m.allocator.Allocation(m.now); changed {
+		m.emit(AllocationChanged{allocation})
 	}
 }
 
@@ -358,7 +362,7 @@
 	}
 }
 
-// liveNodes returns the nodes taken for alive, including this one.
+// liveNodes returns the nodes considered alive, including this one.
 func (m *Member) liveNodes() (out []shares.ID) {
 	for i := range min(m.numberLimit, FirstControlID) {
 		if i == m.cfg.Self || (followFleet{m}).IsAlive(i) {
@@ -407,7 +411,7 @@
 	}
 }
 
-// Wrap adds a hello to an outgoing message if one is due for its receiver.
+// Wrap returns an outgoing message, embedded in a hello if one is due for the receiver.
 func (m *Member) Wrap(now Time, to int, data []byte) []byte {
 	if to < 0 || to >= m.numberLimit {
 		return data
@@ -433,51 +437,51 @@
 
 // Record returns the process's record, with its view of the fleet and its holdings.
 func (m *Member) Record(now Time) version.Record {
-	r := m.agent.Recorder().Snapshot(now)
+	record := m.agent.Recorder().Snapshot(now)
 	if m.allocator != nil {
-		for _, p := range m.allocator.Holdings(now) {
-			r.Leases = append(r.Leases, version.QuotaLease{Quota: p.Name, EqualShare: p.Base, Held: p.Held, Demand: p.Demand, Total: p.Total})
+		for _, holding := range m.allocator.Holdings(now) {
+			record.Leases = append(record.Leases, version.QuotaLease{Quota: holding.Name, EqualShare: holding.Base, Held: holding.Held, Demand: holding.Demand, Total: holding.Total})
 		}
-		r.Slots, r.HasQuorum = m.allocator.HeldSlots(now), m.allocator.HasQuorum(now)
+		record.Slots, record.HasQuorum = m.allocator.HeldSlots(now), m.allocator.HasQuorum(now)
 	}
 	if m.roster == nil {
-		return r
+		return record
 	}
-	r.Majority, r.ViewDigest = m.roster.HasMajority(), m.roster.Digest()
+	record.Majority, record.ViewDigest = m.roster.HasMajority(), m.roster.Digest()
 	for _, x := range m.roster.Members() {
 		sinceHeard := time.Duration(-1)
 		if x.LastHeard > 0 {
 			sinceHeard = now - x.LastHeard
 		}
-		r.Members = append(r.Members, version.Member{Process: int(x.ID), Status: x.Status.String(), Incarnation: uint32(x.Incarnation), SinceHeard: sinceHeard})
+		record.Members = append(record.Members, version.Member{Process: int(x.ID), Status: x.Status.String(), Incarnation: uint32(x.Incarnation), SinceHeard: sinceHeard})
 	}
-	return r
+	return record
 }
 
-// Figure is a metric. Its kind is c for a counter and g for a gauge.
+// Figure is a metric.
 type Figure struct {
 	Name  string
-	Kind  string
+	Kind  string // c: counter; g: gauge
 	Value int64
 }
 
 // Figures returns all metrics of the member.
 func (m *Member) Figures(now Time) []Figure {
-	c, v := m.agent.Counts(), m.agent.Vector()
+	counts, vector := m.agent.Counts(), m.agent.Vector()
 	mode, _ := m.agent.Mode()
-	out := []Figure{{"standing", "g", int64(mode)}, {"epoch", "g", int64(v.List.Epoch)}, {"generation", "g", int64(v.List.Generation)},
-		{"acts_on", "g", int64(m.agent.AppliedVersion().Generation)}, {"hellos", "c", int64(c.Hellos)}, {"asks", "c", int64(c.Queries)},
-		{"answers", "c", int64(c.Answers)}, {"bytes", "c", int64(c.Bytes)}, {"acted", "c", int64(c.Applied)},
-		{"over_bound", "c", int64(c.OverLimit)}, {"doubted", "c", int64(c.Reverted)}, {"malformed", "c", int64(c.Malformed)},
-		{"old", "c", int64(c.Stale)}, {"unused", "c", int64(c.Ignored + m.counts.IgnoredRequests)}, {"dropped", "c", int64(c.Dropped)},
+	out := []Figure{{"standing", "g", int64(mode)}, {"epoch", "g", int64(vector.List.Epoch)}, {"generation", "g", int64(vector.List.Generation)},
+		{"acts_on", "g", int64(m.agent.AppliedVersion().Generation)}, {"hellos", "c", int64(counts.Hellos)}, {"asks", "c", int64(counts.Queries)},
+		{"answers", "c", int64(counts.Answers)}, {"bytes", "c", int64(counts.Bytes)}, {"acted", "c", int64(counts.Applied)},
+		{"over_bound", "c", int64(counts.OverLimit)}, {"doubted", "c", int64(counts.Reverted)}, {"malformed", "c", int64(counts.Malformed)},
+		{"old", "c", int64(counts.Stale)}, {"unused", "c", int64(counts.Ignored + m.counts.IgnoredRequests)}, {"dropped", "c", int64(counts.Dropped)},
 		{"strangers", "c", int64(m.counts.UnknownSenders)}}
 	if m.roster != nil {
 		out = append(out, m.rosterFigures()...)
 	}
 	if m.allocator != nil {
-		for _, p := range m.allocator.Holdings(now) {
+		for _, holding := range m.allocator.Holdings(now) {
 			// In thousandths.
-			out = append(out, Figure{"held." + figureName(p.Name), "g", int64(1000 * p.Held / max(p.Total, 1e-9))})
+			out = append(out, Figure{"held." + figureName(holding.Name), "g", int64(1000 * holding.Held / max(holding.Total, 1e-9))})
 		}
 		quorate := int64(0)
 		if m.allocator.HasQuorum(now) {
@@ -505,10 +509,10 @@
 	if m.roster.HasMajority() {
 		majority = 1
 	}
-	c := m.roster.Counts()
+	counts := m.roster.Counts()
 	return []Figure{{"members", "g", alive}, {"suspected", "g", suspect}, {"gone", "g", gone}, {"majority", "g", majority},
-		{"view_age_ms", "g", longestSilence.Milliseconds()}, {"probes", "c", int64(c.Probes)}, {"covered", "c", int64(c.ProbesSkipped)},
-		{"refuted", "c", int64(c.Refuted)}, {"roster_bytes", "c", int64(c.Bytes)}}
+		{"view_age_ms", "g", longestSilence.Milliseconds()}, {"probes", "c", int64(counts.Probes)}, {"covered", "c", int64(counts.ProbesSkipped)},
+		{"refuted", "c", int64(counts.Refuted)}, {"roster_bytes", "c", int64(counts.Bytes)}}
 }
 
 // figureName replaces the characters that a metric's name must not contain.
