--- a/fleet/roster/api.go
+++ b/fleet/roster/api.go
@@ -44,7 +44,7 @@
 	ProbeTimeout           time.Duration  // time without an ack until indirect probes are requested
 	IndirectProbes         int            // members asked to probe on this process's behalf
 	SuspicionMultiplier    float64        // minimum suspicion time, in periods times log10 of the fleet size
-	SuspicionMaxMultiplier float64        // multiple of the minimum after one or two failed own probes; doubled without any
+	SuspicionMaxMultiplier float64        // of the minimum, after one or two failed own probes; doubled without any
 	MaxAwareness           int            // upper bound of the local health score
 	RetransmitMultiplier   float64        // transmissions of an update, times log10 of the fleet size
 	BytesPerSecond         float64        // budget of sent bytes; beyond it datagrams carry few updates
