--- a/fleet/version/clock.go
+++ b/fleet/version/clock.go
@@ -4,19 +4,18 @@
 
 // Timestamp is a time of a hybrid logical clock (Kulkarni, Demirbas, Madappa, Avva and
 // Leone, Logical Physical Clocks, 2014): 44 bits of Unix milliseconds and a 12-bit
-// counter. All timestamps issued after one was observed are above it, so causes come
-// before effects whatever the physical clocks show. 0 means never.
+// counter. All timestamps that a process issues after it observed one are above it, so
+// causes come before effects whatever the physical clocks show. 0 means never.
 type Timestamp uint64
 
 const (
 	counterBits = 12
-	// MaxClockLead is how far a timestamp may be ahead of the local clock to be
-	// accepted. It exceeds the skew within a fleet and keeps a faulty peer from
-	// advancing all clocks.
+	// MaxClockLead is the maximum lead of an accepted timestamp over the local clock. It
+	// exceeds the skew within a fleet and keeps a faulty peer from advancing all clocks.
 	MaxClockLead = 10 * time.Second
 )
 
-// TimestampOf returns the first timestamp of a moment.
+// TimestampOf returns the first timestamp of t's millisecond.
 func TimestampOf(t Time) Timestamp { return Timestamp(max(0, t/time.Millisecond)) << counterBits }
 
 // Time returns the physical part, to a millisecond.
@@ -25,7 +24,7 @@
 // Sub returns the time from o to s by their physical parts.
 func (s Timestamp) Sub(o Timestamp) time.Duration { return s.Time() - o.Time() }
 
-// Add returns the first timestamp a duration later.
+// Add returns the first timestamp of the millisecond a duration later.
 func (s Timestamp) Add(d time.Duration) Timestamp { return TimestampOf(s.Time() + d) }
 
 // HybridClock is the hybrid logical clock of one process. Its zero value is ready to
@@ -41,21 +40,21 @@
 	if s := TimestampOf(wall); s > c.last {
 		c.last = s
 	} else {
-		c.last++ // beyond 2^12 in one millisecond the counter carries over and the order holds
+		c.last++ // after 2^12 in one millisecond the counter carries over, and the order is kept
 	}
 	return c.last
 }
 
-// Observe merges the timestamp of a received message. It returns false and ignores the
-// timestamp if that is too far ahead of the local clock.
-func (c *HybridClock) Observe(wall Time, s Timestamp) bool {
-	ahead := s.Time() - wall
+// Observe merges the timestamp of a received message. If that is more than MaxClockLead
+// ahead of the local clock, it ignores the timestamp and returns false.
+func (c *HybridClock) Observe(wall Time, received Timestamp) bool {
+	ahead := received.Time() - wall
 	if ahead > MaxClockLead {
 		c.Rejected++
 		return false
 	}
 	c.MaxLead = max(c.MaxLead, ahead)
-	c.last = max(c.last, s)
+	c.last = max(c.last, received)
 	return true
 }
 
--- a/fleet/version/digest.go
+++ b/fleet/version/digest.go
@@ -26,12 +26,12 @@
 // KeyOf returns a server's key.
 func KeyOf(name string) Key { return Key(xxhash.Sum64String(name)) }
 
-// RunningDigest is the incrementally updated digest of a list. It is a sum of hashes
-// and so does not depend on the order of the updates.
+// RunningDigest is the incrementally updated digest of a list. As a sum of hashes it does
+// not depend on the order of the updates. The zero value is that of an empty list.
 type RunningDigest uint64
 
-// hashEntry hashes one entry. A server's address differs between processes and is left
-// out.
+// hashEntry hashes one entry. The server's address is not included, since it differs
+// between processes.
 func hashEntry(k Key, s State, startedAt Time) RunningDigest {
 	var b [17]byte
 	binary.BigEndian.PutUint64(b[:], uint64(k))
@@ -46,7 +46,7 @@
 // Remove removes an entry that was added.
 func (d *RunningDigest) Remove(k Key, s State, startedAt Time) { *d -= hashEntry(k, s, startedAt) }
 
-// Short returns the digest as a List holds it; never 0.
+// Short returns the digest folded to the 32 bits of List.Digest; never 0.
 func (d RunningDigest) Short() uint32 {
 	if s := uint32(d>>32) ^ uint32(d); s != 0 {
 		return s
--- a/fleet/version/file.go
+++ b/fleet/version/file.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// MaxRecordBytes limits the encoded size of a record.
+// MaxRecordBytes is the maximum size of an encoded record, in bytes.
 const MaxRecordBytes = 4 << 20
 
 var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-// serverJSON is the compact encoding of ServerSends, of which a record has thousands:
-// buckets are milliseconds before the last send, and counts.
+// serverJSON is the compact encoding of ServerSends, of which a record has thousands.
+// Each bucket is written as its start and end, in milliseconds before the last send, and
+// its count.
 type serverJSON struct {
 	Name  string     `json:"name"`
 	Sends uint64     `json:"sends"`
@@ -24,28 +25,29 @@
 	Marks [][3]int64 `json:"marks,omitempty"`
 }
 
-// MarshalJSON writes buckets in compact form. Their timestamps lose the logical
-// counters.
+// MarshalJSON writes buckets in compact form: their timestamps are truncated to
+// milliseconds.
 func (s ServerSends) MarshalJSON() ([]byte, error) {
-	text := serverJSON{s.Name, s.Sends, s.First, s.Last, nil}
-	for _, m := range s.Buckets {
-		text.Marks = append(text.Marks, [3]int64{s.Last.Sub(m.From).Milliseconds(), s.Last.Sub(m.To).Milliseconds(), int64(m.Sends)})
+	encoded := serverJSON{s.Name, s.Sends, s.First, s.Last, nil}
+	for _, bucket := range s.Buckets {
+		encoded.Marks = append(encoded.Marks, [3]int64{s.Last.Sub(bucket.From).Milliseconds(), s.Last.Sub(bucket.To).Milliseconds(), int64(bucket.Sends)})
 	}
-	return json.Marshal(text)
+	return json.Marshal(encoded)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON reads what MarshalJSON wrote. It returns an error if a bucket is negative
+// or older than a year.
 func (s *ServerSends) UnmarshalJSON(raw []byte) error {
-	var text serverJSON
-	if err := json.Unmarshal(raw, &text); err != nil {
+	var encoded serverJSON
+	if err := json.Unmarshal(raw, &encoded); err != nil {
 		return err
 	}
-	*s = ServerSends{Name: text.Name, Sends: text.Sends, First: text.First, Last: text.Last}
-	for _, m := range text.Marks[:min(len(text.Marks), maxBuckets+1)] {
-		if m[2] < 0 || m[0] < 0 || m[1] < 0 || m[0] > maxBucketAgeMillis || m[1] > maxBucketAgeMillis {
+	*s = ServerSends{Name: encoded.Name, Sends: encoded.Sends, First: encoded.First, Last: encoded.Last}
+	for _, mark := range encoded.Marks[:min(len(encoded.Marks), maxBuckets+1)] {
+		if mark[2] < 0 || mark[0] < 0 || mark[1] < 0 || mark[0] > maxBucketAgeMillis || mark[1] > maxBucketAgeMillis {
 			return errBuckets
 		}
-		s.Buckets = append(s.Buckets, SendBucket{text.Last.Add(-time.Duration(m[0]) * time.Millisecond), text.Last.Add(-time.Duration(m[1]) * time.Millisecond), uint64(m[2])})
+		s.Buckets = append(s.Buckets, SendBucket{encoded.Last.Add(-time.Duration(mark[0]) * time.Millisecond), encoded.Last.Add(-time.Duration(mark[1]) * time.Millisecond), uint64(mark[2])})
 	}
 	return nil
 }
@@ -56,7 +58,7 @@
 
 // AppendLine appends a record to the text of a file: a line with its checksum (CRC-32C,
 // hexadecimal) and the record in JSON. A truncated file can be read up to its last
-// complete line.
+// complete line. A record of more than MaxRecordBytes is an error.
 func AppendLine(buf []byte, record *Record) ([]byte, error) {
 	body, err := json.Marshal(record)
 	if err != nil {
--- a/fleet/version/record.go
+++ b/fleet/version/record.go
@@ -23,10 +23,11 @@
 	maxBuckets = 32 // non-empty buckets that are kept of a server
 )
 
-// BucketLength is the longest span of a send bucket.
+// BucketLength is the maximum time span of a send bucket.
 const BucketLength = time.Duration(1) << bucketBits
 
-// SendBucket counts the sends of a short span, from the first to the last of them.
+// SendBucket is the number of sends in a short time span, from the first of them to the
+// last.
 type SendBucket struct {
 	From  Timestamp `json:"from"`
 	To    Timestamp `json:"to"`
@@ -74,8 +75,8 @@
 	s.bucket, s.count, s.bucketFirst = bucket, 0, now
 }
 
-// ServerSends is what was sent to one server. Its times include the lead of the hybrid
-// clock when the record was taken.
+// ServerSends describes the sends to one server. Its times include the lead of the hybrid
+// clock over the local one when the record was taken.
 type ServerSends struct {
 	Name    string       `json:"name"`
 	Sends   uint64       `json:"sends"`
@@ -100,7 +101,7 @@
 	return out
 }
 
-// OwnSource is the reporter of what a process's own source said.
+// OwnSource is the reporter of a withdrawal that a process received from its own source.
 const OwnSource = -1
 
 // Interval is a period in which a process acted on one version.
@@ -111,7 +112,7 @@
 	Sends   uint64    `json:"sends"`
 }
 
-// MergedIntervals summarizes intervals beyond the limit of a record.
+// MergedIntervals summarizes the oldest intervals, those beyond MaxIntervals.
 type MergedIntervals struct {
 	Intervals uint64    `json:"intervals"`
 	From      Timestamp `json:"from,omitempty"`
@@ -126,7 +127,7 @@
 	List       List      `json:"list"`  // version of the withdrawal
 	KnownAt    Timestamp `json:"known"` // when this process learned of it
 	ReportedBy int       `json:"from"`  // number of the process that reported it, or OwnSource
-	RestoredAt Timestamp `json:"again"` // when its own source restored the server; 0: not yet
+	RestoredAt Timestamp `json:"again"` // when the process could use the server again; 0: not yet
 	RestoredBy List      `json:"back"`  // version of the restoration
 }
 
@@ -169,17 +170,17 @@
 	ModeChanges    []ModeChange    `json:"changes"`
 	Pauses         []Pause         `json:"stops"`
 	StaleRefusals  uint64          `json:"refused_old"`   // requests refused because the state was too old
-	ClockRejected  int             `json:"clock_refused"` // timestamps that were too far ahead
-	ClockLead      time.Duration   `json:"clock_lag"`     // largest lead of another clock
+	ClockRejected  int             `json:"clock_refused"` // timestamps rejected as too far ahead
+	ClockLead      time.Duration   `json:"clock_lag"`     // largest lead of an accepted timestamp
 	Confirmed      Timestamp       `json:"confirmed"`     // when its own source last answered
 	AppliedVersion List            `json:"reached"`       // all withdrawals up to it are in force
-	Predecessors   []Predecessor   `json:"before"`        // former processes of this node, oldest first
-	Members        []Member        `json:"members"`       // its view of the membership; empty if it does not track it
+	Predecessors   []Predecessor   `json:"before"`        // earlier processes of this node, oldest first
+	Members        []Member        `json:"members"`       // its view of the membership; empty without membership
 	Leases         []QuotaLease    `json:"parts"`         // of shared quotas
-	Majority       bool            `json:"majority"`      // most of the last agreed fleet are alive
-	ViewDigest     uint32          `json:"view"`          // digest of the processes that it takes for alive
+	Majority       bool            `json:"majority"`      // a majority of the last agreed fleet is alive
+	ViewDigest     uint32          `json:"view"`          // digest of the processes that it considers alive
 	Slots          int             `json:"seats"`         // slots of the fleet that it holds
-	HasQuorum      bool            `json:"quorate"`       // most guards of the slots answer it
+	HasQuorum      bool            `json:"quorate"`       // a majority of the guards answers it
 	// Withdrawals reported by peers that were not applied because of the limits.
 	RefusedWithdrawals []Refusal     `json:"refused"`
 	ServersInUse       []string      `json:"uses"`    // names in order; of a node
@@ -214,7 +215,7 @@
 	Total      float64 `json:"all"` // the whole quota
 }
 
-// Predecessor summarizes a former process of the same node.
+// Predecessor summarizes an earlier process of the same node.
 type Predecessor struct {
 	Incarnation Timestamp `json:"life"`
 	Until       Timestamp `json:"until"`
@@ -222,8 +223,8 @@
 	LastVersion Vector    `json:"last"`
 }
 
-// Recorder keeps a process's record. Only its SendCounters and CountStaleRefusal are
-// safe for concurrent use.
+// Recorder keeps the record of a running process. Only its SendCounters and
+// CountStaleRefusal are safe for concurrent use.
 type Recorder struct {
 	record        Record
 	clock         *HybridClock
@@ -240,8 +241,8 @@
 		counters: map[string]*SendCounter{}, peers: map[int]*PeerVersion{}}
 }
 
-// SendCounter returns the counter of a server. It is kept for as long as the server may
-// appear in an audit.
+// SendCounter returns the counter of a server, which it creates at the first call. Sends
+// to servers beyond MaxServers are counted in the total only.
 func (r *Recorder) SendCounter(name string) *SendCounter {
 	s := r.counters[name]
 	if s == nil {
@@ -255,8 +256,8 @@
 	return s
 }
 
-// dropCounter drops the counter of a removed server once the record has no withdrawal
-// of it.
+// dropCounter drops the counter of a removed server if the record has no withdrawal of
+// it any more.
 func (r *Recorder) dropCounter(name string) {
 	if !slices.ContainsFunc(r.record.Withdrawals, func(w Withdrawal) bool { return w.Server == name }) {
 		delete(r.counters, name)
@@ -311,9 +312,9 @@
 }
 
 // RecordRestored records that a server may be used again, as of a version of the own
-// list. Like sends it is stamped by the process's own clock, and both are shifted to
-// the fleet's clock when the record is taken: otherwise sends after the restoration
-// could seem to precede it while the hybrid clock is ahead.
+// list. Like sends it has a time of the local clock, and both are shifted to the hybrid
+// clock when the record is taken. Otherwise sends after the restoration could appear to
+// precede it while the hybrid clock is ahead.
 func (r *Recorder) RecordRestored(now Time, name string, list List) {
 	for i := len(r.record.Withdrawals) - 1; i >= 0; i-- {
 		if w := &r.record.Withdrawals[i]; w.Server == name && w.RestoredAt == 0 {
@@ -322,7 +323,7 @@
 	}
 }
 
-// RecordPeer records a message of a peer.
+// RecordPeer records a message from a peer with the peer's versions.
 func (r *Recorder) RecordPeer(now Time, from int, vector Vector) {
 	peer := r.peers[from]
 	if peer == nil {
@@ -345,7 +346,7 @@
 	}
 }
 
-// RecordPause records that the process was paused until now.
+// RecordPause records a pause of the process that ends now.
 func (r *Recorder) RecordPause(now Time, duration time.Duration) {
 	if r.record.Pauses = append(r.record.Pauses, Pause{r.clock.Now(now), duration}); len(r.record.Pauses) > MaxChanges {
 		r.record.Pauses = slices.Delete(r.record.Pauses, 0, 1)
@@ -391,7 +392,7 @@
 		r.record.Predecessors = r.record.Predecessors[n:]
 		r.record.Dropped += uint64(n)
 	}
-	for _, w := range previous.Withdrawals { // what the predecessor knew is known here too
+	for _, w := range previous.Withdrawals { // this process also knows what the predecessor knew
 		if w.RestoredAt == 0 && len(r.record.Withdrawals) < MaxWithdrawals {
 			r.record.Withdrawals = append(r.record.Withdrawals, w)
 		}
--- a/fleet/version/vector.go
+++ b/fleet/version/vector.go
@@ -1,7 +1,7 @@
 // Package version identifies what a process's decisions are based on, for monitoring
-// and later audits: the version vector that takes 24 bytes of a datagram, a hybrid
-// logical clock that orders events of several processes, and the record of the versions
-// that a process acted on. It does no I/O, reads no clock and starts no goroutine.
+// and later audits: a version vector of 24 bytes for datagrams, a hybrid logical clock
+// that orders events of several processes, and the record of the versions that a process
+// acted on. It does no I/O, reads no clock and starts no goroutine.
 package version
 
 import (
@@ -14,19 +14,18 @@
 // Time is a reading of the caller's monotonic clock with Unix time as its origin.
 type Time = time.Duration
 
-// FormatVersion is the newest datagram format that this build writes. Of a newer format
-// a process knows only that it is newer.
+// FormatVersion is the newest datagram format that this build writes.
 const FormatVersion = 1
 
 // Relation is the order of two versions.
 type Relation int
 
 const (
-	// Same: nothing differs.
+	// Same: there is no difference.
 	Same Relation = iota
-	// Older: whatever differs is older.
+	// Older: each component that differs is older.
 	Older
-	// Newer: whatever differs is newer.
+	// Newer: each component that differs is newer.
 	Newer
 	// Incomparable: neither comes before the other.
 	Incomparable
@@ -60,8 +59,8 @@
 
 // List is the version of a list of servers.
 type List struct {
-	// Epoch counts the discovery restarts at a lower generation that were observed;
-	// generations rise within one epoch. Modulo 2^16.
+	// Epoch is the number of observed discovery restarts at a lower generation, modulo
+	// 2^16; generations increase within one epoch.
 	Epoch uint16 `json:"epoch"`
 	// Generation is assigned by discovery, modulo 2^32.
 	Generation uint32 `json:"generation"`
@@ -69,8 +68,8 @@
 	Digest uint32 `json:"digest"`
 }
 
-// Compare relates l to o. The same generation of one epoch with different content is of
-// another discovery and Incomparable.
+// Compare relates l to o. Lists of the same generation and epoch with different content
+// come from different discovery services and are Incomparable.
 func (l List) Compare(o List) Relation {
 	if r := l.CompareGeneration(o); r != Same {
 		return r
@@ -98,7 +97,7 @@
 
 func (l List) String() string { return fmt.Sprintf("%d.%d", l.Epoch, l.Generation) }
 
-// Vector is what a process's decisions are based on at a moment.
+// Vector identifies what a process's decisions are based on at a time.
 type Vector struct {
 	List        List      `json:"list"`
 	Settings    uint16    `json:"settings"` // digest
@@ -131,7 +130,7 @@
 	return d.List.combine(d.Format).combine(d.Settings).combine(d.Build).combine(d.Maintenance)
 }
 
-// VectorSize is the encoded size of a Vector, bytes.
+// VectorSize is the encoded size of a Vector in bytes.
 const VectorSize = 24
 
 // Append appends the encoding of a vector, in network byte order.
--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -14,8 +14,8 @@
 		Clock: Timestamp(rapid.Uint64Range(0, 1<<56-1).Draw(r, name+" clock"))}
 }
 
-// Vectors survive an encoding round trip of 24 bytes, and the order is antisymmetric
-// and reflexive.
+// Vectors survive an encoding round trip in 24 bytes, and Compare is antisymmetric and
+// reflexive.
 func TestVectorEncodingAndOrder(t *testing.T) {
 	opposite := map[Relation]Relation{Same: Same, Older: Newer, Newer: Older, Incomparable: Incomparable}
 	rapid.Check(t, func(r *rapid.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// Timestamps rise along any chain of messages, as long as no clock is too far ahead to
-// be accepted.
+// Timestamps increase along any chain of messages if no clock is too far ahead to be
+// accepted.
 func TestClockPreservesCausality(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(r, "processes")
@@ -147,7 +147,7 @@
 			t.Fatalf("truncated at %d: %d records and %d damaged lines, want %d", length, len(records), damaged, want)
 		}
 	}
-	for at := range raw { // a flipped bit costs no other record
+	for at := range raw { // a flipped bit damages no other record
 		corrupted := append([]byte(nil), raw...)
 		corrupted[at] ^= 1
 		if records, damaged := ReadLines(corrupted); len(records) < 1 || len(records)+damaged < 3 && raw[at] != '\n' {
@@ -189,7 +189,7 @@
 		{control("a", 2, 1, 0, 41, 5), control("a", 1, 900, 0, 41, 5), Same}, // restarted at a lower version
 		{control("a", 2, 1, 0, 42, 6), control("a", 1, 900, 0, 41, 5), Newer},
 		{control("a", 2, 1, 0, 40, 4), control("b", 1, 900, 0, 41, 5), Older},
-		{control("a", 2, 1, 0, 41, 5), control("b", 1, 900, 1, 41, 5), Same}, // the identical list; one more restart counted
+		{control("a", 2, 1, 0, 41, 5), control("b", 1, 900, 1, 41, 5), Same}, // identical list, one more restart counted
 		{control("a", 2, 1, 0, 42, 6), control("b", 1, 900, 1, 3, 5), Incomparable},
 		{control("a", 2, 1, 0, 42, 0), control("b", 1, 900, 0, 3, 5), Incomparable}, // unknown list
 		{control("a", 2, 1, 0, 41, 6), control("b", 1, 900, 0, 41, 5), Incomparable},
