--- a/fleet/steered/steered.go
+++ b/fleet/steered/steered.go
@@ -1,6 +1,6 @@
-// Package steered decides which proxies of a control service can be counted on: whether
-// each accepts what it is sent and, by its own load reports, applies what it has
-// accepted. It does no I/O, reads no clock and starts no goroutine.
+// Package steered decides which proxies of a control service are reliable: whether each
+// accepts the versions that it is sent and, according to its own load reports, applies
+// what it has accepted. It does no I/O, reads no clock and starts no goroutine.
 package steered
 
 import (
@@ -16,8 +16,8 @@
 type Time = time.Duration
 
 const (
-	maxWithdrawn   = 4096 // withdrawn servers
-	maxLists       = 1024 // versions with their lists
+	maxWithdrawn   = 4096 // withdrawn servers that are tracked
+	maxLists       = 1024 // lists that are kept, with the first version based on each
 	maxDeparted    = 1024 // records of proxies that have left
 	verdictReports = 2    // consecutive reports with late sends, or without, that change a verdict
 )
@@ -26,9 +26,9 @@
 type Settings struct {
 	Service       string            // name of the control service
 	Incarnation   version.Timestamp // of the control service
-	AnswerTimeout time.Duration     // in which a proxy must answer what it is sent
-	Grace         time.Duration     // after a withdrawal was accepted, in which sends to the server may continue
-	MaxProxies    int               // limit of the table; further proxies are counted as dropped
+	AnswerTimeout time.Duration     // time in which a proxy must answer what it is sent
+	Grace         time.Duration     // time for which sends to a server may continue after its withdrawal was accepted
+	MaxProxies    int               // connected proxies, at most; further ones are counted as dropped
 }
 
 // Server identifies a withdrawn server by the names that load reports use: its ID or
@@ -38,10 +38,10 @@
 // ServerLoad is the entry of a load report for one server.
 type ServerLoad struct {
 	Server
-	Issued uint64
+	Issued uint64 // requests sent in the interval of the report
 }
 
-// matches reports whether the entry of a report names this server by either name.
+// matches reports whether the entry of a report has this server's ID or address.
 func (s Server) matches(named Server) bool {
 	return named.ID != "" && named.ID == s.ID || named.Addr != "" && named.Addr == s.Addr
 }
@@ -49,7 +49,7 @@
 type proxy struct {
 	version.Control
 	joined         version.Timestamp
-	sentAt         Time
+	sentAt         Time            // when the oldest unanswered version was sent
 	acceptedAt     map[uint64]Time // by version, of versions that withdraw servers
 	state          version.ProxyState
 	why            string
@@ -64,7 +64,7 @@
 	version uint64
 }
 
-// published is the list that versions are based on, from a version on.
+// published is a list and the first version that is based on it.
 type published struct {
 	from uint64
 	list version.List
@@ -75,10 +75,10 @@
 	settings  Settings
 	proxies   map[string]*proxy
 	withdrawn map[Server]withdrawal
-	number    uint64
-	lists     []published // oldest first
-	departed  []version.ProxyRecord
-	Dropped   uint64 // proxies and servers beyond the limits
+	number    uint64                // newest published version
+	lists     []published           // oldest first
+	departed  []version.ProxyRecord // of proxies that have left, oldest first
+	Dropped   uint64                // proxies and servers beyond the limits
 }
 
 // New returns an empty table.
@@ -91,12 +91,13 @@
 	Proxy string
 	State version.ProxyState
 	Why   string
-	// Reliable tells whether the proxy's reports may be relied on.
+	// Reliable reports whether the proxy accepts and applies what it is sent; see
+	// version.ProxyState.Reliable.
 	Reliable           bool
 	ReliabilityChanged bool // Reliable has changed
 }
 
-// ProxyJoined adds a proxy; at is the time by the clock of records.
+// ProxyJoined adds a proxy that has connected; at is the timestamp for its record.
 func (t *Table) ProxyJoined(at version.Timestamp, id string) {
 	if t.proxies[id] != nil {
 		return
@@ -108,7 +109,7 @@
 	t.proxies[id] = &proxy{Control: version.Control{Service: t.settings.Service, Incarnation: t.settings.Incarnation, Published: t.number}, joined: at, acceptedAt: map[uint64]Time{}}
 }
 
-// ProxyLeft removes a proxy and keeps its last record.
+// ProxyLeft removes a proxy that has disconnected and keeps its last record.
 func (t *Table) ProxyLeft(leftAt version.Timestamp, id string) {
 	p := t.proxies[id]
 	if p == nil {
@@ -132,16 +133,16 @@
 		}
 	}
 	current := make(map[Server]withdrawal, len(withdrawn))
-	for _, s := range withdrawn {
-		w, known := t.withdrawn[s]
+	for _, server := range withdrawn {
+		w, known := t.withdrawn[server]
 		if !known {
 			if len(current) >= maxWithdrawn {
 				t.Dropped++
 				continue
 			}
-			w = withdrawal{s, number}
+			w = withdrawal{server, number}
 		}
-		current[s] = w
+		current[server] = w
 	}
 	t.withdrawn = current
 	for _, p := range t.proxies {
@@ -149,8 +150,8 @@
 	}
 }
 
-// VersionSent records that a version was sent to a proxy. The proxy drops it after the
-// lease; 0: no lease.
+// VersionSent records that a version was sent to a proxy, which drops it when the lease
+// has expired; a lease of 0 does not expire.
 func (t *Table) VersionSent(now Time, id string, number uint64, lease time.Duration) {
 	p := t.proxies[id]
 	if p != nil && lease > 0 {
@@ -164,7 +165,8 @@
 	}
 }
 
-// VersionAnswered records that a proxy accepted a version, or why it rejected it.
+// VersionAnswered records that a proxy accepted a version or, with a reason, that it
+// rejected it.
 func (t *Table) VersionAnswered(now Time, id string, number uint64, reason string) {
 	p := t.proxies[id]
 	if p == nil {
@@ -179,7 +181,7 @@
 	}
 	p.Accepted = number
 	p.BasedOn = t.listOf(number)
-	for server := range t.withdrawn { // one time per version, only for servers that are still withdrawn
+	for server := range t.withdrawn { // one time per version, only for versions with servers that are still withdrawn
 		if v := t.withdrawn[server].version; v <= number {
 			if _, known := p.acceptedAt[v]; !known {
 				p.acceptedAt[v] = now
@@ -193,8 +195,8 @@
 	}
 }
 
-// VersionHeld records that a proxy is up to date with a version although nothing of it
-// had to be sent.
+// VersionHeld records that a proxy is up to date with a version of which nothing had to
+// be sent to it.
 func (t *Table) VersionHeld(id string, number uint64) {
 	if p := t.proxies[id]; p != nil && number > p.Accepted {
 		p.Accepted, p.BasedOn = number, t.listOf(number)
@@ -220,8 +222,8 @@
 	return false
 }
 
-// LoadReported records a proxy's load report for an interval that ends now. Sends count
-// as late if the whole interval lies after the grace period.
+// LoadReported records a proxy's load report for an interval that ends now. Sends to
+// withdrawn servers are late if the whole interval is after the grace period.
 func (t *Table) LoadReported(now Time, id string, interval time.Duration, loads []ServerLoad) {
 	p := t.proxies[id]
 	if p == nil {
@@ -247,7 +249,7 @@
 	}
 }
 
-// UpdateVerdicts returns the verdicts that have changed, by proxy.
+// UpdateVerdicts judges all proxies and returns the verdicts that have changed, by proxy.
 func (t *Table) UpdateVerdicts(now Time) []VerdictChange {
 	var out []VerdictChange
 	for id, p := range t.proxies {
@@ -300,7 +302,7 @@
 	return rows[:n], uint64(len(rows)-n) + t.Dropped
 }
 
-// UnreliableCount returns the number of proxies that cannot be counted on.
+// UnreliableCount returns the number of connected proxies that are not reliable.
 func (t *Table) UnreliableCount() int {
 	n := 0
 	for _, p := range t.proxies {
--- a/fleet/steered/steered_test.go
+++ b/fleet/steered/steered_test.go
@@ -23,8 +23,8 @@
 
 func stateOf(t *Table) string { return t.ProxyRecords()[0].State }
 
-// A proxy that does not apply, rejects or does not answer what it is sent is reported,
-// and counted on again once it follows.
+// A proxy that rejects, does not answer or does not apply what it is sent is reported as
+// unreliable, and as reliable again once it complies.
 func TestUnreliableProxiesAreReported(t *testing.T) {
 	drained := []Server{{"a", "1:1"}}
 	table := newTable()
@@ -101,7 +101,7 @@
 						accepted[s] = now
 					}
 				}
-			default: // sends go to servers whose withdrawal it has not accepted or whose grace period still runs
+			default: // sends go to servers whose withdrawal it has not accepted or accepted only recently
 				const interval = 500 * time.Millisecond
 				var sends []ServerLoad
 				for _, id := range []string{"a", "b", "c"} {
@@ -121,8 +121,8 @@
 	})
 }
 
-// The record names the list that a proxy acts on, also if nothing had to be sent, and
-// after the proxy has left.
+// The record has the list that a proxy acts on, also if nothing had to be sent, and after
+// the proxy has left.
 func TestRecordHoldsListOfProxy(t *testing.T) {
 	table := newTable()
 	if r := table.ProxyRecords()[0]; r.BasedOn.Generation != 40 || r.Service != "a" {
