--- a/fleet/audit/audit.go
+++ b/fleet/audit/audit.go
@@ -1,9 +1,9 @@
 // Package audit merges the records of many processes, which may be incomplete or of
-// earlier incarnations. It reports who acted on which version when, which sends
-// happened although the sender or another process knew better, how long changes took to
-// propagate, and who is behind, why, and with what confidence. What there is no
-// evidence for is reported as unknown. It does no I/O, reads no clock and starts no
-// goroutine.
+// earlier incarnations. It reports which process acted on which version when, which sends
+// went to a server although the sender or another process knew of its withdrawal, how long
+// changes took to propagate, and which processes are behind, why, and with what
+// confidence. Findings without evidence are reported as unknown. It does no I/O, reads no
+// clock and starts no goroutine.
 package audit
 
 import (
@@ -18,35 +18,36 @@
 
 // Options are the parameters of an audit.
 type Options struct {
-	// Grace is how long sends may still go to a server after its withdrawal is known.
+	// Grace is the time for which sends to a server may continue after its withdrawal is
+	// known.
 	Grace time.Duration
 	// Tolerance allows for clock skew and network delay between two processes.
 	Tolerance time.Duration
-	// FleetSize is the number of processes of the fleet, to name those without a
-	// record. 0: as many as the records name.
+	// FleetSize is the number of processes of the fleet; those without a record are
+	// reported too. At least all that have a record are included.
 	FleetSize int
 }
 
-// DefaultOptions returns the grace period of the rules and a tolerance for a network
-// delay of a few ms.
+// DefaultOptions returns a grace period of half a second and a tolerance for a network
+// delay of a few milliseconds.
 func DefaultOptions() Options {
 	return Options{Grace: 500 * time.Millisecond, Tolerance: 50 * time.Millisecond}
 }
 
-// Confidence tells how well a finding is supported.
+// Confidence is the degree to which records support a finding.
 type Confidence string
 
 // The levels of confidence.
 const (
-	Certain Confidence = "certain" // the process's own record says so, uncontradicted
-	Likely  Confidence = "likely"  // only other processes' records say so, or only one record
+	Certain Confidence = "certain" // supported by the process's own record and not contradicted
+	Likely  Confidence = "likely"  // supported only by other processes' records, or by only one record
 	Unknown Confidence = "unknown" // no evidence either way
 )
 
-// ClockAlignment tells how a process's times relate to those of the others.
+// ClockAlignment is the relation of a process's times to those of the others.
 type ClockAlignment struct {
-	Shift   time.Duration `json:"shift"` // added to its times
-	Trusted bool          `json:"trusted"`
+	Shift   time.Duration `json:"shift"`   // added to its times
+	Trusted bool          `json:"trusted"` // its times can be compared with the others'
 	Why     string        `json:"why,omitempty"`
 }
 
@@ -125,10 +126,10 @@
 	return r
 }
 
-// alignClocks aligns all times. Hybrid clocks that accept each other's timestamps are
-// aligned already. One whose timestamps are rejected, or that rejects the others', is
-// shifted by the lead that the others observed. One that nobody observed cannot be
-// compared.
+// alignClocks aligns the times of all records. Hybrid clocks that accept each other's
+// timestamps are aligned already. A clock that leads or lags by more than
+// version.MaxClockLead is shifted by the median lead that other processes observed. If no
+// process observed it and it observed none, its times are not comparable.
 func (a *Audit) alignClocks() {
 	leads := map[int][]int64{} // ms, by the process that leads
 	for _, process := range a.incarnations {
@@ -156,7 +157,7 @@
 	}
 }
 
-// shiftTimes shifts the times of a record.
+// shiftTimes shifts all times of a record.
 func (p *incarnation) shiftTimes(by time.Duration) {
 	move := func(s *version.Timestamp) {
 		if *s != 0 {
@@ -194,8 +195,9 @@
 	}
 }
 
-// heard returns the last message that a process received from another.
-func (p *incarnation) heard(number int) (version.PeerVersion, bool) {
+// lastFrom returns the last message that a process received from another, and whether
+// there is one.
+func (p *incarnation) lastFrom(number int) (version.PeerVersion, bool) {
 	i := slices.IndexFunc(p.Peers, func(h version.PeerVersion) bool { return h.Process == number })
 	if i < 0 {
 		return version.PeerVersion{}, false
@@ -203,7 +205,7 @@
 	return p.Peers[i], true
 }
 
-// nodeName returns the name of a node, if a record has it.
+// nodeName returns the name of a node from its record, or its number without one.
 func (a *Audit) nodeName(number int) string {
 	if n := a.nodeNames[number]; n != "" {
 		return n
@@ -211,5 +213,5 @@
 	return fmt.Sprintf("process %d", number)
 }
 
-// Now returns the time of the newest record, which the audit refers to.
+// Now returns the time of the newest record. States and ages are as of this time.
 func (a *Audit) Now() version.Timestamp { return a.now }
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -24,7 +24,7 @@
 
 func (p *process) wall() time.Duration { return p.now + p.skew }
 
-// newFleet returns processes of one list.
+// newFleet returns n processes that act on the same list.
 func newFleet(n int, skew func(i int) time.Duration) []*process {
 	out := make([]*process, n)
 	for i := range out {
@@ -46,8 +46,8 @@
 	p.recorder.RecordApplied(p.list)
 }
 
-// hear processes a message of another process like package follow.
-func (p *process) hear(sender *process) {
+// receive processes a message of another process like package follow.
+func (p *process) receive(sender *process) {
 	v := version.Vector{List: sender.list, Format: version.FormatVersion, Clock: sender.clock.Now(sender.wall())}
 	p.clock.Observe(p.wall(), v.Clock)
 	p.recorder.RecordPeer(p.wall(), sender.n, v)
@@ -63,7 +63,7 @@
 	for _, p := range processes {
 		for range 8 {
 			if o := processes[rng.IntN(len(processes))]; o != p && (isolated == nil || !isolated(p.n) && !isolated(o.n)) {
-				p.hear(o)
+				p.receive(o)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 		if x.after < 0 {
 			sent()
 		}
-		p.hear(all[1])
+		p.receive(all[1])
 		p.actOn(42)
 		p.recorder.RecordRestored(p.wall(), "s-1", p.list)
 		if x.after > 0 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// In a large fleet with skewed clocks and missing records, the audit finds every late
-// sender and every process that is behind, and reports nothing false.
+// In a large fleet with skewed clocks and missing records, the audit finds all late
+// senders and all processes that are behind, and no others.
 func TestAuditOfLargeFleet(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -188,7 +188,7 @@
 	}
 }
 
-// The reason why a process is behind; nothing is claimed without evidence.
+// The audit reports the reason why a process is behind, and only what records show.
 func TestReasonsForBeingBehind(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -288,23 +288,23 @@
 	}
 }
 
-// A proxy is judged by its current service. A service that restarts at a lower version
-// makes no proxy behind, and proxies that went back are named.
+// A proxy is judged by its current service. The restart of a service at a lower version
+// makes no proxy behind, and proxies that moved to an older list are listed.
 func TestProxiesAcrossControlServices(t *testing.T) {
-	row := func(service string, life version.Timestamp, joined, left version.Timestamp, accepted uint64, generation uint32, state version.ProxyState) version.ProxyRecord {
-		return version.ProxyRecord{Proxy: "p", Joined: joined, Left: left, State: state.String(), Control: version.Control{Service: service, Incarnation: life,
+	row := func(service string, incarnation version.Timestamp, joined, left version.Timestamp, accepted uint64, generation uint32, state version.ProxyState) version.ProxyRecord {
+		return version.ProxyRecord{Proxy: "p", Joined: joined, Left: left, State: state.String(), Control: version.Control{Service: service, Incarnation: incarnation,
 			Accepted: accepted, BasedOn: version.List{Generation: generation, Digest: generation}}}
 	}
-	service := func(name string, life version.Timestamp, generation uint32, rows ...version.ProxyRecord) version.Record {
-		return version.Record{Process: name, Number: -1, ControlService: true, Incarnation: life, TakenAt: 1000 + life, Proxies: rows,
+	service := func(name string, incarnation version.Timestamp, generation uint32, rows ...version.ProxyRecord) version.Record {
+		return version.Record{Process: name, Number: -1, ControlService: true, Incarnation: incarnation, TakenAt: 1000 + incarnation, Proxies: rows,
 			Intervals: []version.Interval{{Version: version.Vector{List: version.List{Generation: generation, Digest: generation}}}}}
 	}
 	current, refuses := version.ProxyCurrent, version.ProxyRejecting
 	for name, x := range map[string]struct {
-		records []version.Record
-		state   State
-		back    int
-		asks    string
+		records     []version.Record
+		state       State
+		regressions int
+		service     string
 	}{
 		"restarted":         {[]version.Record{service("a", 1, 41, row("a", 1, 1, 0, 900, 41, current)), service("a", 9, 41, row("a", 9, 10, 0, 2, 41, current)), service("b", 2, 41)}, UpToDate, 0, "a"},
 		"moved":             {[]version.Record{service("a", 1, 41, row("a", 1, 1, 5, 900, 41, current)), service("b", 2, 41, row("b", 2, 6, 0, 3, 41, current))}, UpToDate, 0, "b"},
@@ -316,7 +316,7 @@
 	} {
 		a := New(x.records, DefaultOptions())
 		p := a.Proxies()
-		if len(p) != 1 || p[0].State != x.state || p[0].Service != x.asks || len(a.Regressions()) != x.back {
+		if len(p) != 1 || p[0].State != x.state || p[0].Service != x.service || len(a.Regressions()) != x.regressions {
 			t.Errorf("%s: %+v, %d went back", name, p, len(a.Regressions()))
 		}
 	}
--- a/fleet/audit/behind.go
+++ b/fleet/audit/behind.go
@@ -8,7 +8,7 @@
 	"ivylock/fleet/version"
 )
 
-// freshFor is the maximum age of a record or message that tells the current state.
+// freshFor is the maximum age of a record or message that shows the current state.
 const freshFor = 4 * time.Second
 
 // State is how current a process is.
@@ -28,7 +28,7 @@
 	Process           string            `json:"process"`
 	Number            int               `json:"number"`
 	State             State             `json:"state"`
-	Version           version.Vector    `json:"version"` // that it acts on, as far as known
+	Version           version.Vector    `json:"version"` // version that it acts on, as far as known
 	AppliedVersion    version.List      `json:"reached"` // all withdrawals up to it are in force there
 	GenerationsBehind int               `json:"by"`      // -1: not comparable
 	BehindSince       version.Timestamp `json:"since"`   // when a process first acted on a newer version; 0: not behind
@@ -40,7 +40,7 @@
 }
 
 // NewestVersion returns the newest list version that at least two processes act on or
-// claim to act on, as a single one may be wrong.
+// claim to act on: a single one may be wrong.
 func (a *Audit) NewestVersion() version.List {
 	claims := map[version.List]map[int]bool{}
 	claim := func(v version.List, by int) {
@@ -114,11 +114,11 @@
 	return out
 }
 
-// lastReport returns the newest message of a process that others have on record, and
-// its receiver.
+// lastReport returns the newest message from a process on the others' records, and its
+// receiver.
 func (a *Audit) lastReport(n int) (report version.PeerVersion, reporter *incarnation) {
 	for _, process := range a.incarnations {
-		if h, ok := process.heard(n); ok && process.clock.Trusted && h.LastHeard > report.LastHeard {
+		if h, ok := process.lastFrom(n); ok && process.clock.Trusted && h.LastHeard > report.LastHeard {
 			report, reporter = h, process
 		}
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-// reasonBehind returns why a process is behind, as far as the records show.
+// reasonBehind returns the reason why a process is behind, as far as records show it.
 func (a *Audit) reasonBehind(record *incarnation, process *Process) string {
 	heardAny := slices.ContainsFunc(record.Peers, func(h version.PeerVersion) bool { return record.TakenAt.Sub(h.LastHeard) < freshFor })
 	var paused time.Duration
@@ -235,7 +235,7 @@
 	})
 }
 
-// refusalReason names the withdrawals that a process refuses.
+// refusalReason describes the withdrawals that a process refuses.
 func (p *incarnation) refusalReason() string {
 	n, first := 0, ""
 	for _, r := range p.RefusedWithdrawals {
--- a/fleet/audit/breaks.go
+++ b/fleet/audit/breaks.go
@@ -9,7 +9,7 @@
 	"ivylock/fleet/version"
 )
 
-// episode is one withdrawal of a server, from the first process that knew of it until
+// episode is one withdrawal of a server, from when the first process knew of it until
 // the server is restored.
 type episode struct {
 	server     string
@@ -17,7 +17,7 @@
 	list       version.List // first version of the withdrawal
 	restoredBy version.List // first version that restores the server
 	restored   bool
-	first      version.Timestamp // when a process first knew from its own source; from any, if none did
+	first      version.Timestamp // when a process first knew from its own source or, if none did, at all
 	fromSource bool              // first is from a process's own source
 	restoredAt version.Timestamp // when a process first had it restored; 0: never
 	known      []knowledge       // by time
@@ -96,17 +96,18 @@
 	Server      string            `json:"server"`
 	State       string            `json:"state"`
 	Version     version.List      `json:"version"` // of the withdrawal
-	SelfKnew    bool              `json:"own"`     // the process itself knew; else another one did
-	MinSends    uint64            `json:"least"`   // sends that were certainly too late
-	MaxSends    uint64            `json:"most"`    // including those that may have been too late
-	LateFrom    version.Timestamp `json:"from"`    // time from which on sends were too late
+	SelfKnew    bool              `json:"own"`     // the process itself knew; otherwise only another one
+	MinSends    uint64            `json:"least"`   // sends that were certainly late
+	MaxSends    uint64            `json:"most"`    // including those that may have been late
+	LateFrom    version.Timestamp `json:"from"`    // time from which sends were late
 	LastSend    version.Timestamp `json:"last"`
 	Lateness    time.Duration     `json:"late"` // of the last send after a process first knew
-	Evidence    []string          `json:"path"` // who knew when, and how the sender could have known
+	Evidence    []string          `json:"path"` // which processes knew when, and how the sender could have known
 	Confidence  Confidence        `json:"sure"`
 }
 
-// LateSends lists the sends that happened although some process knew better, by time.
+// LateSends lists the sends to withdrawn servers after the grace period, by time. The
+// sender or another process knew of the withdrawal.
 func (a *Audit) LateSends() []LateSendReport {
 	var out []LateSendReport
 	for _, e := range a.episodes {
@@ -120,8 +121,8 @@
 	return out
 }
 
-func (a *Audit) lateSends(e *episode, process *incarnation) []LateSendReport {
-	i := slices.IndexFunc(process.Servers, func(sends version.ServerSends) bool { return sends.Name == e.server })
+func (a *Audit) lateSends(withdrawal *episode, process *incarnation) []LateSendReport {
+	i := slices.IndexFunc(process.Servers, func(sends version.ServerSends) bool { return sends.Name == withdrawal.server })
 	if i < 0 {
 		return nil
 	}
@@ -132,16 +133,16 @@
 		if least == 0 {
 			return
 		}
-		report := LateSendReport{Process: process.Process, Number: process.Number, Incarnation: process.Incarnation, Server: e.server, State: e.state.String(), Version: e.list, SelfKnew: selfKnew,
-			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(e.first), Evidence: a.evidence(e, process, last), Confidence: Certain}
-		if !e.fromSource {
-			report.Confidence = Likely // no record shows that a source withdrew it
+		report := LateSendReport{Process: process.Process, Number: process.Number, Incarnation: process.Incarnation, Server: withdrawal.server, State: withdrawal.state.String(), Version: withdrawal.list, SelfKnew: selfKnew,
+			MinSends: least, MaxSends: most, LateFrom: from, LastSend: last, Lateness: last.Sub(withdrawal.first), Evidence: a.evidence(withdrawal, process, last), Confidence: Certain}
+		if !withdrawal.fromSource {
+			report.Confidence = Likely // no record shows that a source withdrew the server
 		}
 		out = append(out, report)
 	}
 	allowance := a.options.Grace + a.options.Tolerance
 	end := process.TakenAt + 1
-	if k, knew := e.knowledgeOf(process); knew {
+	if k, knew := withdrawal.knowledgeOf(process); knew {
 		until := end
 		if k.RestoredAt != 0 {
 			until = k.RestoredAt
@@ -149,35 +150,36 @@
 		add(true, k.KnownAt.Add(allowance), until)
 		end = min(end, k.KnownAt.Add(a.options.Grace))
 	}
-	if !process.clock.Trusted || e.first == 0 {
+	if !process.clock.Trusted || withdrawal.first == 0 {
 		return out
 	}
-	if e.restoredAt != 0 { // restored: later sends are not late
-		end = min(end, e.restoredAt)
+	if withdrawal.restoredAt != 0 { // restored: later sends are not late
+		end = min(end, withdrawal.restoredAt)
 	}
-	add(false, max(e.first.Add(allowance), process.Incarnation), end)
+	add(false, max(withdrawal.first.Add(allowance), process.Incarnation), end)
 	return out
 }
 
 // countSends returns the number of sends that certainly and at most fell between two
 // times, and the time of the last one.
-func countSends(s *version.ServerSends, from, to version.Timestamp) (least, most uint64, last version.Timestamp) {
-	for _, m := range s.Buckets {
+func countSends(sends *version.ServerSends, from, to version.Timestamp) (least, most uint64, last version.Timestamp) {
+	for _, bucket := range sends.Buckets {
 		switch {
-		case m.From >= from && m.To < to:
-			least, most, last = least+m.Sends, most+m.Sends, m.To
-		case m.To >= from && m.To < to: // at least its last send
-			least, most, last = least+1, most+m.Sends, m.To
-		case m.From >= from && m.From < to: // at least its first send
-			least, most, last = least+1, most+m.Sends, m.From
-		case m.From < from && m.To >= to:
-			most += m.Sends
+		case bucket.From >= from && bucket.To < to:
+			least, most, last = least+bucket.Sends, most+bucket.Sends, bucket.To
+		case bucket.To >= from && bucket.To < to: // at least the last send of the bucket
+			least, most, last = least+1, most+bucket.Sends, bucket.To
+		case bucket.From >= from && bucket.From < to: // at least the first send of the bucket
+			least, most, last = least+1, most+bucket.Sends, bucket.From
+		case bucket.From < from && bucket.To >= to:
+			most += bucket.Sends
 		}
 	}
 	return least, most, last
 }
 
-// evidence lists who knew of a withdrawal when, and how the sender could have known.
+// evidence describes which processes knew of a withdrawal and when, and how the sender
+// could have known.
 func (a *Audit) evidence(withdrawal *episode, sender *incarnation, at version.Timestamp) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
@@ -194,7 +196,7 @@
 	}
 	heard := false
 	for _, k := range withdrawal.known {
-		if h, ok := sender.heard(k.Number); ok && k.incarnation != sender && h.LastHeard > k.KnownAt && h.LastHeard <= at {
+		if h, ok := sender.lastFrom(k.Number); ok && k.incarnation != sender && h.LastHeard > k.KnownAt && h.LastHeard <= at {
 			add("%s heard %s at %s, which knew by then", sender.Process, k.Process, FormatTime(h.LastHeard))
 			heard = true
 			break
--- a/fleet/audit/changes.go
+++ b/fleet/audit/changes.go
@@ -11,18 +11,18 @@
 // Propagation is the propagation of one list version through the fleet.
 type Propagation struct {
 	Version      version.List      `json:"version"`
-	FirstAt      version.Timestamp `json:"at"`    // when a process first acted on it
-	FirstProcess string            `json:"first"` // that process
-	ToHalf       time.Duration     `json:"half"`  // until half of the processes on record did; -1: they did not
-	ToNineTenths time.Duration     `json:"nine"`  // until nine in ten did
-	ToAll        time.Duration     `json:"all"`
-	Reached      int               `json:"reached"`
-	NotReached   []string          `json:"never"`     // ran at that time and did not act on it within their records
+	FirstAt      version.Timestamp `json:"at"`        // when a process first acted on it
+	FirstProcess string            `json:"first"`     // that process
+	ToHalf       time.Duration     `json:"half"`      // until half of the processes on record did; -1: they did not
+	ToNineTenths time.Duration     `json:"nine"`      // until nine in ten did; -1: they did not
+	ToAll        time.Duration     `json:"all"`       // until all did; -1: they did not
+	Reached      int               `json:"reached"`   // processes that acted on it or a newer version
+	NotReached   []string          `json:"never"`     // processes that ran then and never acted on it, by their records
 	NoRecord     int               `json:"no_record"` // processes without a record
 }
 
-// Propagations lists the versions that processes acted on, and how long each took to
-// reach the first, half, nine in ten and all of those that ran.
+// Propagations lists the versions that processes acted on, by time, and how long each took
+// from the first process to half, nine in ten and all of those that ran.
 func (a *Audit) Propagations() []Propagation {
 	type arrival struct {
 		process *incarnation
@@ -97,7 +97,7 @@
 	Ongoing     bool              `json:"open"` // until the end of the record
 }
 
-// Spans lists who acted on which version when.
+// Spans lists which process acted on which version when, by process.
 func (a *Audit) Spans() []Span {
 	var out []Span
 	for _, process := range a.incarnations {
--- a/fleet/audit/events.go
+++ b/fleet/audit/events.go
@@ -15,7 +15,7 @@
 	Description string            `json:"what"`
 }
 
-// Events lists the recorded events of one node's processes, by time.
+// Events lists the recorded events of all processes of a node, by time.
 func (a *Audit) Events(name string) []Event {
 	var out []Event
 	add := func(at version.Timestamp, format string, args ...any) {
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, process := range a.incarnations {
-		if h, ok := process.heard(a.numberOf(name)); ok && process.Process != name {
+		if h, ok := process.lastFrom(a.numberOf(name)); ok && process.Process != name {
 			out = append(out, Event{h.LastHeard, fmt.Sprintf("was heard by %s last, acting on %v", process.Process, h.Version.List)})
 		}
 	}
@@ -92,7 +92,7 @@
 	return -1
 }
 
-// FormatTime formats a time of day, UTC, to a millisecond.
+// FormatTime returns the UTC time of day of a timestamp, to a millisecond.
 func FormatTime(s version.Timestamp) string {
 	return time.UnixMilli(s.Time().Milliseconds()).UTC().Format("15:04:05.000")
 }
--- a/fleet/audit/members.go
+++ b/fleet/audit/members.go
@@ -11,17 +11,17 @@
 // View is how one process sees the fleet.
 type View struct {
 	Process   string   `json:"process"`
-	Digest    uint32   `json:"digest"`  // equal for equal sets of live processes
-	Slots     int      `json:"seats"`   // slots of the fleet that it holds
-	HasQuorum bool     `json:"quorate"` // most guards of the slots answer it, if there are guards
-	Known     int      `json:"known"`
-	Alive     int      `json:"alive"`
-	Majority  bool     `json:"majority"` // most of the last agreed fleet are alive to it
-	NotAlive  []string `json:"others"`   // the processes that it does not take for alive, with their status
+	Digest    uint32   `json:"digest"`   // equal for equal sets of live processes
+	Slots     int      `json:"seats"`    // slots of the fleet that it holds
+	HasQuorum bool     `json:"quorate"`  // a majority of the guards answers it, if there are guards
+	Known     int      `json:"known"`    // processes that it knows, including itself
+	Alive     int      `json:"alive"`    // processes that it considers alive
+	Majority  bool     `json:"majority"` // it considers a majority of the last agreed fleet alive
+	NotAlive  []string `json:"others"`   // names of the processes that it does not consider alive, with their status
 }
 
-// Views returns the view of each process that tracks the membership. Views may
-// legitimately differ.
+// Views returns the view of each process that tracks the membership. Views may differ for
+// a time without a fault.
 func (a *Audit) Views() []View {
 	var out []View
 	for _, process := range a.incarnations {
@@ -41,8 +41,9 @@
 	return out
 }
 
-// SharedQuota is a quota that the fleet shares, as far as recorded. Records are taken
-// at different times, so sums may be off by leases that changed hands meanwhile.
+// SharedQuota is a quota that the fleet shares, as far as recorded, in its unit. Records
+// are taken at different times, so sums may be wrong by leases granted or returned in
+// between.
 type SharedQuota struct {
 	Quota      string      `json:"whole"`
 	Total      float64     `json:"all"` // the whole quota, by the largest settings
@@ -62,17 +63,17 @@
 func (a *Audit) SharedQuotas() []SharedQuota {
 	byQuota := map[string]*SharedQuota{}
 	for _, process := range a.incarnations {
-		for _, p := range process.Leases {
+		for _, lease := range process.Leases {
 			if !process.latest {
 				continue
 			}
-			s := byQuota[p.Quota]
-			if s == nil {
-				s = &SharedQuota{Quota: p.Quota}
-				byQuota[p.Quota] = s
+			quota := byQuota[lease.Quota]
+			if quota == nil {
+				quota = &SharedQuota{Quota: lease.Quota}
+				byQuota[lease.Quota] = quota
 			}
-			s.EqualShare, s.Held, s.Demand, s.Total = s.EqualShare+p.EqualShare, s.Held+p.Held, s.Demand+p.Demand, max(s.Total, p.Total)
-			s.Leases = append(s.Leases, HeldLease{process.Process, p})
+			quota.EqualShare, quota.Held, quota.Demand, quota.Total = quota.EqualShare+lease.EqualShare, quota.Held+lease.Held, quota.Demand+lease.Demand, max(quota.Total, lease.Total)
+			quota.Leases = append(quota.Leases, HeldLease{process.Process, lease})
 		}
 	}
 	var out []SharedQuota
--- a/fleet/audit/proxies.go
+++ b/fleet/audit/proxies.go
@@ -9,13 +9,12 @@
 	"ivylock/fleet/version"
 )
 
-// Proxy is the state of one steered proxy, derived from the records of its control
-// services.
+// Proxy is the state of one proxy, derived from the records of its control services.
 type Proxy struct {
 	Proxy          string          `json:"proxy"`
 	Service        string          `json:"service"` // the current or last control service
 	Accepted       uint64          `json:"accepted"`
-	BasedOn        version.List    `json:"on"` // the list that the accepted version is based on
+	BasedOn        version.List    `json:"on"` // list that the accepted version is based on
 	State          State           `json:"state"`
 	Verdict        string          `json:"verdict"` // the state on record at the service
 	Why            string          `json:"why"`
@@ -64,8 +63,8 @@
 	return out
 }
 
-// judgeProxy judges a proxy by its records at the services, in the order in which it
-// joined them.
+// judgeProxy judges a proxy by its records at the services, which are in the order in
+// which it joined them.
 func (a *Audit) judgeProxy(name string, records []version.ProxyRecord, newest version.List, known bool) Proxy {
 	p := Proxy{Proxy: name, State: StateUnknown, Confidence: Unknown}
 	active := 0
@@ -120,8 +119,7 @@
 	return p
 }
 
-// reliableState reports whether a service's verdict is that of a proxy that can be
-// counted on.
+// reliableState reports whether a service's verdict is that of a reliable proxy.
 func reliableState(state string) bool {
 	for _, s := range []version.ProxyState{version.ProxyUnresponsive, version.ProxyRejecting, version.ProxyNotApplying} {
 		if state == s.String() {
@@ -131,7 +129,8 @@
 	return true
 }
 
-// incarnationEnded reports whether the incarnation of the service of a row has ended.
+// incarnationEnded reports whether the incarnation of a service has ended that a proxy's
+// record is from.
 func (a *Audit) incarnationEnded(r version.ProxyRecord) bool {
 	i := slices.IndexFunc(a.services, func(service *incarnation) bool {
 		return service.Process == r.Service && service.Incarnation == r.Incarnation
@@ -143,7 +142,7 @@
 	return r.Service + " of " + FormatTime(r.Incarnation)
 }
 
-// Regressions lists the moves by which proxies went back to an older list.
+// Regressions lists the moves after which proxies accepted an older list.
 func (a *Audit) Regressions() []ServiceChange {
 	var out []ServiceChange
 	for _, p := range a.Proxies() {
