--- a/fleet/roster/roster.go
+++ b/fleet/roster/roster.go
@@ -476,13 +476,13 @@
 		r.retryProbe(r.probes[seq])
 	}
 	r.continueSync()
-	for seq, x := range r.relays {
-		switch age := r.now - x.sent; {
+	for seq, relayed := range r.relays {
+		switch age := r.now - relayed.sent; {
 		case age > 4*r.settings.ProbePeriod:
 			delete(r.relays, seq)
-		case age > r.settings.ProbeTimeout && !x.nackSent:
-			x.nackSent = true
-			r.send(x.to, message{kind: nack, seq: x.seq})
+		case age > r.settings.ProbeTimeout && !relayed.nackSent:
+			relayed.nackSent = true
+			r.send(relayed.to, message{kind: nack, seq: relayed.seq})
 		}
 	}
 	if r.now >= r.nextPeriod {
@@ -493,22 +493,22 @@
 
 // retryProbe repeats a ping whose ack is late, and once requests indirect probes, so that a
 // single lost datagram raises no suspicion.
-func (r *Roster) retryProbe(p *probe) {
-	m := r.members[p.memberID]
-	if m == nil || p.pings >= maxPingsPerProbe || r.now-p.sent < time.Duration(p.pings)*r.scaleByAwareness(r.settings.ProbeTimeout) {
+func (r *Roster) retryProbe(pending *probe) {
+	target := r.members[pending.memberID]
+	if target == nil || pending.pings >= maxPingsPerProbe || r.now-pending.sent < time.Duration(pending.pings)*r.scaleByAwareness(r.settings.ProbeTimeout) {
 		return
 	}
-	p.pings++
-	r.send(m.Addr, message{kind: ping, seq: p.seq, target: p.memberID})
-	if p.indirect {
+	pending.pings++
+	r.send(target.Addr, message{kind: ping, seq: pending.seq, target: pending.memberID})
+	if pending.indirect {
 		return
 	}
-	p.indirect = true
-	if p.inRound { // start the next probe without waiting for the period's end
+	pending.indirect = true
+	if pending.inRound { // start the next probe without waiting for the period's end
 		r.nextPeriod = r.now
 	}
-	for _, h := range r.randomMembers(r.settings.IndirectProbes, func(x *member) bool { return x.Status == Alive && x.ID != p.memberID }) {
-		r.send(h.Addr, message{kind: pingRequest, seq: p.seq, target: p.memberID, targetAddr: m.Addr})
+	for _, prober := range r.randomMembers(r.settings.IndirectProbes, func(x *member) bool { return x.Status == Alive && x.ID != pending.memberID }) {
+		r.send(prober.Addr, message{kind: pingRequest, seq: pending.seq, target: pending.memberID, targetAddr: target.Addr})
 	}
 }
 
@@ -526,17 +526,17 @@
 func (r *Roster) startPeriod() {
 	newSuspects := 0
 	for _, seq := range r.sortedProbes() {
-		p := r.probes[seq]
-		if r.now-p.sent < r.scaleByAwareness(r.settings.ProbePeriod) {
+		pending := r.probes[seq]
+		if r.now-pending.sent < r.scaleByAwareness(r.settings.ProbePeriod) {
 			continue
 		}
 		delete(r.probes, seq)
 		// Nacks, or any message received since the probe was sent, show that this process is not
 		// slow itself.
-		if p.inRound && p.nacks == 0 && r.lastHeard <= p.sent {
+		if pending.inRound && pending.nacks == 0 && r.lastHeard <= pending.sent {
 			r.awareness = min(r.settings.MaxAwareness, r.awareness+1)
 		}
-		if m := r.members[p.memberID]; m != nil && m.lastDirect <= p.sent && (m.Status == Alive || m.Status == Suspect) {
+		if m := r.members[pending.memberID]; m != nil && m.lastDirect <= pending.sent && (m.Status == Alive || m.Status == Suspect) {
 			if m.failedProbes++; m.Status == Alive {
 				r.counts.Suspicions++
 				r.setStatus(m, Suspect)
