--- a/fleet/follow/agent.go
+++ b/fleet/follow/agent.go
@@ -38,22 +38,22 @@
 	applied         version.List
 	age             time.Duration // of its source's last list when it was sent; negative: none
 	mode            Mode
-	queriedAt       Time
-	queryWait       time.Duration
-	answeredAt      Time
-	distrustedUntil Time
-	lastSent        Time // when anything was last sent to it
-	behind          bool // it acts on an outdated list
+	queriedAt       Time          // when it was last queried
+	queryWait       time.Duration // minimum time between queriedAt and the next query
+	answeredAt      Time          // when a query of it was last answered
+	distrustedUntil Time          // its reports are not counted until then
+	lastSent        Time          // when anything was last sent to it
+	behind          bool          // it acts on an outdated list
 	parts           assembly
 }
 
 // assembly collects the parts of an answer that spans several datagrams.
 type assembly struct {
 	kind       kind
-	to, since  version.List
-	total      int
-	received   uint64
-	applicable bool // all withdrawals received so far could be applied
+	to, since  version.List // versions between which the answer is complete
+	total      int          // parts
+	received   uint64       // bitmap of received parts
+	applicable bool         // all withdrawals received so far could be applied
 	keys       []version.Key
 }
 
@@ -63,9 +63,10 @@
 	reporters     []int // peers that have it from their own sources
 	firstReporter int   // peer that reported it first
 	receivedAt    Time
-	enforced      bool
+	enforced      bool // the server is not used because of the report
 }
 
+// maxReporters is the number of reporters that are recorded of one withdrawal.
 const maxReporters = 4
 
 type entry struct {
--- a/fleet/follow/standing.go
+++ b/fleet/follow/standing.go
@@ -80,7 +80,7 @@
 	}
 	next, reason := Current, ""
 	switch {
-	case a.settings.ObserveOnly || a.fleet.Size() <= 1: // no peer that could confirm the list
+	case a.settings.ObserveOnly || a.fleet.Size() <= 1: // or there is no peer to confirm the list
 	case age < a.settings.NarrowAfter:
 	case a.sourceStale(age):
 		next, reason = Held, fmt.Sprintf("nobody's source has spoken for %v", age.Round(time.Second))
