--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -159,7 +159,7 @@
 		e.server.LastResponseAt = n.now()
 		n.finish(r, Response{Status: http.StatusOK, Body: e.Body})
 	}
-	n.outcome = balance.AttemptEnded{ID: r.ID, Attempt: e.number, Server: e.server.ID, RequestDone: r.isOver(),
+	n.outcome = balance.AttemptEnded{ID: r.ID, Attempt: e.number, Server: e.server.ID, RequestDone: r.hasEnded(),
 		Elapsed: e.elapsed, Code: e.Code, Report: e.Report, BodyConsumed: r.bodyConsumed.Load()}
 	n.handle(&n.outcome)
 	n.removeRequest(r)
--- a/internal/node/carry_test.go
+++ b/internal/node/carry_test.go
@@ -20,14 +20,14 @@
 	err    error
 }
 
-func (k *memoryStore) Store(s *handoff.State) (*handoff.State, error) {
-	if k.err == nil {
-		k.stored = s
+func (m *memoryStore) Store(s *handoff.State) (*handoff.State, error) {
+	if m.err == nil {
+		m.stored = s
 	}
-	return k.newer, k.err
+	return m.newer, m.err
 }
-func (k *memoryStore) CheckOwner() error         { return k.err }
-func (k *memoryStore) PollNewer() *handoff.State { return nil }
+func (m *memoryStore) CheckOwner() error         { return m.err }
+func (m *memoryStore) PollNewer() *handoff.State { return nil }
 
 // setMaintenance applies a command as the loop does.
 func setMaintenance(n *Node, id string, inMaintenance bool) error {
@@ -82,7 +82,7 @@
 }
 
 // A drain that the old process received last holds at the new one, and a server that was
-// warming up goes on warming up.
+// warming up continues to warm up.
 func TestHandoffKeepsDrainsAndWarmup(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	n := New(cfg)
--- a/internal/node/checks_test.go
+++ b/internal/node/checks_test.go
@@ -140,11 +140,11 @@
 // The check before the write detects a disconnected client that has not been reported yet.
 func TestNothingIsWrittenForADepartedClient(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2"))
-	for _, gone := range []bool{false, true} {
-		r := &Request{Deadline: time.Now().Add(time.Minute), ClientGone: func() bool { return gone }}
-		want := map[bool]guard.WithholdReason{false: guard.Permitted, true: guard.WithheldRequestDone}[gone]
+	for _, disconnected := range []bool{false, true} {
+		r := &Request{Deadline: time.Now().Add(time.Minute), ClientGone: func() bool { return disconnected }}
+		want := map[bool]guard.WithholdReason{false: guard.Permitted, true: guard.WithheldRequestDone}[disconnected]
 		if why := n.checkBeforeWrite(context.Background(), &attempt{request: r, server: &backend.Server{}}); why != want {
-			t.Errorf("client gone %v: %v", gone, why)
+			t.Errorf("client disconnected %v: %v", disconnected, why)
 		}
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,7 +19,7 @@
 
 const (
 	reservedSockets   = 24 // listeners, discovery, peers, standard streams and the Go runtime
-	bodyMemoryDivisor = 8  // fraction of the memory limit for streamed bodies
+	bodyMemoryDivisor = 8  // the memory limit divided by this is the budget for long request bodies
 	minSockets        = 2 * (reservedSockets + console.MaxDescriptors)
 )
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -31,11 +31,11 @@
 }
 
 const (
-	pollsPerNarrowing  = 3 // watch polls that complete within the narrowing time
+	pollsPerNarrowing  = 3 // watch polls that complete within NarrowAfter
 	staleRetryAfter    = time.Second
-	finalRecordTimeout = 100 * time.Millisecond // limit on writing the last record, 0.2 s before SIGKILL
+	finalRecordTimeout = 100 * time.Millisecond // limit on writing the last record
 	backlogTime        = 150 * time.Millisecond // time after a process pause in which queued requests are read
-	minSpareTime       = 120 * time.Millisecond // time that a held request must have left; longer than a tick
+	minSpareTime       = 120 * time.Millisecond // client time needed to hold a request; longer than a tick
 )
 
 // fleet connects the node to package member and executes its actions. Fields that are not
@@ -46,10 +46,10 @@
 	agent        *follow.Agent
 	waiting      []*Request // held until the node knows whether its state is current
 	changed      bool
-	usedDigest   uint64 // digest of the servers that are usable after narrowing
-	lastTurn     atomic.Int64
-	resumedAt    atomic.Int64
-	pause        atomic.Int64 // length of the latest process pause
+	usedDigest   uint64       // digest of the listed servers that excludedByFleet does not exclude
+	loopRanAt    atomic.Int64 // when the loop last ran; ns
+	resumedAt    atomic.Int64 // when the latest process pause was detected; ns
+	pause        atomic.Int64 // length of the latest process pause; ns
 	notReady     atomic.Bool
 	appendRecord func(path string, r *version.Record) error // appends a record to the file
 }
@@ -76,7 +76,7 @@
 	}
 	f.member = member.New(c, now)
 	f.agent = f.member.Agent()
-	f.lastTurn.Store(int64(now))
+	f.loopRanAt.Store(int64(now))
 	return f
 }
 
@@ -103,7 +103,7 @@
 // paused reports whether the loop has not run for so long that its state must be verified
 // before use.
 func (f *fleet) paused(now balance.Time) bool {
-	return now-balance.Time(f.lastTurn.Load()) > f.cfg.Member.Follow.PauseThreshold
+	return now-balance.Time(f.loopRanAt.Load()) > f.cfg.Member.Follow.PauseThreshold
 }
 
 // PauseDelay returns how long a request that is read now may have waited unread during a
@@ -114,7 +114,7 @@
 		return 0
 	}
 	now := n.now()
-	if gap := now - balance.Time(f.lastTurn.Load()); gap > f.cfg.Member.Follow.PauseThreshold {
+	if gap := now - balance.Time(f.loopRanAt.Load()); gap > f.cfg.Member.Follow.PauseThreshold {
 		return gap // the loop has not detected the pause yet
 	}
 	if now-balance.Time(f.resumedAt.Load()) < backlogTime {
@@ -123,14 +123,14 @@
 	return 0
 }
 
-// detectPause records a turn of the loop. A long gap since the last turn is a process
+// detectPause records that the loop runs. A long gap since the previous call is a process
 // pause: the state is stale, and expired requests are failed first.
 func (n *Node) detectPause() {
 	if n.fleet == nil {
 		return
 	}
 	now := n.now()
-	gap := now - balance.Time(n.fleet.lastTurn.Load())
+	gap := now - balance.Time(n.fleet.loopRanAt.Load())
 	if gap > n.fleet.cfg.Member.Follow.PauseThreshold {
 		n.fleet.pause.Store(int64(gap))
 		n.fleet.resumedAt.Store(int64(now))
@@ -142,7 +142,7 @@
 		}
 		n.handleFleetEvent(member.Resumed{Gap: gap})
 	}
-	n.fleet.lastTurn.Store(int64(now))
+	n.fleet.loopRanAt.Store(int64(now))
 }
 
 // handleFleetEvent passes an event to the member and executes the returned actions.
@@ -274,7 +274,7 @@
 	f.waiting = nil
 	for _, r := range waiting {
 		switch {
-		case r.isOver(): // the client has disconnected
+		case r.hasEnded(): // the client has disconnected
 		case holding && time.Until(r.Deadline) > minSpareTime:
 			f.waiting = append(f.waiting, r)
 		case holding || end || time.Until(r.Deadline) <= 0:
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -13,8 +13,8 @@
 	c := testConfig(t, "127.0.0.1:1")
 	c.Settings.MayMessage = true
 	c.PeerListen, c.Peers, c.PeerBroadcast = "127.0.0.1:0", []string{"127.0.0.1:1"}, "127.0.0.1:2"
-	var switched operator.Fleet
-	c.Fleet = &FleetConfig{Member: switched.MemberConfig(), RecordFile: "record", RecordInterval: time.Hour}
+	var section operator.Fleet
+	c.Fleet = &FleetConfig{Member: section.MemberConfig(), RecordFile: "record", RecordInterval: time.Hour}
 	n := New(c)
 	hangs := make(chan bool)
 	defer close(hangs)
--- a/internal/node/neighbours.go
+++ b/internal/node/neighbours.go
@@ -14,7 +14,7 @@
 // queries its peers.
 
 const (
-	queryInterval = membership.NotifiedAfter / 8 // several fit in, as datagrams get lost
+	queryInterval = membership.NotifiedAfter / 8 // short, so that a lost datagram is repeated in time
 	queryFanout   = 2                            // peers queried at once; some may have missed the change too
 	replyInterval = queryInterval / 2            // minimum between replies to one node
 )
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -211,7 +211,7 @@
 	defer reap.Stop()
 	if n.fleet != nil {
 		// Startup time does not count as a process pause.
-		n.fleet.lastTurn.Store(int64(n.now()))
+		n.fleet.loopRanAt.Store(int64(n.now()))
 	}
 	defer tick.Stop()
 	for {
@@ -308,12 +308,12 @@
 }
 
 func (n *Node) acceptRequest(r *Request) {
-	if r.isOver() { // the client left while the request was queued
+	if r.hasEnded() { // the client left while the request was queued
 		return
 	}
 	switch {
 	case n.requests[r.ID] != nil:
-		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.RejectedDuplicateID}) // the open request goes on
+		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.RejectedDuplicateID}) // the open request continues
 		return
 	case n.refuseNew:
 		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedShutdown})
@@ -349,7 +349,7 @@
 
 // removeRequest drops a request that has ended and has no attempt in flight.
 func (n *Node) removeRequest(r *Request) {
-	if r.isOver() && r.outstanding == 0 {
+	if r.hasEnded() && r.outstanding == 0 {
 		delete(n.requests, r.ID)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestDrainingBackendsGetNothingNew(t *testing.T) {
+func TestDrainingServersGetNoNewRequests(t *testing.T) {
 	n := New(testConfig(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"))
 	n.applyListUpdate(discovery.Update{Kind: balance.ListCached, List: n.cfg.InitialList})
 	draining := discovery.List{Generation: 8, Instances: []discovery.Entry{{InstanceID: "s-0", HostPort: "127.0.0.1:2", Lifecycle: "draining"},
@@ -246,7 +246,7 @@
 			n.handleEvent(<-n.events)
 		}
 		if sent := len(r.attempts); leaves == (sent > 0) {
-			t.Errorf("client gone %v: %d attempts", leaves, sent)
+			t.Errorf("client disconnected %v: %d attempts", leaves, sent)
 		}
 		for _, a := range r.attempts {
 			a.cancel()
--- a/internal/node/operate.go
+++ b/internal/node/operate.go
@@ -98,7 +98,7 @@
 	return commandResult{err: errBusy}
 }
 
-// applyCommand is the part of Maintain that runs in the loop.
+// applyCommand applies a command of SetMaintenance. It must be called by the loop.
 func (n *Node) applyCommand(cmd command) {
 	var result commandResult
 	if cmd.adopt != nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	maxDatagram = 256
+	maxDatagram = 256 // bytes
 
 	minReadRetry = time.Millisecond // after a failed read; doubles each time
 	maxReadRetry = 50 * time.Millisecond
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -82,9 +82,9 @@
 	case <-time.After(nodetest.WaitTimeout):
 		t.Fatal("no datagram arrived")
 	}
-	for _, figure := range []string{"app.peers.errors.ECONNREFUSED:1|c", "app.peers.errors.ENOBUFS:2|c", "app.peers.errors.EMSGSIZE:1|c"} {
-		if !strings.Contains(string(count.Text()), figure) {
-			t.Errorf("%s is missing", figure)
+	for _, metric := range []string{"app.peers.errors.ECONNREFUSED:1|c", "app.peers.errors.ENOBUFS:2|c", "app.peers.errors.EMSGSIZE:1|c"} {
+		if !strings.Contains(string(count.Text()), metric) {
+			t.Errorf("%s is missing", metric)
 		}
 	}
 	socket.Close()
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -40,8 +40,8 @@
 	return r.ended.CompareAndSwap(nil, &requestEnd{time.Now(), answered})
 }
 
-// isOver reports whether the request has ended: nothing more may be sent for it.
-func (r *Request) isOver() bool { return r.ended.Load() != nil }
+// hasEnded reports whether the request has ended: nothing more may be sent for it.
+func (r *Request) hasEnded() bool { return r.ended.Load() != nil }
 
 // BodyStream is the unbuffered remainder of a request body. It can be read only once, so an
 // attempt that has begun to read it is the last one of its request.
@@ -103,7 +103,7 @@
 	return resp
 }
 
-// Abandon tells the node that a request's client has disconnected: nothing more is sent for
+// Abandon notifies the node that a request's client has disconnected: nothing more is sent for
 // it. It must be called at most once. A response that was given just before is discarded
 // and its stream is closed.
 func (n *Node) Abandon(r *Request) {
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -97,7 +97,7 @@
 }
 
 // serverStart returns when the server of a list entry started, in the node's time.
-// confirmed is when the list was last received before.
+// confirmed is when the previous list was received.
 func (n *Node) serverStart(e discovery.Entry, confirmed balance.Time) balance.Time {
 	clocks := membership.Clocks{Process: n.now(), Wall: wallclock.Now()}
 	if n.sourceClockOffset != nil {
@@ -108,7 +108,7 @@
 }
 
 // applyEntries applies list entries, with maintenance taken into account, to the pool and
-// the module. confirmed is when the list was last received before.
+// the module. confirmed is when the previous list was received.
 func (n *Node) applyEntries(kind balance.ListKind, entries []discovery.Entry, confirmed balance.Time) {
 	now := time.Now()
 	update := balance.ListUpdate{Kind: kind, Version: n.list.Generation()}
