--- a/internal/front/accept_test.go
+++ b/internal/front/accept_test.go
@@ -52,9 +52,9 @@
 	if slowest > time.Second {
 		t.Errorf("a client waited %v", slowest)
 	}
-	for _, figure := range []string{"app.accept.errors.ENOBUFS:4|c", "app.accept.errors.EPROTO:4|c", "app.accept.errors.other:4|c"} {
-		if !strings.Contains(string(n.MetricsText()), figure) {
-			t.Errorf("no %s in\n%s", figure, n.MetricsText())
+	for _, metric := range []string{"app.accept.errors.ENOBUFS:4|c", "app.accept.errors.EPROTO:4|c", "app.accept.errors.other:4|c"} {
+		if !strings.Contains(string(n.MetricsText()), metric) {
+			t.Errorf("no %s in\n%s", metric, n.MetricsText())
 		}
 	}
 	stop()
--- a/internal/front/body.go
+++ b/internal/front/body.go
@@ -37,7 +37,7 @@
 	return b
 }
 
-// reserve takes n bytes from the budget and reports whether there were as many.
+// reserve reserves n bytes of the budget and reports whether they were available.
 func (b *bodyReader) reserve(n int64) bool {
 	if b.budget.Add(-n) >= 0 {
 		return true
@@ -46,7 +46,7 @@
 	return false
 }
 
-// receivedBody is the part of a body that has been read, and the rest.
+// receivedBody is a body of which at least a first part has been read.
 type receivedBody struct {
 	buffered []byte
 	rest     *streamedBody // nil if all is buffered
--- a/internal/front/body_test.go
+++ b/internal/front/body_test.go
@@ -117,7 +117,7 @@
 		t.Errorf("%d MB in use while %d MB pass both ways", got>>20, size*count>>20)
 	}
 	if text := string(n.MetricsText()); !strings.Contains(text, fmt.Sprintf("app.operations.order.fulfilled:%d|c", count)) || !strings.Contains(text, "app.open_requests:0|g") {
-		t.Errorf("unexpected figures:\n%s", text)
+		t.Errorf("unexpected metrics:\n%s", text)
 	}
 }
 
@@ -144,7 +144,7 @@
 		}
 		for end := time.Now().Add(nodetest.WaitTimeout); !strings.Contains(string(n.MetricsText()), "clip.faulted:1|c"); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: unexpected figures:\n%s", name, n.MetricsText())
+				t.Fatalf("%s: unexpected metrics:\n%s", name, n.MetricsText())
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 		t.Errorf("%d requests with an invalid body ran", backend.RequestCount())
 	}
 	if text := string(n.MetricsText()); !strings.Contains(text, "app.open_requests:0|g") || !strings.Contains(text, "app.relayed:0|c") {
-		t.Errorf("unexpected figures:\n%s", text)
+		t.Errorf("unexpected metrics:\n%s", text)
 	}
 }
 
@@ -300,7 +300,7 @@
 }
 
 // A server that is put into maintenance finishes its open requests, and gets no request after
-// Maintain has returned.
+// SetMaintenance has returned.
 func TestMaintenanceFinishesOpenRequestsAndSendsNoNew(t *testing.T) {
 	arrived, release := make(chan bool, 10), make(chan bool)
 	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
@@ -336,7 +336,8 @@
 	if err := n.SetMaintenance(context.Background(), "s-0", false); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(nodetest.WaitTimeout); ; time.Sleep(20 * time.Millisecond) { // a cold server gets few requests
+	// A server that is warming up gets few requests.
+	for end := time.Now().Add(nodetest.WaitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if status, _, _ := n.mustRequest(t, "clip", fmt.Sprint("back", time.Now().UnixNano()), time.Second); status == 200 {
 			break
 		}
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -55,7 +55,7 @@
 	readAhead       []byte    // read beyond the open request and not delivered yet; at most maxReadAhead
 	phase           phase
 	closed          bool  // nothing more is delivered
-	goneErr         error // the read error that showed that the client has gone
+	goneErr         error // the read error that showed that the client had disconnected
 	readAheadFull   bool  // bytes beyond maxReadAhead were dropped: no further request can be read
 	resetOnClose    bool  // Close resets the connection
 	lingering       bool
@@ -66,7 +66,7 @@
 }
 
 // Read is called by net/http. While a request is open net/http reads a single byte in the
-// background to notice that the client has gone.
+// background to notice that the client has disconnected.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	watching := c.phase == phaseOpen && len(b) == 1
@@ -124,9 +124,9 @@
 	}
 }
 
-// readLate handles a read that timed out. Bytes that had arrived by then are read all the
-// same. Guards against rejecting a request that waited unread during a process pause. The
-// caller holds the lock.
+// readLate handles a read that timed out. Bytes that had arrived by then are still read.
+// Guards against rejecting a request that waited unread during a process pause. The caller
+// holds the lock.
 func (c *clientConn) readLate(b []byte, timeoutErr error) (int, error) {
 	if !bounded.HasUnread(c.TCPConn) {
 		c.readTimedOut = true
@@ -350,8 +350,8 @@
 	c.streaming = true
 }
 
-// clientGone reports whether the client has gone, even if net/http has not noticed: after a
-// process pause a request and the close behind it are read at once.
+// clientGone reports whether the client has disconnected, even if net/http has not noticed:
+// after a process pause a request and the close behind it are read at once.
 func (c *clientConn) clientGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/front/conns.go
+++ b/internal/front/conns.go
@@ -19,8 +19,8 @@
 // clientConns keeps the number of client connections within a limit, so that the process
 // does not run out of descriptors. At the limit, new connections wait in the kernel's backlog
 // until idle ones are evicted: first the one that has been open longest without a complete
-// request, then the one that has been idle longest between requests. New connections are
-// spared for a moment, as their first request may be on its way.
+// request, then the one that has been idle longest between requests. Connections
+// younger than minNewConnAge are not evicted, as their first request may be on its way.
 type clientConns struct {
 	*accept.Listener
 	limit    int
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -87,11 +87,11 @@
 	}
 }
 
-// The same if the open request was read together with the previous one. Such a connection
-// does not count as idle.
+// If an open request was read together with the previous one, its connection does not count
+// as idle, and a close by the client is noticed too.
 func TestRequestReadTogetherWithPreviousIsNotEvicted(t *testing.T) {
 	t.Parallel()
-	for _, event := range []string{"room", "shutdown", "close"} {
+	for _, event := range []string{"eviction", "shutdown", "close"} {
 		arrived, release, closed := make(chan bool, 1), make(chan bool), make(chan bool, 1)
 		backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 			if r.Header.Get("Request-Id") != "second" {
@@ -117,7 +117,7 @@
 			io.Copy(io.Discard, resp.Body)
 		}
 		switch event {
-		case "room":
+		case "eviction":
 			n.front.SetMaxConns(1)
 			n.front.clients.makeRoom(time.Now().Add(time.Minute)) // all count as idle for long
 		case "shutdown":
@@ -228,7 +228,7 @@
 		return nodetest.WriteResponse(c, "200 OK", "answer to "+r.Header.Get("Request-Id"))
 	})
 	for _, reused := range []bool{false, true} {
-		for _, event := range []string{"room", "shutdown"} {
+		for _, event := range []string{"eviction", "shutdown"} {
 			h := startHeldFront(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
 			c := dial(t, h.url)
 			r := bufio.NewReader(c)
@@ -248,7 +248,7 @@
 			h.armed.Store(int64(http.StateActive) + 1)
 			io.WriteString(c, getRequest("crossing"))
 			<-h.reached // the request has been read but not reported
-			if event == "room" {
+			if event == "eviction" {
 				h.front.SetMaxConns(1)
 				h.front.clients.makeRoom(time.Now().Add(time.Minute)) // all count as idle for long
 			} else {
@@ -489,7 +489,7 @@
 }
 
 // Changes during a dial apply before the write: nothing is written to a server that drains,
-// or for a client that has gone. After a drain the request is retried elsewhere or rejected.
+// or for a client that has disconnected. After a drain the request is retried elsewhere or rejected.
 func TestNothingIsWrittenIfRequestEndsDuringDial(t *testing.T) {
 	for _, class := range []string{"clip", "tag", "order"} {
 		for _, event := range []string{"drain", "close", "half-close", "reset"} {
--- a/internal/front/events_test.go
+++ b/internal/front/events_test.go
@@ -40,9 +40,9 @@
 		}
 	}
 	text := string(n.MetricsText())
-	for _, figure := range []string{"app.attempts.ended.ok:1|c", "app.attempts.ended.reset:1|c", "app.requests.turned_down.no_server:1|c", "app.attempts.repeated:0|c"} {
-		if !strings.Contains(text, figure) {
-			t.Errorf("no %s in\n%s", figure, text)
+	for _, metric := range []string{"app.attempts.ended.ok:1|c", "app.attempts.ended.reset:1|c", "app.requests.turned_down.no_server:1|c", "app.attempts.repeated:0|c"} {
+		if !strings.Contains(text, metric) {
+			t.Errorf("no %s in\n%s", metric, text)
 		}
 	}
 }
@@ -52,8 +52,8 @@
 	t.Parallel()
 	backend := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "served") })
 	n := startNode(t, nodeConfig(t, nodetest.ClosedAddr(t), backend.Addr))
-	has := func(figure string) func() bool {
-		return func() bool { return strings.Contains(string(n.MetricsText()), figure) }
+	has := func(metric string) func() bool {
+		return func() bool { return strings.Contains(string(n.MetricsText()), metric) }
 	}
 	serve := func(id, more string) net.Conn {
 		c := dial(t, n.url)
@@ -74,6 +74,6 @@
 	n.stop()
 	waitFor(t, "idle at the shutdown", has("app.connections.closed.draining:1|c"))
 	if !has("app.connections.opened:4|c")() || !has("app.connections.closed.unanswered:0|c")() {
-		t.Errorf("unexpected figures:\n%s", n.MetricsText())
+		t.Errorf("unexpected metrics:\n%s", n.MetricsText())
 	}
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -35,7 +35,7 @@
 	// minIdleAtShutdown is how long a connection must have been idle before a shutdown closes
 	// it: its next request may be in net/http's buffer.
 	minIdleAtShutdown = 50 * time.Millisecond
-	minNewConnAge     = 50 * time.Millisecond // before eviction: the first request follows the connect
+	minNewConnAge     = 50 * time.Millisecond // before eviction, so that the first request can arrive
 	streamBufferSize  = 32 << 10              // bytes
 	writeStallTimeout = 5 * time.Second       // for each write of a streamed response
 
@@ -96,11 +96,12 @@
 	return err
 }
 
-// Drain ends the service by the node's shutdown schedule. For a while it accepts further
-// connections, each of which ends with its next response. Then it closes idle connections
-// unless something has been read on them: net/http's Shutdown would close a connection
-// whose request it has just read, and drop the request. Requests that are incomplete by
-// the time for responses are rejected and their connections closed.
+// Drain stops serving according to the node's shutdown schedule. Until the listener is closed
+// it accepts further connections, each of which ends with its next response. Then it closes
+// idle connections unless something has been read on them: net/http's Shutdown would close a
+// connection whose request it has just read, and drop the request. Requests that are
+// incomplete at the schedule's AnswerBy are rejected and their connections closed. Drain
+// returns when all connections are closed or the schedule ends.
 func (f *HTTP) Drain() error {
 	schedule := f.node.ShutdownSchedule()
 	f.draining.Store(true)
@@ -143,7 +144,7 @@
 	}
 }
 
-// logStep logs a step of the shutdown with the number of open connections.
+// logStep logs a step of the shutdown with the number of connections in each phase.
 func (f *HTTP) logStep(name string) {
 	f.node.History().Add(eventlog.Event{Kind: eventlog.PhaseChanged, Reason: name})
 	unused, idle, open := f.clients.countByPhase()
@@ -228,7 +229,7 @@
 	if rest == nil {
 		metrics.OpenRequests.Add(1)
 		defer metrics.OpenRequests.Add(-1)
-	} else { // it counts as open from its last byte on
+	} else { // the request counts as open once its last byte has been read
 		rest.onComplete = func() { metrics.OpenRequests.Add(1) }
 		rest.onEnd = func() { metrics.OpenRequests.Add(-1) }
 		defer rest.end() // nothing may read from the connection once the handler has returned
@@ -299,7 +300,7 @@
 	}
 }
 
-// lingerUntil returns until when a body is read on after an early response.
+// lingerUntil returns the time until which a body is read after an early response.
 func (f *HTTP) lingerUntil() time.Time {
 	until := time.Now().Add(earlyResponseLinger)
 	if f.draining.Load() {
@@ -359,7 +360,7 @@
 		}
 		n, err := response.BodyStream.Read(buffer)
 		if chunk = buffer[:n]; n > 0 {
-			continue // Read returns an error again
+			continue // the next Read returns the error again
 		}
 		if errors.Is(err, io.EOF) {
 			break
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -17,16 +17,16 @@
 	"ivylock/internal/nodetest"
 )
 
-// fakeDiscovery is a discovery server that serves a script of responses. From some call on it
-// has the drain of the first server, which it reports once it no longer fails.
+// fakeDiscovery is a discovery server with scripted responses. During the script the first
+// server of its list starts to drain, which it reports once its calls no longer fail.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu        sync.Mutex
 	calls     int
-	drainedAt time.Time // when it had the drain and was reachable
+	drainedAt time.Time // when it was reachable and the first server drained; zero: not yet
 }
 
-// setDrained records that it has the drain from now on.
+// setDrained records that the first server drains from now on.
 func (d *fakeDiscovery) setDrained() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 // Despite discovery failures a draining server gets no requests later than 6.5 s after
-// discovery had the drain and was reachable. The node counts as one of 300, whose calls are
+// discovery was reachable and its list had the drain. The node counts as one of 300, whose calls are
 // spread, except in cases with repeated rejections.
 func TestDrainIsAppliedInTimeDespiteDiscoveryFailures(t *testing.T) {
 	closeAfter := func(w http.ResponseWriter, text string) {
@@ -81,12 +81,14 @@
 		io.WriteString(c, text)
 		c.Close()
 	}
-	const failing = 3 // calls; discovery has the drain from the last of them
+	const failing = 3 // calls; the server drains from the last of them on
 	// In a large fleet, repeated rejections lead to longer waits between calls.
 	nodeCounts := map[string]int{"refused": 3, "silent, then ok": 3}
 	failures := map[string]func(w http.ResponseWriter, r *http.Request){
-		"refused": func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "crowded", http.StatusServiceUnavailable) },
-		"hangs":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"refused": func(w http.ResponseWriter, _ *http.Request) {
+			http.Error(w, "overloaded", http.StatusServiceUnavailable)
+		},
+		"hangs": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"truncated list": func(w http.ResponseWriter, _ *http.Request) {
 			closeAfter(w, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\":9,")
 		},
@@ -161,7 +163,7 @@
 			old, middle := newFakeDiscovery(t, hangs), newFakeDiscovery(t, hangs)
 			discovery := newFakeDiscovery(t, func(discovery *fakeDiscovery, call int, w http.ResponseWriter, r *http.Request) {
 				if discovery.setDrained(); call == 1 {
-					http.Error(w, "crowded", http.StatusServiceUnavailable)
+					http.Error(w, "overloaded", http.StatusServiceUnavailable)
 					return
 				}
 				serveDrain(w, r)
@@ -284,7 +286,7 @@
 			if i == 0 {
 				lastToDrained.Store(time.Now().UnixNano())
 			} else {
-				time.Sleep(5 * time.Millisecond) // makes the first server the better choice while it may be used
+				time.Sleep(5 * time.Millisecond) // the first server responds faster, so the node prefers it until it drains
 			}
 		}))
 		t.Cleanup(s.Close)
--- a/internal/front/turnaway.go
+++ b/internal/front/turnaway.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRejecting limits the connections that are rejected at once. Each takes one of the
+	// maxRejecting limits the connections that are rejected at once. Each uses one of the
 	// descriptors reserved for the node itself.
 	maxRejecting = 8
 	// firstByteTimeout limits the wait for the first byte on a connection that is rejected:
