--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against spending an attempt on a connection that is known to be dead.
-func TestDeadIdleConnectionIsNotReused(t *testing.T) {
+// Guards against using an attempt on a connection that is known to be closed.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool {
 		nodetest.WriteResponse(c, "200 OK", "")
 		return false // closes without "Connection: close"
@@ -101,7 +101,7 @@
 }
 
 // Without malformed responses the reuse delay opens no new connections, and a connection
-// that has rested is preferred to a new one.
+// that has been idle for the delay is preferred to a new one.
 func TestReuseDelayAppliesOnlyAfterMalformedResponses(t *testing.T) {
 	b := nodetest.NewScriptedServer(t, func(c net.Conn, r *http.Request) bool { return nodetest.WriteResponse(c, "200 OK", "") })
 	for _, testCase := range []struct {
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -23,9 +23,9 @@
 // Result is the outcome of an exchange with a server.
 type Result struct {
 	Code        balance.OutcomeCode
-	Body        []byte          // of a 200 that was read completely
+	Body        []byte          // of a 200 response that was read completely
 	Report      *balance.Report // nil if the response carried none
-	FirstByteAt time.Time       // zero if nothing was read
+	FirstByteAt time.Time       // when the first byte of the response arrived; zero if none did
 }
 
 // Call is one message to a server. All fields but Request may be nil.
@@ -41,14 +41,14 @@
 	MayWrite func() bool
 	// OnWritten is called once the last byte is written. From then on the request may run.
 	OnWritten func()
-	// OnStream is called with a 200 that is too long to be buffered. The receiver reads
-	// it to its end and calls its Done; the exchange lasts until then.
+	// OnStream is called with a 200 response that is too long to be buffered. The receiver
+	// reads it to its end and calls its Done; the exchange lasts until then.
 	OnStream func(*Stream)
 }
 
 // Stream is a response body that is forwarded while it is read.
 type Stream struct {
-	Prefix   []byte // what has been read already
+	Prefix   []byte // first part of the body, which has been read already
 	Length   int64  // of the whole body; -1 if it is unknown before the end
 	response *bounded.Response
 	onDone   func(error)
@@ -76,7 +76,8 @@
 var ErrAbandoned = errors.New("client stopped reading the response")
 
 // Exchange sends one message once and reads the response, within ctx. It counts as timed
-// out if ctx is cancelled with the cause context.DeadlineExceeded.
+// out if ctx is cancelled with the cause context.DeadlineExceeded. With the codes Moot and
+// ConnectFailed the message has not run; Moot says nothing about the server.
 func (p *Pool) Exchange(ctx context.Context, server *Server, call Call) Result {
 	c, addr, startedAt, ok := p.acquire(server)
 	if !ok {
@@ -141,7 +142,7 @@
 		if body, streamed := call.Request.Body.(*streamedBody); streamed && body.failed {
 			return Result{Code: balance.Moot}, false // the client's body failed: not a server failure
 		}
-		return Result{Code: balance.ConnectFailed}, false // the last byte was not written: it has not run
+		return Result{Code: balance.ConnectFailed}, false // the last byte was not written, so the request has not run
 	}
 	if call.OnWritten != nil {
 		call.OnWritten()
@@ -225,7 +226,7 @@
 	return nil
 }
 
-// streamWriter writes to a server that has to keep reading.
+// streamWriter fails a write that takes longer than writeStallTimeout.
 type streamWriter struct{ *conn }
 
 func (w streamWriter) Write(b []byte) (int, error) {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -17,12 +17,12 @@
 
 const (
 	idleMargin = time.Second // idle connections are closed this long before the server may close them
-	// reuseDelay is how long a connection rests after a response before it is reused.
+	// reuseDelay is how long a connection stays idle after a response before it is reused.
 	// Guards against matching a late duplicate response to the next request. It is
 	// skipped if no other connection can be used and no server has recently sent a
 	// duplicate or malformed response.
 	reuseDelay      = 20 * time.Millisecond
-	malformedMemory = time.Minute // how long a malformed response counts as recent
+	malformedWindow = time.Minute // how long a malformed response counts as recent
 )
 
 // Server is one backend server. A single owner goroutine writes its exported fields; the
@@ -166,7 +166,7 @@
 }
 
 // acquire returns the most recently used idle connection that is still usable and has
-// rested for reuseDelay. If there is none, c is nil and the caller may open a new
+// been idle for reuseDelay. If there is none, c is nil and the caller may open a new
 // connection; ok is false if the limit is reached.
 func (p *Pool) acquire(server *Server) (c *conn, addr string, startedAt balance.Time, ok bool) {
 	p.mu.Lock()
@@ -175,8 +175,8 @@
 	for i := p.pickIdle(server, now); i >= 0; i = p.pickIdle(server, now) {
 		c := server.idle[i]
 		server.idle = slices.Delete(server.idle, i, i+1)
-		// Guards against spending an attempt, which might count as run, on a connection
-		// that is known to be dead.
+		// Guards against using an attempt, which might count as run, on a connection
+		// that is known to be closed.
 		if now.Sub(c.idleSince) < p.idleTimeout && bounded.OpenAndIdle(c.Conn) {
 			return c, c.addr, c.startedAt, true
 		}
@@ -194,14 +194,15 @@
 }
 
 // pickIdle returns the index of the idle connection to use next: the most recently used
-// one that has rested, else the one that has rested longest; -1 if a new one is needed.
+// one that has been idle for reuseDelay, else the one that has been idle longest; -1 if a
+// new one is needed.
 func (p *Pool) pickIdle(server *Server, now time.Time) int {
 	for i := len(server.idle) - 1; i >= 0; i-- {
 		if now.Sub(server.idle[i].lastResponseAt) >= p.reuseDelay {
 			return i
 		}
 	}
-	if len(server.idle) == 0 || now.Sub(p.lastMalformedAt) < malformedMemory {
+	if len(server.idle) == 0 || now.Sub(p.lastMalformedAt) < malformedWindow {
 		return -1
 	}
 	return 0
@@ -244,7 +245,7 @@
 	server.idle = append(server.idle, c)
 }
 
-// discard closes a connection, or returns the permission to open one if c is nil.
+// discard closes a connection, or releases the reservation for a new one if c is nil.
 func (p *Pool) discard(c *conn) {
 	if c != nil {
 		c.Close()
--- a/internal/bounded/answer.go
+++ b/internal/bounded/answer.go
@@ -25,8 +25,8 @@
 	// header, interim responses, MaxBufferedBody and the framing of small chunks.
 	maxBufferedResponse = 16 * MaxBufferedBody
 
-	pieceTimeout        = 500 * time.Millisecond // between two reads up to the end of the prefix
-	streamPieceTimeout  = 10 * time.Second       // between two reads of a streamed body
+	readTimeout         = 500 * time.Millisecond // between two reads up to the end of the prefix
+	streamReadTimeout   = 10 * time.Second       // between two reads of a streamed body
 	maxInterimResponses = 8                      // 1xx responses before the final one
 )
 
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	firstByteAt := time.Now()
-	r.timeout = pieceTimeout
+	r.timeout = readTimeout
 	resp, err := r.parse(req)
 	r.timeout = 0
 	if err == nil {
@@ -187,7 +187,7 @@
 
 // Read reads the body after Prefix. A stalled read fails after streamPieceTimeout.
 func (r *Response) Read(b []byte) (int, error) {
-	r.reader.limit.N, r.reader.timeout = math.MaxInt64, streamPieceTimeout
+	r.reader.limit.N, r.reader.timeout = math.MaxInt64, streamReadTimeout
 	n, err := r.Body.Read(b)
 	if err != nil {
 		r.reader.timeout = 0
--- a/internal/bounded/answer_test.go
+++ b/internal/bounded/answer_test.go
@@ -128,7 +128,7 @@
 	if _, err := NewReader(local).ReadResponse(nil); !errors.Is(err, ErrMalformedResponse) {
 		t.Errorf("got %v", err)
 	}
-	if took := time.Since(start); took < pieceTimeout {
+	if took := time.Since(start); took < readTimeout {
 		t.Errorf("timed out after %v", took)
 	}
 	// Stop takes effect at once, also between two reads.
