--- a/internal/arch/arch_test.go
+++ b/internal/arch/arch_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// decisionPackages lists the packages that decide or judge. They receive events and return
-// actions, without I/O, clocks or goroutines. If a file is named, only that file of the
+// decisionPackages lists the packages with the decision logic of nodes and of the lab. They
+// work on their inputs alone, without I/O, clocks or goroutines. If a file is named, only that file of the
 // package is checked.
 var decisionPackages = map[string]string{
 	"balance":              "",
@@ -52,9 +52,9 @@
 	var out []string
 	for _, i := range f.Imports {
 		path, _ := strconv.Unquote(i.Path.Value)
-		for _, w := range ioImports {
-			// net/netip has values only.
-			if path == w || strings.HasPrefix(path, w+"/") && path != "math/rand/v2" && path != "net/netip" {
+		for _, banned := range ioImports {
+			// net/netip defines address types and does no I/O.
+			if path == banned || strings.HasPrefix(path, banned+"/") && path != "math/rand/v2" && path != "net/netip" {
 				out = append(out, "imports "+path)
 			}
 		}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -37,10 +37,10 @@
 	Ready() bool
 	// MetricsText returns the metrics as text.
 	MetricsText() []byte
-	// SetMaintenance takes a server out of use, or back into use. Once it returns without an
-	// error, no new request goes to a server that was taken out. It returns
+	// SetMaintenance puts a server into maintenance or ends its maintenance. Once it returns
+	// without an error, no new request is sent to a server in maintenance. It returns
 	// maintenance.ErrUnknown for an unknown id.
-	SetMaintenance(ctx context.Context, id string, out bool) error
+	SetMaintenance(ctx context.Context, id string, inMaintenance bool) error
 }
 
 // FleetRecorder is implemented by nodes that record which fleet versions they applied.
@@ -165,7 +165,7 @@
 	}
 }
 
-func (s *Server) setMaintenance(out bool) http.HandlerFunc {
+func (s *Server) setMaintenance(inMaintenance bool) http.HandlerFunc {
 	return allowMethod(http.MethodPut, func(w http.ResponseWriter, r *http.Request) {
 		raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxIDBytes))
 		markComplete(r)
@@ -178,12 +178,12 @@
 		default:
 			ctx, cancel := context.WithTimeout(r.Context(), nodeTimeout)
 			defer cancel()
-			switch err := s.node.SetMaintenance(ctx, id, out); {
+			switch err := s.node.SetMaintenance(ctx, id, inMaintenance); {
 			case errors.Is(err, maintenance.ErrUnknown):
 				http.Error(w, "no backend has this id", http.StatusNotFound)
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
-			case out:
+			case inMaintenance:
 				io.WriteString(w, "out of use\n")
 			default:
 				io.WriteString(w, "in use\n")
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -31,13 +31,13 @@
 func (f *fakeNode) Events(request string) []byte {
 	return []byte("events of " + request + "\n")
 }
-func (f *fakeNode) SetMaintenance(_ context.Context, id string, out bool) error {
+func (f *fakeNode) SetMaintenance(_ context.Context, id string, inMaintenance bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id == "nobody" {
 		return maintenance.ErrUnknown
 	}
-	f.calls = append(f.calls, fmt.Sprint(id, out))
+	f.calls = append(f.calls, fmt.Sprint(id, inMaintenance))
 	return f.err
 }
 
--- a/internal/decider/decider.go
+++ b/internal/decider/decider.go
@@ -1,6 +1,6 @@
 // Package decider combines the request balancer (package balance) with the list poller
 // (package membership) for environments in which a single discovery call delivers all list
-// updates, such as the simulator's wire and the lab's in-memory world.
+// updates, such as the simulator's protocol and the lab's in-memory simulation.
 package decider
 
 import (
--- a/internal/decider/decider_test.go
+++ b/internal/decider/decider_test.go
@@ -14,7 +14,7 @@
 		Classes: []balance.Class{{Name: "cheap", Value: 1, TargetLatency: time.Second, Deadline: 2 * time.Second, Effect: balance.Safe}}}
 }
 
-// Guards against a thundering herd: nodes that start together while discovery rejects most
+// Guards against synchronized retries: nodes that start together while discovery rejects most
 // calls must retry at a bounded rate, and still serve from the cached list.
 func TestFleetStartSubscribesAtBoundedRate(t *testing.T) {
 	const nodes, step, duration, rejecting = 48, 5 * time.Millisecond, 30 * time.Second, 20 * time.Second
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -36,7 +36,8 @@
 	known  bool
 }
 
-// Add sets one field. Unknown names and values out of range are ignored.
+// Add sets one field. Unknown names are ignored, and so are values that are not numbers,
+// negative or at least 1e12.
 func (b *Builder) Add(name, value string) {
 	v, err := strconv.ParseFloat(value, 64)
 	if set := setters[name]; set != nil && err == nil && v >= 0 && v < 1e12 {
@@ -53,7 +54,7 @@
 	return &b.report
 }
 
-// Parse parses comma-separated name=value pairs.
+// Parse parses comma-separated name=value pairs. It returns nil if no field is known.
 func Parse(text string) *balance.Report {
 	if text == "" {
 		return nil
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -19,7 +19,8 @@
 	{syscall.EIO, "EIO"}, {syscall.ENOSPC, "ENOSPC"}, {syscall.EROFS, "EROFS"}, {0, "other"},
 }
 
-// Names returns the names by index.
+// Names returns the names of the distinguished errors. The last one, "other", stands for all
+// others.
 func Names() []string {
 	out := make([]string, len(names))
 	for i, n := range names {
@@ -28,7 +29,7 @@
 	return out
 }
 
-// Index returns the index of an error's name.
+// Index returns the index in Names of an error's name.
 func Index(err error) int {
 	var errno syscall.Errno
 	if errors.As(err, &errno) {
--- a/internal/nodetest/nodetest.go
+++ b/internal/nodetest/nodetest.go
@@ -157,13 +157,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	h := &BlockedListener{Listener: l}
+	blocked := &BlockedListener{Listener: l}
 	for range 8 {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 50*time.Millisecond)
 		if err != nil {
-			return h
+			return blocked
 		}
-		h.backlog = append(h.backlog, c)
+		blocked.backlog = append(blocked.backlog, c)
 	}
 	t.Fatal("the backlog does not fill up")
 	return nil
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -10,28 +10,28 @@
 	want := []Step{{0, time.Hour}, {2500 * time.Millisecond, -30 * time.Second}}
 	got, err := ParseSteps("0s:+1h,2.5s:-30s")
 	if err != nil || !slices.Equal(got, want) {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("ParseSteps returned %v, %v", got, err)
 	}
 	if again, err := ParseSteps(FormatSteps(want)); err != nil || !slices.Equal(again, want) {
 		t.Errorf("%q parsed as %v, %v", FormatSteps(want), again, err)
 	}
 	if none, err := ParseSteps(""); none != nil || err != nil {
-		t.Errorf("%v, %v", none, err)
+		t.Errorf("ParseSteps of an empty text returned %v, %v", none, err)
 	}
 	for _, bad := range []string{"x", "1s", "1s:", ":1s", "-1s:1s", "1:1s", "1s:5", "2s:1s,1s:1s", ","} {
 		if _, err := ParseSteps(bad); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
 	}
-	for since, by := range map[time.Duration]time.Duration{0: time.Hour, 2 * time.Second: time.Hour, 3 * time.Second: time.Hour - 30*time.Second} {
-		if got := offsetAfter(want, since); got != by {
-			t.Errorf("after %v: %v, want %v", since, got, by)
+	for since, offset := range map[time.Duration]time.Duration{0: time.Hour, 2 * time.Second: time.Hour, 3 * time.Second: time.Hour - 30*time.Second} {
+		if got := offsetAfter(want, since); got != offset {
+			t.Errorf("after %v: %v, want %v", since, got, offset)
 		}
 	}
 }
 
 func TestNowIsUnixTime(t *testing.T) {
-	if off := Now() - time.Duration(time.Now().UnixNano()); off.Abs() > time.Second {
-		t.Errorf("off by %v", off)
+	if difference := Now() - time.Duration(time.Now().UnixNano()); difference.Abs() > time.Second {
+		t.Errorf("Now differs from Unix time by %v", difference)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -61,7 +61,7 @@
 
 // Batch is one line from the simulator.
 type Batch struct {
-	Now    balance.Time
+	Now    balance.Time // simulated time
 	Groups []Group
 }
 
@@ -80,7 +80,7 @@
 	if in.Now == nil {
 		return Batch{}, errors.New("batch: sim_time_ns is missing")
 	}
-	b := Batch{Now: time.Duration(*in.Now)}
+	batch := Batch{Now: time.Duration(*in.Now)}
 	for i, g := range in.Groups {
 		if g.Node == nil {
 			return Batch{}, fmt.Errorf("group %d: node_id is missing", i)
@@ -99,9 +99,9 @@
 				out.Events = append(out.Events, event)
 			}
 		}
-		b.Groups = append(b.Groups, out)
+		batch.Groups = append(batch.Groups, out)
 	}
-	return b, nil
+	return batch, nil
 }
 
 type missingField string
@@ -234,7 +234,8 @@
 		Elapsed: elapsed, Code: code, Report: report}}, nil
 }
 
-// decodeReport ignores unknown keys. It returns nil if no key is known.
+// decodeReport decodes a load report. It ignores unknown keys and returns nil if no key is
+// known.
 func decodeReport(values map[string]json.RawMessage) *balance.Report {
 	var r loadreport.Builder
 	for name, raw := range values {
@@ -264,7 +265,7 @@
 	if !ok {
 		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
-	l := balance.ListUpdate{Kind: kind, Version: e.Version}
+	update := balance.ListUpdate{Kind: kind, Version: e.Version}
 	for i, item := range e.Items {
 		if item.Backend == nil {
 			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missingField("backend"))
@@ -273,10 +274,10 @@
 		if !ok {
 			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, item.State)
 		}
-		l.Entries = append(l.Entries, balance.Server{ID: balance.ServerID(*item.Backend), Zone: item.Zone, Kind: item.Model,
+		update.Entries = append(update.Entries, balance.Server{ID: balance.ServerID(*item.Backend), Zone: item.Zone, Kind: item.Model,
 			Cell: item.Pod, State: state, Size: item.Nominal, StartedAt: time.Duration(item.ReadyAt)})
 	}
-	return InstanceEvent{Event: l}, nil
+	return InstanceEvent{Event: update}, nil
 }
 
 func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
