--- a/cmd/ivylock/descriptors_test.go
+++ b/cmd/ivylock/descriptors_test.go
@@ -74,9 +74,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	figures, _ := io.ReadAll(resp.Body)
+	metrics, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
-	if !strings.Contains(string(figures), "app.accept.errors.EMFILE:") || strings.Contains(string(figures), "app.accept.errors.EMFILE:0|c") {
+	if !strings.Contains(string(metrics), "app.accept.errors.EMFILE:") || strings.Contains(string(metrics), "app.accept.errors.EMFILE:0|c") {
 		t.Error("no error was counted")
 	}
 	c.Process.Signal(syscall.SIGTERM)
--- a/cmd/ivylock/fleet_test.go
+++ b/cmd/ivylock/fleet_test.go
@@ -75,8 +75,8 @@
 		t.Errorf("a request went to the draining server %v after the drain", last.Sub(drained))
 	}
 	p.mu.Unlock()
-	if stops := old.record(t).Pauses; len(stops) == 0 || stops[0].Duration < time.Second {
-		t.Errorf("pauses of the old process: %+v", stops)
+	if pauses := old.record(t).Pauses; len(pauses) == 0 || pauses[0].Duration < time.Second {
+		t.Errorf("pauses of the old process: %+v", pauses)
 	}
 	old.terminate(t, syscall.SIGTERM)
 	if b := next.record(t).Predecessors; len(b) != 1 || b[0].Sends < 20 {
--- a/cmd/ivylock/log_test.go
+++ b/cmd/ivylock/log_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// A node whose log has been closed by the reader goes on serving.
+// A node whose log has been closed by the reader continues to serve.
 func TestClosedLogDoesNotEndProcess(t *testing.T) {
 	t.Parallel()
 	log, childLog := pipe(t)
--- a/cmd/ivylock/shutdown_test.go
+++ b/cmd/ivylock/shutdown_test.go
@@ -49,7 +49,7 @@
 	return s
 }
 
-// connectionKind is the state of a client's connection when the node is told to end.
+// connectionKind is the state of a client's connection when the node receives SIGTERM.
 type connectionKind string
 
 const (
--- a/cmd/ivylock/upgrade_test.go
+++ b/cmd/ivylock/upgrade_test.go
@@ -352,7 +352,7 @@
 					return
 				default:
 				}
-				// With half of the servers gone, some requests are refused.
+				// With half of the servers drained, some requests are refused.
 				if err := p.request("order", fmt.Sprint("order-", c, "-", i)); err != nil && !strings.HasPrefix(err.Error(), "503 ") {
 					t.Errorf("order %d of client %d: %v", i, c, err)
 				}
@@ -493,7 +493,7 @@
 			if text := last.metrics(); !strings.Contains(text, "app.out_of_rotation:1|g") {
 				t.Errorf("the next process's metrics are\n%s", text)
 			}
-			// One may be in the course of being written.
+			// One file may just be being written.
 			if files, _ := filepath.Glob(filepath.Join(p.dir, "ivylock.state.*")); len(files) > 1 {
 				t.Errorf("leftover files: %v", files)
 			}
@@ -532,7 +532,7 @@
 
 // Processes of a node start and serve even if their shared directory is not writable, and
 // join once it is.
-func TestUnwritableSharedDirBlocksNobody(t *testing.T) {
+func TestUnwritableSharedDirDoesNotBlockStart(t *testing.T) {
 	p := newPlatform(t)
 	p.dir = filepath.Join(t.TempDir(), "missing")
 	first := p.startReady()
