--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -83,7 +83,7 @@
 	}()
 }
 
-// failUnknownServer ends an attempt at a server that the node does not know (any more).
+// failUnknownServer ends an attempt at a server that the node does not know or no longer knows.
 func (n *Node) failUnknownServer(r *Request, id balance.ServerID) {
 	now := time.Now()
 	a := &attempt{request: r, number: len(r.attempts), server: &backend.Server{ID: id, Removed: true, InFlight: 1}, chosenAt: now, sentAt: now, cancel: func() {}}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -123,25 +123,25 @@
 	if err != nil {
 		return nil, newConfigError("seed", "%q is not a number; write up to 16 hexadecimal digits", in.Seed)
 	}
-	c := &Config{Name: in.Name, Listen: in.Listen, Console: in.Console, Discovery: in.Discovery, Seed: int64(seed),
+	config := &Config{Name: in.Name, Listen: in.Listen, Console: in.Console, Discovery: in.Discovery, Seed: int64(seed),
 		Cores: in.Limits.Cores, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets,
 		PeerListen: in.PeerListen, PeerBroadcast: in.PeersAll, Peers: in.Peers}
-	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console}} {
+	for _, a := range []struct{ field, addr string }{{"listen", config.Listen}, {"discovery", config.Discovery}, {"console", config.Console}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil && (a.addr != "" || a.field != "console") {
 			return nil, newConfigError(a.field, "%q is not an address; write host:port", a.addr)
 		}
 	}
-	if c.Cores <= 0 {
-		return nil, newConfigError("limits.cores", "%v; write a number above 0", c.Cores)
+	if config.Cores <= 0 {
+		return nil, newConfigError("limits.cores", "%v; write a number above 0", config.Cores)
 	}
-	if c.MemoryMB <= 0 {
-		return nil, newConfigError("limits.memory_mb", "%d; write a number above 0", c.MemoryMB)
+	if config.MemoryMB <= 0 {
+		return nil, newConfigError("limits.memory_mb", "%d; write a number above 0", config.MemoryMB)
 	}
-	if c.Sockets < minSockets {
-		return nil, newConfigError("limits.sockets", "%d; write at least %d", c.Sockets, minSockets)
+	if config.Sockets < minSockets {
+		return nil, newConfigError("limits.sockets", "%d; write at least %d", config.Sockets, minSockets)
 	}
 	if len(in.Known) > 0 {
-		if c.InitialList, err = discovery.ParseList(in.Known); err != nil {
+		if config.InitialList, err = discovery.ParseList(in.Known); err != nil {
 			return nil, newConfigError("known", "%v; write a list in discovery's form, or leave it out", err)
 		}
 	}
@@ -149,18 +149,18 @@
 		return nil, newConfigError("settings", "missing; write the deployment's settings")
 	}
 	var settingsErr *settings.Error
-	if c.Settings, err = settings.DecodeForNode(in.Settings); errors.As(err, &settingsErr) {
+	if config.Settings, err = settings.DecodeForNode(in.Settings); errors.As(err, &settingsErr) {
 		return nil, newConfigError(strings.TrimSuffix("settings."+settingsErr.Field, "."), "%s", settingsErr.Text)
 	}
-	c.settingsDigest = digestSettings(in.Settings)
-	s := c.Settings
+	config.settingsDigest = digestSettings(in.Settings)
+	s := config.Settings
 	// Open requests are limited to a third of the descriptors, so that connections remain
 	// for further clients.
-	c.Settings.MaxOpenRequests = min(s.MaxOpenRequests, c.Sockets/3)
-	if s.MayMessage && c.PeerListen != "" && (s.Self < 0 || s.Self >= len(c.Peers)) {
-		return nil, newConfigError("peers", "node %d is not among %d peers; list every node, in the order of their numbers", s.Self, len(c.Peers))
+	config.Settings.MaxOpenRequests = min(s.MaxOpenRequests, config.Sockets/3)
+	if s.MayMessage && config.PeerListen != "" && (s.Self < 0 || s.Self >= len(config.Peers)) {
+		return nil, newConfigError("peers", "node %d is not among %d peers; list every node, in the order of their numbers", s.Self, len(config.Peers))
 	}
-	return c, nil
+	return config, nil
 }
 
 // CheckReload returns an error if other belongs to another node or deployment, whose
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -66,15 +66,15 @@
 		return nil
 	}
 	f := &fleet{cfg: cfg.Fleet, appendRecord: recordfile.Append}
-	c := cfg.Fleet.Member
-	c.Name, c.Self, c.Nodes, c.Seed, c.SettingsDigest, c.BuildDigest = cfg.Name, cfg.Settings.Self, len(cfg.Peers), cfg.Seed, cfg.settingsDigest, build.Digest()
+	memberConfig := cfg.Fleet.Member
+	memberConfig.Name, memberConfig.Self, memberConfig.Nodes, memberConfig.Seed, memberConfig.SettingsDigest, memberConfig.BuildDigest = cfg.Name, cfg.Settings.Self, len(cfg.Peers), cfg.Seed, cfg.settingsDigest, build.Digest()
 	for _, t := range cfg.Settings.Tenants {
-		c.TenantQuotas = append(c.TenantQuotas, shares.Quota{Name: t.Name, Rate: t.Quota})
+		memberConfig.TenantQuotas = append(memberConfig.TenantQuotas, shares.Quota{Name: t.Name, Rate: t.Quota})
 	}
-	if len(c.AllowedPrefixes) > 0 {
-		c.Addr = c.Peers[c.Self]
+	if len(memberConfig.AllowedPrefixes) > 0 {
+		memberConfig.Addr = memberConfig.Peers[memberConfig.Self]
 	}
-	f.member = member.New(c, now)
+	f.member = member.New(memberConfig, now)
 	f.agent = f.member.Agent()
 	f.loopRanAt.Store(int64(now))
 	return f
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -308,7 +308,7 @@
 }
 
 func (n *Node) acceptRequest(r *Request) {
-	if r.hasEnded() { // the client left while the request was queued
+	if r.hasEnded() { // the client disconnected while the request was queued
 		return
 	}
 	switch {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -39,20 +39,20 @@
 }
 
 // openPeers returns nil if the configuration has no address to listen on.
-func openPeers(c *Config, metrics *figures.Set) (*peers, error) {
-	if c.PeerListen == "" || !c.Settings.MayMessage {
+func openPeers(cfg *Config, metrics *figures.Set) (*peers, error) {
+	if cfg.PeerListen == "" || !cfg.Settings.MayMessage {
 		return nil, nil
 	}
 	p := &peers{numbers: map[string]int{}, metrics: metrics}
-	if c.Fleet != nil {
-		p.allowedPrefixes, p.byAddress = c.Fleet.Member.AllowedPrefixes, len(c.Fleet.Member.AllowedPrefixes) > 0
+	if cfg.Fleet != nil {
+		p.allowedPrefixes, p.byAddress = cfg.Fleet.Member.AllowedPrefixes, len(cfg.Fleet.Member.AllowedPrefixes) > 0
 	}
-	for i, addr := range append(c.Peers[:len(c.Peers):len(c.Peers)], c.PeerBroadcast) {
+	for i, addr := range append(cfg.Peers[:len(cfg.Peers):len(cfg.Peers)], cfg.PeerBroadcast) {
 		a, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
 			return nil, fmt.Errorf("peer %q: %w", addr, err)
 		}
-		if i == len(c.Peers) {
+		if i == len(cfg.Peers) {
 			p.broadcast = a
 			break
 		}
@@ -60,11 +60,11 @@
 		p.numbers[a.String()] = i
 	}
 	lc := net.ListenConfig{}
-	if _, port, err := net.SplitHostPort(c.PeerListen); err == nil && port != "0" {
+	if _, port, err := net.SplitHostPort(cfg.PeerListen); err == nil && port != "0" {
 		// Not with port 0: the kernel could assign the same port to two such processes.
 		lc.Control = setReuseAddr
 	}
-	conn, err := lc.ListenPacket(context.Background(), "udp", c.PeerListen)
+	conn, err := lc.ListenPacket(context.Background(), "udp", cfg.PeerListen)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
