--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -44,25 +44,25 @@
 // MemberConfig returns the configuration for package member. Prefixes that do not parse are
 // skipped; validate has rejected them.
 func (f *Fleet) MemberConfig() member.Config {
-	m := member.Config{Follow: follow.Settings{ObserveOnly: f.ObserveOnly, HelloInterval: f.HelloInterval.Duration, HelloFanout: f.HelloFanout, PushFanout: f.PushFanout, NarrowAfter: f.NarrowAfter.Duration,
+	config := member.Config{Follow: follow.Settings{ObserveOnly: f.ObserveOnly, HelloInterval: f.HelloInterval.Duration, HelloFanout: f.HelloFanout, PushFanout: f.PushFanout, NarrowAfter: f.NarrowAfter.Duration,
 		CloseAfter: f.CloseAfter.Duration, BehindAfter: f.BehindAfter.Duration, ReopenJitter: f.ReopenJitter.Duration, OnePeerFraction: f.OnePeerFraction,
 		AllPeersFraction: f.AllPeersFraction, StaleSourceFraction: f.StaleSourceFraction, UnconfirmedTimeout: f.UnconfirmedTimeout.Duration, PauseThreshold: f.PauseThreshold.Duration, PauseHold: f.PauseHold.Duration},
 		Membership: f.Membership, ShareQuotas: f.ShareQuotas, ShareWork: f.ShareWork, Subsets: f.Subsets, Guards: f.Guards, Slots: f.Slots, MaxProcesses: f.MaxProcesses}
 	for _, text := range f.AllowedPrefixes {
 		if p, err := netip.ParsePrefix(text); err == nil {
-			m.AllowedPrefixes = append(m.AllowedPrefixes, p)
+			config.AllowedPrefixes = append(config.AllowedPrefixes, p)
 		}
 	}
-	return m
+	return config
 }
 
 func (f *Fleet) setDefaults() {
-	d := follow.DefaultSettings()
+	defaults := follow.DefaultSettings()
 	for _, x := range []struct {
 		span *strict.Span
 		d    time.Duration
-	}{{&f.HelloInterval, d.HelloInterval}, {&f.NarrowAfter, d.NarrowAfter}, {&f.CloseAfter, d.CloseAfter}, {&f.BehindAfter, d.BehindAfter}, {&f.ReopenJitter, d.ReopenJitter},
-		{&f.UnconfirmedTimeout, d.UnconfirmedTimeout}, {&f.PauseThreshold, d.PauseThreshold}, {&f.PauseHold, d.PauseHold}, {&f.RecordInterval, time.Second}} {
+	}{{&f.HelloInterval, defaults.HelloInterval}, {&f.NarrowAfter, defaults.NarrowAfter}, {&f.CloseAfter, defaults.CloseAfter}, {&f.BehindAfter, defaults.BehindAfter}, {&f.ReopenJitter, defaults.ReopenJitter},
+		{&f.UnconfirmedTimeout, defaults.UnconfirmedTimeout}, {&f.PauseThreshold, defaults.PauseThreshold}, {&f.PauseHold, defaults.PauseHold}, {&f.RecordInterval, time.Second}} {
 		if x.span.Duration == 0 {
 			x.span.Duration = x.d
 		}
@@ -70,7 +70,7 @@
 	for _, x := range []struct {
 		n *int
 		d int
-	}{{&f.HelloFanout, d.HelloFanout}, {&f.PushFanout, d.PushFanout}, {&f.Slots, 256}, {&f.MaxProcesses, 256}} {
+	}{{&f.HelloFanout, defaults.HelloFanout}, {&f.PushFanout, defaults.PushFanout}, {&f.Slots, 256}, {&f.MaxProcesses, 256}} {
 		if *x.n == 0 {
 			*x.n = x.d
 		}
@@ -78,7 +78,7 @@
 	for _, x := range []struct {
 		v *float64
 		d float64
-	}{{&f.OnePeerFraction, d.OnePeerFraction}, {&f.AllPeersFraction, d.AllPeersFraction}, {&f.StaleSourceFraction, d.StaleSourceFraction}} {
+	}{{&f.OnePeerFraction, defaults.OnePeerFraction}, {&f.AllPeersFraction, defaults.AllPeersFraction}, {&f.StaleSourceFraction, defaults.StaleSourceFraction}} {
 		if *x.v == 0 {
 			*x.v = x.d
 		}
