--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -191,7 +191,7 @@
 }
 
 // Guards against waiting for the deadline when no valid response can come, and against
-// treating a server that responds as dead.
+// treating a server that responds as failed.
 func TestMalformedResponseIsServerErrorNotReset(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":       "\x00\x7fhello",
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -150,7 +150,7 @@
 	response, err := c.reader.ReadResponse(call.Request)
 	c.malformed = errors.Is(err, bounded.ErrMalformedResponse)
 	if c.malformed {
-		return Result{Code: balance.ServerError}, false // not Reset: the server is alive
+		return Result{Code: balance.ServerError}, false // not Reset: the server responds
 	}
 	if err != nil {
 		return Result{Code: balance.Reset}, false
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -66,8 +66,8 @@
 
 	Relayed         atomic.Int64 // attempts written completely to servers
 	OpenRequests    atomic.Int64 // requests accepted and not yet finished
-	RegistryEntries atomic.Int64 // servers on the list, as last seen by the node's loop
-	OutOfRotation   atomic.Int64 // listed servers that the node avoids, as last seen by the node's loop
+	RegistryEntries atomic.Int64 // servers on the list, as of the loop's latest update
+	OutOfRotation   atomic.Int64 // listed servers that the node avoids, as of the loop's latest update
 
 	ListsUnanswered, ListsTruncated, ListsUnreadable atomic.Int64 // discovery calls that returned no list
 	EntriesSkipped                                   atomic.Int64 // unreadable entries of lists
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -178,7 +178,7 @@
 	return max(0, c.delivered-int64(len(head)+len(headEnd))-bodyLength(head))
 }
 
-// hasNextRequest reports whether the head of a further request has been read behind the open
+// hasNextRequest reports whether the head of a further request has been read after the open
 // one. Such a request must be answered too.
 func (c *clientConn) hasNextRequest() bool {
 	if c == nil {
@@ -351,7 +351,7 @@
 }
 
 // clientGone reports whether the client has disconnected, even if net/http has not noticed:
-// after a process pause a request and the close behind it are read at once.
+// after a process pause a request and the close after it are read at once.
 func (c *clientConn) clientGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -451,7 +451,7 @@
 	return 0
 }
 
-// bodyFraming is how the body behind a head is framed.
+// bodyFraming is how the body after a head is framed.
 type bodyFraming int
 
 const (
@@ -460,7 +460,7 @@
 	framingChunked
 )
 
-// framing returns how the body behind the last head is framed.
+// framing returns how the body after the last head is framed.
 func (c *clientConn) framing() bodyFraming {
 	if c == nil {
 		return framingAmbiguous // the bytes were not recorded
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// A client that closes its connection is noticed behind whatever it has sent after its open
-// request, whose attempt is cancelled at once.
+// The close of a client's connection is noticed whatever bytes it has sent after its open
+// request, and the attempt of that request is cancelled at once.
 func TestClientCloseIsNoticedBehindPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	arrived, closed := make(chan bool, 1), make(chan bool, 1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -468,7 +468,7 @@
 	if backend.RequestCount() != 0 {
 		t.Errorf("%d ambiguous requests were forwarded", backend.RequestCount())
 	}
-	// A chunked request is unambiguous, but bytes behind it are still ignored.
+	// A chunked request is unambiguous, but bytes after it are still ignored.
 	response := n.sendRaw(t, head("b")+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+hidden)
 	if !strings.HasPrefix(response, "HTTP/1.1 200") || strings.Count(response, "HTTP/1.1") != 1 || backend.RequestCount() != 1 {
 		t.Errorf("chunked: got %q, %d forwarded", response, backend.RequestCount())
--- a/internal/front/unfinished_test.go
+++ b/internal/front/unfinished_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A client's close is seen without reading its connection; bytes sent before it are not taken
-// for a close.
+// A client's close is noticed without reading from its connection, and bytes sent before it
+// are not mistaken for a close.
 func TestClientCloseIsSeenWithoutReading(t *testing.T) {
 	t.Parallel()
 	remote, local, _ := acceptedConn(t)
@@ -199,8 +199,8 @@
 	}
 }
 
-// A request whose head was read ahead of a shutdown, behind an open request, is answered too
-// before its connection is closed.
+// A request whose head was read before a shutdown, while another request was open, is
+// answered too before its connection is closed.
 func TestReadAheadRequestsAreAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	first, release := make(chan bool, 1), make(chan bool)
