--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -83,7 +83,7 @@
 	}()
 }
 
-// failUnknownServer ends an attempt at a server that the node does not know (any more).
+// failUnknownServer ends an attempt at a server that the node does not know or no longer knows.
 func (n *Node) failUnknownServer(r *Request, id balance.ServerID) {
 	now := time.Now()
 	a := &attempt{request: r, number: len(r.attempts), server: &backend.Server{ID: id, Removed: true, InFlight: 1}, chosenAt: now, sentAt: now, cancel: func() {}}
@@ -159,7 +159,7 @@
 		e.server.LastResponseAt = n.now()
 		n.finish(r, Response{Status: http.StatusOK, Body: e.Body})
 	}
-	n.outcome = balance.AttemptEnded{ID: r.ID, Attempt: e.number, Server: e.server.ID, RequestDone: r.isOver(),
+	n.outcome = balance.AttemptEnded{ID: r.ID, Attempt: e.number, Server: e.server.ID, RequestDone: r.hasEnded(),
 		Elapsed: e.elapsed, Code: e.Code, Report: e.Report, BodyConsumed: r.bodyConsumed.Load()}
 	n.handle(&n.outcome)
 	n.removeRequest(r)
