--- a/steer/api.go
+++ b/steer/api.go
@@ -3,10 +3,10 @@
 // the load of servers that warm up. It does no I/O, reads no clock and starts no goroutine: the
 // caller feeds it events and delivers the states it publishes.
 //
-// Servers are rated as in package balance: three modes with hysteresis, separate drop ratios
-// for priority and other requests, less weight for overloaded and blocking servers, and more
-// for short delays. Unlike there, single requests are not visible: all that is known of a
-// server is the sum of the proxies' load reports.
+// Servers are rated as in package balance: three modes (normal, overloaded, blocking) with
+// hysteresis, separate drop ratios for priority and other requests, less weight for overloaded and
+// blocking servers, and more for short delays. Unlike there, single requests are not visible: all
+// estimates of a server come from the sums of the proxies' load reports.
 package steer
 
 import (
@@ -17,7 +17,7 @@
 	"ivylock/fleet/subset"
 )
 
-// Time is a reading of the caller's monotonic clock. Its zero has no meaning.
+// Time is a reading of the caller's monotonic clock, in nanoseconds since an arbitrary origin.
 type Time = time.Duration
 
 type (
@@ -29,7 +29,7 @@
 
 // Settings configures a Module. Zero values select the defaults given with each field.
 type Settings struct {
-	Classes []balance.Class // at least one; the shortest target latency bounds the delay
+	Classes []balance.Class // at least one; the shortest target latency limits the delay of every server
 
 	WarmupStartFraction float64       // fraction of its capacity that a server starts with, in (0, 1]; default 0.32
 	WarmupTime          time.Duration // time until a started server has its full capacity; default 8.3 s
@@ -51,8 +51,8 @@
 	ID           ServerID
 	Addr         string // host:port
 	Zone         string
-	Cell         int // pod; a deduplication key is known within one pod only
-	RelativeSize float64
+	Cell         int     // pod; servers recognise a repeated deduplication key within one pod only
+	RelativeSize float64 // capacity relative to the other servers; 0: unknown
 	Draining     bool
 	StartedAt    Time // 0: long ago
 }
@@ -60,7 +60,7 @@
 // Event is an input of the module; the types below implement it.
 type Event interface{ event() }
 
-// ListKind tells how complete and how fresh a server list is.
+// ListKind describes the completeness and freshness of a server list.
 type ListKind int
 
 const (
@@ -72,7 +72,7 @@
 	ListFailed
 )
 
-// Load is one proxy's report of one server since the proxy's previous report.
+// Load is a proxy's report on one server, for the time since the proxy's previous report.
 type Load struct {
 	Server   ServerID
 	Addr     string // identifies the server if Server is empty
@@ -99,8 +99,8 @@
 	}
 	// ProxyLeft reports that a proxy disconnected.
 	ProxyLeft struct{ Proxy ProxyID }
-	// ProxyReliability tells whether to learn from a proxy's reports. A proxy that does not apply
-	// what it receives shows nothing of what a server can do.
+	// ProxyReliability sets whether a proxy's reports are used to estimate what servers can serve.
+	// They are not if the proxy does not apply the states it receives.
 	ProxyReliability struct {
 		Proxy    ProxyID
 		Reliable bool
@@ -119,8 +119,8 @@
 		OK      bool
 		Elapsed time.Duration
 	}
-	// ProcessPaused reports a process pause so long that a drain may have been missed: nothing is
-	// confirmed until the next full list.
+	// ProcessPaused reports a process pause during which a drain may have been missed: states are
+	// unconfirmed until the next full list.
 	ProcessPaused struct{}
 	// Tick is due every TickInterval.
 	Tick struct{}
@@ -166,7 +166,7 @@
 	Healthy Health = iota
 	// Draining servers finish their open requests and receive no new ones.
 	Draining
-	// Excluded servers do not respond or are ejected for now.
+	// Excluded servers fail or do not respond, and receive no requests until probes succeed.
 	Excluded
 )
 
--- a/steer/budget_test.go
+++ b/steer/budget_test.go
@@ -42,10 +42,10 @@
 		}
 		restarted := 0
 		for range rapid.IntRange(5, 80).Draw(t, "steps") {
-			now += time.Duration(rapid.Int64Range(1, 400).Draw(t, "later, ms")) * time.Millisecond
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			now += time.Duration(rapid.Int64Range(1, 400).Draw(t, "elapsed, ms")) * time.Millisecond
+			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2, 3, 4:
-				report := LoadReported{Proxy: rapid.SampledFrom(proxies).Draw(t, "who"),
+				report := LoadReported{Proxy: rapid.SampledFrom(proxies).Draw(t, "reporting proxy"),
 					Interval:         time.Duration(rapid.Int64Range(1, 3000).Draw(t, "interval, ms")) * time.Millisecond,
 					PriorityArrivals: rapid.Uint64Range(0, 300).Draw(t, "priority"),
 					OtherArrivals:    rapid.Uint64Range(0, 3000).Draw(t, "other")}
@@ -58,7 +58,7 @@
 			case 5: // a server restarts, in place or under a new ID
 				i := rapid.IntRange(0, len(list)-1).Draw(t, "which restarts")
 				if list[i].StartedAt = now -
-					time.Duration(rapid.Int64Range(0, 3000).Draw(t, "ago, ms"))*time.Millisecond; rapid.Bool().Draw(t, "as another") {
+					time.Duration(rapid.Int64Range(0, 3000).Draw(t, "ago, ms"))*time.Millisecond; rapid.Bool().Draw(t, "new ID") {
 					restarted++
 					list[i].ID = ServerID(fmt.Sprint("r", restarted))
 				}
@@ -77,7 +77,7 @@
 				feed(ListReceived{Kind: ListFull, Servers: list})
 			case 8:
 				i := rapid.IntRange(0, len(list)-1).Draw(t, "which is probed")
-				feed(ProbeResult{Server: list[i].ID, OK: rapid.Bool().Draw(t, "well")})
+				feed(ProbeResult{Server: list[i].ID, OK: rapid.Bool().Draw(t, "probe succeeds")})
 			}
 			for range rapid.IntRange(1, 5).Draw(t, "ticks") {
 				now += TickInterval
--- a/steer/retry.go
+++ b/steer/retry.go
@@ -9,16 +9,16 @@
 // MaxAttempts limits the attempts of one request, the first included.
 const MaxAttempts = 3
 
-// Retry budget of a proxy: further attempts as a percentage of its open requests, and the number
-// always allowed. Guards against retry storms at overloaded servers.
+// Retry budget of a proxy: concurrent retries as a percentage of its open requests, and the number
+// of concurrent retries that is always allowed. Guards against retry storms at overloaded servers.
 const (
 	RetryBudgetPercent  = 20
 	MinRetryConcurrency = 3
 )
 
-// RetryRule tells when a proxy may retry a request.
+// RetryRule defines when a proxy may retry a request.
 type RetryRule struct {
-	MayHaveRun     bool          // retry even if a server may have run the request, not only if none can have started it
+	MayHaveRun     bool          // also retry requests that a server may have run
 	SamePod        bool          // all attempts go to one pod
 	TotalTimeout   time.Duration // for all attempts together; 0: none
 	AttemptTimeout time.Duration // for one attempt; 0: none
--- a/steer/steer.go
+++ b/steer/steer.go
@@ -22,10 +22,10 @@
 	minHighMark         = 8.0                     // least high mark of a server, in requests over all proxies
 	lowFraction         = 0.7                     // low mark, as a fraction of the high mark
 	blockFactor         = 2.0                     // blocking mark, as a multiple of the high mark
-	minAnswered         = 30                      // ended requests before a server's estimates are used
+	minAnswered         = 30                      // completed requests before a server's estimates are used
 	maxErrorFraction    = 0.5                     // error ratio from which a server is excluded
-	minErrorSamples     = 8                       // ended requests needed for the error ratio
-	silenceTimeout      = 1500 * time.Millisecond // time without a response to open requests until a server is silent
+	minErrorSamples     = 8                       // completed requests needed for the error ratio
+	silenceTimeout      = 1500 * time.Millisecond // silent after this long without a response to open requests
 	maxExcludedFraction = 0.34                    // fraction of a zone's servers that load reports alone may exclude
 	suspicionTime       = 2 * time.Second
 	minExclusion        = 2 * time.Second // doubled for each further one in a row
@@ -38,7 +38,7 @@
 // server is a listed server with the estimates for it.
 type server struct {
 	Server
-	weightUnset  bool   // set at the end of the list update
+	weightUnset  bool   // weight is assigned at the end of the list update
 	podName      string // zone and pod, the input of groupRanking
 	groupRanking subset.GroupRanking
 	warmupFrom   Time // start of the warm-up; valid only if cold
@@ -48,7 +48,7 @@
 	answerRate       float64 // successful responses per second; sum of the last reports
 	smoothedRate     float64 // answerRate, smoothed
 	peakRate         float64 // highest smoothedRate, scaled to a warm server; decays
-	answeredCount    float64 // ended requests, errors included
+	answeredCount    float64 // completed requests, errors included
 	smoothedInFlight float64 // inFlight, smoothed
 	silentSince      Time    // since when requests are open without a response; 0: not silent
 	recent           struct{ ok, errors float64 }
@@ -219,7 +219,7 @@
 func (m *Module) handleList(e ListReceived) {
 	switch {
 	case e.Kind == ListFailed:
-		return // keep the known servers: no drain can have been announced
+		return // keep the known servers: the source announced no drain
 	case e.Kind == ListCached && m.listReceived:
 		return // out of date: this run has received a full list
 	}
@@ -375,7 +375,7 @@
 	clear(p.reported)
 }
 
-// setReliability sets whether a proxy's reports are learned from.
+// setReliability sets whether a proxy's reports are used for estimates.
 func (m *Module) setReliability(e ProxyReliability) {
 	if p := m.proxies[e.Proxy]; p != nil && p.unreliable == e.Reliable {
 		p.unreliable = !e.Reliable
@@ -414,7 +414,7 @@
 			m.Discarded.Loads++
 			continue
 		}
-		// Guards against a faulty report: no server holds that many requests of one proxy.
+		// Guards against faulty reports: no server has that many open requests of one proxy.
 		inFlight := math.Min(float64(load.InFlight), 1e5)
 		answerRate := float64(load.OK) / seconds // without errors: a full server returns those fast
 		if p.unreliable {
@@ -558,9 +558,9 @@
 	return s.smoothedInFlight / math.Max(s.smoothedRate, 0.1)
 }
 
-// detectFailures looks for servers that fail or are silent. Reports alone exclude only a fraction
-// of a zone, since failures of all servers at once may have another cause. Suspected servers are
-// probed and excluded when the probe fails as well.
+// detectFailures looks for servers that fail or are silent. Load reports alone exclude only a
+// fraction of a zone, since simultaneous failures of all servers may have another cause. Suspected
+// servers are probed and excluded when the probe fails as well.
 func (m *Module) detectFailures() {
 	total, excluded := map[string]int{}, map[string]int{}
 	for _, s := range m.sortedServers {
@@ -571,8 +571,8 @@
 	}
 	for _, s := range m.sortedServers {
 		ended := s.recent.ok + s.recent.errors
-		// Guards against excluding one server after the other for rejecting requests because they
-		// are full.
+		// Guards against excluding overloaded servers one after the other because they reject
+		// requests.
 		failing := ended >= minErrorSamples && s.recent.errors >= maxErrorFraction*ended && s.mode == balance.Normal
 		silent := s.silentSince > 0 && m.now-s.silentSince >= silenceTimeout
 		if ended >= minErrorSamples || silent {
--- a/steer/steer_test.go
+++ b/steer/steer_test.go
@@ -42,7 +42,7 @@
 type testProxy struct {
 	id               ProxyID
 	zone             string
-	shareOfLoad      float64 // fraction of the offered load
+	loadFraction     float64 // fraction of the offered load
 	loads            map[ServerID]*Load
 	priorityArrivals float64
 	otherArrivals    float64
@@ -73,8 +73,8 @@
 		fleet.capacity[id] = 100
 	}
 	for i := range proxies {
-		proxy := &testProxy{id: ProxyID(fmt.Sprintf("p%d", i)), zone: zones[i%len(zones)], shareOfLoad: 1 / float64(proxies),
-			loads: map[ServerID]*Load{}, remainder: map[ServerID]float64{},
+		proxy := &testProxy{id: ProxyID(fmt.Sprintf("p%d", i)), zone: zones[i%len(zones)],
+			loadFraction: 1 / float64(proxies), loads: map[ServerID]*Load{}, remainder: map[ServerID]float64{},
 			nextReport: fleet.now + time.Second + time.Duration(i)*37*time.Millisecond}
 		fleet.proxies = append(fleet.proxies, proxy)
 		fleet.feed(ProxyJoined{proxy.id, proxy.zone})
@@ -154,7 +154,7 @@
 		arrived := map[ServerID]float64{}
 		for _, proxy := range f.proxies {
 			view := f.state.View(proxy.zone)
-			arrivals := f.offered * proxy.shareOfLoad * seconds
+			arrivals := f.offered * proxy.loadFraction * seconds
 			proxy.priorityArrivals, proxy.otherArrivals =
 				proxy.priorityArrivals+arrivals*f.priorityFraction, proxy.otherArrivals+arrivals*(1-f.priorityFraction)
 			admitted := arrivals*f.priorityFraction*(1-float64(view.DropPriorityPPM)/1e6) +
@@ -177,13 +177,13 @@
 				queue = 200
 			}
 			f.queue[s.ID] = queue - answered
-			// Each proxy gets answers in proportion to its share of the load.
+			// Each proxy gets answers in proportion to its fraction of the load.
 			for _, proxy := range f.proxies {
 				load := proxy.load(s.ID)
 				if f.failing[s.ID] {
-					load.Errors += proxy.wholeRequests(s.ID+"!", answered*proxy.shareOfLoad)
+					load.Errors += proxy.wholeRequests(s.ID+"!", answered*proxy.loadFraction)
 				} else {
-					load.OK += proxy.wholeRequests(s.ID+"+", answered*proxy.shareOfLoad)
+					load.OK += proxy.wholeRequests(s.ID+"+", answered*proxy.loadFraction)
 				}
 			}
 		}
@@ -197,7 +197,7 @@
 			for _, s := range f.servers {
 				load := proxy.load(s.ID)
 				load.Server = s.ID
-				load.InFlight = uint64((f.queue[s.ID]+f.lastRate[s.ID]*requestTime)*proxy.shareOfLoad + f.rng.Float64())
+				load.InFlight = uint64((f.queue[s.ID]+f.lastRate[s.ID]*requestTime)*proxy.loadFraction + f.rng.Float64())
 				if load.Issued+load.OK+load.Errors+load.InFlight > 0 {
 					report.Loads = append(report.Loads, *load)
 				}
@@ -525,7 +525,7 @@
 	fleet.offered = 600 // 200 per zone with capacity 300
 	fleet.run(20 * time.Second)
 	for _, p := range fleet.proxies {
-		p.shareOfLoad = map[string]float64{"a": 0.35, "b": 0.075, "c": 0.075}[p.zone] // 420, 90 and 90 requests/s
+		p.loadFraction = map[string]float64{"a": 0.35, "b": 0.075, "c": 0.075}[p.zone] // 420, 90 and 90 requests/s
 	}
 	localFraction := func() float64 {
 		sum := 0.0
@@ -551,7 +551,7 @@
 		}
 	}
 	for _, p := range fleet.proxies {
-		p.shareOfLoad = 1.0 / 6
+		p.loadFraction = 1.0 / 6
 	}
 	fleet.offered = 300
 	fleet.run(90 * time.Second)
@@ -680,7 +680,7 @@
 	sent := map[ServerID]float64{}
 	for _, p := range fleet.proxies {
 		view := fleet.state.View(p.zone)
-		arrivals := fleet.offered * p.shareOfLoad
+		arrivals := fleet.offered * p.loadFraction
 		admitted := arrivals*fleet.priorityFraction*(1-float64(view.DropPriorityPPM)/1e6) +
 			arrivals*(1-fleet.priorityFraction)*(1-float64(view.DropOtherPPM)/1e6)
 		for id, fraction := range serverFractions(view) {
--- a/steer/view.go
+++ b/steer/view.go
@@ -20,18 +20,17 @@
 	assumedPeakRate    = 4.0      // requests/s of a warm server while no peak rate is known
 	maxFillFraction    = 0.85     // fraction of a zone's capacity up to which it takes other zones' requests
 
-	// Fraction of its own requests that a zone keeps when it starts to spill over. Response rates
-	// lag too much to be used for it.
+	// Fraction of its own requests that a zone keeps when it starts to spill over.
 	initialLocalFraction = 0.95
 
 	localDecrease        = 0.95 // factor per step while none of the zone's servers is normal
 	localIncrease        = 1.03 // factor per step while one is
 	minLocalFraction     = 0.05
 	fillWeight           = 1.5  // a zone filled to 1/fillWeight of its high marks has no headroom
-	requestLimitHeadroom = 2.0  // multiple of a proxy's even share of the total
+	requestLimitHeadroom = 2.0  // multiple of what all servers can hold, divided evenly among proxies
 	silentHoldSeconds    = 3.0  // time that requests to a silent server stay open until its exclusion
-	initialRequestLimit  = 1024 // while no base delay is known
-	minRequestLimit      = 8
+	initialRequestLimit  = 1024 // open requests of one proxy while no base delay is known
+	minRequestLimit      = 8    // open requests of one proxy
 )
 
 // publish composes a state if one is due, and publishes it if it differs from the last.
--- a/steer/weights.go
+++ b/steer/weights.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	blockedFactor     = 0.7  // target weight of a blocking server; less would overload the others
-	minDelayFactor    = 0.8  // least factor for a delay above the median; less makes weights oscillate
-	overloadedFactor  = 0.9  // target weight of an overloaded server while any is normal
-	maxDelayFactor    = 1.25 // largest factor for a delay below the median; the server may just be idle
+	blockedFactor     = 0.7  // factor on the target weight of a blocking server
+	minDelayFactor    = 0.8  // least factor for a delay above the median
+	overloadedFactor  = 0.9  // factor on the target weight of an overloaded server while any server is normal
+	maxDelayFactor    = 1.25 // largest factor for a delay below the median
 	deadBand          = 0.15 // relative deviation from the median delay that is ignored
 	minRelativeWeight = 0.05 // multiple of the mean weight; proxies ignore servers with weight 0
-	maxRelativeWeight = 4.0
+	maxRelativeWeight = 4.0  // multiple of the mean weight
 	admitFraction     = 0.9  // fraction of the response rate admitted while no server is normal
 	admitGrowth       = 1.05 // factor per WeightInterval while a server is normal
 	minAdmitFraction  = 0.02 // fraction of arrivals always admitted, to detect recovery
@@ -24,7 +24,7 @@
 // updateWeights adjusts the weights, at most once per WeightInterval and each by at most
 // MaxWeightFactor. Normal servers are weighted by size and delay. Overloaded servers get less
 // while any server is normal; blocking ones fall by two steps at once. No weight drops to zero at
-// once, as the requests would overload the other servers.
+// once, as the shifted requests would overload the other servers.
 func (m *Module) updateWeights() {
 	if m.weightsAt != 0 && m.now-m.weightsAt < m.settings.WeightInterval {
 		return
