--- a/internal/xds/conns.go
+++ b/internal/xds/conns.go
@@ -9,7 +9,7 @@
 )
 
 // connRegistry maps client addresses to TCP connections, so that the connection
-// of a stream can be reset and data still in the kernel's send buffer is discarded.
+// of a stream can be reset, which discards data in the kernel's send buffer.
 type connRegistry struct {
 	mu     sync.Mutex
 	byAddr map[string]*net.TCPConn // keyed by the proxy's address
@@ -24,19 +24,19 @@
 }
 
 func (w *trackingListener) Accept() (net.Conn, error) {
-	n, err := w.Listener.Accept()
-	t, ok := n.(*net.TCPConn)
+	conn, err := w.Listener.Accept()
+	tcpConn, ok := conn.(*net.TCPConn)
 	if err != nil || !ok {
-		return n, err
+		return conn, err
 	}
-	key := t.RemoteAddr().String()
+	key := tcpConn.RemoteAddr().String()
 	w.conns.mu.Lock()
 	defer w.conns.mu.Unlock()
 	if w.conns.byAddr == nil {
 		w.conns.byAddr = map[string]*net.TCPConn{}
 	}
-	w.conns.byAddr[key] = t
-	return &trackedConn{TCPConn: t, key: key, conns: w.conns}, nil
+	w.conns.byAddr[key] = tcpConn
+	return &trackedConn{TCPConn: tcpConn, key: key, conns: w.conns}, nil
 }
 
 // trackedConn removes itself from the registry when it is closed.
@@ -62,10 +62,10 @@
 		return
 	}
 	c.mu.Lock()
-	t := c.byAddr[p.Addr.String()]
+	conn := c.byAddr[p.Addr.String()]
 	c.mu.Unlock()
-	if t != nil {
-		t.SetLinger(0)
-		t.Close()
+	if conn != nil {
+		conn.SetLinger(0)
+		conn.Close()
 	}
 }
--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -132,30 +132,30 @@
 	ConfigSourceSpecifier: &corev3.ConfigSource_Self{Self: &corev3.SelfConfigSource{}},
 }
 
-func (e *encoder) addService(s *Service) {
+func (e *encoder) addService(service *Service) {
 	var clusterRefs []string
 	for _, priority := range []bool{true, false} {
 		dropPPM := e.view.DropOtherPPM
 		if priority {
 			dropPPM = e.view.DropPriorityPPM
 		}
-		clusterRefs = append(clusterRefs, e.addCluster(s, s.cluster(priority), dropPPM, nil)...)
-		if !slices.ContainsFunc(s.Classes, func(c Class) bool { return steer.RetryRuleFor(c.Class).SamePod && c.Priority == priority }) {
+		clusterRefs = append(clusterRefs, e.addCluster(service, service.cluster(priority), dropPPM, nil)...)
+		if !slices.ContainsFunc(service.Classes, func(c Class) bool { return steer.RetryRuleFor(c.Class).SamePod && c.Priority == priority }) {
 			continue
 		}
 		for _, pod := range e.pods() {
-			clusterRefs = append(clusterRefs, e.addCluster(s, s.podCluster(pod.id, priority), dropPPM, &pod.id)...)
+			clusterRefs = append(clusterRefs, e.addCluster(service, service.podCluster(pod.id, priority), dropPPM, &pod.id)...)
 		}
 	}
-	e.addRoutes(s, clusterRefs)
+	e.addRoutes(service, clusterRefs)
 	hcm := &hcmv3.HttpConnectionManager{
-		StatPrefix: s.Name,
+		StatPrefix: service.Name,
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{
-			ConfigSource: adsSource, RouteConfigName: s.Name}},
+			ConfigSource: adsSource, RouteConfigName: service.Name}},
 		HttpFilters: []*hcmv3.HttpFilter{{Name: "envoy.filters.http.router",
 			ConfigType: &hcmv3.HttpFilter_TypedConfig{TypedConfig: e.any(&routerv3.Router{})}}},
 	}
-	e.add(Listener, s.Name, &listenerv3.Listener{Name: s.Name,
+	e.add(Listener, service.Name, &listenerv3.Listener{Name: service.Name,
 		ApiListener: &listenerv3.ApiListener{ApiListener: e.any(hcm)}}, 0)
 }
 
@@ -168,18 +168,18 @@
 // pods lists the pods with at least one healthy server, sorted by ID.
 func (e *encoder) pods() []pod {
 	weights, podIDs := map[int]float64{}, []int{}
-	for _, l := range e.view.Localities {
-		totalWeight := healthyWeight(l.Endpoints)
-		for _, x := range l.Endpoints {
-			if x.Health != steer.Healthy {
+	for _, locality := range e.view.Localities {
+		totalWeight := healthyWeight(locality.Endpoints)
+		for _, endpoint := range locality.Endpoints {
+			if endpoint.Health != steer.Healthy {
 				continue
 			}
-			if _, ok := weights[x.Cell]; !ok {
-				podIDs = append(podIDs, x.Cell)
-				weights[x.Cell] = 0
+			if _, ok := weights[endpoint.Cell]; !ok {
+				podIDs = append(podIDs, endpoint.Cell)
+				weights[endpoint.Cell] = 0
 			}
-			if l.Priority == 0 {
-				weights[x.Cell] += float64(l.Weight) * float64(x.Weight) / totalWeight
+			if locality.Priority == 0 {
+				weights[endpoint.Cell] += float64(locality.Weight) * float64(endpoint.Weight) / totalWeight
 			}
 		}
 	}
@@ -203,35 +203,35 @@
 
 // addCluster adds a cluster of one pod, or of all servers if podID is nil, and
 // returns the names of all clusters that a route to it depends on.
-func (e *encoder) addCluster(s *Service, name string, dropPPM uint32, podID *int) []string {
+func (e *encoder) addCluster(service *Service, name string, dropPPM uint32, podID *int) []string {
 	if !e.kind.SupportsTTL {
-		e.addEDSCluster(s, name, false)
+		e.addEDSCluster(service, name, false)
 		e.addAssignment(name, dropPPM, podID, 0)
 		return []string{name}
 	}
 	leased, fallback := name+leasedSuffix, name+fallbackSuffix
-	e.addEDSCluster(s, leased, false)
-	e.addEDSCluster(s, fallback, true)
-	e.addAssignment(leased, dropPPM, podID, s.EndpointTTL)
-	e.addFallbackAssignment(fallback, s.HealthCheckPath != "", podID, s.FallbackTTL)
-	c := &clusterv3.Cluster{
+	e.addEDSCluster(service, leased, false)
+	e.addEDSCluster(service, fallback, true)
+	e.addAssignment(leased, dropPPM, podID, service.EndpointTTL)
+	e.addFallbackAssignment(fallback, service.HealthCheckPath != "", podID, service.FallbackTTL)
+	aggregate := &clusterv3.Cluster{
 		Name:           name,
-		ConnectTimeout: durationpb.New(s.ConnectTimeout),
+		ConnectTimeout: durationpb.New(service.ConnectTimeout),
 		LbPolicy:       clusterv3.Cluster_CLUSTER_PROVIDED,
 		ClusterDiscoveryType: &clusterv3.Cluster_ClusterType{ClusterType: &clusterv3.Cluster_CustomClusterType{
 			Name: "envoy.clusters.aggregate", TypedConfig: e.any(&aggregatev3.ClusterConfig{Clusters: []string{leased, fallback}})}},
 	}
-	e.add(Cluster, name, c, 0).clusterRefs = []string{leased, fallback}
+	e.add(Cluster, name, aggregate, 0).clusterRefs = []string{leased, fallback}
 	return []string{name, leased, fallback}
 }
 
 // addEDSCluster adds a cluster whose endpoints are served by EDS. For a fallback
 // cluster the proxy runs active health checks.
-func (e *encoder) addEDSCluster(s *Service, name string, fallback bool) {
+func (e *encoder) addEDSCluster(service *Service, name string, fallback bool) {
 	limit := wrapperspb.UInt32(max(e.view.MaxRequests, 1))
-	c := &clusterv3.Cluster{
+	cluster := &clusterv3.Cluster{
 		Name:                 name,
-		ConnectTimeout:       durationpb.New(s.ConnectTimeout),
+		ConnectTimeout:       durationpb.New(service.ConnectTimeout),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsSource},
 		LbPolicy:             clusterv3.Cluster_ROUND_ROBIN,
@@ -249,20 +249,20 @@
 		LrsReportEndpointMetrics: []string{"cpu_utilization", "application_utilization"},
 	}
 	if e.kind.SupportsTTL {
-		c.LbPolicy = clusterv3.Cluster_LEAST_REQUEST
+		cluster.LbPolicy = clusterv3.Cluster_LEAST_REQUEST
 	}
-	if fallback && s.HealthCheckPath != "" {
-		c.HealthChecks = []*corev3.HealthCheck{{
+	if fallback && service.HealthCheckPath != "" {
+		cluster.HealthChecks = []*corev3.HealthCheck{{
 			Timeout:            durationpb.New(100 * time.Millisecond),
 			Interval:           durationpb.New(100 * time.Millisecond),
 			NoTrafficInterval:  durationpb.New(5 * time.Second), // rarely used, so checked rarely
 			UnhealthyThreshold: wrapperspb.UInt32(1),
 			HealthyThreshold:   wrapperspb.UInt32(1),
 			HealthChecker: &corev3.HealthCheck_HttpHealthCheck_{
-				HttpHealthCheck: &corev3.HealthCheck_HttpHealthCheck{Path: s.HealthCheckPath}},
+				HttpHealthCheck: &corev3.HealthCheck_HttpHealthCheck{Path: service.HealthCheckPath}},
 		}}
 	}
-	e.add(Cluster, name, c, 0)
+	e.add(Cluster, name, cluster, 0)
 }
 
 // addAssignment adds the endpoints of a cluster. Proxies that support TTLs also
@@ -284,44 +284,44 @@
 
 func (e *encoder) fillEndpoints(assignment *endpointv3.ClusterLoadAssignment, podID *int) (active []string) {
 	priority, statePriority := -1, uint32(math.MaxUint32)
-	for _, l := range e.view.Localities {
-		totalWeight, ownWeight := healthyWeight(l.Endpoints), 0.0
+	for _, stateLocality := range e.view.Localities {
+		totalWeight, ownWeight := healthyWeight(stateLocality.Endpoints), 0.0
 		var locality *endpointv3.LocalityLbEndpoints
-		for _, x := range l.Endpoints {
-			if podID != nil && x.Cell != *podID {
+		for _, server := range stateLocality.Endpoints {
+			if podID != nil && server.Cell != *podID {
 				continue
 			}
-			ep, err := endpoint(x.Addr)
+			ep, err := endpoint(server.Addr)
 			if err != nil {
 				if e.err == nil {
 					e.err = err
 				}
 				continue
 			}
-			if l.Priority != statePriority { // EDS priorities must be contiguous
-				priority, statePriority = priority+1, l.Priority
+			if stateLocality.Priority != statePriority { // EDS priorities must be contiguous
+				priority, statePriority = priority+1, stateLocality.Priority
 			}
 			endpointWeight := 0.0
-			if x.Health == steer.Healthy {
-				endpointWeight = float64(x.Weight)
-				active = append(active, x.Addr)
+			if server.Health == steer.Healthy {
+				endpointWeight = float64(server.Weight)
+				active = append(active, server.Addr)
 			}
 			ownWeight += endpointWeight
-			ep.HealthStatus = healthStatuses[x.Health]
+			ep.HealthStatus = healthStatuses[server.Health]
 			if e.kind.SupportsTTL {
 				if locality == nil {
-					locality = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: l.Zone}, Priority: uint32(priority)}
+					locality = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: stateLocality.Zone}, Priority: uint32(priority)}
 					assignment.Endpoints = append(assignment.Endpoints, locality)
 				}
-				ep.LoadBalancingWeight = wrapperspb.UInt32(max(x.Weight, 1))
+				ep.LoadBalancingWeight = wrapperspb.UInt32(max(server.Weight, 1))
 				locality.LbEndpoints = append(locality.LbEndpoints, ep)
-				locality.LoadBalancingWeight = weight(l, ownWeight/totalWeight)
+				locality.LoadBalancingWeight = weight(stateLocality, ownWeight/totalWeight)
 				continue
 			}
 			assignment.Endpoints = append(assignment.Endpoints, &endpointv3.LocalityLbEndpoints{
-				Locality:            &corev3.Locality{Zone: l.Zone, SubZone: string(x.ID)},
+				Locality:            &corev3.Locality{Zone: stateLocality.Zone, SubZone: string(server.ID)},
 				Priority:            uint32(priority),
-				LoadBalancingWeight: weight(l, endpointWeight/totalWeight),
+				LoadBalancingWeight: weight(stateLocality, endpointWeight/totalWeight),
 				LbEndpoints:         []*endpointv3.LbEndpoint{ep},
 			})
 		}
@@ -330,10 +330,10 @@
 	return active
 }
 
-// weight returns the weight of a share of a locality. It rounds down, so that
-// rounding does not raise the share of a server that is warming up.
-func weight(l steer.Locality, share float64) *wrapperspb.UInt32Value {
-	return wrapperspb.UInt32(uint32(math.Max(1, float64(l.Weight)*share*1000)))
+// weight returns the weight of a fraction of a locality. It rounds down, so that
+// rounding does not raise the load of a server that is warming up.
+func weight(locality steer.Locality, fraction float64) *wrapperspb.UInt32Value {
+	return wrapperspb.UInt32(uint32(math.Max(1, float64(locality.Weight)*fraction*1000)))
 }
 
 var healthStatuses = map[steer.Health]corev3.HealthStatus{
@@ -348,18 +348,18 @@
 func (e *encoder) addFallbackAssignment(name string, hasHealthCheck bool, podID *int, ttl time.Duration) {
 	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: name}
 	var active []string
-	for _, l := range e.view.Localities {
-		for _, x := range l.Endpoints {
-			if !hasHealthCheck || x.Health != steer.Healthy || podID != nil && x.Cell != *podID {
+	for _, locality := range e.view.Localities {
+		for _, server := range locality.Endpoints {
+			if !hasHealthCheck || server.Health != steer.Healthy || podID != nil && server.Cell != *podID {
 				continue
 			}
-			ep, err := endpoint(x.Addr)
+			ep, err := endpoint(server.Addr)
 			if err != nil {
 				continue // fillEndpoints has reported it
 			}
-			active = append(active, x.Addr)
+			active = append(active, server.Addr)
 			assignment.Endpoints = append(assignment.Endpoints, &endpointv3.LocalityLbEndpoints{
-				Locality:            &corev3.Locality{Zone: l.Zone, SubZone: string(x.ID)},
+				Locality:            &corev3.Locality{Zone: locality.Zone, SubZone: string(server.ID)},
 				LoadBalancingWeight: wrapperspb.UInt32(1),
 				LbEndpoints:         []*endpointv3.LbEndpoint{ep},
 			})
@@ -390,83 +390,83 @@
 }
 
 // addRoutes adds one route for each class, then one for requests without a
-// known class, which are treated as unsafe and of low priority.
-func (e *encoder) addRoutes(s *Service, clusterRefs []string) {
-	host := &routev3.VirtualHost{Name: s.Name, Domains: []string{"*"}}
-	classes := append(slices.Clone(s.Classes), Class{})
-	for _, c := range classes {
+// known class, which are treated as unsafe and not as priority requests.
+func (e *encoder) addRoutes(service *Service, clusterRefs []string) {
+	host := &routev3.VirtualHost{Name: service.Name, Domains: []string{"*"}}
+	classes := append(slices.Clone(service.Classes), Class{})
+	for _, class := range classes {
 		match := &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: ""}}
-		if c.Name != "" {
+		if class.Name != "" {
 			match.Headers = []*routev3.HeaderMatcher{{Name: ClassHeader,
 				HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{StringMatch: &matcherv3.StringMatcher{
-					MatchPattern: &matcherv3.StringMatcher_Exact{Exact: c.Name}}}}}
+					MatchPattern: &matcherv3.StringMatcher_Exact{Exact: class.Name}}}}}
 		}
-		retry := steer.RetryRuleFor(c.Class)
+		retry := steer.RetryRuleFor(class.Class)
 		action := &routev3.RouteAction{RetryPolicy: e.retryPolicy(retry)}
 		if retry.TotalTimeout > 0 {
 			action.Timeout = durationpb.New(retry.TotalTimeout)
 			action.MaxStreamDuration = &routev3.RouteAction_MaxStreamDuration{MaxStreamDuration: durationpb.New(retry.TotalTimeout)}
 		}
-		e.setTarget(s, c, action)
-		host.Routes = append(host.Routes, &routev3.Route{Name: c.Name, Match: match,
+		e.setTarget(service, class, action)
+		host.Routes = append(host.Routes, &routev3.Route{Name: class.Name, Match: match,
 			Action: &routev3.Route_Route{Route: action}})
 	}
-	rc := &routev3.RouteConfiguration{Name: s.Name, VirtualHosts: []*routev3.VirtualHost{host}}
+	routes := &routev3.RouteConfiguration{Name: service.Name, VirtualHosts: []*routev3.VirtualHost{host}}
 	slices.Sort(clusterRefs)
-	e.add(Route, s.Name, rc, 0).clusterRefs = clusterRefs
+	e.add(Route, service.Name, routes, 0).clusterRefs = clusterRefs
 }
 
 // setTarget sets the cluster of a class's route. A keyed request goes to one
 // pod, chosen by weight, and its retries stay within that pod.
-func (e *encoder) setTarget(s *Service, c Class, action *routev3.RouteAction) {
+func (e *encoder) setTarget(service *Service, class Class, action *routev3.RouteAction) {
 	pods := e.pods()
-	if !steer.RetryRuleFor(c.Class).SamePod || len(pods) == 0 {
-		action.ClusterSpecifier = &routev3.RouteAction_Cluster{Cluster: s.cluster(c.Priority)}
+	if !steer.RetryRuleFor(class.Class).SamePod || len(pods) == 0 {
+		action.ClusterSpecifier = &routev3.RouteAction_Cluster{Cluster: service.cluster(class.Priority)}
 		return
 	}
-	total := 0.0
+	totalWeight := 0.0
 	for _, p := range pods {
-		total += p.weight
+		totalWeight += p.weight
 	}
-	w := &routev3.WeightedCluster{}
+	weighted := &routev3.WeightedCluster{}
 	for _, p := range pods {
-		share := uint32(1)
-		if total > 0 {
-			share = uint32(math.Round(p.weight / total * 100)) // whole percents, so that routes seldom change
+		percent := uint32(1)
+		if totalWeight > 0 {
+			percent = uint32(math.Round(p.weight / totalWeight * 100)) // whole percents, so that routes seldom change
 		}
-		if share == 0 && p.weight > 0 {
-			share = 1
+		if percent == 0 && p.weight > 0 {
+			percent = 1
 		}
-		w.Clusters = append(w.Clusters, &routev3.WeightedCluster_ClusterWeight{
-			Name: s.podCluster(p.id, c.Priority), Weight: wrapperspb.UInt32(share)})
+		weighted.Clusters = append(weighted.Clusters, &routev3.WeightedCluster_ClusterWeight{
+			Name: service.podCluster(p.id, class.Priority), Weight: wrapperspb.UInt32(percent)})
 	}
-	action.ClusterSpecifier = &routev3.RouteAction_WeightedClusters{WeightedClusters: w}
+	action.ClusterSpecifier = &routev3.RouteAction_WeightedClusters{WeightedClusters: weighted}
 }
 
 // retryPolicy translates a retry rule into a route's retry policy.
-func (e *encoder) retryPolicy(r steer.RetryRule) *routev3.RetryPolicy {
+func (e *encoder) retryPolicy(rule steer.RetryRule) *routev3.RetryPolicy {
 	// Safe to retry because no server can have started the request: connection
 	// failure, refused stream (RFC 9113, section 8.7), or the not-started header.
-	p := &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream,retriable-headers", NumRetries: wrapperspb.UInt32(steer.MaxAttempts - 1),
+	policy := &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream,retriable-headers", NumRetries: wrapperspb.UInt32(steer.MaxAttempts - 1),
 		RetriableHeaders: []*routev3.HeaderMatcher{{Name: notStarted, HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{
 			StringMatch: &matcherv3.StringMatcher{MatchPattern: &matcherv3.StringMatcher_Exact{Exact: "1"}}}}}}
-	if !r.MayHaveRun {
-		return p
+	if !rule.MayHaveRun {
+		return policy
 	}
-	p.RetryOn += ",reset,gateway-error,unavailable"
-	if r.AttemptTimeout > 0 {
-		p.PerTryTimeout = durationpb.New(r.AttemptTimeout)
+	policy.RetryOn += ",reset,gateway-error,unavailable"
+	if rule.AttemptTimeout > 0 {
+		policy.PerTryTimeout = durationpb.New(rule.AttemptTimeout)
 	}
-	p.RetryHostPredicate = []*routev3.RetryPolicy_RetryHostPredicate{{Name: "envoy.retry_host_predicates.previous_hosts",
+	policy.RetryHostPredicate = []*routev3.RetryPolicy_RetryHostPredicate{{Name: "envoy.retry_host_predicates.previous_hosts",
 		ConfigType: &routev3.RetryPolicy_RetryHostPredicate_TypedConfig{
 			TypedConfig: e.any(&previoushostsv3.PreviousHostsPredicate{})}}}
-	p.HostSelectionRetryMaxAttempts = 3
+	policy.HostSelectionRetryMaxAttempts = 3
 	// Retries go to the next priority, so that the failure of a whole zone does
 	// not fail the retry too.
-	p.RetryPriority = &routev3.RetryPolicy_RetryPriority{Name: "envoy.retry_priorities.previous_priorities",
+	policy.RetryPriority = &routev3.RetryPolicy_RetryPriority{Name: "envoy.retry_priorities.previous_priorities",
 		ConfigType: &routev3.RetryPolicy_RetryPriority_TypedConfig{
 			TypedConfig: e.any(&previousprioritiesv3.PreviousPrioritiesConfig{UpdateFrequency: 1})}}
-	p.RetryBackOff = &routev3.RetryPolicy_RetryBackOff{
+	policy.RetryBackOff = &routev3.RetryPolicy_RetryBackOff{
 		BaseInterval: durationpb.New(25 * time.Millisecond), MaxInterval: durationpb.New(250 * time.Millisecond)}
-	return p
+	return policy
 }
--- a/internal/xds/fuzz_test.go
+++ b/internal/xds/fuzz_test.go
@@ -55,7 +55,7 @@
 	s.Publish(testState(1, steer.Healthy, steer.Draining))
 	f.Fuzz(func(t *testing.T, data []byte, delta bool) {
 		queue := splitMessages(data)
-		v := transport{ctx: context.Background(),
+		conn := transport{ctx: context.Background(),
 			recv: func() (Request, *corev3.Node, error) {
 				if len(queue) == 0 {
 					return Request{}, nil, io.EOF
@@ -83,7 +83,7 @@
 				}
 				return nil
 			}}
-		s.serveDiscovery(delta, v)
+		s.serveDiscovery(delta, conn)
 		if n := s.Counters.OpenStreams.Load(); n != 0 {
 			t.Errorf("%d open streams left", n)
 		}
--- a/internal/xds/load.go
+++ b/internal/xds/load.go
@@ -25,43 +25,43 @@
 
 // StreamLoadStats receives the load reports of one proxy, which is identified
 // by the same identity and node ID as on its discovery stream.
-func (l loadReportingService) StreamLoadStats(g lrsv3.LoadReportingService_StreamLoadStatsServer) error {
+func (l loadReportingService) StreamLoadStats(stream lrsv3.LoadReportingService_StreamLoadStatsServer) error {
 	s := l.s
-	id, err := identity(g.Context(), s.cfg.TLS == nil)
+	id, err := identity(stream.Context(), s.cfg.TLS == nil)
 	if err == nil && s.visibleServices(id) == "" {
 		err = status.Error(codes.PermissionDenied, "this identity may see no service")
 	}
 	if err != nil {
 		s.Counters.StreamsRefused.Add(1)
-		return s.rejectStream(g.Context(), "load reports", id, err)
+		return s.rejectStream(stream.Context(), "load reports", id, err)
 	}
-	m, err := g.Recv()
+	m, err := stream.Recv()
 	if err != nil {
-		return s.streamError(g.Context(), id, err)
+		return s.streamError(stream.Context(), id, err)
 	}
 	if m.GetNode().GetId() == "" {
 		s.Counters.MalformedRequests.Add(1)
-		return s.rejectStream(g.Context(), "load reports", id, badRequest("the first request must name its node"))
+		return s.rejectStream(stream.Context(), "load reports", id, badRequest("the first request must name its node"))
 	}
 	proxy := proxyID(id, m.GetNode())
 	if !s.admitLoadStream(proxy) {
 		s.Counters.StreamsRefused.Add(1)
-		return s.rejectStream(g.Context(), "load reports", id, status.Error(codes.ResourceExhausted, "too many load streams"))
+		return s.rejectStream(stream.Context(), "load reports", id, status.Error(codes.ResourceExhausted, "too many load streams"))
 	}
 	defer s.releaseLoadStream(proxy)
-	if err := g.Send(&lrsv3.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
+	if err := stream.Send(&lrsv3.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
 		LoadReportingInterval: durationpb.New(s.cfg.LoadReportInterval)}); err != nil {
-		return s.streamError(g.Context(), id, err)
+		return s.streamError(stream.Context(), id, err)
 	}
 	minInterval := s.cfg.LoadReportInterval / 4
 	last := time.Time{}
 	for {
-		m, err := g.Recv()
+		m, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return s.streamError(g.Context(), id, err)
+			return s.streamError(stream.Context(), id, err)
 		}
 		if now := time.Now(); now.Sub(last) < minInterval {
 			s.Counters.LoadReportsRejected.Add(1) // limits the rate of reports
@@ -113,11 +113,11 @@
 // returns false if the report is too large.
 func ParseLoadReport(proxy steer.ProxyID, stats []*endpointv3.ClusterStats, defaultInterval time.Duration) (steer.LoadReported, bool) {
 	report := steer.LoadReported{Proxy: proxy, Interval: defaultInterval}
-	index := map[steer.Load]int{} // into e.Loads, by the server's ID or address
+	index := map[steer.Load]int{} // into report.Loads, by the server's ID or address
 	entries := 0
-	add := func(key steer.Load, x requestCounts) (issued uint64, utilisation *float64) {
+	add := func(key steer.Load, counts requestCounts) (issued uint64, utilisation *float64) {
 		// Some proxies leave out the issued requests and count the completed ones only.
-		issued = max(x.GetTotalIssuedRequests(), x.GetTotalSuccessfulRequests()+x.GetTotalErrorRequests())
+		issued = max(counts.GetTotalIssuedRequests(), counts.GetTotalSuccessfulRequests()+counts.GetTotalErrorRequests())
 		if key.Server == "" && key.Addr == "" {
 			return issued, nil
 		}
@@ -127,41 +127,41 @@
 			index[key] = i
 			report.Loads = append(report.Loads, key)
 		}
-		l := &report.Loads[i]
-		l.Issued += issued
-		l.OK += x.GetTotalSuccessfulRequests()
-		l.Errors += x.GetTotalErrorRequests()
-		l.InFlight += x.GetTotalRequestsInProgress()
-		return issued, &l.Utilisation
+		load := &report.Loads[i]
+		load.Issued += issued
+		load.OK += counts.GetTotalSuccessfulRequests()
+		load.Errors += counts.GetTotalErrorRequests()
+		load.InFlight += counts.GetTotalRequestsInProgress()
+		return issued, &load.Utilisation
 	}
-	for _, c := range stats {
-		if d := c.GetLoadReportInterval(); d != nil {
+	for _, cluster := range stats {
+		if d := cluster.GetLoadReportInterval(); d != nil {
 			if v := d.AsDuration(); v > 0 && v < time.Minute {
 				report.Interval = v
 			}
 		}
-		arrived := c.GetTotalDroppedRequests()
-		for _, l := range c.GetUpstreamLocalityStats() {
-			if entries += 1 + len(l.GetUpstreamEndpointStats()); entries > maxReportEntries {
+		arrived := cluster.GetTotalDroppedRequests()
+		for _, locality := range cluster.GetUpstreamLocalityStats() {
+			if entries += 1 + len(locality.GetUpstreamEndpointStats()); entries > maxReportEntries {
 				return report, false
 			}
-			if endpoints := l.GetUpstreamEndpointStats(); len(endpoints) > 0 {
-				for _, x := range endpoints {
-					s := x.GetAddress().GetSocketAddress()
-					issued, _ := add(steer.Load{Addr: net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue())))}, x)
+			if endpoints := locality.GetUpstreamEndpointStats(); len(endpoints) > 0 {
+				for _, endpoint := range endpoints {
+					socket := endpoint.GetAddress().GetSocketAddress()
+					issued, _ := add(steer.Load{Addr: net.JoinHostPort(socket.GetAddress(), strconv.Itoa(int(socket.GetPortValue())))}, endpoint)
 					arrived += issued
 				}
 				continue
 			}
-			issued, utilisation := add(steer.Load{Server: steer.ServerID(l.GetLocality().GetSubZone())}, l)
+			issued, utilisation := add(steer.Load{Server: steer.ServerID(locality.GetLocality().GetSubZone())}, locality)
 			arrived += issued
-			for _, u := range []*endpointv3.UnnamedEndpointLoadMetricStats{l.GetApplicationUtilization(), l.GetCpuUtilization()} {
-				if finished := u.GetNumRequestsFinishedWithMetric(); finished > 0 && utilisation != nil {
-					*utilisation = max(*utilisation, u.GetTotalMetricValue()/float64(finished))
+			for _, metric := range []*endpointv3.UnnamedEndpointLoadMetricStats{locality.GetApplicationUtilization(), locality.GetCpuUtilization()} {
+				if finished := metric.GetNumRequestsFinishedWithMetric(); finished > 0 && utilisation != nil {
+					*utilisation = max(*utilisation, metric.GetTotalMetricValue()/float64(finished))
 				}
 			}
 		}
-		if isPriority(c.GetClusterName()) {
+		if isPriority(cluster.GetClusterName()) {
 			report.PriorityArrivals += arrived
 		} else {
 			report.OtherArrivals += arrived
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -48,7 +48,7 @@
 	MaxMessageBytes     int           // size limit of a request; default 1 MiB
 	AckTimeout          time.Duration // limit for the first request and for each answer; default 5 s
 	NewStreamRate       float64       // new streams served per second; default 1,000
-	LoadReportInterval  time.Duration // default 500 ms
+	LoadReportInterval  time.Duration // interval requested of proxies; default 500 ms
 
 	// IsCurrent reports whether the published state is up to date; while it is
 	// not, nothing is sent. nil: always.
@@ -106,7 +106,7 @@
 	Counters Counters
 }
 
-// snapshotKey identifies one of the snapshots of a state.
+// snapshotKey selects a snapshot of the current state.
 type snapshotKey struct {
 	Kind
 	services string // names of the visible services, separated by newlines
@@ -114,14 +114,14 @@
 
 // New creates a server. It sends nothing until Publish is called.
 func New(cfg Config) *Server {
-	def := func(v *int, d int) {
-		if *v == 0 {
-			*v = d
+	setDefault := func(value *int, defaultValue int) {
+		if *value == 0 {
+			*value = defaultValue
 		}
 	}
-	def(&cfg.MaxDiscoveryStreams, 4096)
-	def(&cfg.MaxStreamsPerProxy, 4)
-	def(&cfg.MaxMessageBytes, 1<<20)
+	setDefault(&cfg.MaxDiscoveryStreams, 4096)
+	setDefault(&cfg.MaxStreamsPerProxy, 4)
+	setDefault(&cfg.MaxMessageBytes, 1<<20)
 	if cfg.AckTimeout == 0 {
 		cfg.AckTimeout = 5 * time.Second
 	}
@@ -171,9 +171,9 @@
 
 // Publish sets the state to serve. A proxy with an unanswered response gets the
 // update after it has answered, the others get it immediately.
-func (s *Server) Publish(st *steer.State) {
+func (s *Server) Publish(state *steer.State) {
 	s.mu.Lock()
-	s.state = st
+	s.state = state
 	clear(s.snapshots)
 	s.mu.Unlock()
 	s.health.SetServingStatus("", healthv1.HealthCheckResponse_SERVING)
@@ -217,75 +217,75 @@
 }
 
 // snapshot returns the current snapshot for a key. It is nil before the first
-// state. For proxies without TTL support it is also nil until the server list is
+// call of Publish. For proxies without TTL support it is also nil until the server list is
 // confirmed, because they would keep outdated endpoints indefinitely.
-func (s *Server) snapshot(k snapshotKey) *Snapshot {
+func (s *Server) snapshot(key snapshotKey) *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state == nil || !s.state.Confirmed && !k.SupportsTTL {
+	if s.state == nil || !s.state.Confirmed && !key.SupportsTTL {
 		return nil
 	}
-	if s.state.Views[k.Zone] == nil {
-		k.Zone = "" // unknown zones share one snapshot, so that proxies can't create any number of them
+	if s.state.Views[key.Zone] == nil {
+		key.Zone = "" // unknown zones share one snapshot, so that proxies cannot create unlimited ones
 	}
-	if v := s.snapshots[k]; v != nil {
-		return v
+	if snapshot := s.snapshots[key]; snapshot != nil {
+		return snapshot
 	}
 	var services []*Service
-	for _, n := range strings.Split(k.services, "\n") {
-		if i := slices.IndexFunc(s.access.Services, func(x *Service) bool { return x.Name == n }); i >= 0 {
+	for _, name := range strings.Split(key.services, "\n") {
+		if i := slices.IndexFunc(s.access.Services, func(x *Service) bool { return x.Name == name }); i >= 0 {
 			services = append(services, s.access.Services[i])
 		}
 	}
-	v, err := Encode(s.state, services, k.Kind)
+	snapshot, err := Encode(s.state, services, key.Kind)
 	if err != nil {
 		s.Counters.EncodeErrors.Add(1)
 		s.cfg.Log.Error("state could not be encoded", "err", err)
 	}
-	s.snapshots[k] = v
-	return v
+	s.snapshots[key] = snapshot
+	return snapshot
 }
 
 // visibleServices lists the services that an identity may see, separated by newlines.
 func (s *Server) visibleServices(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []string
-	for _, x := range s.access.Services {
-		if s.cfg.TLS == nil || matchesAny(s.access.AllowedIdentities[x.Name], id) {
-			out = append(out, x.Name)
+	var names []string
+	for _, service := range s.access.Services {
+		if s.cfg.TLS == nil || matchesAny(s.access.AllowedIdentities[service.Name], id) {
+			names = append(names, service.Name)
 		}
 	}
-	return strings.Join(out, "\n")
+	return strings.Join(names, "\n")
 }
 
 var errTooManyStreams = errors.New("too many streams")
 
 // admit registers a stream and returns the delay of its first response, which
-// limits the rate of new streams so that updates to others are not held up.
-func (s *Server) admit(x *stream) (time.Duration, error) {
+// limits the rate of new streams so that updates to other streams are not delayed.
+func (s *Server) admit(newStream *stream) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.streams) >= s.cfg.MaxDiscoveryStreams {
 		return 0, errTooManyStreams
 	}
-	if s.streamsByProxy[x.proxy] >= s.cfg.MaxStreamsPerProxy {
+	if s.streamsByProxy[newStream.proxy] >= s.cfg.MaxStreamsPerProxy {
 		return 0, fmt.Errorf("%w of one proxy", errTooManyStreams)
 	}
-	s.streams[x] = true
-	s.streamsByProxy[x.proxy]++
+	s.streams[newStream] = true
+	s.streamsByProxy[newStream.proxy]++
 	now := s.now()
 	s.nextStart = max(s.nextStart, now-50*time.Millisecond) + time.Duration(float64(time.Second)/s.cfg.NewStreamRate)
 	return max(0, s.nextStart-now), nil
 }
 
 // release removes a stream and reports whether it was the last one of its proxy.
-func (s *Server) release(x *stream) (last bool) {
+func (s *Server) release(ended *stream) (last bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.streams, x)
-	if s.streamsByProxy[x.proxy]--; s.streamsByProxy[x.proxy] <= 0 {
-		delete(s.streamsByProxy, x.proxy)
+	delete(s.streams, ended)
+	if s.streamsByProxy[ended.proxy]--; s.streamsByProxy[ended.proxy] <= 0 {
+		delete(s.streamsByProxy, ended.proxy)
 		return true
 	}
 	return false
@@ -299,7 +299,7 @@
 }
 
 // rejectStream logs why a stream is ended and returns its gRPC status.
-func (s *Server) rejectStream(ctx context.Context, what string, id string, err error) error {
+func (s *Server) rejectStream(ctx context.Context, service string, id string, err error) error {
 	if ctx.Err() != nil {
 		return status.FromContextError(ctx.Err()).Err()
 	}
@@ -307,7 +307,7 @@
 	if !ok {
 		st = status.New(codes.InvalidArgument, err.Error())
 	}
-	s.cfg.Log.Warn("stream ended", "service", what, "proxy", id, "code", st.Code(), "why", st.Message())
+	s.cfg.Log.Warn("stream ended", "service", service, "proxy", id, "code", st.Code(), "why", st.Message())
 	return st.Err()
 }
 
--- a/internal/xds/server_test.go
+++ b/internal/xds/server_test.go
@@ -402,17 +402,17 @@
 	if err != nil || !m.SendAllClusters || m.LoadReportingInterval.AsDuration() != 500*time.Millisecond {
 		t.Fatalf("%v, %v", m, err)
 	}
-	at := func(server string, issued, ok, bad, out uint64, use float64) *endpointv3.UpstreamLocalityStats {
-		x := &endpointv3.UpstreamLocalityStats{Locality: &corev3.Locality{Zone: "a", SubZone: server}, TotalIssuedRequests: issued,
-			TotalSuccessfulRequests: ok, TotalErrorRequests: bad, TotalRequestsInProgress: out}
-		if use > 0 {
-			x.ApplicationUtilization = &endpointv3.UnnamedEndpointLoadMetricStats{NumRequestsFinishedWithMetric: 4, TotalMetricValue: 4 * use}
+	locality := func(server string, issued, ok, failed, inFlight uint64, utilisation float64) *endpointv3.UpstreamLocalityStats {
+		stats := &endpointv3.UpstreamLocalityStats{Locality: &corev3.Locality{Zone: "a", SubZone: server}, TotalIssuedRequests: issued,
+			TotalSuccessfulRequests: ok, TotalErrorRequests: failed, TotalRequestsInProgress: inFlight}
+		if utilisation > 0 {
+			stats.ApplicationUtilization = &endpointv3.UnnamedEndpointLoadMetricStats{NumRequestsFinishedWithMetric: 4, TotalMetricValue: 4 * utilisation}
 		}
-		return x
+		return stats
 	}
 	g.Send(&lrsv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{
-		{ClusterName: "clips/priority/leased", TotalDroppedRequests: 1, UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{at("s0", 5, 4, 1, 2, 0.9)}},
-		{ClusterName: "clips/pod-0/other", UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{at("s0", 7, 7, 0, 1, 0), at("", 9, 9, 0, 0, 0),
+		{ClusterName: "clips/priority/leased", TotalDroppedRequests: 1, UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{locality("s0", 5, 4, 1, 2, 0.9)}},
+		{ClusterName: "clips/pod-0/other", UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{locality("s0", 7, 7, 0, 1, 0), locality("", 9, 9, 0, 0, 0),
 			{UpstreamEndpointStats: []*endpointv3.UpstreamEndpointStats{{Address: &corev3.Address{Address: &corev3.Address_SocketAddress{
 				SocketAddress: &corev3.SocketAddress{Address: "127.0.0.1", PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: 1001}}}},
 				TotalIssuedRequests: 4, TotalSuccessfulRequests: 2, TotalErrorRequests: 1, TotalRequestsInProgress: 1}}}}},
--- a/internal/xds/status.go
+++ b/internal/xds/status.go
@@ -69,7 +69,7 @@
 func (x *stream) clientConfig() *statusv3.ClientConfig {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := &statusv3.ClientConfig{Node: x.node, ClientScope: string(x.proxy)}
+	config := &statusv3.ClientConfig{Node: x.node, ClientScope: string(x.proxy)}
 	for t := range numTypes {
 		sub := &x.session.subscriptions[t]
 		if !sub.active {
@@ -91,28 +91,28 @@
 		}
 		slices.Sort(sorted)
 		for _, n := range sorted {
-			c.GenericXdsConfigs = append(c.GenericXdsConfigs, x.resourceStatus(t, sub, n))
+			config.GenericXdsConfigs = append(config.GenericXdsConfigs, x.resourceStatus(t, sub, n))
 		}
 	}
-	return c
+	return config
 }
 
 func (x *stream) resourceStatus(t Type, sub *subscription, name string) *statusv3.ClientConfig_GenericXdsConfig {
-	g := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: t.URL(), Name: name,
+	result := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: t.URL(), Name: name,
 		ConfigStatus: statusv3.ConfigStatus_NOT_SENT, ClientStatus: adminv3.ClientResourceStatus_REQUESTED}
 	want := x.snapshot.Get(t, name)
 	if held, ok := sub.held[name]; ok {
-		g.VersionInfo = held.Version
-		g.ConfigStatus, g.ClientStatus = statusv3.ConfigStatus_SYNCED, adminv3.ClientResourceStatus_ACKED
+		result.VersionInfo = held.Version
+		result.ConfigStatus, result.ClientStatus = statusv3.ConfigStatus_SYNCED, adminv3.ClientResourceStatus_ACKED
 		if want == nil || want.Version != held.Version {
-			g.ConfigStatus = statusv3.ConfigStatus_STALE
+			result.ConfigStatus = statusv3.ConfigStatus_STALE
 		}
 	} else if want == nil {
-		g.ClientStatus = adminv3.ClientResourceStatus_DOES_NOT_EXIST
+		result.ClientStatus = adminv3.ClientResourceStatus_DOES_NOT_EXIST
 	}
 	if v, ok := sub.rejected[name]; ok {
-		g.ConfigStatus, g.ClientStatus = statusv3.ConfigStatus_ERROR, adminv3.ClientResourceStatus_NACKED
-		g.ErrorState = &adminv3.UpdateFailureState{VersionInfo: v, Details: sub.nackReason}
+		result.ConfigStatus, result.ClientStatus = statusv3.ConfigStatus_ERROR, adminv3.ClientResourceStatus_NACKED
+		result.ErrorState = &adminv3.UpdateFailureState{VersionInfo: v, Details: sub.nackReason}
 	}
-	return g
+	return result
 }
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -217,12 +217,12 @@
 		s.Counters.MalformedRequests.Add(1)
 		return s.rejectStream(conn.ctx, "discovery", id, badRequest("the first request must name its node, in 1 to %d bytes", maxNameLen))
 	}
-	x := &stream{
+	stream := &stream{
 		proxy: proxyID(id, msg.node), node: msg.node, delta: delta, changed: make(chan struct{}, 1),
 		key: snapshotKey{Kind{Zone: msg.node.GetLocality().GetZone(), SupportsTTL: slices.Contains(msg.node.GetClientFeatures(), ttlClientFeature), Group: subset.AllServers}, visible},
 	}
-	x.session = NewSession(delta, x.key.SupportsTTL)
-	delay, err := s.admit(x)
+	stream.session = NewSession(delta, stream.key.SupportsTTL)
+	delay, err := s.admit(stream)
 	if err != nil {
 		s.Counters.StreamsRefused.Add(1)
 		return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.ResourceExhausted, err.Error()))
@@ -230,12 +230,12 @@
 	s.Counters.OpenStreams.Add(1)
 	s.Counters.StreamsOpened.Add(1)
 	if s.cfg.OnJoined != nil {
-		s.cfg.OnJoined(x.proxy, x.key.Zone)
+		s.cfg.OnJoined(stream.proxy, stream.key.Zone)
 	}
 	defer func() {
 		s.Counters.OpenStreams.Add(-1)
-		if s.release(x) && s.cfg.OnLeft != nil {
-			s.cfg.OnLeft(x.proxy)
+		if s.release(stream) && s.cfg.OnLeft != nil {
+			s.cfg.OnLeft(stream.proxy)
 		}
 	}()
 
@@ -263,49 +263,49 @@
 	sending := false
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	if err := s.handleRequest(x, msg.r); err != nil {
+	if err := s.handleRequest(stream, msg.r); err != nil {
 		s.Counters.MalformedRequests.Add(1)
 		return s.rejectStream(conn.ctx, "discovery", id, err)
 	}
 	for {
 		now := s.now()
-		if x.key.services = s.visibleServices(id); x.key.services == "" {
+		if stream.key.services = s.visibleServices(id); stream.key.services == "" {
 			s.Counters.StreamsRefused.Add(1)
 			return s.rejectStream(conn.ctx, "discovery", id, status.Error(codes.PermissionDenied, "this identity may see no service any more"))
 		}
-		x.key.Group = s.groupOf(x.proxy)
-		x.mu.Lock()
-		if snap := s.snapshot(x.key); snap != nil && snap != x.snapshot {
-			x.snapshot = snap
-			x.session.SetSnapshot(now, snap)
+		stream.key.Group = s.groupOf(stream.proxy)
+		stream.mu.Lock()
+		if snap := s.snapshot(stream.key); snap != nil && snap != stream.snapshot {
+			stream.snapshot = snap
+			stream.session.SetSnapshot(now, snap)
 		}
-		var r *Response
+		var response *Response
 		current := s.cfg.IsCurrent == nil || s.cfg.IsCurrent()
 		if !sending && now >= startAt && current {
-			if r = x.session.NextResponse(now); r != nil && !r.Heartbeat {
-				x.sentVersions[r.Type] = x.snapshot.StateVersion
+			if response = stream.session.NextResponse(now); response != nil && !response.Heartbeat {
+				stream.sentVersions[response.Type] = stream.snapshot.StateVersion
 				if s.cfg.OnSent != nil {
-					s.cfg.OnSent(x.proxy, x.snapshot.StateVersion, r.longestTTL())
+					s.cfg.OnSent(stream.proxy, stream.snapshot.StateVersion, response.longestTTL())
 				}
 			}
 		}
-		if s.cfg.OnInSync != nil && r == nil && x.snapshot != nil && x.inSyncVersion != x.snapshot.StateVersion && x.session.InSync() {
-			x.inSyncVersion = x.snapshot.StateVersion
-			s.cfg.OnInSync(x.proxy, x.inSyncVersion)
+		if s.cfg.OnInSync != nil && response == nil && stream.snapshot != nil && stream.inSyncVersion != stream.snapshot.StateVersion && stream.session.InSync() {
+			stream.inSyncVersion = stream.snapshot.StateVersion
+			s.cfg.OnInSync(stream.proxy, stream.inSyncVersion)
 		}
-		deadline, unacked := x.session.AckDeadline(s.cfg.AckTimeout)
-		wakeAt := x.session.NextWakeup(now)
+		deadline, unacked := stream.session.AckDeadline(s.cfg.AckTimeout)
+		wakeAt := stream.session.NextWakeup(now)
 		if now < startAt {
 			wakeAt = startAt
 		}
 		if !current {
 			wakeAt = min(wakeAt, now+currencyCheckInterval)
 		}
-		x.mu.Unlock()
-		if r != nil {
-			s.countResponse(r)
+		stream.mu.Unlock()
+		if response != nil {
+			s.countResponse(response)
 			sending = true
-			responses <- r // does not block, as the sender is idle
+			responses <- response // does not block, as the sender is idle
 		}
 		if unacked {
 			if wakeAt = min(wakeAt, deadline); now >= deadline {
@@ -316,7 +316,7 @@
 		}
 		timer.Reset(max(0, min(wakeAt-now, time.Minute)))
 		select {
-		case <-x.changed:
+		case <-stream.changed:
 		case <-timer.C:
 		case err := <-results:
 			if sending = false; err != nil {
@@ -326,7 +326,7 @@
 			if msg.err != nil {
 				return s.streamError(conn.ctx, id, msg.err)
 			}
-			if err := s.handleRequest(x, msg.r); err != nil {
+			if err := s.handleRequest(stream, msg.r); err != nil {
 				s.Counters.MalformedRequests.Add(1)
 				return s.rejectStream(conn.ctx, "discovery", id, err)
 			}
@@ -342,30 +342,30 @@
 }
 
 // handleRequest passes a request to the session, reports its answer and logs rejections.
-func (s *Server) handleRequest(x *stream, r Request) error {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	sub := &x.session.subscriptions[r.Type]
+func (s *Server) handleRequest(stream *stream, request Request) error {
+	stream.mu.Lock()
+	defer stream.mu.Unlock()
+	sub := &stream.session.subscriptions[request.Type]
 	unacked, nacksBefore := sub.unacked != nil && !sub.unacked.Heartbeat, sub.nackCount
-	err := x.session.HandleRequest(s.now(), r)
+	err := stream.session.HandleRequest(s.now(), request)
 	if unacked && sub.unacked == nil && s.cfg.OnAckOrNack != nil {
 		reason := ""
 		if sub.nackCount > nacksBefore {
 			reason = sub.nackReason
 		}
-		s.cfg.OnAckOrNack(x.proxy, x.sentVersions[r.Type], reason)
+		s.cfg.OnAckOrNack(stream.proxy, stream.sentVersions[request.Type], reason)
 	}
 	nacks, reason := uint64(0), ""
 	for t := range numTypes {
-		nacks += x.session.subscriptions[t].nackCount
-		if t == r.Type {
-			reason = x.session.subscriptions[t].nackReason
+		nacks += stream.session.subscriptions[t].nackCount
+		if t == request.Type {
+			reason = stream.session.subscriptions[t].nackReason
 		}
 	}
-	if nacks > x.nacks {
-		x.nacks = nacks
+	if nacks > stream.nacks {
+		stream.nacks = nacks
 		s.Counters.Nacks.Add(1)
-		s.cfg.Log.Warn("proxy rejected an update", "proxy", string(x.proxy), "type", r.Type.String(), "why", reason)
+		s.cfg.Log.Warn("proxy rejected an update", "proxy", string(stream.proxy), "type", request.Type.String(), "why", reason)
 	}
 	return err
 }
