--- a/internal/control/console.go
+++ b/internal/control/console.go
@@ -13,10 +13,11 @@
 	"ivylock/maintenance"
 )
 
-// Ready reports whether a state has been published and the service keeps up.
+// Ready reports whether a state has been published and the event loop is not stalled.
 func (s *Service) Ready() bool { return s.Engine.Alive() && s.Engine.PublishedStates.Load() > 0 }
 
-// MetricsText returns the service's metrics in the format of a node's console.
+// MetricsText returns the service's metrics, one line app.control.NAME:VALUE|KIND each, where KIND
+// is c for a counter and g for a gauge.
 func (s *Service) MetricsText() []byte {
 	var text []byte
 	for _, metric := range s.metrics() {
@@ -25,17 +26,18 @@
 	return text
 }
 
-// SetMaintenance always fails: servers are taken out of use at nodes or by discovery.
+// SetMaintenance always returns maintenance.ErrUnknown: the control service keeps no maintenance
+// state. Servers are put into maintenance at nodes or in discovery.
 func (s *Service) SetMaintenance(context.Context, string, bool) error { return maintenance.ErrUnknown }
 
-// FleetRecord returns the service's record for operators.
+// FleetRecord returns the record of the service and its proxies as JSON.
 func (s *Service) FleetRecord(context.Context) ([]byte, error) {
 	record := s.proxies.record()
 	return json.Marshal(&record)
 }
 
 // startOperatorServices starts the console and the periodic record file, if configured. stop
-// closes the console and waits for the last record, which marks an orderly end.
+// closes the console and waits for the last record, which is marked as the final one.
 func (s *Service) startOperatorServices(ctx context.Context) (stop func(), err error) {
 	var server *console.Server
 	if s.config.Console != "" {
--- a/internal/control/engine.go
+++ b/internal/control/engine.go
@@ -32,11 +32,11 @@
 // Config configures an Engine.
 type Config struct {
 	Steer     steer.Settings
-	Discovery string // host:port of the discovery service
-	ListFile  string // stores the last list; none if empty
-	Probe     func(ctx context.Context, addr string) bool
+	Discovery string                                      // host:port of the discovery service
+	ListFile  string                                      // path of the stored list; empty: the list is not stored
+	Probe     func(ctx context.Context, addr string) bool // health check of a server; nil: none
 	Publisher Publisher
-	Log       *slog.Logger
+	Log       *slog.Logger // nil: discards all lines
 
 	// OnList, if not nil, is called with the version of each list from discovery before any state
 	// based on it is published.
@@ -143,15 +143,15 @@
 	}
 }
 
-// Alive reports whether the engine keeps up. If not, published states may predate a drain that is
-// still queued.
+// Alive reports whether the event loop is not stalled; it is true before the loop starts. If
+// the loop is stalled, published states may predate a drain that is still queued.
 func (e *Engine) Alive() bool {
 	loopedAt := e.loopedAt.Load()
 	return loopedAt == 0 || e.now()-steer.Time(loopedAt) <= maxLoopPause
 }
 
 // resync requests the full list again after a process pause; nothing is confirmed until it
-// arrives. Guards against leases granted on servers that began to drain during the pause.
+// arrives. Guards against extending the TTL of servers that began to drain during the pause.
 func (e *Engine) resync(ctx context.Context, pause time.Duration) {
 	e.config.Log.Warn("process pause detected; requesting the full list", "for", pause)
 	e.dispatch(ctx, steer.ProcessPaused{})
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -21,7 +21,7 @@
 
 const (
 	fleetTickInterval = 100 * time.Millisecond
-	maxDatagram       = 256
+	maxDatagram       = 256 // bytes
 )
 
 // fleetMember is the control service's membership in a fleet. It exchanges list versions and
@@ -32,7 +32,7 @@
 	log            *slog.Logger
 	conn           net.PacketConn
 	allowed        []netip.Prefix
-	pauseThreshold time.Duration // gap between events that counts as a process pause
+	pauseThreshold time.Duration // time between two events from which the process counts as paused
 	clock          wallclock.Steady
 	mu             sync.Mutex
 	member         *member.Member
--- a/internal/control/list.go
+++ b/internal/control/list.go
@@ -17,7 +17,7 @@
 	"ivylock/steer"
 )
 
-const maxListBytes = 16 << 20 // limit for a stored list
+const maxListBytes = 16 << 20 // size limit of a stored list
 
 // serverList is the last list received from discovery.
 type serverList struct {
@@ -73,9 +73,9 @@
 	return entries
 }
 
-// steerServers converts entries for package steer; date is discovery's time if it sent one. An
-// entry's start time is the same on each call. Starts before the engine's clock begins are 0, long
-// ago.
+// steerServers converts entries for package steer; date is discovery's time, zero if unknown. An
+// entry's start time is the same on each call. Starts before the origin of the engine's clock are
+// 0, which means long ago.
 func (e *Engine) steerServers(entries []discovery.Entry, date time.Time) []steer.Server {
 	clocks := membership.Clocks{Process: e.clock.Now(), Wall: wallclock.Now()}
 	if !date.IsZero() {
--- a/internal/control/save.go
+++ b/internal/control/save.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	saveInterval = time.Second
-	saveTimeout  = 200 * time.Millisecond // wait for a running write when the engine ends
+	saveInterval = time.Second            // minimum time between two writes of the list
+	saveTimeout  = 200 * time.Millisecond // how long the engine waits for a running write when it ends
 )
 
 // saveResult is the outcome of a write of the list.
 type saveResult struct{ err error }
 
-// saveList stores the list, at most once per saveInterval. It writes on another goroutine, so that
-// a blocked disk does not block the event loop.
+// saveList stores the list if it has changed, at most once per saveInterval. It writes in a
+// separate goroutine, so that a blocked disk does not block the event loop.
 func (e *Engine) saveList() {
 	if e.config.ListFile == "" || !e.listDirty || e.saving != nil || time.Since(e.savedAt) < saveInterval {
 		return
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -97,7 +97,8 @@
 	return access
 }
 
-// prober returns the function that checks whether a server responds.
+// prober returns the health check of servers: a TCP connection if path is "tcp", otherwise an HTTP
+// GET of path that must be answered with a 2xx status.
 func prober(path string) func(context.Context, string) bool {
 	if path == "tcp" {
 		return func(ctx context.Context, addr string) bool {
@@ -126,7 +127,7 @@
 	}
 }
 
-// Run serves the listener until the context ends.
+// Run serves the listener until the context ends, in which case it returns nil.
 func (s *Service) Run(ctx context.Context, listener net.Listener) error {
 	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/control/steered.go
+++ b/internal/control/steered.go
@@ -19,12 +19,12 @@
 
 const (
 	verdictInterval = 100 * time.Millisecond
-	drainGrace      = 500 * time.Millisecond // time to act after accepting a withdrawal
+	drainGrace      = 500 * time.Millisecond // time to apply a withdrawal after accepting it
 )
 
 // proxyTracker feeds package steered with the streams' events and load reports, logs proxies that
-// do not apply what they receive, and tells package steer not to learn from them. It is safe for
-// concurrent use.
+// do not apply what they receive, and excludes their reports from package steer's estimates. It is
+// safe for concurrent use.
 type proxyTracker struct {
 	post        func(steer.Event)
 	log         *slog.Logger
