--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -104,15 +104,16 @@
 	return run(audit.New(records, inv.options))
 }
 
-// table prints a table with the given header, or v as JSON if --json is set.
-func (inv *invocation) table(v any, head string, rows func(w io.Writer)) error {
+// table prints a table with the given tab-separated header, or v as JSON if --json
+// is set.
+func (inv *invocation) table(v any, header string, rows func(w io.Writer)) error {
 	if inv.json {
-		enc := json.NewEncoder(inv.stdout)
-		enc.SetIndent("", "  ")
-		return enc.Encode(v)
+		encoder := json.NewEncoder(inv.stdout)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(v)
 	}
 	w := tabwriter.NewWriter(inv.stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, head)
+	fmt.Fprintln(w, header)
 	rows(w)
 	return w.Flush()
 }
@@ -152,16 +153,16 @@
 func (inv *invocation) lateSends(result *audit.Audit) error {
 	all := result.LateSends()
 	err := inv.table(all, "process\tserver\twithdrawn by\tsends\tlast\tafter\tknew\tsure", func(w io.Writer) {
-		for _, b := range all {
-			knownBy, sends := "another", fmt.Sprint(b.MinSends)
-			if b.SelfKnew {
+		for _, late := range all {
+			knownBy, sends := "another", fmt.Sprint(late.MinSends)
+			if late.SelfKnew {
 				knownBy = "itself"
 			}
-			if b.MaxSends > b.MinSends {
-				sends = fmt.Sprintf("%d to %d", b.MinSends, b.MaxSends)
+			if late.MaxSends > late.MinSends {
+				sends = fmt.Sprintf("%d to %d", late.MinSends, late.MaxSends)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%v (%s)\t%s\t%s\t%v\t%s\t%s\n", b.Process, b.Server, b.Version, b.State, sends, audit.FormatTime(b.LastSend),
-				b.Lateness.Round(time.Millisecond), knownBy, b.Confidence)
+			fmt.Fprintf(w, "%s\t%s\t%v (%s)\t%s\t%s\t%v\t%s\t%s\n", late.Process, late.Server, late.Version, late.State, sends, audit.FormatTime(late.LastSend),
+				late.Lateness.Round(time.Millisecond), knownBy, late.Confidence)
 		}
 		if len(all) == 0 {
 			fmt.Fprintf(w, "none on record of %d processes; %d are unknown\n", len(result.Processes()), countUnknown(result))
@@ -192,9 +193,10 @@
 		return d.Round(time.Millisecond).String()
 	}
 	return inv.table(all, "version\tfirst\tat\thalf\tnine in ten\tall\treached\tnever\tno record", func(w io.Writer) {
-		for _, c := range all {
-			fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Version, c.FirstProcess, audit.FormatTime(c.FirstAt), formatDelay(c.ToHalf), formatDelay(c.ToNineTenths), formatDelay(c.ToAll),
-				c.Reached, len(c.NotReached), c.NoRecord)
+		for _, propagation := range all {
+			fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", propagation.Version, propagation.FirstProcess,
+				audit.FormatTime(propagation.FirstAt), formatDelay(propagation.ToHalf), formatDelay(propagation.ToNineTenths), formatDelay(propagation.ToAll),
+				propagation.Reached, len(propagation.NotReached), propagation.NoRecord)
 		}
 	})
 }
@@ -227,19 +229,19 @@
 func (inv *invocation) members(result *audit.Audit) error {
 	all := result.Views()
 	err := inv.table(all, "process\talive\tof\tview\tmajority\tseats\tguards\tnot alive", func(w io.Writer) {
-		for _, v := range all {
+		for _, view := range all {
 			guards := "answer"
-			if !v.HasQuorum {
+			if !view.HasQuorum {
 				guards = "too few"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%08x\t%v\t%d\t%s\t%s\n", v.Process, v.Alive, v.Known, v.Digest, v.Majority, v.Slots, guards, orDash(strings.Join(v.NotAlive, ", ")))
+			fmt.Fprintf(w, "%s\t%d\t%d\t%08x\t%v\t%d\t%s\t%s\n", view.Process, view.Alive, view.Known, view.Digest, view.Majority, view.Slots, guards, orDash(strings.Join(view.NotAlive, ", ")))
 		}
 		if len(all) == 0 {
 			fmt.Fprintln(w, "no process on record finds out who is alive; members = true in [fleet] has them do so")
 		}
 	})
-	for _, v := range all {
-		if err == nil && (len(v.NotAlive) > 0 || !v.Majority) {
+	for _, view := range all {
+		if err == nil && (len(view.NotAlive) > 0 || !view.Majority) {
 			return errProblemsFound
 		}
 	}
@@ -254,18 +256,18 @@
 func (inv *invocation) quotas(result *audit.Audit) error {
 	all := result.SharedQuotas()
 	err := inv.table(all, "whole\tprocess\tbase\theld\tneed", func(w io.Writer) {
-		for _, s := range all {
-			for _, p := range s.Leases {
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\n", s.Quota, p.Process, p.EqualShare, p.Held, p.Demand)
+		for _, quota := range all {
+			for _, lease := range quota.Leases {
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.1f\n", quota.Quota, lease.Process, lease.EqualShare, lease.Held, lease.Demand)
 			}
-			fmt.Fprintf(w, "%s\tsum of %d\t%.1f\t%.1f\t%.1f\n%s\twhole\t\t%.1f\t\n", s.Quota, len(s.Leases), s.EqualShare, s.Held, s.Demand, s.Quota, s.Total)
+			fmt.Fprintf(w, "%s\tsum of %d\t%.1f\t%.1f\t%.1f\n%s\twhole\t\t%.1f\t\n", quota.Quota, len(quota.Leases), quota.EqualShare, quota.Held, quota.Demand, quota.Quota, quota.Total)
 		}
 		if len(all) == 0 {
 			fmt.Fprintln(w, "no process on record shares anything; quotas = true or work = true in [fleet] has nodes do so")
 		}
 	})
-	for _, s := range all {
-		if err == nil && s.Held > maxOvercommit*s.Total {
+	for _, quota := range all {
+		if err == nil && quota.Held > maxOvercommit*quota.Total {
 			return errProblemsFound
 		}
 	}
@@ -296,9 +298,9 @@
 			history.Spans = append(history.Spans, span)
 		}
 	}
-	for _, b := range result.LateSends() {
-		if b.Process == name {
-			history.LateSends = append(history.LateSends, b)
+	for _, late := range result.LateSends() {
+		if late.Process == name {
+			history.LateSends = append(history.LateSends, late)
 		}
 	}
 	history.Events = result.Events(name)
@@ -313,9 +315,9 @@
 	for _, e := range history.Events {
 		fmt.Fprintf(inv.stdout, "  %s  %s\n", audit.FormatTime(e.At), e.Description)
 	}
-	for _, b := range history.LateSends {
-		fmt.Fprintf(inv.stdout, "sent %d or more to %s too late, the last %v after it was withdrawn:\n", b.MinSends, b.Server, b.Lateness.Round(time.Millisecond))
-		for _, line := range b.Evidence {
+	for _, late := range history.LateSends {
+		fmt.Fprintf(inv.stdout, "sent %d or more to %s too late, the last %v after it was withdrawn:\n", late.MinSends, late.Server, late.Lateness.Round(time.Millisecond))
+		for _, line := range late.Evidence {
 			fmt.Fprintf(inv.stdout, "  %s\n", line)
 		}
 	}
--- a/internal/ctl/plot.go
+++ b/internal/ctl/plot.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotSpans draws one horizontal line per process over time. Its colour is the
-// version that the process acted on; older versions are darker.
+// plotSpans draws one horizontal line per process over time into a file. The
+// colour shows the version that the process acted on; older versions are darker.
 func plotSpans(spans []audit.Span, path string) error {
 	if len(spans) == 0 {
 		return errNoRecords
