--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -47,6 +47,8 @@
 	}
 }
 
+// handleBatch passes one line of events to their instances and returns the
+// resulting actions. An instance exists from its start event until it is retired.
 func handleBatch(instances map[int]*decider.Decider, line []byte) ([]wire.NodeActions, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
--- a/cmd/ivylab/main.go
+++ b/cmd/ivylab/main.go
@@ -1,6 +1,6 @@
 // Command ivylab runs a test lab on the loopback interface: simulated servers,
-// discovery and clients, real ivylock nodes, scripted faults, and checks of the
-// node's four rules.
+// discovery and clients, real ivylock nodes and scripted faults, and checks of
+// the service rules (package judge).
 package main
 
 import (
--- a/cmd/ivylockctl/main.go
+++ b/cmd/ivylockctl/main.go
@@ -1,5 +1,6 @@
-// Command ivylockctl shows what the processes of a fleet have acted on. It is
-// documented in docs/audit.md.
+// Command ivylockctl shows which versions of the server list, the settings and
+// the build the processes of a fleet have acted on. It is documented in
+// docs/audit.md.
 package main
 
 import (
