--- a/internal/xds/encode.go
+++ b/internal/xds/encode.go
@@ -79,16 +79,16 @@
 )
 
 // Encode builds the snapshot of all services for one kind of proxy.
-func Encode(st *steer.State, services []*Service, kind Kind) (*Snapshot, error) {
-	e := encoder{snap: &Snapshot{StateVersion: st.Version}, kind: kind, confirmed: st.Confirmed, view: st.View(kind.Zone).ForGroup(kind.Group)}
+func Encode(state *steer.State, services []*Service, kind Kind) (*Snapshot, error) {
+	e := encoder{snap: &Snapshot{StateVersion: state.Version}, kind: kind, confirmed: state.Confirmed, view: state.View(kind.Zone).ForGroup(kind.Group)}
 	for t := range numTypes {
 		e.snap.resources[t] = map[string]*Resource{}
 	}
 	if e.view == nil {
 		e.view = &steer.View{}
 	}
-	for _, s := range services {
-		e.addService(s)
+	for _, service := range services {
+		e.addService(service)
 	}
 	return e.snap, e.err
 }
--- a/internal/xds/identity.go
+++ b/internal/xds/identity.go
@@ -37,11 +37,11 @@
 	return spiffeID(info.State.VerifiedChains[0][0])
 }
 
-func spiffeID(c *x509.Certificate) (string, error) {
+func spiffeID(certificate *x509.Certificate) (string, error) {
 	var names []*url.URL
-	for _, u := range c.URIs {
-		if u.Scheme == "spiffe" {
-			names = append(names, u)
+	for _, uri := range certificate.URIs {
+		if uri.Scheme == "spiffe" {
+			names = append(names, uri)
 		}
 	}
 	// A certificate must hold exactly one SPIFFE ID (X.509-SVID, section 2).
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -78,13 +78,14 @@
 	return &Resource{Name: name, Version: hex.EncodeToString(sum[:8]), Body: &anypb.Any{TypeUrl: url, Value: raw}, TTL: ttl}, nil
 }
 
-// activeSubsetOf reports whether every active address of r is also active in o.
-func (r *Resource) activeSubsetOf(o *Resource) bool {
-	if o == nil {
+// activeSubsetOf reports whether every active address of r is also active in other;
+// other may be nil.
+func (r *Resource) activeSubsetOf(other *Resource) bool {
+	if other == nil {
 		return len(r.activeAddrs) == 0
 	}
-	for _, a := range r.activeAddrs {
-		if _, ok := slices.BinarySearch(o.activeAddrs, a); !ok {
+	for _, addr := range r.activeAddrs {
+		if _, ok := slices.BinarySearch(other.activeAddrs, addr); !ok {
 			return false
 		}
 	}
@@ -98,7 +99,7 @@
 	resources    [numTypes]map[string]*Resource
 }
 
-// Get returns a resource, or nil.
+// Get returns a resource, or nil if there is none with this name.
 func (s *Snapshot) Get(t Type, name string) *Resource {
 	if s == nil {
 		return nil
--- a/internal/xds/server.go
+++ b/internal/xds/server.go
@@ -158,7 +158,7 @@
 }
 
 // Serve serves a listener until Stop is called.
-func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(s.conns.track(l)) }
+func (s *Server) Serve(listener net.Listener) error { return s.grpc.Serve(s.conns.track(listener)) }
 
 // Stop ends all streams immediately.
 func (s *Server) Stop() {
@@ -182,9 +182,9 @@
 
 // SetAccess replaces the services and permissions. Streams of proxies that may
 // not see any service any more are ended.
-func (s *Server) SetAccess(a Access) {
+func (s *Server) SetAccess(access Access) {
 	s.mu.Lock()
-	s.access = a
+	s.access = access
 	clear(s.snapshots)
 	s.mu.Unlock()
 	s.notifyAll()
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -104,17 +104,17 @@
 }
 
 // HandleRequest processes a request. An error ends the stream.
-func (s *Session) HandleRequest(now time.Duration, r Request) error {
-	sub := &s.subscriptions[r.Type]
+func (s *Session) HandleRequest(now time.Duration, request Request) error {
+	sub := &s.subscriptions[request.Type]
 	first := !sub.active
 	if first {
 		*sub = subscription{active: true, names: map[string]bool{}, held: map[string]heldResource{}, absent: map[string]bool{}, rejected: map[string]string{}}
 	}
-	if r.Nonce != "" && !first { // the first request may hold the nonce of an earlier stream
+	if request.Nonce != "" && !first { // the first request may hold the nonce of an earlier stream
 		switch {
-		case sub.unacked != nil && sub.unacked.Nonce == r.Nonce:
-			s.handleAnswer(now, sub, r)
-		case sub.lastNonce == r.Nonce: // already answered: the request only changes the subscription
+		case sub.unacked != nil && sub.unacked.Nonce == request.Nonce:
+			s.handleAnswer(now, sub, request)
+		case sub.lastNonce == request.Nonce: // already answered: the request only changes the subscription
 		default:
 			s.StaleRequests++
 			if !s.delta {
@@ -123,97 +123,97 @@
 		}
 	}
 	if s.delta {
-		if first && len(r.Subscribe) == 0 && r.Type.sentInFull() {
+		if first && len(request.Subscribe) == 0 && request.Type.sentInFull() {
 			sub.wildcard = true
 		}
-		if err := s.updateNames(sub, r, first); err != nil {
+		if err := s.updateNames(sub, request, first); err != nil {
 			return err
 		}
-	} else if err := s.replaceNames(sub, r, first); err != nil {
+	} else if err := s.replaceNames(sub, request, first); err != nil {
 		return err
 	}
 	if len(sub.names) > maxNames {
-		return fmt.Errorf("%v: more than %d resources asked for", r.Type, maxNames)
+		return fmt.Errorf("%v: more than %d resources asked for", request.Type, maxNames)
 	}
 	return nil
 }
 
-func checkName(n string) error {
-	if n == "" || len(n) > maxNameLen {
-		return fmt.Errorf("a resource name of %d bytes; 1 to %d are allowed", len(n), maxNameLen)
+func checkName(name string) error {
+	if name == "" || len(name) > maxNameLen {
+		return fmt.Errorf("a resource name of %d bytes; 1 to %d are allowed", len(name), maxNameLen)
 	}
 	return nil
 }
 
-func (s *Session) updateNames(sub *subscription, r Request, first bool) error {
-	if len(r.Subscribe)+len(r.Unsubscribe) > 2*maxNames || len(r.InitialVersions) > maxNames {
-		return fmt.Errorf("%v: more than %d resources in one request", r.Type, maxNames)
+func (s *Session) updateNames(sub *subscription, request Request, first bool) error {
+	if len(request.Subscribe)+len(request.Unsubscribe) > 2*maxNames || len(request.InitialVersions) > maxNames {
+		return fmt.Errorf("%v: more than %d resources in one request", request.Type, maxNames)
 	}
-	for _, n := range r.Subscribe {
-		if err := checkName(n); err != nil {
+	for _, name := range request.Subscribe {
+		if err := checkName(name); err != nil {
 			return err
 		}
-		if n == wildcardName {
+		if name == wildcardName {
 			sub.wildcard = true
 			continue
 		}
-		sub.names[n] = true
-		delete(sub.held, n) // a proxy that subscribes again has lost the resource
-		delete(sub.absent, n)
+		sub.names[name] = true
+		delete(sub.held, name) // a proxy that subscribes again has lost the resource
+		delete(sub.absent, name)
 	}
-	for _, n := range r.Unsubscribe {
-		if n == wildcardName {
+	for _, name := range request.Unsubscribe {
+		if name == wildcardName {
 			sub.wildcard = false
 		}
-		delete(sub.names, n)
+		delete(sub.names, name)
 		if !sub.wildcard {
-			delete(sub.held, n)
-			delete(sub.absent, n)
+			delete(sub.held, name)
+			delete(sub.absent, name)
 		}
 	}
 	if first {
-		for n, v := range r.InitialVersions {
+		for name, version := range request.InitialVersions {
 			// A resource with a TTL is sent again, as it may just have expired at the proxy.
-			if x := s.snapshot.Get(r.Type, n); x != nil && x.Version == v && !s.hasTTL(x) && (sub.wildcard || sub.names[n]) {
-				sub.held[n] = heldResource{Resource: x}
-			} else if x == nil && (sub.wildcard || sub.names[n]) && checkName(n) == nil {
-				sub.held[n] = heldResource{Resource: &Resource{Name: n, Version: v}} // will be reported as removed
+			if resource := s.snapshot.Get(request.Type, name); resource != nil && resource.Version == version && !s.hasTTL(resource) && (sub.wildcard || sub.names[name]) {
+				sub.held[name] = heldResource{Resource: resource}
+			} else if resource == nil && (sub.wildcard || sub.names[name]) && checkName(name) == nil {
+				sub.held[name] = heldResource{Resource: &Resource{Name: name, Version: version}} // will be reported as removed
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Session) replaceNames(sub *subscription, r Request, first bool) error {
-	if len(r.Names) > maxNames {
-		return fmt.Errorf("%v: more than %d resources in one request", r.Type, maxNames)
+func (s *Session) replaceNames(sub *subscription, request Request, first bool) error {
+	if len(request.Names) > maxNames {
+		return fmt.Errorf("%v: more than %d resources in one request", request.Type, maxNames)
 	}
-	if r.Type.sentInFull() && first && len(r.Names) == 0 {
+	if request.Type.sentInFull() && first && len(request.Names) == 0 {
 		sub.wildcard = true
 	}
-	names := make(map[string]bool, len(r.Names))
-	for _, n := range r.Names {
-		if err := checkName(n); err != nil {
+	names := make(map[string]bool, len(request.Names))
+	for _, name := range request.Names {
+		if err := checkName(name); err != nil {
 			return err
 		}
-		if n == wildcardName && r.Type.sentInFull() {
+		if name == wildcardName && request.Type.sentInFull() {
 			sub.wildcard = true
 			continue
 		}
-		names[n] = true
+		names[name] = true
 	}
-	if len(names) > 0 && r.Type.sentInFull() {
-		sub.wildcard = len(r.Names) != len(names)
+	if len(names) > 0 && request.Type.sentInFull() {
+		sub.wildcard = len(request.Names) != len(names)
 	}
-	for n := range sub.held {
-		if !names[n] && !sub.wildcard {
-			delete(sub.held, n)
+	for name := range sub.held {
+		if !names[name] && !sub.wildcard {
+			delete(sub.held, name)
 		}
 	}
-	for n := range names {
-		if !sub.names[n] {
+	for name := range names {
+		if !sub.names[name] {
 			sub.sentVersion = "" // a new name requires a response even without changes
-			delete(sub.held, n)
+			delete(sub.held, name)
 		}
 	}
 	sub.names = names
@@ -221,51 +221,51 @@
 }
 
 // handleAnswer processes the ACK or NACK of the unanswered response.
-func (s *Session) handleAnswer(now time.Duration, sub *subscription, r Request) {
-	resp := sub.unacked
+func (s *Session) handleAnswer(now time.Duration, sub *subscription, request Request) {
+	response := sub.unacked
 	sub.unacked = nil
-	if r.RejectReason != "" {
+	if request.RejectReason != "" {
 		sub.nackCount++
-		sub.nackReason = r.RejectReason[:min(len(r.RejectReason), maxNackBytes)]
-		sub.rejectedSet = resp.Version
-		for n := range sub.rejected { // bounds the map when rejected resources are deleted later
-			if s.snapshot.Get(r.Type, n) == nil {
-				delete(sub.rejected, n)
+		sub.nackReason = request.RejectReason[:min(len(request.RejectReason), maxNackBytes)]
+		sub.rejectedSet = response.Version
+		for name := range sub.rejected { // bounds the map when rejected resources are deleted later
+			if s.snapshot.Get(request.Type, name) == nil {
+				delete(sub.rejected, name)
 			}
 		}
-		for _, x := range resp.Resources {
-			sub.rejected[x.Name] = x.Version
+		for _, resource := range response.Resources {
+			sub.rejected[resource.Name] = resource.Version
 		}
 		return
 	}
-	sub.ackedVersion, sub.nackReason, sub.rejectedSet = resp.Version, "", ""
-	for _, x := range resp.Resources {
-		delete(sub.rejected, x.Name)
-		if !sub.wildcard && !sub.names[x.Name] {
+	sub.ackedVersion, sub.nackReason, sub.rejectedSet = response.Version, "", ""
+	for _, resource := range response.Resources {
+		delete(sub.rejected, resource.Name)
+		if !sub.wildcard && !sub.names[resource.Name] {
 			continue
 		}
-		delete(sub.absent, x.Name)
-		held, ok := sub.held[x.Name]
-		if resp.Heartbeat && (!ok || held.Resource != x || now >= held.validUntil) {
-			delete(sub.held, x.Name) // may have arrived after the TTL had expired: send the body again
+		delete(sub.absent, resource.Name)
+		held, ok := sub.held[resource.Name]
+		if response.Heartbeat && (!ok || held.Resource != resource || now >= held.validUntil) {
+			delete(sub.held, resource.Name) // may have arrived after the TTL had expired: send the body again
 			continue
 		}
-		sub.held[x.Name] = heldResource{Resource: x, validUntil: resp.sentAt + x.TTL, nextHeartbeat: resp.sentAt + x.TTL/heartbeatsPerTTL}
+		sub.held[resource.Name] = heldResource{Resource: resource, validUntil: response.sentAt + resource.TTL, nextHeartbeat: response.sentAt + resource.TTL/heartbeatsPerTTL}
 	}
-	for _, n := range resp.Removed {
-		delete(sub.held, n)
-		if sub.names[n] {
-			sub.absent[n] = true
+	for _, name := range response.Removed {
+		delete(sub.held, name)
+		if sub.names[name] {
+			sub.absent[name] = true
 		}
 	}
-	if !s.delta && resp.Type.sentInFull() && !resp.Heartbeat {
+	if !s.delta && response.Type.sentInFull() && !response.Heartbeat {
 		keep := map[string]bool{}
-		for _, x := range resp.Resources {
-			keep[x.Name] = true
+		for _, resource := range response.Resources {
+			keep[resource.Name] = true
 		}
-		for n := range sub.held {
-			if !keep[n] {
-				delete(sub.held, n)
+		for name := range sub.held {
+			if !keep[name] {
+				delete(sub.held, name)
 			}
 		}
 	}
@@ -297,14 +297,14 @@
 	return nil
 }
 
-func (s *Session) markSent(now time.Duration, sub *subscription, r *Response) *Response {
+func (s *Session) markSent(now time.Duration, sub *subscription, response *Response) *Response {
 	s.nonce++
-	r.Nonce = strconv.FormatUint(s.nonce, 10)
-	sub.unacked, sub.lastNonce = &unackedResponse{r, now}, r.Nonce
-	if !r.Heartbeat {
-		sub.sentVersion = r.Version
+	response.Nonce = strconv.FormatUint(s.nonce, 10)
+	sub.unacked, sub.lastNonce = &unackedResponse{response, now}, response.Nonce
+	if !response.Heartbeat {
+		sub.sentVersion = response.Version
 	}
-	return r
+	return response
 }
 
 // desired returns the resources of a type that the proxy should have.
@@ -313,25 +313,25 @@
 	names := s.snapshot.Names(t)
 	if !sub.wildcard {
 		names = names[:0]
-		for n := range sub.names {
-			names = append(names, n)
+		for name := range sub.names {
+			names = append(names, name)
 		}
 	}
 	seen := map[string]bool{}
-	for _, n := range names {
-		x := s.snapshot.Get(t, n)
-		if x != nil && t == Route && !s.clustersAcked(now, x) {
-			x = sub.held[n].Resource // keep the old route until its clusters are acknowledged
+	for _, name := range names {
+		resource := s.snapshot.Get(t, name)
+		if resource != nil && t == Route && !s.clustersAcked(now, resource) {
+			resource = sub.held[name].Resource // keep the old route until its clusters are acknowledged
 		}
-		if x != nil {
-			resources = append(resources, x)
-			seen[n] = true
+		if resource != nil {
+			resources = append(resources, resource)
+			seen[name] = true
 		}
 	}
 	if t == Cluster && sub.wildcard {
-		for n := range s.clustersInUse(now) {
-			if x, ok := sub.held[n]; ok && !seen[n] {
-				resources = append(resources, x.Resource)
+		for name := range s.clustersInUse(now) {
+			if resource, ok := sub.held[name]; ok && !seen[name] {
+				resources = append(resources, resource.Resource)
 			}
 		}
 	}
@@ -347,14 +347,14 @@
 	if !clusters.active || !clusters.wildcard || now-s.snapshotAt >= routeHoldTimeout {
 		return true
 	}
-	for _, n := range route.clusterRefs {
-		if _, ok := clusters.held[n]; !ok {
+	for _, name := range route.clusterRefs {
+		if _, ok := clusters.held[name]; !ok {
 			return false
 		}
-		if s.snapshot.Get(Endpoint, n) == nil {
+		if s.snapshot.Get(Endpoint, name) == nil {
 			continue
 		}
-		if _, ok := endpoints.held[n]; !ok {
+		if _, ok := endpoints.held[name]; !ok {
 			return false
 		}
 	}
@@ -367,16 +367,16 @@
 	if now-s.snapshotAt >= routeHoldTimeout {
 		return used
 	}
-	for _, x := range s.subscriptions[Route].held {
-		for _, n := range x.clusterRefs {
-			used[n] = true
+	for _, route := range s.subscriptions[Route].held {
+		for _, cluster := range route.clusterRefs {
+			used[cluster] = true
 		}
 	}
 	// Until it has answered, a proxy may use the old or the new route.
-	if resp := s.subscriptions[Route].unacked; resp != nil {
-		for _, x := range resp.Resources {
-			for _, n := range x.clusterRefs {
-				used[n] = true
+	if response := s.subscriptions[Route].unacked; response != nil {
+		for _, route := range response.Resources {
+			for _, cluster := range route.clusterRefs {
+				used[cluster] = true
 			}
 		}
 	}
@@ -388,25 +388,25 @@
 func (s *Session) nextUpdate(now time.Duration, t Type, sub *subscription) *Response {
 	desired := s.desired(now, t, sub)
 	var changed []*Resource
-	for _, x := range desired {
-		if held, ok := sub.held[x.Name]; (!ok || held.Version != x.Version) && sub.rejected[x.Name] != x.Version {
-			changed = append(changed, x)
+	for _, resource := range desired {
+		if held, ok := sub.held[resource.Name]; (!ok || held.Version != resource.Version) && sub.rejected[resource.Name] != resource.Version {
+			changed = append(changed, resource)
 		}
 	}
 	if s.delta {
 		var removed []string
 		wanted := map[string]bool{}
-		for _, x := range desired {
-			wanted[x.Name] = true
+		for _, resource := range desired {
+			wanted[resource.Name] = true
 		}
-		for n := range sub.held {
-			if !wanted[n] {
-				removed = append(removed, n)
+		for name := range sub.held {
+			if !wanted[name] {
+				removed = append(removed, name)
 			}
 		}
-		for n := range sub.names {
-			if _, ok := sub.held[n]; !ok && !wanted[n] && !sub.absent[n] && s.snapshot.Get(t, n) == nil {
-				removed = append(removed, n)
+		for name := range sub.names {
+			if _, ok := sub.held[name]; !ok && !wanted[name] && !sub.absent[name] && s.snapshot.Get(t, name) == nil {
+				removed = append(removed, name)
 			}
 		}
 		if len(changed)+len(removed) == 0 {
@@ -444,8 +444,8 @@
 		if sub.unacked != nil && !sub.unacked.Heartbeat || sub.nackReason != "" {
 			return false
 		}
-		for n, x := range s.snapshot.resources[t] {
-			if held, ok := sub.held[n]; (sub.wildcard || sub.names[n]) && (!ok || held.Version != x.Version) {
+		for name, resource := range s.snapshot.resources[t] {
+			if held, ok := sub.held[name]; (sub.wildcard || sub.names[name]) && (!ok || held.Version != resource.Version) {
 				return false
 			}
 		}
@@ -458,12 +458,12 @@
 // also active in the current version.
 func (s *Session) dueHeartbeats(now time.Duration, t Type, sub *subscription) *Response {
 	var due []*Resource
-	for n, held := range sub.held {
+	for name, held := range sub.held {
 		if held.TTL == 0 || now < held.nextHeartbeat {
 			continue
 		}
-		x := s.snapshot.Get(t, n)
-		if x == nil || x.Version != held.Version && !held.activeSubsetOf(x) {
+		resource := s.snapshot.Get(t, name)
+		if resource == nil || resource.Version != held.Version && !held.activeSubsetOf(resource) {
 			continue
 		}
 		due = append(due, held.Resource)
@@ -510,18 +510,18 @@
 func (s *Session) AckDeadline(ackTimeout time.Duration) (deadline time.Duration, ok bool) {
 	deadline = never
 	for t := range numTypes {
-		resp := s.subscriptions[t].unacked
-		if resp == nil {
+		response := s.subscriptions[t].unacked
+		if response == nil {
 			continue
 		}
 		ok = true
 		timeout := ackTimeout
-		for _, x := range resp.Resources {
-			if s.hasTTL(x) && !resp.Heartbeat {
-				timeout = min(timeout, x.TTL)
+		for _, resource := range response.Resources {
+			if s.hasTTL(resource) && !response.Heartbeat {
+				timeout = min(timeout, resource.TTL)
 			}
 		}
-		deadline = min(deadline, resp.sentAt+timeout)
+		deadline = min(deadline, response.sentAt+timeout)
 	}
 	return deadline, ok
 }
