--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -110,22 +110,22 @@
 	}
 	p := &Process{readyPath: readyPath, ended: make(chan struct{}), logDrained: make(chan struct{}), cmd: cmd}
 	p.cmd.Env = append(p.cmd.Environ(), o.Environment...)
-	// Setpgid shields it from a Ctrl-C at the terminal: the lab stops it in order.
+	// Setpgid shields it from a Ctrl-C at the terminal: the lab stops it itself.
 	// Pdeathsig ends it if the lab's process is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	// Not cmd.StderrPipe: Wait closes that pipe, and the last lines of the log would be lost.
-	out, in, err := os.Pipe()
+	logReader, logWriter, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	p.cmd.Stderr = in
+	p.cmd.Stderr = logWriter
 	started := make(chan error)
 	go func() {
 		// Pdeathsig is sent when the thread that started the process ends, so that thread is kept.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		err := start()
-		in.Close()
+		logWriter.Close()
 		started <- err
 		if err == nil {
 			p.cmd.Wait()
@@ -133,11 +133,11 @@
 		}
 	}()
 	if err := <-started; err != nil {
-		out.Close()
+		logReader.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	addr := make(chan string, 1)
-	go p.read(out, addr)
+	go p.read(logReader, addr)
 	select {
 	case p.Addr = <-addr:
 	case <-p.ended:
@@ -258,11 +258,11 @@
 // Resume sends SIGCONT.
 func (p *Process) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// MaxDescriptors as a limit stands for the hard limit of the process.
+// MaxDescriptors makes SetDescriptorLimit set the soft limit to the process's hard limit.
 const MaxDescriptors = ^uint64(0)
 
-// SetDescriptorLimit sets the soft limit of the process's file descriptors. Descriptors that are
-// open stay open.
+// SetDescriptorLimit sets the soft limit of the process's file descriptors, at most to the hard limit.
+// Open descriptors stay open.
 func (p *Process) SetDescriptorLimit(count uint64) error {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, nil, &limit); err != nil {
