--- a/internal/lab/sysfault/launch.go
+++ b/internal/lab/sysfault/launch.go
@@ -58,10 +58,10 @@
 
 // Command is a program whose system calls fail according to rules.
 type Command struct {
-	*exec.Cmd          // Path, Args and ExtraFiles must not be changed
-	ours      *os.File // end of the socket pair on which the listener is received
-	theirs    *os.File // end that the launcher inherits
-	rules     *Rules
+	*exec.Cmd            // Path, Args and ExtraFiles must not be changed
+	labEnd      *os.File // end of the socket pair on which the listener is received
+	launcherEnd *os.File // end that the launcher inherits
+	rules       *Rules
 }
 
 // NewCommand prepares a program, given by its path, whose calls of these kinds fail according to the
@@ -77,17 +77,17 @@
 		return nil, fmt.Errorf("socketpair: %w", err)
 	}
 	c := &Command{Cmd: exec.Command(self, append([]string{program}, args...)...), rules: rules,
-		ours: os.NewFile(uintptr(pair[0]), "sysfault"), theirs: os.NewFile(uintptr(pair[1]), "sysfault")}
-	c.ExtraFiles = []*os.File{c.theirs}
+		labEnd: os.NewFile(uintptr(pair[0]), "sysfault"), launcherEnd: os.NewFile(uintptr(pair[1]), "sysfault")}
+	c.ExtraFiles = []*os.File{c.launcherEnd}
 	c.Env = append(os.Environ(), launchVariable+"="+strings.ReplaceAll(joinNames(calls), " ", ""))
 	return c, nil
 }
 
 // Start starts the program and the supervisor that answers its calls until it has ended.
 func (c *Command) Start() error {
-	defer c.ours.Close()
+	defer c.labEnd.Close()
 	err := c.Cmd.Start()
-	c.theirs.Close()
+	c.launcherEnd.Close()
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 // receiveListener receives the listener's descriptor from the launcher.
 func (c *Command) receiveListener() (int, error) {
 	data, oob := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
-	n, used, _, _, err := unix.Recvmsg(int(c.ours.Fd()), data, oob, unix.MSG_CMSG_CLOEXEC)
+	n, used, _, _, err := unix.Recvmsg(int(c.labEnd.Fd()), data, oob, unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
 		return 0, fmt.Errorf("receiving the listener: %w", err)
 	}
--- a/internal/lab/sysfault/sysfault.go
+++ b/internal/lab/sysfault/sysfault.go
@@ -33,9 +33,8 @@
 // Calls are all kinds, sorted by name.
 var Calls = slices.Sorted(slices.Values([]Call{Accept, Socket, Connect, SendTo, Receive, Write, Open, Sync, Rename}))
 
-// Errors are the errors of each kind of call, by name: of those in the manual pages accept(2), socket(2),
-// connect(2), send(2), recv(2), write(2), open(2), fsync(2) and rename(2), the ones that a machine
-// returns when it is short of a resource or loses its network.
+// Errors maps each kind of call to the errors that can be injected into it, by name. They are those errors
+// of the calls' manual pages (section 2) that occur when a machine lacks a resource or loses its network.
 var Errors = map[Call]map[string]syscall.Errno{
 	Accept: errnos(syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 		syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EINTR),
@@ -50,7 +49,7 @@
 	Rename:  errnos(syscall.ENOSPC, syscall.EIO, syscall.EROFS),
 }
 
-// errnos maps errors by their names.
+// errnos returns a map from the errors' names to the errors.
 func errnos(all ...syscall.Errno) map[string]syscall.Errno {
 	named := map[string]syscall.Errno{}
 	for _, e := range all {
@@ -59,14 +58,15 @@
 	return named
 }
 
-// Rule makes calls of a kind fail with a probability.
+// Rule makes calls of one kind fail with an error, each call with the given probability.
 type Rule struct {
 	Call        Call
 	Errno       syscall.Errno
 	Probability float64 // above 0, up to 1
 }
 
-// ParseRule returns the rule for a call and an error, given by names such as "accept" and "ENOBUFS".
+// ParseRule returns the rule for a call and an error, given by names such as "accept" and "ENOBUFS". It
+// returns an error if Errors lacks the pair, or unless the probability is above 0 and at most 1.
 func ParseRule(call, errno string, probability float64) (Rule, error) {
 	known, ok := Errors[Call(call)]
 	if !ok {
@@ -95,7 +95,7 @@
 	return strings.Join(names, ", ")
 }
 
-// Rules are the rules in effect for a process, with counts of the failed calls. It is safe for
+// Rules is the set of rules in effect for a process, with counts of the failed calls. It is safe for
 // concurrent use.
 type Rules struct {
 	mu     sync.Mutex
@@ -104,7 +104,7 @@
 	failed map[Call]int
 }
 
-// NewRules returns an empty set of rules.
+// NewRules returns an empty set of rules. The seed determines the random choice of the calls that fail.
 func NewRules(seed int64) *Rules {
 	return &Rules{rng: rand.New(rand.NewPCG(uint64(seed), 0x73797366)), failed: map[Call]int{}}
 }
@@ -116,7 +116,7 @@
 	r.rules = append(r.rules, rule)
 }
 
-// Remove removes a rule that was added.
+// Remove removes one rule equal to the given one; without effect if there is none.
 func (r *Rules) Remove(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// FailureCount returns how many calls of a kind have failed by these rules.
+// FailureCount returns how many calls of a kind these rules have made fail.
 func (r *Rules) FailureCount(call Call) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 // decide returns the error with which a call fails, or 0 if it continues. It calls applies only for a
-// call that would fail, to check that the rule covers that very call.
+// call that would fail, and skips the rule if it returns false.
 func (r *Rules) decide(call Call, applies func() bool) syscall.Errno {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/sysfault/sysfault_test.go
+++ b/internal/lab/sysfault/sysfault_test.go
@@ -106,7 +106,7 @@
 	output := bufio.NewScanner(out)
 	output.Scan()
 	addr := output.Text()
-	ask := func(call Call) string {
+	makeCall := func(call Call) string {
 		t.Helper()
 		if call == Accept {
 			conn, err := net.Dial("tcp", addr)
@@ -126,19 +126,19 @@
 		errno syscall.Errno
 	}{{Accept, syscall.ENOBUFS}, {Connect, syscall.EADDRNOTAVAIL}, {SendTo, syscall.EPERM}, {Write, syscall.ENOSPC}, {Open, syscall.EROFS},
 		{Sync, syscall.EIO}, {Rename, syscall.ENOSPC}} {
-		if got := ask(x.call); got != "ok" {
+		if got := makeCall(x.call); got != "ok" {
 			t.Errorf("%s without a rule: %s", x.call, got)
 		}
 		rule := Rule{x.call, x.errno, 1}
 		rules.Add(rule)
-		if got := ask(x.call); got != x.errno.Error() {
+		if got := makeCall(x.call); got != x.errno.Error() {
 			t.Errorf("%s: %s, want %v", x.call, got, x.errno)
 		}
 		if rules.FailureCount(x.call) == 0 {
 			t.Errorf("%s: no failed call is counted", x.call)
 		}
 		rules.Remove(rule)
-		if got := ask(x.call); got != "ok" {
+		if got := makeCall(x.call); got != "ok" {
 			t.Errorf("%s after its rule was removed: %s", x.call, got)
 		}
 	}
