--- a/internal/lab/alarm/alarm.go
+++ b/internal/lab/alarm/alarm.go
@@ -1,6 +1,6 @@
 // Package alarm provides timers with a precision of a fraction of a millisecond. Go's own timers wake an
-// idle process with a precision of a millisecond, which would be the largest part of the latency that the
-// lab adds to a request.
+// idle process with a precision of a millisecond, which would dominate the latency that the lab adds to a
+// request.
 package alarm
 
 import (
@@ -32,7 +32,7 @@
 // timers.
 func New(callback func()) *Timer { return &Timer{callback: callback, index: -1} }
 
-// Set makes the timer fire after a duration from now, instead of at an earlier setting's time.
+// Set makes the timer fire after a duration from now. It replaces an earlier setting.
 func (t *Timer) Set(after time.Duration) {
 	startOnce.Do(startThread)
 	due := time.Now().Add(after)
