--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -30,8 +30,8 @@
 	if a.begin != nil {
 		a.begin()
 	}
-	over := sleep(ctx, f.At.Duration+f.For.Duration-b.Clock())
-	if a.end != nil && over {
+	elapsed := sleep(ctx, f.At.Duration+f.For.Duration-b.Clock())
+	if a.end != nil && elapsed {
 		a.end()
 	}
 	b.recorder.Add(history.Event{At: b.Clock(), Kind: history.FaultEnded, Note: f.String()})
@@ -120,7 +120,7 @@
 		}
 		return action{set(link.BlackHole), set(link.Open)}
 	case scenario.FaultPeerLinks:
-		usual := b.defaultShape()
+		usual := b.defaultConditions()
 		bad := link.Conditions{Delay: usual.Delay + f.Delay.Duration, Loss: max(usual.Loss, f.Loss), State: link.State(f.State), Jitter: f.Jitter.Duration, DuplicateFraction: f.DuplicateFraction}
 		return action{func() { b.setImpairments(b.scenario.PeerPaths(f), &bad) }, func() { b.setImpairments(b.scenario.PeerPaths(f), nil) }}
 	case scenario.FaultPartition:
@@ -144,7 +144,7 @@
 		return action{each(func(t *slot) { flapping.Go(func() { b.flapServer(t, f.Interval.Duration, stop) }) }),
 			func() { close(stop); flapping.Wait(); each(func(t *slot) { b.announce(t, hosts.Up) })() }}
 	}
-	return action{} // heavy requests and slow readers are part of the load
+	return action{} // package load generates heavy requests and slow readers
 }
 
 // pauseProcesses returns the action that pauses and resumes the nodes' latest processes. It takes no
@@ -264,10 +264,10 @@
 
 // setLinks returns a function that changes the links of all routes that a fault's names select. It
 // does so concurrently, as a change to a black hole takes a while.
-func (b *Testbed) setLinks(who []string, to link.Conditions) func() {
+func (b *Testbed) setLinks(targets []string, to link.Conditions) func() {
 	return func() {
 		var all sync.WaitGroup
-		for _, p := range b.routes(who) {
+		for _, p := range b.routes(targets) {
 			all.Go(func() { b.setError(p.slot.links[p.node].Set(to)) })
 		}
 		all.Wait()
@@ -301,7 +301,7 @@
 }
 
 // terminateNodes sends SIGTERM to the processes of nodes, as for a planned restart. It kills a process
-// that outlives the shutdown timeout, which is the earliest time at which the platform may.
+// that outlives the shutdown timeout, the earliest time at which the platform may send SIGKILL.
 func (b *Testbed) terminateNodes(ctx context.Context, nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := b.nodes[x.Number]
@@ -332,14 +332,14 @@
 	if b.scenario.Client.LateConnections == 0 {
 		return
 	}
-	place := caller.Target{Node: n.Name, Addr: n.proc.Addr, Incarnation: n.incarnation}
+	target := caller.Target{Node: n.Name, Addr: n.proc.Addr, Incarnation: n.incarnation}
 	b.mu.Lock()
 	seed := b.rng.Int64()
 	b.mu.Unlock()
 	b.pending.Add(1)
 	go func() {
 		defer b.pending.Done()
-		b.clients.SendDuringShutdown(place, b.options.Deployment.Classes, b.scenario.Client.LateConnections, b.shutdownTimeout(), seed)
+		b.clients.SendDuringShutdown(target, b.options.Deployment.Classes, b.scenario.Client.LateConnections, b.shutdownTimeout(), seed)
 	}()
 }
 
@@ -384,7 +384,7 @@
 	return out
 }
 
-// reapNodes waits for the end of the processes of nodes that were told to stop.
+// reapNodes waits for the end of those processes of nodes that were sent SIGTERM.
 func (b *Testbed) reapNodes(nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := b.nodes[x.Number]
@@ -394,8 +394,8 @@
 	}
 }
 
-// reapNode waits for the end of a node's process that was told to stop; it ends by itself or is
-// killed at the shutdown timeout, which the history then shows. The caller holds the node's lock.
+// reapNode waits for the end of a node's process if it was sent SIGTERM. The process exits by itself or
+// is killed at the shutdown timeout. The caller holds the node's lock.
 func (b *Testbed) reapNode(n *node) {
 	p := n.proc
 	if p == nil || !n.stopRequested {
@@ -407,7 +407,7 @@
 	n.proc = nil
 }
 
-// restartNodes starts the next processes of nodes, after those that were told to stop have ended.
+// restartNodes starts the next processes of nodes, after those that were sent SIGTERM have ended.
 func (b *Testbed) restartNodes(nodes []scenario.Node) {
 	for _, x := range nodes {
 		n := b.nodes[x.Number]
--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -56,7 +56,7 @@
 	return got, records
 }
 
-// waitUntil waits for a time of the run. It returns false if the run ended before it.
+// waitUntil waits until the run reaches a time. It returns false if the run ended before it.
 func waitUntil(ctx context.Context, bed *Testbed, at time.Duration) bool {
 	for bed.Clock() < at {
 		if !sleep(ctx, 10*time.Millisecond) {
@@ -86,7 +86,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Load.Rate = 100                  // for a machine of two cores
+			s.Load.Rate = 100                  // suits a machine of two cores
 			if *longRuns && name == "behind" { // 30 s without discovery, and a lag of 6 s
 				const extra = 22 * time.Second
 				s.Length.Duration += extra + 8*time.Second
@@ -154,7 +154,7 @@
 	if loss > 0 {
 		text += fmt.Sprintf("[[fault]]\nat = \"0s\"\nfor = \"%ds\"\nwhat = \"peers\"\nwho = [\"hall-nord\", \"hall-syd\", \"hall-vest\"]\nloss = %.1f\n", seconds, loss)
 	}
-	for c := 0; c*9+10 <= seconds; c++ { // every 9 s a cut of 7 s, with three drains in it
+	for c := 0; c*9+10 <= seconds; c++ { // every 9 s: nodes are cut off for 7 s, in which three servers drain
 		text += fmt.Sprintf("[[fault]]\nat = \"%ds\"\nfor = \"7s\"\nwhat = \"cut-discovery\"\nwho = [\"n1\", \"n4\", \"n7\"]\n", c*9+1)
 		for i := range 3 {
 			server := fmt.Sprintf("hall-%s.%d", []string{"nord", "syd", "vest"}[i], 1+c%4)
@@ -216,7 +216,7 @@
 	return all
 }
 
-// lateSends counts the attempts at draining servers after the grace period, and returns the latest's delay.
+// lateSends counts the attempts at draining servers after the grace period and returns the longest delay.
 func lateSends(h *history.History, grace time.Duration) (sends int, worst time.Duration) {
 	for _, s := range sendsToDraining(h) {
 		if s.after > grace {
@@ -228,7 +228,7 @@
 }
 
 // A node that is cut off from discovery learns from peers which servers drain, also with lost
-// datagrams; without the fleet it goes on sending to them.
+// datagrams; without the fleet it continues to send to them.
 func TestNodesCutOffFromDiscoveryDontSendToDrainingServers(t *testing.T) {
 	t.Parallel()
 	seconds := 10
@@ -241,12 +241,12 @@
 			s := parse(t, drainWhileCut(loss, seconds, shortDrain))
 			h, records := runFleet(t, s, Options{})
 			sends, worst := lateSends(h, 550*time.Millisecond)
-			var took []time.Duration
+			var delays []time.Duration
 			for _, r := range records {
 				if !slices.Contains([]string{"n1", "n4", "n7"}, r.Process) {
 					continue
 				}
-				for _, w := range r.Withdrawals { // against the first node that had the same version
+				for _, w := range r.Withdrawals { // delay after the first node that had the same version
 					first := w.KnownAt
 					for _, o := range records {
 						for _, x := range o.Withdrawals {
@@ -255,15 +255,15 @@
 							}
 						}
 					}
-					took = append(took, w.KnownAt.Sub(first))
+					delays = append(delays, w.KnownAt.Sub(first))
 				}
 			}
-			slices.Sort(took)
-			if len(took) < seconds/9*9 {
-				t.Fatalf("the records of the nodes that are cut off have %d withdrawals", len(took))
+			slices.Sort(delays)
+			if len(delays) < seconds/9*9 {
+				t.Fatalf("the records of the nodes that are cut off have %d withdrawals", len(delays))
 			}
 			t.Logf("loss %.1f: %d withdrawals at nodes that are cut off, delay p50 %v, p99 %v, worst %v; %d sends later than 0.55 s, the last %v after the notification",
-				loss, len(took), took[len(took)/2], took[len(took)*99/100], took[len(took)-1], sends, worst)
+				loss, len(delays), delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1], sends, worst)
 			if sends > 0 {
 				t.Errorf("%d sends to draining servers after 0.55 s", sends)
 			}
@@ -278,8 +278,8 @@
 		s.Fleet = false
 		h, _ := runFleet(t, s, Options{NoRecordFiles: true})
 		sends, _ := lateSends(h, 550*time.Millisecond)
-		// The judge counts the first drain alone: the response to the watch that was open at the cut
-		// was written, and later changes count as notified 6 s after they were made.
+		// The judge counts the first drain alone: it was sent on the watch that was open when the node
+		// was cut off. Later changes count as notified 6 s after they were made.
 		if v := judge.Judge(h); sends < 5 || v.Counts[judge.DrainsRespected] < 1 {
 			t.Errorf("%d late sends, %v: the fault had no effect", sends, v.Counts)
 		}
@@ -300,7 +300,7 @@
 			v, lost, sent := judge.Judge(h), 0, 0
 			for _, b := range v.Breaches {
 				if holds.WrittenAfterPause(s, b, "n4") {
-					if sent++; sent > 1 { // at most the one it was about to write
+					if sent++; sent > 1 { // at most the request that it was about to write
 						t.Error(b)
 					}
 				} else if holds.LostDuringPause(s, b) {
@@ -360,8 +360,8 @@
 }
 
 // Three of nine nodes are left when discovery fails. With dynamic membership they know that they are
-// all and go on with the last good list; with a configured member list they close. The six that return
-// are known by their new incarnations.
+// all remaining members and continue with the last good list; with a configured member list they close.
+// The six that return are known by their new incarnations.
 func TestRemainingNodesContinueWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for name, x := range map[string]struct{ settings, want string }{"members": {"members = true", "held"}, "configuration": {"", "closed"}} {
@@ -403,8 +403,8 @@
 	}
 }
 
-// A node with four times the others' traffic leases a larger part of a shared quota, also after it was
-// killed and with lost datagrams, and the sum of all leases stays within the quota.
+// A node with four times the others' traffic leases a larger fraction of a shared quota, also after it was
+// killed and when datagrams are lost, and the sum of all leases stays within the quota.
 func TestQuotaLeasesFollowTheTraffic(t *testing.T) {
 	t.Parallel()
 	layout := strings.Replace(strings.Replace(nineNodes, "nodes = 3", "nodes = 1", 1), "nodes = 3", "nodes = 4", 2)
@@ -445,7 +445,7 @@
 			}
 		}
 		if satisfied < 4 {
-			t.Errorf("%s: of %d samples n0 had what it needs in %d", when, len(all), satisfied)
+			t.Errorf("%s: of %d samples, n0 held enough in %d", when, len(all), satisfied)
 		}
 	}
 }
@@ -479,7 +479,7 @@
 func TestFaultyPeersDontCloseNodes(t *testing.T) {
 	t.Parallel()
 	s := parse(t, strings.ReplaceAll(drainWhileCut(0, 12, shortDrain), "2000ms", "6000ms"))
-	s.Faults = s.Faults[:2] // the cut, and one drain
+	s.Faults = s.Faults[:2] // the cut-off from discovery and one drain
 	faulty := []string{"n0", "n2", "n8"}
 	rounds := 0
 	var replayed []byte
@@ -530,7 +530,7 @@
 		}
 		falsely := 0
 		for _, w := range r.Withdrawals {
-			if w.ReportedBy == 2 && w.Server != "hall-nord.1" { // which does drain
+			if w.ReportedBy == 2 && w.Server != "hall-nord.1" { // hall-nord.1 drains
 				falsely++
 			}
 		}
@@ -567,7 +567,7 @@
 }
 
 // Two instances of discovery disagree for 5 s about a drain and a removed server. Each node follows its
-// own one, none narrows or closes, and afterwards all have the same list.
+// own instance, none narrows or closes, and afterwards all have the same list.
 func TestDiscoveryInstancesDisagree(t *testing.T) {
 	t.Parallel()
 	s := parse(t, "name = \"two\"\nlength = \"12s\"\nfleet = true\n[load]\nrate = 100.0\n"+nineNodes)
@@ -596,11 +596,11 @@
 		t.Error(line)
 	}
 	// A record names the first source of a withdrawal: the node's own discovery or, on a busy machine,
-	// a peer that was quicker.
+	// a peer that notified it earlier.
 	known, own := map[string]bool{}, map[string]bool{}
 	for _, r := range records {
 		if n := len(r.Intervals); r.Intervals[n-1].Version.List.Digest != records[0].Intervals[len(records[0].Intervals)-1].Version.List.Digest {
-			t.Errorf("%s ends with another list", r.Process)
+			t.Errorf("%s ends with a different list", r.Process)
 		}
 		for _, w := range r.Withdrawals {
 			if slices.Contains(diverted, r.Process) {
@@ -681,7 +681,7 @@
 	return len(reports)
 }
 
-// Processes that compete with twice as many busy threads as there are cores must not be taken for dead,
+// Processes that compete with twice as many busy threads as there are cores must not be considered failed,
 // nor narrow or close.
 func TestNoNodeClosesUnderCPUStarvation(t *testing.T) {
 	length := 5 * time.Second
--- a/internal/lab/real/hall.go
+++ b/internal/lab/real/hall.go
@@ -70,7 +70,7 @@
 	relays          []*link.UDP                // by process number: the address at which peers reach it
 	broadcast       *link.UDP                  // relays to all nodes
 	senders         sync.Map                   // process number by the netip.AddrPort from which it sends
-	impairments     map[[2]int]link.Conditions // of datagrams, by numbers of sender and receiver; absent: defaultShape
+	impairments     map[[2]int]link.Conditions // of datagrams, by sender and receiver; absent: defaultConditions
 	controlServices []*process.Process
 	discoveryLinks  map[string]*link.TCP // by node; only where the timeline cuts it
 	sendDelays      []time.Duration      // between the planned and the actual start of each order
@@ -178,7 +178,7 @@
 		if err != nil {
 			return err
 		}
-		t.server = clipserver.New(clipserver.Config{Model: model, Clock: b.Clock, Record: b.recorder.Add, FirstByteAt: t.entered})
+		t.server = clipserver.New(clipserver.Config{Model: model, Clock: b.Clock, Record: b.recorder.Add, FirstByteAt: t.firstByteAt})
 		for _, n := range b.nodes {
 			if t.addrs[n.Name], err = t.server.Listen(n.Name); err != nil {
 				return err
@@ -230,8 +230,8 @@
 
 // routes lists the routes that a fault's names select: those to the named servers, those from the
 // named nodes or, if both are named, those between them.
-func (b *Testbed) routes(who []string) []route {
-	servers, nodes := b.scenario.Select(who)
+func (b *Testbed) routes(targets []string) []route {
+	servers, nodes := b.scenario.Select(targets)
 	if len(servers) == 0 {
 		servers = b.scenario.Servers()
 	}
@@ -252,9 +252,9 @@
 	return out
 }
 
-// entered returns when the first byte of the latest burst on a connection reached the link in front of
+// firstByteAt returns when the first byte of the latest burst on a connection reached the link in front of
 // the server, if the node has one.
-func (t *slot) entered(node, remote string) (time.Duration, bool) {
+func (t *slot) firstByteAt(node, remote string) (time.Duration, bool) {
 	if l := t.links[node]; l != nil {
 		return l.FirstByteAt(remote)
 	}
@@ -306,15 +306,15 @@
 			return nil
 		}
 		b.mu.Lock()
-		shape, impaired := b.impairments[[2]int{i, j}]
+		conditions, impaired := b.impairments[[2]int{i, j}]
 		relay := b.relays[i]
 		b.mu.Unlock()
 		if !impaired {
-			shape = b.defaultShape()
+			conditions = b.defaultConditions()
 		} else {
 			b.recorder.Add(history.Event{At: b.Clock(), Kind: history.DatagramFault, Node: b.processName(i)})
 		}
-		return []link.Hop{{From: relay.Conn(), To: to, Conditions: shape}}
+		return []link.Hop{{From: relay.Conn(), To: to, Conditions: conditions}}
 	}
 	record := func(from netip.AddrPort, bytes, receivers int) {
 		if i, known := sender(from); known {
@@ -343,7 +343,7 @@
 }
 
 // peerAddr returns the address for datagrams of a process, or an empty string if the process does
-// not run. The numbers after those of the nodes are the control services'.
+// not run. Control services are numbered after the nodes.
 func (b *Testbed) peerAddr(number int) string {
 	if k := number - len(b.nodes); k >= 0 {
 		b.mu.Lock()
@@ -361,8 +361,8 @@
 	return b.nodes[number].proc.PeerAddr()
 }
 
-// defaultShape is the delay and loss of datagrams that no fault impairs.
-func (b *Testbed) defaultShape() link.Conditions {
+// defaultConditions returns the delay and loss of datagrams that no fault impairs.
+func (b *Testbed) defaultConditions() link.Conditions {
 	return link.Conditions{Delay: b.scenario.Net.PeerDelay.Duration, Loss: b.scenario.Net.PeerLoss}
 }
 
@@ -462,7 +462,7 @@
 }
 
 // watchProcess waits for the end of a node's process, collects its error lines and records a crash
-// if the process ended without a request.
+// if the lab did not stop the process.
 func (b *Testbed) watchProcess(n *node, p *process.Process, incarnation int) {
 	<-p.Ended()
 	<-p.LogDrained()
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -55,7 +55,7 @@
 	return users
 }
 
-// usersBetween returns the median number of nodes that use each server, over the samples in a time.
+// usersBetween returns the median number of nodes that use each server, over the samples in a period.
 func (l *leaseSampler) usersBetween(from, to time.Duration) map[string]int {
 	samples := map[string][]int{}
 	for i, at := range l.at {
@@ -73,7 +73,7 @@
 	return medians
 }
 
-// heldBetween returns the median of the fraction held, over the samples in a time.
+// heldBetween returns the median of the held fraction of the quota, over the samples in a period.
 func (l *leaseSampler) heldBetween(from, to time.Duration) float64 {
 	var all []float64
 	for i, at := range l.at {
@@ -88,8 +88,8 @@
 	return all[len(all)/2]
 }
 
-// recoveryTimes returns how long after each of a scenario's changes nine tenths of the quota are held
-// for good, in ascending order. It omits changes that were followed by another one too soon.
+// recoveryTimes returns how long after each of a scenario's changes at least nine tenths of the quota are
+// held from then on, in ascending order. It omits changes that were followed by another one too soon.
 func (l *leaseSampler) recoveryTimes(s *scenario.Scenario) (all []time.Duration) {
 	changes := []time.Duration{s.Length.Duration}
 	for _, f := range s.Faults {
@@ -107,7 +107,7 @@
 				took = at - from
 			}
 		}
-		if took < changes[k+1]-from-time.Second { // else the next change came too soon
+		if took < changes[k+1]-from-time.Second { // otherwise the next change came too soon
 			all = append(all, took.Round(100*time.Millisecond))
 		}
 	}
@@ -115,11 +115,11 @@
 	return all
 }
 
-// maxLate limits how many requests may get no answer in their clients' time where dozens of processes
-// share a few cores: a process that gets no core for 50 ms can't answer in time.
+// maxLate limits how many requests may get no answer within their deadlines when dozens of processes
+// share a few cores: a process that is not scheduled for 50 ms can't answer in time.
 const maxLate = 2
 
-// check lists what did not hold in a run with many processes.
+// check lists the rules and requirements that a run with many processes did not meet.
 func check(s *scenario.Scenario, h *history.History) []string {
 	v, late := judge.Judge(h), 0
 	v.Breaches = slices.DeleteFunc(v.Breaches, func(b judge.Breach) bool {
@@ -142,7 +142,7 @@
 		"seven": {{4, 6}, {11, 20}, {25, 30}},
 		"crowd": {{4, 5}, {14, 23}, {32, 38}},
 	}
-	if *longRuns { // crowd grows as much, and both run in memory
+	if *longRuns { // the scenario crowd grows as much, and package memory runs both
 		all["grow"] = [][2]time.Duration{{4, 6}, {15, 20}, {32, 40}}
 	}
 	for name, spans := range all {
@@ -194,7 +194,7 @@
 
 // checkServerUse lists unexpected numbers of users of servers in the scenario crowd. By their records
 // 8 to 20 of 36 processes have a server in their subsets, where 9 are planned: views differ while
-// messages are lost, and processes with too few servers use more. The six that are left use nearly all.
+// messages are lost, and processes with too few servers use more. The remaining six use nearly all.
 // By the sends, each server is used, and by no more processes than fleet/subset allows.
 func checkServerUse(h *history.History, l *leaseSampler) (out []string) {
 	for _, x := range []struct {
@@ -302,7 +302,7 @@
 		now := uint32(time.Now().Unix())
 		for waitUntil(ctx, bed, 3*time.Second) && bed.Clock() < 30*time.Second && sleep(ctx, 200*time.Millisecond) {
 			for _, to := range []int{0, 1, 2, 3, 4, 5, 6, 8} {
-				for member := uint32(0); member < 9; member++ { // n7 reports all as gone, and all with later incarnations
+				for member := uint32(0); member < 9; member++ { // n7 reports all as failed, and all with later incarnations
 					bed.SendSpoofed(7, to, ping(7, now, member, now, 2))
 					bed.SendSpoofed(7, to, ping(7, now, member, now+900, 0))
 				}
--- a/internal/lab/real/real_test.go
+++ b/internal/lab/real/real_test.go
@@ -45,7 +45,7 @@
 }
 
 // nodesPerCore limits how many nodes run at once for each core. At the rates of these tests a node
-// uses a tenth of a core or less, with its part of the lab.
+// uses a tenth of a core or less, including the lab's work for it.
 const nodesPerCore = 14
 
 // nodeSlots limits the nodes of all parallel tests, so that results don't depend on how many large
@@ -55,7 +55,7 @@
 	nodeSlots = semaphore.NewWeighted(maxNodes)
 )
 
-// reserveNodes waits until a test may run so many nodes.
+// reserveNodes waits until a test may run the given number of nodes; release returns them.
 func reserveNodes(t *testing.T, count int) (release func()) {
 	t.Helper()
 	weight := min(int64(count), maxNodes)
--- a/internal/lab/real/run.go
+++ b/internal/lab/real/run.go
@@ -43,14 +43,14 @@
 	return out, ctx.Err()
 }
 
-// setError keeps the first error of the lab itself.
+// setError stores an error of the lab itself, unless it has one already.
 func (b *Testbed) setError(err error) {
 	if err != nil {
 		b.firstErr.CompareAndSwap(nil, &err)
 	}
 }
 
-// sleep waits for a time and reports whether it did; false means that ctx ended first.
+// sleep waits for a duration. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -62,7 +62,7 @@
 	}
 }
 
-// preciseSleep is the last part of the wait for an order, which uses a precise timer and ignores the
+// preciseSleep is the end of the wait for an order's time, which uses a precise timer and ignores the
 // context.
 const preciseSleep = 100 * time.Millisecond
 
@@ -127,7 +127,7 @@
 
 // LateRequests returns how many requests were sent on connections of nodes that had been sent
 // SIGTERM, and how many of these met an unused connection that the node was just closing.
-func (b *Testbed) LateRequests() (late, crossed int) {
+func (b *Testbed) LateRequests() (late, closeRaces int) {
 	st := b.clients.Stats()
 	return st.LateRequests, st.CloseRaces
 }
@@ -145,14 +145,14 @@
 	defer b.mu.Unlock()
 	var out []ServerStatus
 	for _, t := range b.slots {
-		st, active, waiting, part := t.server.Status()
-		r := ServerStatus{Name: t.id, Zone: t.Zone, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: part}
+		state, active, waiting, warmRatio := t.server.Status()
+		r := ServerStatus{Name: t.id, Zone: t.Zone, Kind: t.Kind, State: t.state, Active: active, Waiting: waiting, WarmRatio: warmRatio}
 		switch {
-		case st == clip.Down:
+		case state == clip.Down:
 			r.State = "down"
-		case st == clip.Isolated:
+		case state == clip.Isolated:
 			r.State = "silent"
-		case st == clip.Hung:
+		case state == clip.Hung:
 			r.State = "hung"
 		}
 		out = append(out, r)
