--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -26,7 +26,7 @@
 	SystemCalls        bool          // include failing system calls; the caller's main must support sysfault.RunLauncher
 }
 
-// DefaultBounds are the bounds of a manual run on eight cores.
+// DefaultBounds are the bounds of a soak on a machine of eight cores.
 var DefaultBounds = Bounds{MinNodes: 10, MaxNodes: 40, Length: 20 * time.Second, FaultsPerSecond: 2, RatePerNode: 12, SystemCalls: true}
 
 // Limits of the rules that are the same for all seeds.
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	for range 1 + int(b.Length/(4*time.Second)) { // after the other kinds, which keeps their random draws the same
+	for range 1 + int(b.Length/(4*time.Second)) { // last, so that the draws of the other kinds stay the same
 		g.add(scenario.Fault{Kind: scenario.FaultNoDescriptors, At: g.randomSpan(200*time.Millisecond, b.Length), For: g.randomSpan(20*time.Millisecond, 150*time.Millisecond),
 			Targets: randomNames(g, g.scenario.Nodes(), func(x scenario.Node) string { return x.Name }, len(g.scenario.Nodes()))})
 	}
@@ -144,7 +144,7 @@
 }
 
 // delayConnections returns faults that close idle connections to servers just before they drain and
-// keep new ones from being established until later.
+// delay the establishment of new ones.
 func (g *generator) delayConnections(drain scenario.Fault) []scenario.Fault {
 	late := scenario.Fault{Kind: scenario.FaultLink, State: "black-hole", Targets: drain.Targets, At: drain.At, For: g.randomSpan(500*time.Millisecond, 1200*time.Millisecond)}
 	late.At.Duration = max(100*time.Millisecond, late.At.Duration-g.randomDuration(50*time.Millisecond, 500*time.Millisecond))
@@ -153,7 +153,7 @@
 	return []scenario.Fault{idle, late}
 }
 
-// addZones adds zones with a number of nodes in all, and random servers.
+// addZones adds zones with the given total number of nodes, and random servers.
 func (g *generator) addZones(nodes int) {
 	zones := 1 + g.IntN(3)
 	for i := range zones {
@@ -201,7 +201,7 @@
 
 // faultKinds are the kinds of random faults, with their weights.
 var faultKinds = []struct {
-	what   string
+	kind   string
 	weight int
 }{
 	{scenario.FaultRestart, 8}, {scenario.FaultBriefPause, 8}, {scenario.FaultHang, 6}, {scenario.FaultKill, 5}, {scenario.FaultDrain, 5},
@@ -218,7 +218,7 @@
 	pick := g.IntN(total)
 	for _, k := range faultKinds {
 		if pick -= k.weight; pick < 0 {
-			return k.what
+			return k.kind
 		}
 	}
 	return scenario.FaultRestart
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -20,23 +20,23 @@
 	Violations   []string // rules and expectations that did not hold, a line each
 	Tries        int
 	LateRequests int // requests on connections of nodes that had been sent SIGTERM
-	Crossed      int // of these, those on unused connections that the node was just closing
+	CloseRaces   int // late requests on unused connections that the node was just closing
 	Restarts     int // processes that were sent SIGTERM
-	Overdue      int // of these, those that still ran at the shutdown timeout
+	Overdue      int // restarted processes that still ran at the shutdown timeout
 	Elapsed      time.Duration
 	History      *history.History
 	Scenario     *scenario.Scenario
 }
 
-// Passed reports whether everything held.
+// Passed reports whether there are no violations.
 func (r *Result) Passed() bool { return len(r.Violations) == 0 }
 
 // Run runs a seed with a node's program. It returns an error if the lab itself fails; a crash of a node
 // is a violation.
 func Run(ctx context.Context, program string, seed int64, b Bounds) (*Result, error) {
-	s, d := Generate(seed, b)
+	s, deployment := Generate(seed, b)
 	start := time.Now()
-	bed, err := real.New(ctx, s, real.Options{Program: program, Deployment: d})
+	bed, err := real.New(ctx, s, real.Options{Program: program, Deployment: deployment})
 	if err != nil {
 		return nil, err
 	}
@@ -53,9 +53,9 @@
 	for _, a := range bed.ErrorLines() {
 		r.add("%s said: %s", a.Node, a.Line)
 	}
-	r.LateRequests, r.Crossed = bed.LateRequests()
-	if r.Crossed > max(2, r.LateRequests/20) {
-		r.add("%d of %d late requests crossed the end of an unused connection", r.Crossed, r.LateRequests)
+	r.LateRequests, r.CloseRaces = bed.LateRequests()
+	if r.CloseRaces > max(2, r.LateRequests/20) {
+		r.add("%d of %d late requests crossed the end of an unused connection", r.CloseRaces, r.LateRequests)
 	}
 	return r, nil
 }
@@ -86,7 +86,7 @@
 // Summary returns the result on one line, followed by a line for each of the first 20 violations.
 func (r *Result) Summary() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d nodes, %d faults, %d tries, %d restarts, %d late requests (%d crossed), %.0f s: ", r.Seed, r.Nodes, r.Faults, r.Tries, r.Restarts, r.LateRequests, r.Crossed, r.Elapsed.Seconds())
+	fmt.Fprintf(&b, "seed %d: %d nodes, %d faults, %d tries, %d restarts, %d late requests (%d crossed), %.0f s: ", r.Seed, r.Nodes, r.Faults, r.Tries, r.Restarts, r.LateRequests, r.CloseRaces, r.Elapsed.Seconds())
 	if r.Passed() {
 		b.WriteString("held")
 		return b.String()
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -44,10 +44,10 @@
 	os.Exit(code)
 }
 
-// smallBounds are for a run on two busy cores.
+// smallBounds are the bounds of a run that fits a machine of two cores.
 var smallBounds = Bounds{MinNodes: 10, MaxNodes: 10, Length: 12 * time.Second, FaultsPerSecond: 2, RatePerNode: 4, ClockSteps: true, SystemCalls: true}
 
-// These seeds include former failures.
+// The seeds include ones at which the rules were broken in the past.
 func TestRulesHoldUnderOverlappingFaults(t *testing.T) {
 	for _, seed := range []int64{1, 4, 6} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -73,7 +73,7 @@
 	overlaps, kinds := 0, map[string]int{}
 	const seeds = 60
 	for seed := range int64(seeds) {
-		s, d := Generate(seed, DefaultBounds)
+		s, deployment := Generate(seed, DefaultBounds)
 		again, _ := Generate(seed, DefaultBounds)
 		if !reflect.DeepEqual(s, again) {
 			t.Fatalf("seed %d generates two different scenarios", seed)
@@ -81,8 +81,8 @@
 		if n := len(s.Nodes()); n < DefaultBounds.MinNodes || n > DefaultBounds.MaxNodes {
 			t.Errorf("seed %d: %d nodes", seed, n)
 		}
-		if len(d.Classes) < 3 || d.Limits.AnswerSlack == 0 {
-			t.Errorf("seed %d: %+v", seed, d)
+		if len(deployment.Classes) < 3 || deployment.Limits.AnswerSlack == 0 {
+			t.Errorf("seed %d: %+v", seed, deployment)
 		}
 		for i, f := range s.Faults {
 			kinds[f.Kind]++
@@ -96,9 +96,9 @@
 	if overlaps < 10*seeds {
 		t.Errorf("%d pairs of faults overlap in %d seeds", overlaps, seeds)
 	}
-	for _, what := range []string{scenario.FaultRestart, scenario.FaultBriefPause, scenario.FaultHang, scenario.FaultKill, scenario.FaultReload, scenario.FaultWatchSilent, scenario.FaultIdleClose, scenario.FaultNoDescriptors, scenario.FaultSystemCalls} {
-		if kinds[what] < seeds/4 {
-			t.Errorf("%s was generated %d times in %d seeds", what, kinds[what], seeds)
+	for _, kind := range []string{scenario.FaultRestart, scenario.FaultBriefPause, scenario.FaultHang, scenario.FaultKill, scenario.FaultReload, scenario.FaultWatchSilent, scenario.FaultIdleClose, scenario.FaultNoDescriptors, scenario.FaultSystemCalls} {
+		if kinds[kind] < seeds/4 {
+			t.Errorf("%s was generated %d times in %d seeds", kind, kinds[kind], seeds)
 		}
 	}
 }
@@ -120,16 +120,16 @@
 
 type edit struct{ file, old, new string }
 
-// Six seeds find each mutant. Two faults are not among them, as they need a connection that is established
-// a second late: writing for a request that has ended, and writing to a draining server. internal/front's
-// TestNothingIsWrittenIfRequestEndsDuringDial covers both.
+// Guards against soaks that miss a fault: at least one of six seeds must find each mutant. Writing for a request
+// that has ended and writing to a draining server are omitted, as they need a connection that takes a second to
+// establish; TestNothingIsWrittenIfRequestEndsDuringDial of internal/front covers both.
 func TestSoaksFindBrokenNodes(t *testing.T) {
 	if !*mutants {
 		t.Skip("needs -soak-mutants")
 	}
 	fixedTimeout := edit{"guard/schedule.go", "kill := KillMargin + min(deadline, MaxDeadline)", "kill := KillMargin + MaxDeadline; _ = deadline"}
 	for _, m := range []mutant{
-		{"the incident: unused connections stay open, late requests are accepted, the shutdown timeout is fixed", []edit{fixedTimeout,
+		{"unused connections stay open, late requests are accepted and the shutdown timeout is fixed", []edit{fixedTimeout,
 			{"internal/front/conns.go", "[]map[net.Conn]time.Time{c.fresh, c.idle}", "[]map[net.Conn]time.Time{c.idle}"},
 			{"internal/node/lifecycle.go", "return !told || l.schedule.MayServe(since)", "return !told || l.schedule.MayServe(since) || true"}}},
 		{"the shutdown timeout ignores the settings", []edit{fixedTimeout}},
@@ -173,7 +173,7 @@
 			t.Fatal(err)
 		}
 		if strings.Count(string(raw), e.old) != 1 {
-			t.Fatalf("%s contains %d times, not once: %q", e.file, strings.Count(string(raw), e.old), e.old)
+			t.Fatalf("%s contains the text to replace %d times, want once: %q", e.file, strings.Count(string(raw), e.old), e.old)
 		}
 		replace[file] = filepath.Join(dir, fmt.Sprintf("changed-%d.go", i))
 		if err := os.WriteFile(replace[file], []byte(strings.Replace(string(raw), e.old, e.new, 1)), 0o600); err != nil {
