--- a/internal/lab/vtime/queue_test.go
+++ b/internal/lab/vtime/queue_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// plainHeap is the reference implementation with container/heap.
+// plainHeap is the reference implementation, on container/heap.
 type plainHeap []item[int]
 
 func (h plainHeap) Len() int           { return len(h) }
@@ -34,9 +34,9 @@
 		var q Queue[int]
 		var want plainHeap
 		now, seq := time.Duration(0), 0
-		steps := rapid.SliceOfN(rapid.Bool(), 1, 400).Draw(t, "plan rather than take")
-		for _, plan := range steps {
-			if plan {
+		steps := rapid.SliceOfN(rapid.Bool(), 1, 400).Draw(t, "push rather than pop")
+		for _, push := range steps {
+			if push {
 				at := now + time.Duration(ahead.Draw(t, "ahead"))
 				seq++
 				q.Push(at, seq)
