--- a/internal/lab/hosts/service.go
+++ b/internal/lab/hosts/service.go
@@ -126,13 +126,13 @@
 }
 
 // SetAlternative gives the nodes a list of their own, with its own generation, which
-// other derives from the list; nil ends it.
-func (s *Service) SetAlternative(nodes []string, other func(List) List) {
+// derive returns for the common list; nil restores the common list.
+func (s *Service) SetAlternative(nodes []string, derive func(List) List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.alternativeNodes, s.alternative = map[string]bool{}, other
+	s.alternativeNodes, s.alternative = map[string]bool{}, derive
 	for _, n := range nodes {
-		s.alternativeNodes[n] = other != nil
+		s.alternativeNodes[n] = derive != nil
 	}
 	s.endWaits()
 }
@@ -145,7 +145,8 @@
 	return s.registry.Generation()
 }
 
-// InitialList returns the list that a node has at its start: the latest visible one.
+// InitialList returns the list that a node has at its start, the latest visible one, and
+// clears the record of the servers sent to the node.
 func (s *Service) InitialList(node string) List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
