--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -22,10 +22,10 @@
 
 // The service rules.
 const (
-	NoRequestLost     Rule = 1
-	NoDuplicateEffect Rule = 2
-	DrainsRespected   Rule = 3
-	NoColdOverload    Rule = 4
+	NoRequestLost     Rule = 1                 // each accepted request gets exactly one answer, by its deadline
+	NoDuplicateEffect Rule = 2                 // no effect runs twice
+	DrainsRespected   Rule = 3                 // no request is sent to a draining server after the grace period
+	NoColdOverload    Rule = 4                 // a cold server is not sent more work than it can do
 	maxBreaches            = 200               // listed in a verdict; further ones are only counted
 	keptBreaches           = 100 * maxBreaches // kept for sorting by time
 )
@@ -65,7 +65,7 @@
 // Passed reports whether no rule was broken.
 func (v *Verdict) Passed() bool { return len(v.Counts) == 0 }
 
-// Judge checks a history.
+// Judge returns the verdict on a history, whose events must be in order of time.
 func Judge(h *history.History) Verdict {
 	checker := NewChecker(&h.Setup)
 	for i := range h.Events {
@@ -135,13 +135,13 @@
 	sentAt, deadline time.Duration
 	answerCount      int
 	firstAnswer      answer
-	secondAnswerAt   time.Duration
-	attempts         []attempt // those that reached a server, in order
+	secondAnswerAt   time.Duration // if answerCount > 1
+	attempts         []attempt     // those that reached a server, in order
 	runs             []run
-	extraAt          []time.Duration
-	queued           bool       // in tryQueue
-	attemptBuffer    [1]attempt // first element of attempts, without an allocation
-	runBuffer        [1]run     // first element of runs
+	extraAt          []time.Duration // data after the final answer
+	queued           bool            // in tryQueue
+	attemptBuffer    [1]attempt      // first element of attempts, without an allocation
+	runBuffer        [1]run          // first element of runs
 }
 
 // Recorded events of a try.
--- a/internal/lab/judge/judge_test.go
+++ b/internal/lab/judge/judge_test.go
@@ -83,7 +83,7 @@
 }
 
 // Guards against a judge that misses a breach: each row alters the valid history so
-// that one rule is broken, and gives a part of the expected text.
+// that one rule is broken, and gives a fragment of the expected text.
 func TestAlteredHistoriesBreakTheExpectedRule(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -264,8 +264,8 @@
 	}
 }
 
-// Guards against blaming nodes for a start they were not notified of: with FallTold, an
-// overload is a breach only if notified nodes sent two thirds of the work.
+// Guards against breaches for starts that nodes were not notified of: with OverloadNotifiedOnly,
+// an overload is a breach only if notified nodes sent two thirds of the work.
 func TestColdRuleCountsOnlyNodesNotifiedOfTheStart(t *testing.T) {
 	for _, x := range []struct {
 		notified int // of 60 requests
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -59,8 +59,8 @@
 // mayRun reports whether an attempt that reached a server may have run.
 func mayRun(a attempt) bool { return a.verdict != history.Rejected }
 
-// checkEffects checks rule 2: no effect runs twice. Attempts that were lost on
-// the way have not run and are not recorded.
+// checkEffects checks rule 2: no effect runs twice. Attempts that were lost in
+// transit have not run and are not recorded.
 func (c *Checker) checkEffects(t *try) {
 	limits := c.setup.Limits
 	if t.class == nil || t.class.Effect == history.Safe {
@@ -86,14 +86,14 @@
 	if len(t.runs) > 1 {
 		c.breach(NoDuplicateEffect, t.runs[1].at, "%s %s ran %d times", t.class.Effect, id, len(t.runs))
 	}
-	// All servers detect the key of a repeated try.
+	// With a global scope, every server detects a repeated key.
 	harmless := t.class.Effect == history.Keyed && t.class.Scope == history.GlobalScope
 	if t.answerCount > 0 && t.firstAnswer.status == history.Refused && mayHaveRun > 0 && !harmless {
 		c.breach(NoDuplicateEffect, t.firstAnswer.at, "%s %s was refused although it may have run", t.class.Effect, id)
 	}
 }
 
-// shareKeys reports whether two servers share the keys they have seen.
+// shareKeys reports whether two servers share the idempotency keys they have received.
 func (c *Checker) shareKeys(scope history.Scope, one, other string) bool {
 	a, b := c.server(one), c.server(other)
 	switch scope {
@@ -132,7 +132,7 @@
 	}
 }
 
-// recordChange records a change in discovery. After Limits.NotifyDeadline, drains and
+// recordChange records a change in discovery's list. After Limits.NotifyDeadline, drains and
 // removals apply also to nodes that have not fetched them, unless the server is up
 // again.
 func (c *Checker) recordChange(e *history.Event) {
@@ -184,7 +184,7 @@
 	history.Event
 	recent        []coldSend
 	sum           time.Duration
-	notifiedSum   time.Duration   // part of sum sent by notified nodes
+	notifiedSum   time.Duration   // work in sum that notified nodes sent
 	notifiedNodes map[string]bool // nodes notified of the start
 	reported      bool            // one breach per start, as the windows overlap
 }
@@ -196,10 +196,10 @@
 	}
 }
 
-// checkColdLoad checks rule 4: within any window of FallTime, the work sent to a
-// cold server stays below FallFactor times its capacity. A request counts at most
-// with the work of one core in the window, as no choice of servers can avoid the
-// overload by a heavier one.
+// checkColdLoad checks rule 4: within any OverloadWindow, the work sent to a cold
+// server stays below OverloadFactor times its capacity plus OverloadAllowance. A
+// request counts at most with the work of one core in the window, as no choice of
+// servers can avoid the overload by a heavier one.
 func (c *Checker) checkColdLoad(e *history.Event) {
 	start := c.coldStarts[e.Server]
 	if start == nil {
@@ -219,7 +219,7 @@
 		start.recent = start.recent[1:]
 	}
 	allowed := limits.OverloadFactor * capacity(start.Event, send.at-limits.OverloadWindow, send.at)
-	if over := start.sum.Seconds() - limits.OverloadAllowance.Seconds() - allowed; over > 0 && !start.reported && start.enforced(limits) {
+	if excess := start.sum.Seconds() - limits.OverloadAllowance.Seconds() - allowed; excess > 0 && !start.reported && start.enforced(limits) {
 		start.reported = true
 		c.breach(NoColdOverload, send.at, "%s, started at %v, was sent %v of work within %v and may have %.2fs",
 			start.Server, start.At, start.sum, limits.OverloadWindow, allowed)
--- a/internal/lab/judge/service.go
+++ b/internal/lab/judge/service.go
@@ -31,9 +31,9 @@
 type ServiceMetrics struct {
 	Score       float64      `json:"score"`       // in points of 100: the measure minus the penalties
 	Measure     float64      `json:"measure"`     // 0 to 1
-	OnTimeRatio float64      `json:"whole"`       // share of the requested value served within the target latency
-	WorstWindow float64      `json:"worst_10s"`   // the same of the worst 10 s
-	WorstClass  float64      `json:"worst_class"` // the same of the worst class
+	OnTimeRatio float64      `json:"whole"`       // fraction of the requested value served within the target latency
+	WorstWindow float64      `json:"worst_10s"`   // the same ratio in the worst 10 s
+	WorstClass  float64      `json:"worst_class"` // the same ratio of the worst class
 	Penalties   Penalties    `json:"penalties"`
 	Classes     []ClassStats `json:"classes"`
 	Orders      int          `json:"orders"`
@@ -225,7 +225,7 @@
 	return *result
 }
 
-// ratio returns 1 if total is 0.
+// ratio returns amount / total, or 1 if total is 0.
 func ratio(amount, total float64) float64 {
 	if total == 0 {
 		return 1
@@ -266,11 +266,11 @@
 
 func (y *tally) penalties(servers int) Penalties {
 	orders := math.Max(1, float64(y.Orders))
-	charge := func(price, amount, total float64) float64 {
+	charge := func(penalty, amount, total float64) float64 {
 		if total <= 0 {
 			return 0
 		}
-		return price * amount / total
+		return penalty * amount / total
 	}
 	return Penalties{LateFailure: charge(penaltyLateFailure, y.lateValue, y.requestedValue), WastedWork: charge(penaltyWastedWork, y.wastedWork, y.totalWork),
 		NewConnections:  charge(penaltyNewConnection, y.newConnections, orders),
