--- a/internal/lab/holds/holds.go
+++ b/internal/lab/holds/holds.go
@@ -57,7 +57,7 @@
 	return out
 }
 
-// resumeTime is how long a process may take after a pause to answer waiting requests.
+// resumeTime is how long a process may take after a pause to answer pending requests.
 const resumeTime = 400 * time.Millisecond
 
 // LostDuringPause reports whether a request was lost because its deadline passed
