--- a/internal/lab/memory/client.go
+++ b/internal/lab/memory/client.go
@@ -80,8 +80,9 @@
 	})
 }
 
-// pickNode returns the node to which the front assigns the next connection of a
-// zone, or nil. Nodes of other zones serve a zone without nodes.
+// pickNode returns the node to which the front, the clients' load balancer, assigns
+// the next connection of a zone, or nil. It uses nodes of other zones only if the
+// zone has none in rotation.
 func (w *world) pickNode(zone string) *node {
 	if w.rotation == nil {
 		w.rotation = map[string][2][]*node{}
@@ -98,10 +99,10 @@
 		}
 		w.rotation[zone] = groups
 	}
-	for _, up := range groups {
-		if len(up) > 0 {
+	for _, nodes := range groups {
+		if len(nodes) > 0 {
 			w.roundRobin[zone]++
-			return up[w.roundRobin[zone]%len(up)]
+			return nodes[w.roundRobin[zone]%len(nodes)]
 		}
 	}
 	return nil
@@ -110,7 +111,7 @@
 // trySuffixes are the suffixes of try ids; clients retry at most twice.
 var trySuffixes = [...]string{".0", ".1", ".2", ".3"}
 
-// sendTry sends one try. Its deadline counts from here.
+// sendTry sends one try of an order, whose timeout starts now.
 func (w *world) sendTry(order *load.Order, number int) {
 	c := &clientTry{world: w, order: order, number: number, id: order.ID + trySuffixes[number], node: w.pickNode(order.Zone)}
 	if number == 0 {
@@ -168,7 +169,7 @@
 	}
 }
 
-// trackOpen records that a client waits at a node.
+// trackOpen records a try that waits for the answer of a node.
 func (w *world) trackOpen(n *node, c *clientTry) {
 	tries := w.openTries[n]
 	if len(tries) > 1024 && len(tries)%1024 == 0 {
@@ -177,7 +178,8 @@
 	w.openTries[n] = append(w.openTries[n], c)
 }
 
-// waitingTries returns the tries that still wait at a node.
+// waitingTries drops the finished tries of a node and returns those that still wait
+// for its answer.
 func (w *world) waitingTries(n *node) []*clientTry {
 	kept := w.openTries[n][:0]
 	for _, c := range w.openTries[n] {
--- a/internal/lab/memory/faults.go
+++ b/internal/lab/memory/faults.go
@@ -175,7 +175,7 @@
 	}
 	w.at(fault.At.Duration, func() {
 		w.record(history.Event{Kind: history.FaultStarted, Note: fault.String()})
-		if begin != nil { // package load makes heavy requests and slow readers
+		if begin != nil { // nil for faults in the load, which package load generates
 			begin()
 		}
 	})
@@ -238,7 +238,7 @@
 			old := w.links[pair{n, c}]
 			w.links[pair{n, c}] = change
 			if change.state == "reset" || old.state != "" && change.state == "" {
-				n.closeIdle(c) // the link's connections are gone
+				n.closeIdle(c) // the link's connections are closed
 				for _, id := range c.inFlightOrder {
 					if a := c.inFlight[id]; a != nil && a.node == n {
 						delete(c.inFlight, id)
--- a/internal/lab/memory/fleet.go
+++ b/internal/lab/memory/fleet.go
@@ -185,10 +185,10 @@
 }
 
 // admit reports whether a request goes to the module now. Otherwise it holds or refuses it.
-func (n *node) admit(client *clientTry, taken *request, tenant string) bool {
+func (n *node) admit(client *clientTry, accepted *request, tenant string) bool {
 	f := n.fleet
 	if until := f.agent.HoldUntil(); until > 0 && Epoch+n.world.now < until {
-		f.heldRequests = append(f.heldRequests, func() { n.receive(client, taken.deadline-n.world.now) })
+		f.heldRequests = append(f.heldRequests, func() { n.receive(client, accepted.deadline-n.world.now) })
 		return false
 	}
 	if f.agent.AcceptsRequests() {
--- a/internal/lab/memory/machine.go
+++ b/internal/lab/memory/machine.go
@@ -141,7 +141,7 @@
 		w.record(history.Event{Kind: history.Probe, Node: a.node.Name, Server: c.Name, Work: work})
 	}
 	c.completeJobs()
-	verdict, fell := c.model.Submit(w.now, clip.Job{ID: a.id, Try: a.tryID, Key: a.key, Work: work, Probe: a.probe})
+	verdict, overloaded := c.model.Submit(w.now, clip.Job{ID: a.id, Try: a.tryID, Key: a.key, Work: work, Probe: a.probe})
 	if !a.probe {
 		w.record(history.Event{Kind: history.Attempt, Try: a.tryID, Node: a.node.Name, Server: c.Name, Work: work, FirstByteAt: first, Verdict: verdict})
 	}
@@ -157,7 +157,7 @@
 		c.inFlightOrder = kept
 	}
 	switch {
-	case fell:
+	case overloaded:
 		w.record(history.Event{Kind: history.ServerOverloaded, Server: c.Name})
 		c.crash()
 		w.publish(c, hosts.Removed, w.discoveryLag)
--- a/internal/lab/memory/node.go
+++ b/internal/lab/memory/node.go
@@ -17,7 +17,7 @@
 	probeTimeout         = 400 * time.Millisecond
 	discoveryCallTimeout = 2200 * time.Millisecond
 	acceptAfterTerm      = 600 * time.Millisecond // time for which a terminating node still accepts connections
-	frontNoticeDelay     = time.Second            // until the front detects a dead node
+	frontNoticeDelay     = time.Second            // until the front detects that a node was killed
 )
 
 // node is a simulated node: the decision module and a model of its I/O.
@@ -136,7 +136,8 @@
 	}
 }
 
-// setInRotation sets whether the front sends new requests to the node.
+// setInRotation sets whether the front, the clients' load balancer, sends new requests
+// to the node.
 func (n *node) setInRotation(on bool) { n.inRotation, n.world.rotation = on, nil }
 
 // kill ends the process without a shutdown.
@@ -283,18 +284,18 @@
 
 // receive handles the arrival of a client's try.
 func (n *node) receive(client *clientTry, timeout time.Duration) {
-	taken := &request{clientTry: client, deadline: n.world.now + timeout}
+	accepted := &request{clientTry: client, deadline: n.world.now + timeout}
 	tenant := client.order.Tenant
-	if n.fleet != nil && !n.admit(client, taken, tenant) {
+	if n.fleet != nil && !n.admit(client, accepted, tenant) {
 		return
 	}
-	n.requests[balance.RequestID(client.id)] = taken
-	taken.arrival = balance.RequestArrived{ID: balance.RequestID(client.id), Class: client.order.Class.Name, Tenant: tenant, ClientTimeout: timeout}
+	n.requests[balance.RequestID(client.id)] = accepted
+	accepted.arrival = balance.RequestArrived{ID: balance.RequestID(client.id), Class: client.order.Class.Name, Tenant: tenant, ClientTimeout: timeout}
 	if n.world.mutant != nil { // mutants expect event values, not pointers
-		n.handle(taken.arrival)
+		n.handle(accepted.arrival)
 		return
 	}
-	n.handle(&taken.arrival)
+	n.handle(&accepted.arrival)
 }
 
 // answer sends the final answer, once.
@@ -354,7 +355,7 @@
 	a.start(server.model.Machine.ProbeWork)
 }
 
-// start takes an idle connection, or opens one, and writes the request.
+// start uses an idle connection, or opens one, and writes the request.
 func (a *attempt) start(work time.Duration) {
 	n, w := a.node, a.node.world
 	w.lastAttemptID++
@@ -503,9 +504,9 @@
 func (a *attempt) finish(code balance.OutcomeCode) {
 	n, r := a.node, a.request
 	a.ended = true
-	took := n.world.now - a.sentAt
+	elapsed := n.world.now - a.sentAt
 	if a.probe {
-		n.handle(balance.ProbeEnded{Server: a.server.id, Code: code, Elapsed: took, Report: a.report})
+		n.handle(balance.ProbeEnded{Server: a.server.id, Code: code, Elapsed: elapsed, Report: a.report})
 		return
 	}
 	r.pendingAttempts--
@@ -517,7 +518,7 @@
 		r.clientTry.scheduleAnswer(n.world.jitter(n.world.scenario.Net.ClientDelay.Duration), history.Served, a.target.Name, 0)
 	}
 	ended := balance.AttemptEnded{ID: balance.RequestID(r.id), Attempt: a.number, Server: a.server.id, RequestDone: r.done,
-		Elapsed: took, Code: code, Report: a.report}
+		Elapsed: elapsed, Code: code, Report: a.report}
 	if n.world.mutant != nil {
 		n.handle(ended)
 	} else { // the module does not retain events, so one is reused
