--- a/internal/lab/alarm/alarm_test.go
+++ b/internal/lab/alarm/alarm_test.go
@@ -20,8 +20,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			got = append(got, n)
-			if took := time.Since(start); took < time.Duration(n)*time.Millisecond {
-				t.Errorf("the timer for %d ms fired after %v", n, took)
+			if elapsed := time.Since(start); elapsed < time.Duration(n)*time.Millisecond {
+				t.Errorf("the timer for %d ms fired after %v", n, elapsed)
 			}
 		}).Set(time.Duration(n) * time.Millisecond)
 	}
