--- a/internal/lab/holds/holds.go
+++ b/internal/lab/holds/holds.go
@@ -221,18 +221,18 @@
 	case scenario.FaultDiscoveryOutage:
 		return noneOf(count(from+eventMargin, to-eventMargin, func(e *history.Event) bool { return e.Kind == history.NodeNotified }), "words were told while it was down")
 	case scenario.FaultPause:
-		stopped := func(kind history.Kind, at time.Duration) int {
+		countAt := func(kind history.Kind, at time.Duration) int {
 			return count(at, at+eventMargin, func(e *history.Event) bool { return e.Kind == kind && isNode[e.Node] })
 		}
-		return firstNonEmpty(atLeast(stopped(history.NodePaused, from), len(nodes), "nodes that stand still"), atLeast(stopped(history.NodeResumed, to), len(nodes), "nodes that go on"),
+		return firstNonEmpty(atLeast(countAt(history.NodePaused, from), len(nodes), "nodes that stand still"), atLeast(countAt(history.NodeResumed, to), len(nodes), "nodes that go on"),
 			noneOf(count(from+eventMargin, to-time.Millisecond, func(e *history.Event) bool { return e.Kind == history.PeerMessage && isNode[e.Node] }), "datagrams came while it stood still"))
 	case scenario.FaultNoDescriptors:
 		return atLeast(count(from, from+eventMargin, func(e *history.Event) bool { return e.Kind == history.DescriptorsExhausted && isNode[e.Node] }), len(nodes), "nodes without descriptors")
 	case scenario.FaultSystemCalls:
 		return atLeast(count(to, to+eventMargin, func(e *history.Event) bool { return e.Kind == history.SystemCallsFailed && isNode[e.Node] }), 1, "nodes whose calls failed")
 	case scenario.FaultDiscoveryCut:
-		asked := func(e *history.Event) bool { return e.Kind == history.DiscoveryCalled && isNode[e.Node] }
-		return firstNonEmpty(atLeast(count(0, from, asked), len(nodes), "calls to discovery before it"), noneOf(count(from+eventMargin, to-eventMargin, asked), "calls came to discovery"))
+		called := func(e *history.Event) bool { return e.Kind == history.DiscoveryCalled && isNode[e.Node] }
+		return firstNonEmpty(atLeast(count(0, from, called), len(nodes), "calls to discovery before it"), noneOf(count(from+eventMargin, to-eventMargin, called), "calls came to discovery"))
 	case scenario.FaultPeerLinks, scenario.FaultPartition:
 		return atLeast(count(from, to, func(e *history.Event) bool { return e.Kind == history.DatagramFault }), 1, "datagrams hindered")
 	case scenario.FaultJoin:
