--- a/internal/lab/memory/members_test.go
+++ b/internal/lab/memory/members_test.go
@@ -79,17 +79,17 @@
 // and nodes that return use a subset again.
 func checkServerUsers(t *testing.T, h *history.History) {
 	for _, x := range []struct {
-		from, to    time.Duration
-		least, most int
-		low, high   float64
+		from, to           time.Duration
+		minNodes, maxNodes int
+		minMean, maxMean   float64
 	}{{14, 22, 1, 31, 10, 20}, {30, 32, 1, 6, 2.5, 6}, {35, 38, 2, 6, 4.8, 6}, {41, 45, 1, 31, 10, 20}} {
 		users, sum := holds.NodesPerServer(h, x.from*time.Second, x.to*time.Second), 0
 		for server, n := range users {
-			if sum += n; n < x.least || n > x.most {
+			if sum += n; n < x.minNodes || n > x.maxNodes {
 				t.Errorf("server %s is used by %d nodes from %d to %d s", server, n, x.from, x.to)
 			}
 		}
-		if mean := float64(sum) / 12; len(users) != 12 || mean < x.low || mean > x.high {
+		if mean := float64(sum) / 12; len(users) != 12 || mean < x.minMean || mean > x.maxMean {
 			t.Errorf("%d servers are used, by %.1f of 12 nodes each, from %d to %d s", len(users), mean, x.from, x.to)
 		}
 	}
