--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -32,8 +32,8 @@
 // Limits of the rules that are the same for all seeds.
 const (
 	answerSlack    = 500 * time.Millisecond
-	leaveSlack     = 100 * time.Millisecond
-	notifiedWithin = 6 * time.Second
+	abandonSlack   = 100 * time.Millisecond
+	notifyDeadline = 6 * time.Second
 )
 
 // generator generates the scenario of one seed.
@@ -172,8 +172,8 @@
 // seconds.
 func (g *generator) newDeployment() (*load.Deployment, float64) {
 	out := &load.Deployment{Limits: load.Limits}
-	out.Limits.AnswerSlack, out.Limits.AbandonSlack, out.Limits.OverloadNotifiedOnly = answerSlack, leaveSlack, true
-	out.Limits.NotifyDeadline = notifiedWithin
+	out.Limits.AnswerSlack, out.Limits.AbandonSlack, out.Limits.OverloadNotifiedOnly = answerSlack, abandonSlack, true
+	out.Limits.NotifyDeadline = notifyDeadline
 	longest := g.randomDuration(300*time.Millisecond, 4*time.Second)
 	work, shares := 0.0, 0.0
 	for i, effect := range []history.Effect{history.Safe, history.Keyed, history.Unsafe, history.Safe, history.Keyed}[:3+g.IntN(3)] {
