--- a/internal/lab/real/fleet_test.go
+++ b/internal/lab/real/fleet_test.go
@@ -328,9 +328,9 @@
 func TestNodeCutOffFromAllSourcesClosesAndRecovers(t *testing.T) {
 	t.Parallel()
 	text := "name = \"cut\"\nlength = \"18s\"\nfleet = true\n[must]\nfaults_happen = true\n[load]\nrate = 100.0\n" + nineNodes
-	for _, what := range []string{"cut-discovery", "peers"} {
-		text += fmt.Sprintf("[[fault]]\nat = \"2s\"\nfor = \"10s\"\nwhat = %q\nwho = [\"n4\"]\n", what)
-		if what == "peers" {
+	for _, kind := range []string{"cut-discovery", "peers"} {
+		text += fmt.Sprintf("[[fault]]\nat = \"2s\"\nfor = \"10s\"\nwhat = %q\nwho = [\"n4\"]\n", kind)
+		if kind == "peers" {
 			text += "state = \"black-hole\"\n"
 		}
 	}
