--- a/internal/lab/xdsproxy/client.go
+++ b/internal/lab/xdsproxy/client.go
@@ -113,7 +113,7 @@
 		p.mu.Unlock()
 		for _, addr := range addrs {
 			go func() {
-				at := p.cfg.Clock() // the result is as old as the request
+				at := p.cfg.Clock() // the result counts from the start of the check
 				r, err := p.client.Get("http://" + addr + p.cfg.HealthCheckPath)
 				if err != nil {
 					return
@@ -213,7 +213,7 @@
 	}
 }
 
-// endpointClusters returns the clusters whose endpoints are wanted.
+// endpointClusters returns the clusters whose endpoints the proxy subscribes to, sorted by name.
 func (p *Proxy) endpointClusters() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/xdsproxy/table.go
+++ b/internal/lab/xdsproxy/table.go
@@ -24,11 +24,11 @@
 // Server is one endpoint of a cluster.
 type Server struct {
 	Addr     string
-	priority uint32
-	weight   float64
+	priority uint32  // 0 is the highest
+	weight   float64 // the locality's weight times the fraction that the endpoint has of it
 }
 
-// cluster holds what is known of a cluster.
+// cluster holds the properties of a cluster that matter for picks.
 type cluster struct {
 	members       []string // of an aggregate cluster
 	healthChecked bool
@@ -39,7 +39,7 @@
 	version   string
 	expiresAt time.Duration // end of its TTL; 0: none
 	servers   []Server
-	dropRatio float64
+	dropRatio float64 // fraction of the requests to refuse, 0 to 1
 }
 
 // table holds the resources that a proxy has received and that have not expired.
@@ -60,48 +60,49 @@
 func (t *table) setCluster(c *clusterv3.Cluster) error {
 	x := cluster{healthChecked: len(c.GetHealthChecks()) > 0}
 	if custom := c.GetClusterType(); custom != nil {
-		a := &aggregatev3.ClusterConfig{}
-		if err := custom.GetTypedConfig().UnmarshalTo(a); err != nil {
+		aggregate := &aggregatev3.ClusterConfig{}
+		if err := custom.GetTypedConfig().UnmarshalTo(aggregate); err != nil {
 			return err
 		}
-		x.members = a.GetClusters()
+		x.members = aggregate.GetClusters()
 	}
 	t.clusters[c.GetName()] = x
 	return nil
 }
 
-func (t *table) setEndpoints(now time.Duration, version string, ttl time.Duration, m *endpointv3.ClusterLoadAssignment) {
+func (t *table) setEndpoints(now time.Duration, version string, ttl time.Duration, assigned *endpointv3.ClusterLoadAssignment) {
 	a := &assignment{version: version}
 	if ttl > 0 {
 		a.expiresAt = now + ttl
 	}
-	for _, d := range m.GetPolicy().GetDropOverloads() {
-		a.dropRatio += float64(d.GetDropPercentage().GetNumerator()) / 1e6
+	for _, drop := range assigned.GetPolicy().GetDropOverloads() {
+		a.dropRatio += float64(drop.GetDropPercentage().GetNumerator()) / 1e6
 	}
-	for _, l := range m.GetEndpoints() {
+	for _, locality := range assigned.GetEndpoints() {
 		sum := 0.0
-		for _, e := range l.GetLbEndpoints() {
-			if h := e.GetHealthStatus(); h == corev3.HealthStatus_HEALTHY || h == corev3.HealthStatus_UNKNOWN {
-				sum += float64(e.GetLoadBalancingWeight().GetValue())
+		for _, endpoint := range locality.GetLbEndpoints() {
+			if health := endpoint.GetHealthStatus(); health == corev3.HealthStatus_HEALTHY || health == corev3.HealthStatus_UNKNOWN {
+				sum += float64(endpoint.GetLoadBalancingWeight().GetValue())
 			}
 		}
-		for _, e := range l.GetLbEndpoints() {
-			if h := e.GetHealthStatus(); h != corev3.HealthStatus_HEALTHY && h != corev3.HealthStatus_UNKNOWN {
+		for _, endpoint := range locality.GetLbEndpoints() {
+			if health := endpoint.GetHealthStatus(); health != corev3.HealthStatus_HEALTHY && health != corev3.HealthStatus_UNKNOWN {
 				continue
 			}
-			s := e.GetEndpoint().GetAddress().GetSocketAddress()
+			address := endpoint.GetEndpoint().GetAddress().GetSocketAddress()
 			fraction := 1.0
 			if sum > 0 {
-				fraction = float64(e.GetLoadBalancingWeight().GetValue()) / sum
+				fraction = float64(endpoint.GetLoadBalancingWeight().GetValue()) / sum
 			}
-			a.servers = append(a.servers, Server{Addr: net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue()))),
-				priority: l.GetPriority(), weight: float64(l.GetLoadBalancingWeight().GetValue()) * fraction})
+			a.servers = append(a.servers, Server{Addr: net.JoinHostPort(address.GetAddress(), strconv.Itoa(int(address.GetPortValue()))),
+				priority: locality.GetPriority(), weight: float64(locality.GetLoadBalancingWeight().GetValue()) * fraction})
 		}
 	}
-	t.endpoints[m.GetClusterName()] = a
+	t.endpoints[assigned.GetClusterName()] = a
 }
 
-// renew applies a heartbeat, unless the assignment has expired.
+// renew applies a heartbeat, which extends the TTL of an assignment of the same version that has not
+// expired.
 func (t *table) renew(now time.Duration, name, version string, ttl time.Duration) {
 	if a := t.endpoints[name]; a != nil && a.version == version && a.expiresAt > now {
 		a.expiresAt = now + ttl
@@ -117,8 +118,8 @@
 	}
 }
 
-// pick chooses a server for a request of a class. ok is false if there is none; dropped means that
-// the request must be refused.
+// pick chooses a server for a request of a class. ok is false if no server is available. dropped is
+// true if the request must be refused because of the cluster's drop ratio.
 func (t *table) pick(now time.Duration, class string, rng *rand.Rand) (s Server, dropped, ok bool) {
 	t.expire(now)
 	name := t.route(class, rng)
@@ -163,27 +164,28 @@
 	return Server{}, false, false
 }
 
-// route returns the cluster of a class.
+// route returns the cluster for a request of a class, drawn by weight if its route has several, or
+// "" if no route matches.
 func (t *table) route(class string, rng *rand.Rand) string {
-	for _, h := range t.routes.GetVirtualHosts() {
-		for _, r := range h.GetRoutes() {
+	for _, host := range t.routes.GetVirtualHosts() {
+		for _, route := range host.GetRoutes() {
 			matches := true
-			for _, m := range r.GetMatch().GetHeaders() {
-				matches = matches && m.GetStringMatch().GetExact() == class
+			for _, header := range route.GetMatch().GetHeaders() {
+				matches = matches && header.GetStringMatch().GetExact() == class
 			}
 			if !matches {
 				continue
 			}
-			w := r.GetRoute().GetWeightedClusters().GetClusters()
-			if len(w) == 0 {
-				return r.GetRoute().GetCluster()
+			weighted := route.GetRoute().GetWeightedClusters().GetClusters()
+			if len(weighted) == 0 {
+				return route.GetRoute().GetCluster()
 			}
 			total := uint32(0)
-			for _, x := range w {
+			for _, x := range weighted {
 				total += x.GetWeight().GetValue()
 			}
 			draw := rng.Uint32N(max(total, 1))
-			for _, x := range w {
+			for _, x := range weighted {
 				if v := x.GetWeight().GetValue(); draw < v {
 					return x.GetName()
 				} else {
@@ -195,11 +197,11 @@
 	return ""
 }
 
-// serversToCheck returns the addresses that a proxy without a lease would use if it knew that they
-// are healthy. It must check them.
+// serversToCheck returns the addresses to check for health: for each aggregate cluster, the endpoints
+// of its health-checked members up to the first other member that has endpoints.
 func (t *table) serversToCheck(now time.Duration) []string {
 	t.expire(now)
-	known := map[string]bool{}
+	added := map[string]bool{}
 	var addrs []string
 	for _, c := range t.clusters {
 		if len(c.members) == 0 {
@@ -216,8 +218,8 @@
 				continue
 			}
 			for _, s := range a.servers {
-				if !known[s.Addr] {
-					known[s.Addr] = true
+				if !added[s.Addr] {
+					added[s.Addr] = true
 					addrs = append(addrs, s.Addr)
 				}
 			}
