--- a/internal/lab/caller/caller.go
+++ b/internal/lab/caller/caller.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// MarkKilled notes that a process was killed, before the balancer notices it: requests that it had
+// MarkKilled records that a process was killed, before the balancer notices it: requests that it had
 // received are left to the clients' retries.
 func (b *Balancer) MarkKilled(node string, incarnation int) {
 	b.mu.Lock()
@@ -83,11 +83,11 @@
 	b.killed[node], b.killedAt[Target{Node: node, Incarnation: incarnation}] = incarnation, time.Now()
 }
 
-// killTime is how long a process may keep running while it is being killed.
+// killTime is how long a process may keep running after MarkKilled.
 const killTime = 100 * time.Millisecond
 
-// wasKilled reports whether a process was killed that may have had a request sent at that time. It
-// does not count requests sent on an old connection long after.
+// wasKilled reports whether a killed process may have received a request that was sent at a given
+// time. It reports false for requests sent on an old connection long after the kill.
 func (b *Balancer) wasKilled(target Target, sent time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -163,7 +163,7 @@
 	return k.TCPConn.Read(to)
 }
 
-// Send sends an order with its retries and returns when it is over.
+// Send sends an order with its retries and returns when the last one has ended.
 func (c *Clients) Send(o *load.Order) {
 	c.Record(history.Event{At: c.Clock(), Kind: history.OrderIssued, Order: o.ID, Class: o.Class.Name})
 	for n := 0; ; n++ {
@@ -273,7 +273,7 @@
 	return nil, true
 }
 
-// discard closes a connection. It may be nil, if it could not be opened.
+// discard closes a connection; nil stands for one that could not be opened.
 func (c *Clients) discard(k *conn) {
 	if k != nil {
 		k.Close()
@@ -283,7 +283,7 @@
 	c.open--
 }
 
-// reuse returns a connection to the idle ones, or closes it if there are too many.
+// reuse adds a connection to the idle ones, or closes it if there are too many.
 func (c *Clients) reuse(zone string, k *conn) {
 	c.mu.Lock()
 	if len(c.idle[zone]) < maxIdle {
@@ -395,8 +395,8 @@
 	return r
 }
 
-// await waits for the first byte of an answer and returns when it arrived: when the kernel had it,
-// not when this process, which shares the machine with all nodes, came to read it.
+// await waits for the first byte of an answer and returns when the kernel received it, which may be
+// long before this process reads it.
 func (c *Clients) await(k *conn) (at time.Duration, err error) {
 	age, readable, err := socket.AwaitArrival(k.TCPConn)
 	at = c.Clock() - age
--- a/internal/lab/caller/late.go
+++ b/internal/lab/caller/late.go
@@ -19,7 +19,7 @@
 const (
 	servedBefore   connUse = iota // requests
 	neverUsed                     // nothing
-	partialRequest                // a part of a request
+	partialRequest                // the beginning of a request
 	connUses
 )
 
