--- a/internal/lab/clip/machine.go
+++ b/internal/lab/clip/machine.go
@@ -49,7 +49,7 @@
 // Capacity is the work, in seconds on a core of speed 1, that a warm machine does in a second.
 func (m Machine) Capacity() float64 { return float64(m.Cores) * m.Speed }
 
-// OverloadLimit says when a cold server goes down: when all nodes together send it more than Factor
+// OverloadLimit defines when a cold server goes down under overload: when all nodes together send it more than Factor
 // times the work that it can do within Window, plus Allowance.
 type OverloadLimit struct {
 	Factor    float64
--- a/internal/lab/clip/pod.go
+++ b/internal/lab/clip/pod.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxKeys bounds the memory of a pod: 8 s at 2,000 keyed requests a second.
+// maxKeys bounds the number of keys that a pod remembers.
 const maxKeys = 16_000
 
-// Pod is a group of servers that share the keys that they have seen. It is safe for concurrent use.
+// Pod is a group of servers that share the idempotency keys that they have seen. It is safe for concurrent use.
 type Pod struct {
 	Window time.Duration // how long a key is remembered
 	mu     sync.Mutex
--- a/internal/lab/clip/server.go
+++ b/internal/lab/clip/server.go
@@ -51,7 +51,7 @@
 // Server is the model of one clip server. It is not safe for concurrent use.
 //
 // All running jobs progress at the same rate. One number, the work that each of them would have
-// received since the process began (progressed), therefore tells when the next one ends.
+// received since the process began (progressed), therefore determines when the next one ends.
 type Server struct {
 	Name            string
 	Machine         Machine
@@ -73,7 +73,7 @@
 	answers         float64
 	reportedBusy    float64 // busy and answers at the last report
 	reportedAnswers float64
-	OnJobStart      func(JobStart) // called for every job that begins, but for probes; may be nil
+	OnJobStart      func(JobStart) // called for every job that begins, except probes; may be nil
 }
 
 type arrival struct{ at, work time.Duration }
@@ -194,7 +194,7 @@
 	duplicate := !j.Probe && !s.pod.RecordKey(now, j.Key)
 	r := running{Job: j, end: s.progressed + j.Work.Seconds(), duplicate: duplicate}
 	if duplicate {
-		r.end = s.progressed // the answer is known already
+		r.end = s.progressed // a duplicate needs no work
 	}
 	heap.Push(&s.active, r)
 	if s.OnJobStart != nil && !j.Probe {
@@ -263,7 +263,7 @@
 func roundUp(seconds float64) time.Duration { return time.Duration(math.Ceil(seconds*1e9)) + 1 }
 
 // Advance advances the work to now and returns the jobs that ended. A hung or isolated server ends
-// jobs too, but returns none, as nobody gets their answers.
+// jobs too, but returns none, as their answers reach no client.
 func (s *Server) Advance(now time.Duration) []Completion {
 	var completed []Completion
 	for {
