--- a/internal/lab/clipserver/server.go
+++ b/internal/lab/clipserver/server.go
@@ -75,7 +75,7 @@
 	method      string
 }
 
-// New makes a server whose process has been running for long.
+// New makes a server whose process is running and warm.
 func New(c Config) *Server {
 	s := &Server{Config: c, conns: map[*conn]bool{}, jobs: map[uint64]*conn{}}
 	s.timer = alarm.New(func() { go s.tick() }) // tick may wait for the lock
@@ -307,8 +307,8 @@
 	}
 }
 
-// AnswerBody is the body of a server's answer to a try. By it a client recognises whose answer it
-// got.
+// AnswerBody returns the body of a server's answer to a try. Clients check it to detect an answer to
+// another try.
 func AnswerBody(server, try string) string { return "clip " + try + " by " + server + "\n" }
 
 // stopProcess ends the process: connections are reset and new ones refused. The caller holds the
