--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -15,7 +15,7 @@
 // Mean is a mean over seeds with its 95% confidence interval.
 type Mean struct {
 	N               int
-	Mean, HalfWidth float64 // HalfWidth is that of the interval; 0 for one value
+	Mean, HalfWidth float64 // HalfWidth is half the width of the interval; 0 for one value
 }
 
 // MeanOf returns the mean of values with the interval of Student's t-distribution.
@@ -30,7 +30,7 @@
 
 // Group holds the rows of one combination of factors over all seeds.
 type Group struct {
-	Cell        // without a meaningful seed
+	Cell        // its Seed has no meaning
 	Rows        []Row
 	Measure     Mean
 	WorstWindow Mean
@@ -76,7 +76,7 @@
 	Mean          float64 // of the measure, second file minus first
 	Low, High     float64 // 95% interval by bootstrap over the pairs
 	Breaches      int     // second file minus first
-	Worse, Better bool    // significantly
+	Worse, Better bool    // whether the difference is significant
 }
 
 const resamples = 4000
--- a/internal/lab/experiment/design.go
+++ b/internal/lab/experiment/design.go
@@ -86,7 +86,7 @@
 // WorkloadKey identifies the workload, without the policy.
 func (c Cell) WorkloadKey() string { return strings.TrimPrefix(c.Key(), string(c.Policy)+" ") }
 
-// cost estimates the work of a cell, for the remaining time of a run.
+// cost returns a number proportional to the expected run time of a cell.
 func (c Cell) cost() float64 {
 	return float64(c.Servers) * c.Load * c.Length.Seconds()
 }
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -25,7 +25,7 @@
 	SVG   []byte
 }
 
-// value is a value that figures show.
+// value is a column of the rows that is plotted.
 type value struct {
 	name string
 	of   func(Row) float64
@@ -63,7 +63,7 @@
 	return out, nil
 }
 
-// points are the points of a line with their intervals.
+// points are the means that a line connects, with their confidence intervals.
 type points struct {
 	plotter.XYs
 	plotter.YErrors
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -22,11 +22,11 @@
 	Last                 Row
 }
 
-// gcPercent is GOGC during a run, which allocates much and retains little.
+// gcPercent is the value of GOGC during a run.
 const gcPercent = 400
 
 // Run runs the cells of a design that the file does not contain yet, on all cores,
-// and appends a row for each as it finishes. Rows of other commits do not count. A
+// and appends a row for each as it finishes. Rows of other commits are ignored. A
 // run that was cancelled or killed is resumed by the next call.
 func Run(ctx context.Context, d *Design, file, commit string, onProgress func(Progress)) error {
 	cells, err := d.Cells()
