--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -121,7 +121,7 @@
 	NodeExited            Kind = "node-end"       // Node: it exited by itself
 	DiscoveryCalled       Kind = "asked"          // Node: its call reached discovery
 	DatagramFault         Kind = "hindered"       // Node: its datagram is lost, delayed or duplicated
-	NodeForceKilled       Kind = "node-over"      // Node: killed, as it still ran after its time to shut down
+	NodeForceKilled       Kind = "node-over"      // Node: killed, as it had not exited within its time to shut down
 	NodeCrashed           Kind = "node-crash"     // Node: it exited without being asked to
 	ConfigReloaded        Kind = "reloaded"       // Node: a new configuration, with another address of discovery
 	WatchSilenced         Kind = "silenced"       // Node: its open watch receives nothing more
@@ -151,7 +151,7 @@
 	TimedOut         Status = "gave-up"     // no answer within the client's time
 	Abandoned        Status = "left"        // the client disconnected early, by its own choice
 	Unreachable      Status = "unreachable" // no node accepted it
-	CloseRace        Status = "crossed"     // the node closed the connection at that moment, perhaps without reading it
+	CloseRace        Status = "crossed"     // the node closed the connection while it was sent, perhaps without reading it
 )
 
 // Verdict is what a clip server did with an attempt.
@@ -178,7 +178,7 @@
 	Verdict      Verdict       `json:"verdict,omitempty"`
 	Lifecycle    string        `json:"lifecycle,omitempty"`
 	Deadline     time.Duration `json:"deadline,omitempty"` // a point in time, like At
-	FirstByteAt  time.Duration `json:"first,omitempty"`    // when it was sent, less the delay of the lab
+	FirstByteAt  time.Duration `json:"first,omitempty"`    // when it was sent, without delay added by the lab
 	StartedAt    time.Duration `json:"started,omitempty"`  // of the server, as notified; 0: unknown
 	Work         time.Duration `json:"work,omitempty"`     // on a core of speed 1
 	Capacity     float64       `json:"capacity,omitempty"` // of a warm server: cores times speed
@@ -207,9 +207,9 @@
 	observer func(Event)
 }
 
-// Observe calls f with every further event, under the recorder's lock. It must be called before the
+// Observe calls observer with every event, under the recorder's lock. It must be called before the
 // first Add.
-func (r *Recorder) Observe(f func(Event)) { r.observer = f }
+func (r *Recorder) Observe(observer func(Event)) { r.observer = observer }
 
 // Add records an event. Events beyond MaxEvents are counted and dropped.
 func (r *Recorder) Add(e Event) {
@@ -249,7 +249,7 @@
 	return buffered.Flush()
 }
 
-// Read reads what Write wrote. A truncated line is an error that names the line.
+// Read reads a history that Write wrote. A truncated or invalid line is an error that names the line.
 func Read(r io.Reader) (*History, error) {
 	decoder := json.NewDecoder(bufio.NewReader(r))
 	h := &History{}
