--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -203,7 +203,7 @@
 			}
 		case errors.Is(err, net.ErrClosed):
 			return
-		default: // out of some resource
+		default: // a resource is exhausted, such as file descriptors
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
@@ -271,9 +271,9 @@
 	wg.Wait()
 }
 
-// awaitBurst waits for the next bytes of the dialler, without reading them, and notes when they
-// entered the link: when the kernel had them, not when this process, which shares the machine with
-// all others, came to look.
+// awaitBurst waits for the next bytes of the dialler, without reading them, and records when they
+// entered the link. That is when the kernel received them, which may be long before this process
+// reads them.
 func (p *TCP) awaitBurst(c *pair) {
 	age, readable, err := socket.AwaitArrival(c.downstream)
 	if err == nil && readable && c.answered.CompareAndSwap(true, false) {
@@ -285,10 +285,10 @@
 // closed.
 func (p *TCP) waitWhile(states ...State) bool {
 	for {
-		s, changed := p.current()
+		conditions, changed := p.current()
 		matches := false
-		for _, h := range states {
-			matches = matches || s.State == h
+		for _, state := range states {
+			matches = matches || conditions.State == state
 		}
 		p.mu.Lock()
 		closed := p.closed
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -11,9 +11,9 @@
 // maxDatagrams bounds the datagrams in transit through one relay.
 const maxDatagrams = 1024
 
-// UDP is the address at which others reach one party. The sender is identified by the address that
-// a datagram comes from; the datagram is forwarded from the sender's own such address, as the
-// protocol requires. It is safe for concurrent use.
+// UDP is a relay for the datagrams to one party, which others reach at the relay's address. A
+// datagram's source address identifies its sender. It is forwarded from the address of the sender's
+// own relay, as the protocol requires. It is safe for concurrent use.
 type UDP struct {
 	conn      net.PacketConn
 	route     func(from netip.AddrPort) []Hop
