--- a/internal/lab/load/classes.go
+++ b/internal/lab/load/classes.go
@@ -1,5 +1,5 @@
-// Package load defines what clients request and how they retry. It does no I/O: the in-memory run
-// and the clients on sockets use the same streams.
+// Package load generates the requests of clients and decides on their retries. It does no I/O, so
+// that the in-memory run and the clients on sockets can use the same streams.
 package load
 
 import (
@@ -8,7 +8,7 @@
 	"ivylock/internal/lab/history"
 )
 
-// Classes is the default table of classes.
+// Classes is the default class table.
 var Classes = []history.Class{
 	{Name: "broadcast-clip", Share: 0.12, WorkLow: 81 * ms, WorkHigh: 150 * ms, TargetLatency: 600 * ms, Deadline: 1200 * ms, Value: 12, Effect: history.Safe},
 	{Name: "viewer-clip", Share: 0.40, WorkLow: 50 * ms, WorkHigh: 90 * ms, TargetLatency: 600 * ms, Deadline: 2000 * ms, Value: 1, Effect: history.Safe},
@@ -18,6 +18,6 @@
 
 const ms = time.Millisecond
 
-// Limits are the default limits of the rules. They allow 50 ms on top of each limit of time.
+// Limits are the default limits of the rules.
 var Limits = history.Limits{Slack: 50 * ms, DrainGrace: 500 * ms, NotifyDeadline: 16 * time.Second, KeyWindow: 8 * time.Second,
 	OverloadFactor: 2.5, OverloadWindow: time.Second, OverloadAllowance: 300 * ms}
--- a/internal/lab/load/deployment.go
+++ b/internal/lab/load/deployment.go
@@ -11,7 +11,7 @@
 type Deployment struct {
 	Classes []history.Class
 	Limits  history.Limits
-	// ChangeSettings changes the default settings other than classes and limits; nil: nothing.
+	// ChangeSettings changes the default settings other than classes and limits; nil: no change.
 	ChangeSettings func(all map[string]any)
 	Tenants        []string // requests are assigned to them in turn; "" is no tenant
 }
--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -154,7 +154,7 @@
 }
 
 // NextRetry reports whether a client retries after try number n, counted from 0, and after what
-// wait. Safe requests are retried unless they were served or the client left; others only if the
+// wait. Safe requests are retried unless they were served or the client disconnected; others only if the
 // last try cannot have run.
 func NextRetry(s *scenario.Scenario, o *Order, n int, status history.Status, retryAfter, now time.Duration) (wait time.Duration, ok bool) {
 	notRun := status == history.Refused || status == history.Unreachable
