--- a/internal/lab/scenario/decode.go
+++ b/internal/lab/scenario/decode.go
@@ -6,7 +6,7 @@
 	"ivylock/internal/strict"
 )
 
-// Error describes one fault in a file, on one line.
+// Error describes the first invalid entry of a file, on one line.
 type Error = strict.Error
 
 // Span is a duration that is written with its unit.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -23,9 +23,10 @@
 	Zones        []Zone       `toml:"hall"`
 	Faults       []Fault      `toml:"fault"`
 	Requirements Requirements `toml:"must"`
-	// TenantQuota is in requests per second, of the only tenant; 0: no tenant.
+	// TenantQuota is the quota of the only tenant in requests per second; 0: no
+	// tenant.
 	TenantQuota float64 `toml:"quota,omitempty"`
-	// OperatorConfig holds further lines of the section [fleet] of the
+	// OperatorConfig holds additional lines for the section [fleet] of the
 	// operator's file; it requires Fleet.
 	OperatorConfig string `toml:"operator,omitempty"`
 	// Fleet turns on the exchange of state between nodes that the operator's
@@ -107,7 +108,7 @@
 	FaultReload           = "reload"            // a node reloads (SIGHUP) with another discovery address
 	FaultWatchSilent      = "watch-silent"      // the open discovery watches of nodes go silent
 	FaultIdleClose        = "idle-close"        // servers close their idle connections
-	FaultClockStep        = "clock-step"        // the wall clock of nodes steps; permanent; needs -tags faults
+	FaultClockStep        = "clock-step"        // the wall clock of nodes steps; permanent; node built with -tags faults
 	FaultNoDescriptors    = "no-descriptors"    // a node gets no file descriptor (EMFILE), for 0.15 s at most
 	FaultSystemCalls      = "system-calls"      // a fraction of a node's system calls of one kind fails
 )
@@ -195,7 +196,8 @@
 	return out
 }
 
-// InitialNodes is the number of nodes that run from the start, which is what their settings are built for.
+// InitialNodes is the number of nodes that run from the start. The nodes' settings
+// state this number.
 func (s *Scenario) InitialNodes() int {
 	n := 0
 	for _, zone := range s.Zones {
