--- a/internal/lab/socket/socket.go
+++ b/internal/lab/socket/socket.go
@@ -1,6 +1,6 @@
-// Package socket provides what the stand-ins need of the kernel to fail as machines do: an address
-// that stays reserved while no process listens there, and a listener that drops everything. Linux
-// only.
+// Package socket provides sockets with which the lab's servers fail like real machines: an address
+// that stays reserved while no process listens there, and a listener that drops everything. It runs
+// on Linux only.
 package socket
 
 import (
@@ -84,7 +84,7 @@
 	return opErr
 }
 
-// BlackHole is a listener that answers nobody, as on an isolated machine: its backlog is full, so
+// BlackHole is a listener that never answers, as on an isolated machine: its backlog is full, so
 // the kernel drops connection requests. Nothing that was sent to it is delivered later.
 type BlackHole struct {
 	listener *net.TCPListener
