--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -32,8 +32,8 @@
 	Aperture       Name = "aperture" // two choices within a fixed subset of the servers (Finagle)
 )
 
-// Herd sends all requests of a second to the same server. It is not compared but
-// tests whether herding is measured.
+// Herd makes all proxies send to the same server, a different one each second. It
+// is not part of All: tests use it to check that herding is detected.
 const Herd Name = "herd"
 
 // All lists the policies that are compared.
@@ -97,8 +97,8 @@
 	// serversChanged receives the ready servers in order of their ids, whenever
 	// they change.
 	serversChanged(now balance.Time, ready []*server)
-	// pick selects one of at least one server. all reports that these are all
-	// ready servers, rather than the candidates of a retry.
+	// pick selects a server from a list that is not empty. all is true if the list
+	// contains every ready server, false if only the candidates of a retry.
 	pick(now balance.Time, from []*server, all bool) *server
 	// attemptSent and attemptFinished report attempts; s.inFlight already
 	// includes the change.
@@ -117,17 +117,17 @@
 // the selectors.
 type server struct {
 	balance.Server
-	inFlight int // attempts of this proxy in flight
-	load     steer.Load
+	inFlight int        // attempts of this proxy in flight
+	load     steer.Load // counts since the last report
 
 	bucketIndex int // leastRequests: index in the bucket
 	inBucket    bool
 	latency     float64 // peakEWMA and prequal: smoothed latency in s
 	latencyAt   balance.Time
-	weight      float64 // weightedRandom
+	weight      float64 // weightedRandom: answers per second over utilisation
 	reportedAt  balance.Time
-	blackoutEnd float64
-	summary     probe // unused
+	blackoutEnd float64 // weightedRandom: s; until then the weight is not used
+	summary     probe   // unused
 }
 
 type request struct {
@@ -137,12 +137,12 @@
 	start      balance.Time
 	attempts   int
 	isRetry    bool // whether the attempt in flight is a retry
-	pod        int
+	pod        int  // that retries are limited to; -1: any
 	tried      []balance.ServerID
 	mayHaveRun bool // an attempt may have run
 }
 
-// proxy takes the place of one node's decision module.
+// proxy is a simulated proxy with one of the policies. It is a memory.Decider.
 type proxy struct {
 	selector
 	id           steer.ProxyID
@@ -198,8 +198,8 @@
 		if s := p.serverOf(e.Server); s == nil {
 		} else if p.control != nil {
 			p.control.handle(now, steer.ProbeResult{Server: steerID(s.ID), OK: e.Code == balance.OK, Elapsed: e.Elapsed})
-		} else if c, is := p.selector.(*prequal); is {
-			c.probed(now, s, &e)
+		} else if selector, ok := p.selector.(*prequal); ok {
+			selector.probed(now, s, &e)
 		}
 	case balance.TimerFired, *balance.TimerFired:
 		p.tick(now)
@@ -264,19 +264,20 @@
 	}
 }
 
-// isPriority reports whether a class is shed last: its value is above the mean.
-func (p *proxy) isPriority(c balance.Class) bool {
+// isPriority reports whether a class has priority, which means that its value is
+// above the mean of all classes. Priority classes are shed last.
+func (p *proxy) isPriority(class balance.Class) bool {
 	sum := 0.0
-	for _, class := range p.settings.Classes {
-		sum += class.Value
+	for _, c := range p.settings.Classes {
+		sum += c.Value
 	}
-	return c.Value > sum/float64(len(p.settings.Classes))
+	return class.Value > sum/float64(len(p.settings.Classes))
 }
 
 func (p *proxy) arrive(now balance.Time, e *balance.RequestArrived) {
-	c := p.classes[e.Class]
-	r := &request{id: e.ID, class: c, rule: steer.RetryRuleFor(c), start: now, pod: -1}
-	if p.control != nil && p.control.shouldDrop(now, p, p.isPriority(c)) {
+	class := p.classes[e.Class]
+	r := &request{id: e.ID, class: class, rule: steer.RetryRuleFor(class), start: now, pod: -1}
+	if p.control != nil && p.control.shouldDrop(now, p, p.isPriority(class)) {
 		p.emit(balance.Refuse{ID: r.id})
 		return
 	}
@@ -288,7 +289,8 @@
 	p.sendAttempt(now, r)
 }
 
-// sendAttempt sends a request, or finishes it if there is no server for it.
+// sendAttempt sends the next attempt of a request, or ends the request if there is
+// no server for it.
 func (p *proxy) sendAttempt(now balance.Time, r *request) {
 	s := p.pickServer(now, r)
 	if s == nil {
@@ -310,7 +312,8 @@
 	p.emit(balance.Send{Sending: &balance.Sending{ID: r.id, Server: s.ID, Timeout: r.rule.AttemptTimeout}})
 }
 
-// pickServer prefers servers that the request has not tried.
+// pickServer returns a ready server, preferably one that the request has not
+// tried, or nil if there is none.
 func (p *proxy) pickServer(now balance.Time, r *request) *server {
 	if r.attempts == 0 && len(p.ready) > 0 {
 		return p.selector.pick(now, p.ready, true)
@@ -329,6 +332,7 @@
 	return nil
 }
 
+// finishUnserved refuses a request that cannot have run, and fails any other.
 func (p *proxy) finishUnserved(r *request) {
 	if r.mayHaveRun {
 		p.emit(balance.Fail{ID: r.id})
@@ -362,8 +366,8 @@
 		delete(p.open, e.ID)
 		return
 	}
-	unseen := e.Code == balance.Full || e.Code == balance.ConnectFailed || e.Code == balance.Moot
-	r.mayHaveRun = r.mayHaveRun || !unseen
+	notRun := e.Code == balance.Full || e.Code == balance.ConnectFailed || e.Code == balance.Moot
+	r.mayHaveRun = r.mayHaveRun || !notRun
 	retry := !r.mayHaveRun || r.rule.MayHaveRun && (r.rule.TotalTimeout == 0 || now-r.start < r.rule.TotalTimeout)
 	if p.control != nil && p.activeRetries >= max(steer.MinRetryConcurrency, steer.RetryBudgetPercent*p.activeAttempts/100) {
 		retry = false
--- a/internal/lab/policy/prequal.go
+++ b/internal/lab/policy/prequal.go
@@ -10,9 +10,8 @@
 // prequal keeps a pool of probe results: requests in flight and expected latency.
 // Servers whose requests in flight exceed a quantile of the pool are hot. The cold
 // server with the lowest latency is picked, or, if all are hot, the one with the
-// fewest requests in flight. Parameters follow the paper except for one probe per
-// request instead of three, because a probe costs a clip server 3 per cent of a
-// request here.
+// fewest requests in flight. Parameters follow the paper, except that a request
+// causes one probe instead of three.
 type prequal struct {
 	*proxy
 	pool       []probe // oldest first
@@ -30,9 +29,9 @@
 const (
 	maxPoolSize      = 16
 	probeLifetime    = time.Second
-	probeUses        = 2    // per probe; with one use a small pool would run empty
+	probeUses        = 2    // picks per probe result
 	hotQuantile      = 0.84 // quantile of the requests in flight
-	minPoolSize      = 2    // with fewer it picks at random
+	minPoolSize      = 2    // with fewer entries, picks are random
 	probesPerRequest = 1
 )
 
@@ -40,7 +39,8 @@
 	c.pool = slices.DeleteFunc(c.pool, func(p probe) bool { return p.server.State != balance.Ready })
 }
 
-// attemptSent counts the request in the pool and probes servers for the next ones.
+// attemptSent adds the attempt to the pool's entries of its server, and probes
+// random servers for later picks.
 func (c *prequal) attemptSent(now balance.Time, s *server) {
 	for i := range c.pool {
 		if c.pool[i].server == s {
@@ -58,8 +58,8 @@
 	}
 }
 
-// observeLatency smooths the latency of a server. In the paper the server itself
-// estimates it by its requests in flight.
+// observeLatency updates the smoothed latency of a server with an answer's, in
+// seconds. In the paper servers estimate it for their number of requests in flight.
 func (c *prequal) observeLatency(s *server, elapsed float64) {
 	if s.latency == 0 {
 		s.latency = elapsed
--- a/internal/lab/policy/simple.go
+++ b/internal/lab/policy/simple.go
@@ -136,7 +136,7 @@
 
 func (c *peakEWMA) attemptFinished(now balance.Time, s *server, e *balance.AttemptEnded) {
 	if e.Code == balance.Moot || e.Code == balance.Full || e.Code == balance.ConnectFailed {
-		return // no measure of latency
+		return // the elapsed time is not the server's latency
 	}
 	elapsed := e.Elapsed.Seconds()
 	if w := math.Exp(-(now - s.latencyAt).Seconds() / ewmaTau); elapsed > s.latency {
@@ -165,7 +165,7 @@
 	return a
 }
 
-// herd picks the same server as all proxies, a different one each second.
+// herd makes all proxies pick the same server, a different one each second.
 type herd struct{ noCallbacks }
 
 func (*herd) pick(now balance.Time, from []*server, _ bool) *server {
--- a/internal/lab/policy/steered.go
+++ b/internal/lab/policy/steered.go
@@ -29,8 +29,9 @@
 	// ReportDelay is the mean delay of load reports; delays are uniform from zero
 	// to twice the mean, so reports arrive out of order.
 	ReportDelay time.Duration
-	// FrozenFraction is the fraction of the proxies that from FrozenStart on
-	// neither report nor receive updates and keep using their last state.
+	// FrozenFraction is the fraction of the proxies, rounded up to tenths, that
+	// from FrozenStart on neither report nor receive updates and keep using their
+	// last state.
 	FrozenFraction float64
 	FrozenStart    time.Duration
 }
@@ -38,7 +39,7 @@
 // failoverDelay is how long proxies take to detect an outage or a recovery.
 const failoverDelay = time.Second
 
-// services are the control services of a run.
+// controlServices are the control services of a run and their configuration.
 type controlServices struct {
 	ControlPlane
 	all []*controlService
@@ -52,7 +53,7 @@
 	return s
 }
 
-// unavailable reports whether a service is down at a time of the module's clock.
+// unavailable reports whether a service is down at a given time.
 func (s *controlServices) unavailable(c *controlService, now balance.Time) bool {
 	at := now - memory.Epoch
 	return c == s.all[0] && s.OutageStart > 0 && at >= s.OutageStart && at < s.OutageEnd
@@ -66,7 +67,8 @@
 	}
 }
 
-// freezeIfDue makes a proxy keep its present state if it is one of the frozen ones.
+// freezeIfDue makes a proxy keep its present state from FrozenStart on, if it is
+// one of those that freeze.
 func (p *proxy) freezeIfDue(now balance.Time) {
 	if config := p.services.ControlPlane; p.frozenState == nil && config.FrozenFraction > 0 && now-memory.Epoch >= config.FrozenStart &&
 		float64(p.homeService%10) < 10*config.FrozenFraction {
@@ -74,7 +76,7 @@
 	}
 }
 
-// currentState returns the state that the proxy applies.
+// currentState returns the state that the proxy applies, or nil if it has none.
 func (p *proxy) currentState(now balance.Time) *steer.State {
 	if p.frozenState != nil {
 		return p.frozenState
@@ -133,7 +135,7 @@
 	}
 	m, err := steer.New(steer.Settings{Classes: s.Classes, WarmupStartFraction: s.WarmupStartFraction, WarmupTime: s.WarmupTime, OverloadFactor: s.OverloadFactor, MaxServers: 1 << 16, SubsetSize: config.SubsetSize})
 	if err != nil {
-		panic(err) // invalid settings are a fault of the lab
+		panic(err) // the lab must provide valid settings
 	}
 	c.module = m
 }
@@ -150,7 +152,7 @@
 	}
 }
 
-// stateAt returns the state that proxies have received by now.
+// stateAt returns the newest state that proxies have received by now, or nil.
 func (c *controlService) stateAt(now balance.Time) *steer.State {
 	for len(c.states) > 1 && c.states[1].at <= now {
 		c.states = c.states[1:]
@@ -161,10 +163,10 @@
 	return c.states[0].state
 }
 
-// steerID formats the lab's number of a server such that the order is kept.
+// steerID formats a server's number with leading zeros, so that IDs sort by number.
 func steerID(id balance.ServerID) steer.ServerID { return steer.ServerID(fmt.Sprintf("%06d", id)) }
 
-// serverNumber parses the lab's number of a server.
+// serverNumber parses an ID made by steerID.
 func serverNumber(id steer.ServerID) (n int) {
 	for _, c := range []byte(id) {
 		n = 10*n + int(c-'0')
@@ -190,7 +192,8 @@
 }
 
 // tick sends the load report of a proxy when it is due, and advances the service
-// with the first proxy that ticks. A service that is down does nothing.
+// on the first tick of any proxy in an interval. A service that is down does
+// nothing.
 func (c *controlService) tick(now balance.Time, p *proxy) {
 	if p.services.unavailable(c, now) || p.frozenState != nil {
 		return
@@ -234,8 +237,8 @@
 }
 
 // shouldDrop counts an arrival and reports whether it must be dropped.
-func (c *controlService) shouldDrop(now balance.Time, p *proxy, high bool) bool {
-	if high {
+func (c *controlService) shouldDrop(now balance.Time, p *proxy, priority bool) bool {
+	if priority {
 		p.priorityArrivals++
 	} else {
 		p.otherArrivals++
@@ -246,7 +249,7 @@
 	}
 	view := state.View(p.zone)
 	drop := view.DropOtherPPM
-	if high {
+	if priority {
 		drop = view.DropPriorityPPM
 	}
 	return p.rng.Float64()*1e6 < float64(drop)
@@ -266,13 +269,13 @@
 	group int
 }
 
-// table holds the weights of a view's first priority that has any, indexed by the
-// lab's server numbers, and their cumulative sums for weighted picks.
+// table holds the endpoint weights of the first priority of a view that has healthy
+// endpoints, and their cumulative sums for weighted picks.
 type table struct {
-	weight     []float64
-	ids        []int
-	cumulative []float64
-	fallback   []float64 // weights of the next priority, for retries
+	weight     []float64 // by server number; 0: not in use
+	ids        []int     // numbers of the servers in use
+	cumulative []float64 // sums of weight in the order of ids
+	fallback   []float64 // weights of the next priority by server number, for retries
 }
 
 func (c *controlService) tableFor(now balance.Time, p *proxy) *table {
@@ -339,7 +342,7 @@
 	return t
 }
 
-// fallbackWeights returns the weights of the second priority.
+// fallbackWeights returns the weights of the second priority, by server number.
 func fallbackWeights(v *steer.View) (weights []float64) {
 	for _, l := range v.Localities {
 		sum := 0.0
@@ -378,14 +381,15 @@
 	return t.ids[lo]
 }
 
-// steered picks the one of two servers, drawn by weight, with the lower ratio of
-// requests in flight to weight.
+// steered draws two servers by the weights that the control service assigns, and
+// picks the one with the lower ratio of requests in flight to weight.
 type steered struct {
 	noCallbacks
 	*proxy
 }
 
-// maxPicks is how many picks may hit unusable servers before all are scanned.
+// maxPicks is the number of draws that may return a server that is not ready,
+// before the ready servers are scanned instead.
 const maxPicks = 8
 
 func (c *steered) pick(now balance.Time, from []*server, all bool) *server {
