--- a/internal/lab/sweep/deploy_test.go
+++ b/internal/lab/sweep/deploy_test.go
@@ -8,7 +8,7 @@
 	"ivylock/internal/lab/nodeconf"
 )
 
-// IVYLAB_DEPLOYMENTS sets the number of deployments.
+// The variable IVYLAB_DEPLOYMENTS sets the number of deployments.
 func TestRandomDeploymentsBreakNoRule(t *testing.T) {
 	n := 50
 	if v, err := strconv.Atoi(os.Getenv("IVYLAB_DEPLOYMENTS")); err == nil {
@@ -83,7 +83,7 @@
 		"effect 0", "effect 1", "effect 2", "scope 0", "scope 1", "scope 2", "deadline under 0.5 s", "deadline over 10 s", "window under 3 s", "target work factor", "late value",
 		"report 0", "report 1", "report 2", "one attempt", "live sizes"} {
 		if seen[feature] == 0 {
-			t.Errorf("none of 200 deployments with %s", feature)
+			t.Errorf("none of 200 deployments has the feature %s", feature)
 		}
 	}
 }
--- a/internal/lab/sweep/shrink.go
+++ b/internal/lab/sweep/shrink.go
@@ -8,7 +8,7 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// maxReplays limits the runs per finding.
+// maxReplays limits the simulations for shrinking one finding.
 const maxReplays = 120
 
 // shrink minimises a scenario that breaks a rule: fewer faults, shorter faults,
