--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -120,7 +120,7 @@
 }
 
 // compareNodes compares two builds of the node: both processes run at the same
-// time and are loaded in turn, so that changes of the machine affect both.
+// time and are loaded in turn, so that changes in the load of the machine affect both.
 func (a *app) compareNodes(ctx context.Context, dir string, programs [2]string, servers []string, rounds, body int, length time.Duration) int {
 	var nodes [2]*process.Process
 	for i, program := range programs {
@@ -179,7 +179,7 @@
 }
 
 // measure starts a proxy, warms it up, measures it and kills it. An empty program
-// stands for the standard library's proxy.
+// means the standard library's proxy.
 func (a *app) measure(ctx context.Context, dir, program string, servers []string, clients, body int, length time.Duration) (measurement, error) {
 	if ctx.Err() != nil {
 		return measurement{}, ctx.Err()
@@ -203,7 +203,7 @@
 		}
 	}
 	defer p.Kill()
-	// The node learns the speed of its servers under light load first.
+	// Light load first, so that the node can measure the speed of its servers.
 	for _, warm := range []int{1, clients} {
 		if _, err = perf.RunClosedLoop(perf.ClientLoad{Addr: p.Addr, Clients: warm, Length: length / 4, Class: "viewer-clip", BodySize: body}); err != nil {
 			return m, err
--- a/internal/lab/command/ceiling.go
+++ b/internal/lab/command/ceiling.go
@@ -65,7 +65,7 @@
 	clock := func() time.Duration { return time.Since(start) }
 	var recorder history.Recorder
 	balancer := caller.NewBalancer(s.Nodes())
-	for i, spec := range s.Servers() { // each server takes the place of a node
+	for i, spec := range s.Servers() { // clients connect to the servers as if they were nodes
 		machine, err := clip.NewMachine(spec.Kind)
 		if err != nil {
 			return 0, 0, 0, 0, err
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -238,7 +238,7 @@
 	return a.finish(s, hist, &labStats, outputs, time.Since(start), nil)
 }
 
-// showProgress shows a run until it is over, on a live screen or as lines.
+// showProgress shows a run until it ends, on a live screen or as lines.
 func (a *app) showProgress(testbed *real.Testbed, live *show.LiveView, s *scenario.Scenario, done <-chan struct{}, screen bool) {
 	interval := 2 * time.Second
 	if screen = screen && a.rows > 0; screen {
--- a/internal/lab/command/demo.go
+++ b/internal/lab/command/demo.go
@@ -12,8 +12,7 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// Requests per second that the machine carries without becoming the bottleneck;
-// the lab and three nodes share its cores.
+// Requests per second, so that the machine does not become the bottleneck.
 const (
 	ratePerCore = 60.0
 	maxRate     = 300.0
