--- a/internal/lab/xdsdrain/drain.go
+++ b/internal/lab/xdsdrain/drain.go
@@ -48,11 +48,11 @@
 	Fault       Fault
 	Variant     string        // sotw or delta
 	LastRequest time.Duration // time from the drain to the proxy's last new request there; 0: none
-	// StaleAfterResume is how long a stopped reader that continued still used what it had received
-	// but not read.
+	// StaleAfterResume is how long after a stopped reader resumed it still sent new requests there,
+	// as it first read updates that had arrived earlier; 0: it sent none.
 	StaleAfterResume time.Duration
 	Requests         int // in the 1.2 s after the drain
-	NoServer         int // of these, how many had no server to go to
+	NoServer         int // of these, requests for which no server was available
 	Streams          int // discovery streams opened in that time
 }
 
@@ -372,7 +372,7 @@
 	if err := b.injectFault(fault); err != nil {
 		return nil, err
 	}
-	// The fault begins before the drain, so that the update meets it.
+	// The fault begins before the drain, so that it affects the update.
 	time.Sleep(time.Duration(b.rng.Int64N(int64(150 * time.Millisecond))))
 	requests, noServer, streams := make([]int64, 2), make([]int64, 2), make([]int, 2)
 	for i := range b.proxies {
@@ -383,7 +383,7 @@
 	e := s.entry
 	e.Lifecycle = hosts.Draining
 	b.discovery.SetNow(e)
-	if fault == ControlKilled { // the service has not been notified of the drain, and neither has its stored list
+	if fault == ControlKilled { // neither the killed service nor its stored list received the drain
 		if err := b.startControl(); err != nil {
 			return nil, err
 		}
