--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -292,7 +292,7 @@
 // tenfold multiplies each figure of a datagram by ten.
 func tenfold(data []byte) []byte {
 	data = slices.Clone(data)
-	for _, at := range []int{3, 9} { // the work, and the wait in the only reading
+	for _, at := range []int{3, 9} { // offsets of the work and of the wait in the datagram's only reading
 		v := min(math.MaxUint16, 10*uint32(binary.BigEndian.Uint16(data[at:])))
 		binary.BigEndian.PutUint16(data[at:], uint16(v))
 	}
