--- a/internal/lab/show/live.go
+++ b/internal/lab/show/live.go
@@ -14,7 +14,7 @@
 
 const (
 	statsWindow   = 5 * time.Second
-	maxRemembered = 100_000 // tries, before open orders and tries are forgotten
+	maxRemembered = 100_000 // open tries; beyond it, all open orders and tries are dropped
 )
 
 // LiveView shows a run in progress. Its methods are safe for concurrent use.
@@ -25,7 +25,7 @@
 	orders  map[string]history.Event // first tries
 	tries   map[string]history.Event
 	answers []answer
-	value   [2]float64 // of the whole run: served within the target latency, requested
+	value   [2]float64 // of all requests so far: served within the target latency, requested
 	refused int
 	faults  map[string]time.Duration
 	notes   []string
@@ -106,7 +106,7 @@
 	}
 	var stats []classStats
 	for _, c := range l.classes {
-		f := classStats{name: c.Name}
+		current := classStats{name: c.Name}
 		var latencies []time.Duration
 		n := 0.0
 		for _, a := range l.answers {
@@ -118,18 +118,18 @@
 			case a.status == history.Served:
 				latencies = append(latencies, a.latency)
 				if a.onTime {
-					f.onTime++
+					current.onTime++
 				}
 			case a.status == history.Refused:
-				f.refused++
+				current.refused++
 			}
 		}
 		if n > 0 {
-			f.onTime, f.refused = f.onTime/n, f.refused/n
+			current.onTime, current.refused = current.onTime/n, current.refused/n
 		}
-		f.rate = n / min(statsWindow, max(now, time.Second)).Seconds()
-		f.p50, f.p99 = judge.Quantile(latencies, 0.5), judge.Quantile(latencies, 0.99)
-		stats = append(stats, f)
+		current.rate = n / min(statsWindow, max(now, time.Second)).Seconds()
+		current.p50, current.p99 = judge.Quantile(latencies, 0.5), judge.Quantile(latencies, 0.99)
+		stats = append(stats, current)
 	}
 	return stats
 }
--- a/internal/lab/show/series.go
+++ b/internal/lab/show/series.go
@@ -8,17 +8,17 @@
 	"ivylock/internal/lab/history"
 )
 
-// Series holds values of a history by second.
+// Series holds values of a history for each of its seconds.
 type Series struct {
 	Seconds     int
 	OnTimeValue []float64            // fraction of the requested value served within the target latency; -1: no requests
-	Refused     []float64            // refused tries
-	Sent        map[string][]float64 // by server: received attempts
+	Refused     []float64            // number of refused tries
+	Sent        map[string][]float64 // by server: number of attempts that it received
 	InFlight    map[string][]float64 // by server: mean number of attempts in progress
 	Faults      []FaultInterval
 }
 
-// FaultInterval is a fault on the time axis.
+// FaultInterval is the time during which a fault was active, since the start of the lab.
 type FaultInterval struct {
 	From, To time.Duration
 	Text     string
