--- a/internal/lab/experiment/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -85,9 +85,9 @@
 // if the whole interval lies on one side of 0 and the mean differs from 0 by more
 // than minDifference; more broken rules are always worse. It fails if the files
 // have no cell in common.
-func Compare(a, b []Row, minDifference float64) ([]Difference, error) {
+func Compare(baseline, changed []Row, minDifference float64) ([]Difference, error) {
 	first := map[string]Row{}
-	for _, r := range a {
+	for _, r := range baseline {
 		first[r.Key()] = r
 	}
 	type pairs struct {
@@ -96,7 +96,7 @@
 	}
 	groups := map[string]*pairs{}
 	var order []string
-	for _, r := range b {
+	for _, r := range changed {
 		old, found := first[r.Key()]
 		if !found {
 			continue
