--- a/internal/lab/xdsproxy/client.go
+++ b/internal/lab/xdsproxy/client.go
@@ -59,7 +59,8 @@
 		client: &http.Client{Timeout: checkTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// Pick chooses a server for a request of a class.
+// Pick chooses a server for a request of a class. ok is false if no server is available. dropped is
+// true if the request must be refused.
 func (p *Proxy) Pick(class string) (s Server, dropped, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// healthCheck checks the health of servers while the proxy has no lease for them.
+// healthCheck regularly checks the servers for which the proxy has no lease, until the context ends.
 func (p *Proxy) healthCheck(ctx context.Context) {
 	t := time.NewTicker(checkInterval)
 	defer t.Stop()
@@ -142,7 +143,7 @@
 	recv() (typeURL, nonce, version string, resources []resource, removed []string, err error)
 }
 
-// runStream serves one stream until it breaks.
+// runStream opens a stream to a control service and handles its responses until it ends.
 func (p *Proxy) runStream(ctx context.Context, addr string) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -156,24 +157,24 @@
 	node := &corev3.Node{Id: p.cfg.NodeID, Locality: &corev3.Locality{Zone: p.cfg.Zone},
 		ClientFeatures: []string{"xds.config.supports-resource-ttl"}}
 	api := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
-	var s discoveryStream
+	var stream discoveryStream
 	if p.cfg.Delta {
 		grpcStream, err := api.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return
 		}
-		s = &deltaStream{grpcStream: grpcStream, node: node, subscribed: map[string][]string{}}
+		stream = &deltaStream{grpcStream: grpcStream, node: node, subscribed: map[string][]string{}}
 	} else {
 		grpcStream, err := api.StreamAggregatedResources(ctx)
 		if err != nil {
 			return
 		}
-		s = &sotwStream{grpcStream: grpcStream, node: node}
+		stream = &sotwStream{grpcStream: grpcStream, node: node}
 	}
 	p.mu.Lock()
 	p.streamCount++
 	p.mu.Unlock()
-	if s.request(clusterURL, "", "", nil, "") != nil || s.request(routeURL, "", "", []string{p.cfg.Service}, "") != nil {
+	if stream.request(clusterURL, "", "", nil, "") != nil || stream.request(routeURL, "", "", []string{p.cfg.Service}, "") != nil {
 		return
 	}
 	wanted := map[string][]string{routeURL: {p.cfg.Service}}
@@ -189,7 +190,7 @@
 			}
 			continue
 		}
-		typeURL, nonce, version, resources, removed, err := s.recv()
+		typeURL, nonce, version, resources, removed, err := stream.recv()
 		if err != nil {
 			return
 		}
@@ -197,7 +198,7 @@
 		if err := p.apply(typeURL, resources, removed, !p.cfg.Delta); err != nil {
 			nack = err.Error()
 		}
-		if s.request(typeURL, nonce, version, wanted[typeURL], nack) != nil {
+		if stream.request(typeURL, nonce, version, wanted[typeURL], nack) != nil {
 			return
 		}
 		if typeURL != clusterURL {
@@ -206,7 +207,7 @@
 		clusters := p.endpointClusters()
 		if first := wanted[endpointURL] == nil; first || !slices.Equal(clusters, wanted[endpointURL]) {
 			wanted[endpointURL] = clusters
-			if s.request(endpointURL, "", "", clusters, "") != nil {
+			if stream.request(endpointURL, "", "", clusters, "") != nil {
 				return
 			}
 		}
