--- a/internal/lab/load/stream.go
+++ b/internal/lab/load/stream.go
@@ -153,8 +153,8 @@
 	return min(timeout, o.At+o.Class.Deadline-now)
 }
 
-// NextRetry reports whether a client retries after try number n, counted from 0, and after what
-// wait. Safe requests are retried unless they were served or the client disconnected; others only if the
+// NextRetry reports whether a client retries after try number n, counted from 0, and how long it
+// waits first. Safe requests are retried unless they were served or the client disconnected; others only if the
 // last try cannot have run.
 func NextRetry(s *scenario.Scenario, o *Order, n int, status history.Status, retryAfter, now time.Duration) (wait time.Duration, ok bool) {
 	notRun := status == history.Refused || status == history.Unreachable
