--- a/internal/lab/policy/simple.go
+++ b/internal/lab/policy/simple.go
@@ -28,7 +28,7 @@
 	return from[c.next%len(from)]
 }
 
-// twoDistinct draws two servers, different ones if there are at least two.
+// twoDistinct draws two different servers at random, or the only one twice.
 func twoDistinct(rng *rand.Rand, from []*server) (a, b *server) {
 	i := rng.IntN(len(from))
 	if len(from) == 1 {
