--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -62,7 +62,7 @@
 }
 
 // Scenario generates the scenario, the same one for the same workload. Machine kinds are drawn in
-// fixed proportions.
+// fixed proportions. It fails if a field is out of its range.
 func (w Workload) Scenario() (*scenario.Scenario, error) {
 	if w.Zones == 0 {
 		w.Zones = 3
@@ -113,7 +113,7 @@
 	return s, scenario.CheckInMemory(s)
 }
 
-// faults adds the fault to the scenario.
+// faults adds the workload's fault to a scenario.
 func (w Workload) faults(s *scenario.Scenario, rng *rand.Rand) error {
 	at := func(fraction float64) scenario.Span {
 		return scenario.Span{Duration: time.Duration(fraction * float64(w.Length)).Round(time.Millisecond)}
--- a/internal/lab/fleet/hard_test.go
+++ b/internal/lab/fleet/hard_test.go
@@ -16,11 +16,12 @@
 	"ivylock/internal/lab/scenario"
 )
 
-// perSecond counts by the second what clients issued and had served, and what servers received.
+// perSecond counts, for each second, the requests that clients issued, how many of these were served,
+// and the attempts that each server received.
 type perSecond struct {
 	issued, served []float64
-	issuedAt       map[string]int // by order, when it was issued
-	sent           map[string][]int
+	issuedAt       map[string]int   // by order, the second in which it was issued
+	sent           map[string][]int // by server
 }
 
 func newPerSecond(w Workload) *perSecond {
@@ -59,7 +60,7 @@
 }
 
 // runChecked runs a workload under the node policy with further faults and checks the rules.
-func runChecked(t *testing.T, w Workload, change func(*scenario.Scenario), with memory.Options) *perSecond {
+func runChecked(t *testing.T, w Workload, change func(*scenario.Scenario), options memory.Options) *perSecond {
 	t.Helper()
 	s, err := w.Scenario()
 	if err != nil {
@@ -70,7 +71,7 @@
 		t.Fatal(err)
 	}
 	counts := newPerSecond(w)
-	if r := runScenario(w, s, policy.Nodes, with, counts.event); !r.Passed() {
+	if r := runScenario(w, s, policy.Nodes, options, counts.event); !r.Passed() {
 		t.Errorf("%v", r.Counts)
 	}
 	return counts
