--- a/internal/lab/command/bench.go
+++ b/internal/lab/command/bench.go
@@ -86,12 +86,12 @@
 		return a.compareNodes(ctx, dir, [2]string{*program, *against}, servers, *rounds, *body, *length)
 	}
 	fmt.Fprintf(a.out, "%-8s %-14s %10s %10s %9s %9s %9s\n", "clients", "proxy", "answers/s", "CPU us", "p50 us", "p99 us", "refused")
-	counts := []int{1, 16, 64}
+	clientCounts := []int{1, 16, 64}
 	if *body > bounded.MaxBufferedBody { // a single client measures the cost per byte
-		counts = counts[:1]
+		clientCounts = clientCounts[:1]
 	}
-	for _, clients := range counts {
-		var rate, cpu, p50, p99 []float64 // ratios
+	for _, clients := range clientCounts {
+		var rate, cpu, p50, p99 []float64 // ratios of node to reverse proxy
 		var nodeCPU []float64             // CPU time of the node, us per request
 		for range *rounds {
 			node, err := a.measure(ctx, dir, *program, servers, clients, *body, *length)
