--- a/internal/lab/clip/server.go
+++ b/internal/lab/clip/server.go
@@ -85,8 +85,8 @@
 }
 
 // NewServer makes a warm, running server.
-func NewServer(name string, m Machine, f OverloadLimit, pod *Pod) *Server {
-	return &Server{Name: name, Machine: m, OverloadLimit: f, pod: pod, reportedAt: -1 << 60}
+func NewServer(name string, machine Machine, limit OverloadLimit, pod *Pod) *Server {
+	return &Server{Name: name, Machine: machine, OverloadLimit: limit, pod: pod, reportedAt: -1 << 60}
 }
 
 // State returns the state.
@@ -99,15 +99,15 @@
 func (s *Server) Connections() int { return s.conns }
 
 // SetState changes the state. A process that goes down loses its requests and connections.
-func (s *Server) SetState(now time.Duration, st State) {
+func (s *Server) SetState(now time.Duration, state State) {
 	s.progress(now)
-	s.state = st
-	if st == Down {
+	s.state = state
+	if state == Down {
 		s.active, s.queue, s.conns = nil, nil, 0
 	}
 }
 
-// Start begins a new process, which is cold on request. It returns the event for the history.
+// Start replaces the process by a new one, which is cold or warm. It returns the event for the history.
 func (s *Server) Start(now time.Duration, cold bool) history.Event {
 	s.SetState(now, Down)
 	s.state, s.startedAt, s.cold, s.at, s.progressed = Running, now, cold, now, 0
