--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -327,8 +327,8 @@
 }
 
 // overlaps reports whether two faults are active at the same time, each for at least a millisecond.
-func (f *Fault) overlaps(g *Fault) bool {
-	return f.At.Duration < g.At.Duration+max(g.For.Duration, time.Millisecond) && g.At.Duration < f.At.Duration+max(f.For.Duration, time.Millisecond)
+func (f *Fault) overlaps(other *Fault) bool {
+	return f.At.Duration < other.At.Duration+max(other.For.Duration, time.Millisecond) && other.At.Duration < f.At.Duration+max(f.For.Duration, time.Millisecond)
 }
 
 // commonName returns the first name in sorted order that both sets contain.
@@ -359,10 +359,12 @@
 }
 
 // Check fills in defaults and validates a scenario that was not read from a
-// file, within the limits of a run with real processes.
+// file, within the limits of a run with real processes. The error says what is
+// invalid and how to fix it.
 func Check(s *Scenario) error { return checkWithin(s, processLimits) }
 
-// CheckInMemory does the same within the larger limits of a simulated run.
+// CheckInMemory does the same as Check, within the larger limits of a simulated
+// run.
 func CheckInMemory(s *Scenario) error { return checkWithin(s, memoryLimits) }
 
 func checkWithin(s *Scenario, limits bounds) error {
