--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -198,9 +198,9 @@
 	return a.runWithProcesses(ctx, s, real.Options{Seed: *seed}, *program, outputs, false)
 }
 
-// runWithProcesses runs a scenario with real processes, on request with a live
-// screen.
-func (a *app) runWithProcesses(ctx context.Context, s *scenario.Scenario, o real.Options, program string, outputs outputFiles, screen bool) int {
+// runWithProcesses runs a scenario with real processes. It shows progress on a live
+// screen if screen is set, otherwise as lines.
+func (a *app) runWithProcesses(ctx context.Context, s *scenario.Scenario, options real.Options, program string, outputs outputFiles, screen bool) int {
 	if program == "" {
 		built, clean, err := buildNode(ctx)
 		if err != nil {
@@ -209,11 +209,11 @@
 		defer clean()
 		program = built
 	}
-	o.Program = program
+	options.Program = program
 	live := show.NewLiveView(load.ScenarioClasses(s))
-	o.ObserveEvents = live.Add
+	options.ObserveEvents = live.Add
 	start := time.Now()
-	testbed, err := real.New(ctx, s, o)
+	testbed, err := real.New(ctx, s, options)
 	if err != nil {
 		return a.fail(ExitFailed, err)
 	}
