--- a/internal/lab/xdsdrain/drain.go
+++ b/internal/lab/xdsdrain/drain.go
@@ -95,7 +95,7 @@
 	draining     atomic.Bool
 	mu           sync.Mutex
 	lastRequest  map[string]time.Duration // by proxy
-	requestCount map[string]int
+	requestCount map[string]int           // by proxy
 	http         *http.Server
 }
 
@@ -111,8 +111,8 @@
 	links         []*link.TCP
 	proxies       []*xdsproxy.Proxy
 	proxyNames    []string
-	requests      []atomic.Int64
-	noServer      []atomic.Int64
+	requests      []atomic.Int64 // by proxy
+	noServer      []atomic.Int64 // by proxy: requests for which no server was available
 	controlCmd    *exec.Cmd
 	cancel        context.CancelFunc
 	goroutines    sync.WaitGroup
@@ -249,7 +249,7 @@
 	}
 }
 
-// sendRequests sends the requests of a proxy at a fixed rate, each on its own.
+// sendRequests sends the requests of a proxy at a fixed rate, without waiting for answers.
 func (b *Testbed) sendRequests(ctx context.Context, i int) {
 	t := time.NewTicker(time.Second / requestRate)
 	defer t.Stop()
