--- a/fleet/version/version_test.go
+++ b/fleet/version/version_test.go
@@ -189,7 +189,7 @@
 		{control("a", 2, 1, 0, 41, 5), control("a", 1, 900, 0, 41, 5), Same}, // restarted at a lower version
 		{control("a", 2, 1, 0, 42, 6), control("a", 1, 900, 0, 41, 5), Newer},
 		{control("a", 2, 1, 0, 40, 4), control("b", 1, 900, 0, 41, 5), Older},
-		{control("a", 2, 1, 0, 41, 5), control("b", 1, 900, 1, 41, 5), Same}, // identical list, one more restart counted
+		{control("a", 2, 1, 0, 41, 5), control("b", 1, 900, 1, 41, 5), Same}, // same list, one more restart counted
 		{control("a", 2, 1, 0, 42, 6), control("b", 1, 900, 1, 3, 5), Incomparable},
 		{control("a", 2, 1, 0, 42, 0), control("b", 1, 900, 0, 3, 5), Incomparable}, // unknown list
 		{control("a", 2, 1, 0, 41, 6), control("b", 1, 900, 0, 41, 5), Incomparable},
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -73,9 +73,9 @@
 	EntriesSkipped                                   atomic.Int64 // unreadable entries of lists
 	UnknownSenders                                   atomic.Int64 // datagrams from unknown senders, or too long
 	DatagramsIgnored                                 atomic.Int64 // datagrams of known nodes that were not applied
-	WithdrawalsApplied, DatagramsMalformed           atomic.Int64 // withdrawals of servers from peers: applied, malformed
+	WithdrawalsApplied, DatagramsMalformed           atomic.Int64 // server withdrawals from peers: applied, malformed
 	PeerQueriesSent, PeerQueriesAnswered             atomic.Int64 // queries for list changes, to and from peers
-	ReloadsRefused                                   atomic.Int64 // configurations that were malformed or of another node
+	ReloadsRefused                                   atomic.Int64 // configurations malformed or of another node
 
 	AttemptsEnded       CounterVec   // by outcome, in the order of balance.OutcomeCode
 	AttemptsWithheld    CounterVec   // by guard.WithholdReason: attempts dropped before their first byte was written
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -475,7 +475,8 @@
 		t.Fatalf("the machine was too slow to force the race: %v", dialled)
 	}
 	written := make(chan bool, 1)
-	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // the kernel retransmits the SYN 1 s after the first
+	// The kernel retransmits the SYN 1 s after the first.
+	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond)))
 	second.Release(t)
 	go http.Serve(second, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { written <- true }))
 	if got := <-status; got != http.StatusBadGateway {
--- a/internal/front/told_test.go
+++ b/internal/front/told_test.go
@@ -286,7 +286,8 @@
 			if i == 0 {
 				lastToDrained.Store(time.Now().UnixNano())
 			} else {
-				time.Sleep(5 * time.Millisecond) // the first server responds faster, so the node prefers it until it drains
+				// The first server responds faster, so the node prefers it until it drains.
+				time.Sleep(5 * time.Millisecond)
 			}
 		}))
 		t.Cleanup(s.Close)
--- a/internal/lab/real/members_test.go
+++ b/internal/lab/real/members_test.go
@@ -184,7 +184,8 @@
 				t.Errorf("%d processes are up", len(last))
 			}
 			for _, x := range audit.New(last, audit.DefaultOptions()).Views() {
-				if x.Alive != up && name != "grow" && name != "crowd" { // in these, processes that left may still be suspected
+				// In "grow" and "crowd", processes that left may still be suspected.
+				if x.Alive != up && name != "grow" && name != "crowd" {
 					t.Errorf("%s has %d members alive, want %d: %v", x.Process, x.Alive, up, x.NotAlive)
 				}
 			}
@@ -302,7 +303,8 @@
 		now := uint32(time.Now().Unix())
 		for waitUntil(ctx, bed, 3*time.Second) && bed.Clock() < 30*time.Second && sleep(ctx, 200*time.Millisecond) {
 			for _, to := range []int{0, 1, 2, 3, 4, 5, 6, 8} {
-				for member := uint32(0); member < 9; member++ { // n7 reports all as failed, and all with later incarnations
+				// n7 reports all as failed, and all with later incarnations.
+				for member := uint32(0); member < 9; member++ {
 					bed.SendSpoofed(7, to, ping(7, now, member, now, 2))
 					bed.SendSpoofed(7, to, ping(7, now, member, now+900, 0))
 				}
@@ -315,7 +317,8 @@
 				bed.SendSpoofed(7, to, shares.Encode(251, shares.ClaimReply{Incarnation: 1, Round: 3, Granted: shares.SlotSet{^uint64(0)}}))
 				bed.SendSpoofed(7, to, make([]byte, 400))
 				if bed.Clock() > 16500*time.Millisecond && bed.Clock() < 18*time.Second && to != 5 {
-					bed.SendSpoofed(5, to, ping(5, now+3600, 5, now+3600, 0)) // as n5 itself, an hour ahead, before its restart
+					// As n5 itself, an hour ahead, before its restart.
+					bed.SendSpoofed(5, to, ping(5, now+3600, 5, now+3600, 0))
 				}
 				rounds++
 			}
--- a/internal/lab/real/words_test.go
+++ b/internal/lab/real/words_test.go
@@ -15,8 +15,8 @@
 func TestNodesCutOffFromDiscoveryLearnOfDrainsFromPeers(t *testing.T) {
 	t.Parallel()
 	layout := strings.ReplaceAll(strings.Replace(nineNodes, "nodes = 3", "nodes = 10", 1), "nodes = 3", "nodes = 9")
-	// Several nodes of each kind, as each uses only a few servers and perhaps none that drains. n16 uses servers outside
-	// its subset, so no peer notifies it of them, and it has to poll peers.
+	// Several nodes of each kind, as each uses only a few servers and perhaps none that drains. n16 uses servers
+	// outside its subset, so no peer notifies it of them, and it has to poll peers.
 	notified, polling, isolated := []string{"n0", "n3", "n13"}, []string{"n16"}, []string{"n5", "n8", "n11", "n18", "n22", "n25"}
 	s := parse(t, "name = \"words\"\nlength = \"12s\"\n[must]\nfaults_happen = true\nserved = 0.9\n[load]\nrate = 150.0\n"+
 		strings.Replace(layout, "messages = \"5ms\"", "messages = \"5ms\"\nmessages_lost = 0.2", 1)+
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -23,7 +23,7 @@
 	FaultsPerSecond    float64       // mean rate at which faults begin
 	RatePerNode        float64       // orders per second and node
 	ClockSteps         bool          // include steps of wall clocks; needs nodes built with -tags faults
-	SystemCalls        bool          // include failing system calls; the caller's main must support sysfault.RunLauncher
+	SystemCalls        bool          // include failing system calls; needs a main that supports sysfault.RunLauncher
 }
 
 // DefaultBounds are the bounds of a soak on a machine of eight cores.
--- a/internal/lab/vtime/queue.go
+++ b/internal/lab/vtime/queue.go
@@ -103,7 +103,8 @@
 			q.freeBuckets = append(q.freeBuckets, empty)
 		}
 	}
-	for len(q.overflow) > 0 && int64(q.overflow[0].at)>>bucketShift < q.currentBucket+bucketCount { // now within the ring
+	// Entries that are now within the ring.
+	for len(q.overflow) > 0 && int64(q.overflow[0].at)>>bucketShift < q.currentBucket+bucketCount {
 		q.place(q.overflow.pop())
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -301,7 +301,8 @@
 	n.releaseWaiting(true)
 	for _, r := range n.requests {
 		n.handle(balance.FinalAnswerDue{ID: r.ID})
-		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.RejectedShutdown}) { // unknown to the module
+		// True for a request unknown to the module.
+		if n.finish(r, Response{Status: http.StatusBadGateway, Reason: figures.RejectedShutdown}) {
 			n.removeRequest(r)
 		}
 	}
@@ -313,7 +314,8 @@
 	}
 	switch {
 	case n.requests[r.ID] != nil:
-		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.RejectedDuplicateID}) // the open request continues
+		// The open request continues.
+		n.finish(r, Response{Status: http.StatusConflict, Reason: figures.RejectedDuplicateID})
 		return
 	case n.refuseNew:
 		n.finish(r, Response{Status: http.StatusServiceUnavailable, Reason: figures.RejectedShutdown})
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -177,7 +177,8 @@
 			if resource := s.snapshot.Get(request.Type, name); resource != nil && resource.Version == version && !s.hasTTL(resource) && (sub.wildcard || sub.names[name]) {
 				sub.held[name] = heldResource{Resource: resource}
 			} else if resource == nil && (sub.wildcard || sub.names[name]) && checkName(name) == nil {
-				sub.held[name] = heldResource{Resource: &Resource{Name: name, Version: version}} // will be reported as removed
+				// Will be reported as removed.
+				sub.held[name] = heldResource{Resource: &Resource{Name: name, Version: version}}
 			}
 		}
 	}
--- a/membership/caller.go
+++ b/membership/caller.go
@@ -44,7 +44,7 @@
 	// Lower bound of the random poll wait, as a fraction of the longest: keeps nodes whose watches
 	// stall at the same time from calling at the same time.
 	minPollWaitFraction = 0.6
-	pollPause           = 20 * time.Millisecond // less than the 200 ms without a call after which discovery ends a watch
+	pollPause           = 20 * time.Millisecond // discovery ends a watch after 200 ms without a call
 
 	localPollWait    = time.Second            // calls to a local agent are cheap
 	localHedgeDelay  = 150 * time.Millisecond // beyond the poll wait; the local agent normally answers at once
--- a/steer/steer.go
+++ b/steer/steer.go
@@ -17,7 +17,7 @@
 	decayTau            = 60.0                    // s; decay of peak rates, growth of the base delay
 	baseTau             = 10.0                    // s; fall of the base delay
 	rateTau             = 2.0                     // s; smoothing of rates and of requests in flight
-	targetFraction      = 0.45                    // fraction of the shortest target latency that a server's delay may take
+	targetFraction      = 0.45                    // fraction of the shortest target latency a server's delay may take
 	queueFactor         = 4.0                     // longest delay of a normal server, in multiples of the base delay
 	minHighMark         = 8.0                     // least high mark of a server, in requests over all proxies
 	lowFraction         = 0.7                     // low mark, as a fraction of the high mark
