--- a/internal/lab/command/ceiling.go
+++ b/internal/lab/command/ceiling.go
@@ -56,7 +56,7 @@
 // measureOverhead runs the lab without a node.
 func measureOverhead(rate float64, length time.Duration) (served float64, late, p50, p99 time.Duration, err error) {
 	s := &scenario.Scenario{Name: "ceiling", Seed: 1, Length: scenario.Span{Duration: length},
-		Load:  scenario.Load{Rate: rate, WorkFactor: 0.01}, // about a millisecond per request, so that no queues build up
+		Load:  scenario.Load{Rate: rate, WorkFactor: 0.01}, // about 1 ms per request, so that no queues build up
 		Zones: []scenario.Zone{{Name: "hall", Nodes: 12, Servers: map[string]int{"fast-6": 12}}}}
 	if err := scenario.Check(s); err != nil {
 		return 0, 0, 0, 0, err
--- a/internal/lab/history/history.go
+++ b/internal/lab/history/history.go
@@ -151,7 +151,7 @@
 	TimedOut         Status = "gave-up"     // no answer within the client's time
 	Abandoned        Status = "left"        // the client disconnected early, by its own choice
 	Unreachable      Status = "unreachable" // no node accepted it
-	CloseRace        Status = "crossed"     // the node closed the connection while it was sent, perhaps without reading it
+	CloseRace        Status = "crossed"     // the node closed the connection during sending; request perhaps unread
 )
 
 // Verdict is what a clip server did with an attempt.
--- a/internal/lab/perf/perf.go
+++ b/internal/lab/perf/perf.go
@@ -54,7 +54,7 @@
 	response := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size), make([]byte, size)...)
 	for r := bufio.NewReader(c); ; {
 		length := 0
-		for first := true; ; first = false { // the head of a request, which our own side wrote
+		for first := true; ; first = false { // the head of a request
 			line, err := r.ReadSlice('\n')
 			if err != nil {
 				return
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -108,7 +108,7 @@
 	FaultReload           = "reload"            // a node reloads (SIGHUP) with another discovery address
 	FaultWatchSilent      = "watch-silent"      // the open discovery watches of nodes go silent
 	FaultIdleClose        = "idle-close"        // servers close their idle connections
-	FaultClockStep        = "clock-step"        // the wall clock of nodes steps; permanent; node built with -tags faults
+	FaultClockStep        = "clock-step"        // wall clock of nodes steps; permanent; node built with -tags faults
 	FaultNoDescriptors    = "no-descriptors"    // a node gets no file descriptor (EMFILE), for 0.15 s at most
 	FaultSystemCalls      = "system-calls"      // a fraction of a node's system calls of one kind fails
 )
--- a/internal/lab/show/series.go
+++ b/internal/lab/show/series.go
@@ -11,7 +11,7 @@
 // Series holds values of a history for each of its seconds.
 type Series struct {
 	Seconds     int
-	OnTimeValue []float64            // fraction of the requested value served within the target latency; -1: no requests
+	OnTimeValue []float64            // fraction of the requested value served within target latency; -1: no requests
 	Refused     []float64            // number of refused tries
 	Sent        map[string][]float64 // by server: number of attempts that it received
 	InFlight    map[string][]float64 // by server: mean number of attempts in progress
